--- a/crates/rehearsal/src/history.rs
+++ b/crates/rehearsal/src/history.rs
@@ -1,8 +1,8 @@
 //! What happened in a rehearsal, in order.
 
-use pointhook::bookkeeping::job::{JobRecord, StoredPlacement};
-use pointhook::bookkeeping::records::{ShardRecord, ROOT};
-use pointhook::protocol::state::{Transaction, Write};
+use pointhook::protocol::kv::{Transaction, Write};
+use pointhook::state::job::{JobRecord, StoredPlacement};
+use pointhook::state::records::{ShardRecord, ROOT};
 use rmpv::Value;
 use serde::de::DeserializeOwned;
 use std::collections::{HashMap, HashSet};
@@ -154,7 +154,7 @@
     /// Shards on whose present records a transaction is conditional, with their tokens.
     fn fences(&self, transaction: &Transaction) -> HashMap<u32, u64> {
         let shard_of = |key: &str| key.strip_prefix(ROOT)?.strip_prefix("shard/")?.parse().ok();
-        let fence = |c: &pointhook::protocol::state::Condition| {
+        let fence = |c: &pointhook::protocol::kv::Condition| {
             let shard: u32 = shard_of(&c.key)?;
             let (version, record) = self.shards.get(&shard)?;
             (*version == c.version).then_some((shard, record.token))
--- a/crates/rehearsal/src/network.rs
+++ b/crates/rehearsal/src/network.rs
@@ -9,7 +9,7 @@
 use async_io::Async;
 use http_types::Method;
 use pointhook::protocol::cloud::{Booking, Hosts};
-use pointhook::protocol::state::{Lease, LeaseRequest, Transaction};
+use pointhook::protocol::kv::{Lease, LeaseRequest, Transaction};
 use pointhook::protocol::workers::{Commands, Elsewhere, ReportAnswer};
 use pointhook::transport::http::{listen, serve, Answer, Client, Incoming};
 use pointhook::transport::pause;
--- a/crates/rehearsal/src/store.rs
+++ b/crates/rehearsal/src/store.rs
@@ -1,6 +1,6 @@
 //! The state service: keys with versions, transactions, leases, watches, limits.
 
-use pointhook::protocol::state::{
+use pointhook::protocol::kv::{
     Changes, Committed, Condition, Entry, Event, Page, Transaction, Write,
 };
 use rmpv::Value;
--- a/crates/rehearsal/tests/checker.rs
+++ b/crates/rehearsal/tests/checker.rs
@@ -1,9 +1,9 @@
 //! The checker finds each fault that is planted into a good history.
 
-use pointhook::bookkeeping::job::JobRecord;
-use pointhook::bookkeeping::records::{ShardRecord, ROOT};
-use pointhook::coordination::store::set;
-use pointhook::protocol::state::{Condition, Transaction};
+use pointhook::coordination::kv::set;
+use pointhook::protocol::kv::{Condition, Transaction};
+use pointhook::state::job::JobRecord;
+use pointhook::state::records::{ShardRecord, ROOT};
 use rehearsal::checker::{check, Kind};
 use rehearsal::history::{Entry, Event, Recorder};
 
@@ -157,7 +157,7 @@
     let record = |attempt: u64| {
         let record = JobRecord {
             spec: None,
-            state: pointhook::bookkeeping::job::JobState::Open,
+            state: pointhook::state::job::JobState::Open,
             submitted: 0,
             done: Default::default(),
             placements: vec![(0, attempt, "m1".into(), 0, 0)],
--- a/crates/standby/src/follower.rs
+++ b/crates/standby/src/follower.rs
@@ -1,7 +1,7 @@
 //! The standby's end of the stream: notices what is lost, doubled, reordered or of another token.
 
 use crate::message::{Answer, Message};
-use crate::shadow::Shadow;
+use crate::replica_state::Shadow;
 
 /// Messages that were not simply the next one, by what was wrong.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
--- a/crates/standby/src/lib.rs
+++ b/crates/standby/src/lib.rs
@@ -4,18 +4,18 @@
 //! observes and when, and carries out what follows.
 //!
 //! - [`role`]: which controller is the standby of a shard;
-//! - [`takeover`]: the state machine of a takeover;
+//! - [`failover`]: the state machine of a takeover;
 //! - [`permit`]: the permit to decide, which only that machine issues;
 //! - [`publisher`], [`follower`]: the two ends of the stream by which a standby follows an owner,
-//!   with [`message`] and [`shadow`];
+//!   with [`message`] and [`replica_state`];
 //! - [`bound`]: how long a takeover may take.
 
 pub mod bound;
+pub mod failover;
 pub mod follower;
 pub mod ids;
 pub mod message;
 pub mod permit;
 pub mod publisher;
+pub mod replica_state;
 pub mod role;
-pub mod shadow;
-pub mod takeover;
--- a/crates/standby/src/publisher.rs
+++ b/crates/standby/src/publisher.rs
@@ -5,7 +5,7 @@
 //! way, so nothing accumulates between the two.
 
 use crate::message::{Answer, Decision, MachineState, Message};
-use crate::shadow::Shadow;
+use crate::replica_state::Shadow;
 use std::collections::VecDeque;
 
 /// Bounds of a stream.
--- a/crates/standby/tests/takeover.rs
+++ b/crates/standby/tests/failover.rs
@@ -1,8 +1,8 @@
 //! The takeover's state machine and the choice of a standby.
 
+use standby::failover::{Observation, Owner, Refusal, State, Takeovers, Transition};
 use standby::ids::{Millis, Revision, ShardId, Token};
 use standby::role::{pick, standby_of, Candidate, ZonePreference};
-use standby::takeover::{Observation, Owner, Refusal, State, Takeovers, Transition};
 
 const SHARD: ShardId = ShardId(0);
 /// Random sequences of observations; seeds are fixed.
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,9 +1,10 @@
 //! The command line.
 
-use crate::coordination::node::Node;
+use crate::coordination::controller::Node;
+use crate::coordination::scheduler::planner;
 use crate::coordination::{
-    cancellations, job_api, membership, peer_messages, planner, renting, replication, store,
-    takeovers, worker_connectivity,
+    autoscaler, cancellations, failover, job_api, kv, membership, peer_messages, replication,
+    worker_connectivity,
 };
 use crate::features::Features;
 use crate::job_command::{self, JobAction, JobCommandError};
@@ -158,22 +159,22 @@
             log::warn!("{w}");
         }
         let node = Rc::new(Node::new(platform, operator, features, ex.clone()));
-        node.duty("watch", store::watch);
-        node.duty("fresh reads", store::fresh_reads);
+        node.duty("watch", kv::watch);
+        node.duty("fresh reads", kv::fresh_reads);
         node.duty("members", membership::run);
         node.duty("poke", worker_connectivity::poke);
         node.duty("planner", planner::run);
         node.duty("cancellations", cancellations::run);
         node.duty("news", peer_messages::news);
         if let Some(standby) = node.features.standby() {
-            let bound = takeovers::bound(&node.platform.settings.workers);
+            let bound = failover::bound(&node.platform.settings.workers);
             log::info!("the warm standby is on: {standby:?}, takeover within {bound}");
             if !bound.meets_goal() {
                 log::warn!("the times of the deployment allow no takeover within 10 s");
             }
             node.duty("replication", replication::run);
         }
-        node.duty("renting", renting::run);
+        node.duty("renting", autoscaler::run);
         let n = node.clone();
         let answering = frames::serve(ex.clone(), peers, move |ask| peer_messages::handle(&n, ask));
         ex.spawn(answering).detach();
--- a/src/coordination/renting/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -1,14 +1,16 @@
 //! What is to be rented: pure functions of the view.
 
 use super::AT_ONCE;
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::job::{Job, Spec};
-use crate::bookkeeping::names::{Index, JobIx, MachineIx, MachineTypeIx, TeamIx, ZoneIx};
-use crate::bookkeeping::units::{ms_of, Ms, Resources};
-use crate::coordination::plan;
-use crate::coordination::plan::{DraftTransaction, SchedulerConfig};
+use crate::coordination::scheduler::bin_packing;
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::coordination::scheduler::quota;
 use crate::protocol::cloud::Listed;
 use crate::protocol::users::Rank;
+use crate::state::cluster_state::ClusterState;
+use crate::state::job::{Job, Spec};
+use crate::state::names::{Index, JobIx, MachineIx, MachineTypeIx, TeamIx, ZoneIx};
+use crate::state::units::{ms_of, Ms, Resources};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
 
@@ -61,7 +63,7 @@
 fn demands(cluster: &ClusterState, now: Ms, wall_ms: u64) -> Vec<Demand> {
     let mut room: Vec<(i64, i64)> = Vec::new();
     for (t, l) in cluster.team_limits.iter().enumerate() {
-        let used = plan::used_by_team(cluster, &DraftTransaction::default(), TeamIx::new(t));
+        let used = quota::used_by_team(cluster, &DraftTransaction::default(), TeamIx::new(t));
         let left = |most: i64, used: i64| if most == 0 { i64::MAX } else { most - used };
         room.push((left(l.most.0, used.0), left(l.most.1, used.1)));
     }
@@ -81,7 +83,7 @@
     let mut claimed: HashSet<TeamIx> = HashSet::new();
     for (ix, j) in jobs {
         let Some(s) = &j.spec else { continue };
-        if claimed.contains(&s.team) && !plan::past_courtesy(j, wall_ms) {
+        if claimed.contains(&s.team) && !quota::past_courtesy(j, wall_ms) {
             continue;
         }
         let r = &mut room[s.team.at()];
@@ -97,7 +99,7 @@
         if s.is_wide_gang() && tasks < s.tasks() {
             // It waits for its team's limit; younger work of the team does not overtake it.
             *r = before;
-            if plan::fits_beside_services(cluster, s) {
+            if quota::fits_beside_services(cluster, s) {
                 claimed.insert(s.team);
             }
             continue;
@@ -293,7 +295,7 @@
             && !(self.is_dear(&s.pool) && is_whole)
             && !self.leaves_alone(&s.pool, is_whole)
             && machine.zip(self.job).is_none_or(|((mix, m), (ix, job))| {
-                plan::allowed(self.cluster, job, ix, spec, mix, m)
+                bin_packing::allowed(self.cluster, job, ix, spec, mix, m)
             })
     }
 
@@ -323,7 +325,7 @@
 
     /// True for ordinary machines that the job leaves to others for now.
     fn leaves_alone(&self, p: &Pool, empty: bool) -> bool {
-        plan::leaves_alone(
+        bin_packing::leaves_alone(
             self.cluster,
             self.config,
             &self.demand.spec,
@@ -439,7 +441,7 @@
     silent_ms: u64,
     now: Ms,
 ) -> Vec<Supply> {
-    let free = plan::free_room(cluster, &DraftTransaction::default());
+    let free = bin_packing::free_room(cluster, &DraftTransaction::default());
     let booked: HashSet<&str> = cluster
         .bookings
         .values()
--- a/src/coordination/renting/list.rs
+++ b/src/coordination/autoscaler/machine_list.rs
@@ -1,9 +1,9 @@
 //! The cloud's list of machines, read page by page.
 
 use super::{RentingDuty, CALL_MS};
-use crate::bookkeeping::units::Ms;
-use crate::coordination::node::{ExternalService, Node};
+use crate::coordination::controller::{ExternalService, Node};
 use crate::protocol::cloud::{HostList, Listed};
+use crate::state::units::Ms;
 use http_types::Method;
 use std::rc::Rc;
 
--- a/src/coordination/renting/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -1,29 +1,29 @@
 //! Renting and returning machines: one duty with one fenced owner.
 
-use crate::bookkeeping::cluster_state::ROOT;
-use crate::bookkeeping::names::MachineIx;
-use crate::bookkeeping::units::{ms_of, Ms};
-use crate::coordination::node::Node;
+use crate::coordination::controller::Node;
+use crate::coordination::kv::{set, Outcome};
 use crate::coordination::rate_limiter::RateLimiter;
-use crate::coordination::store::{set, Outcome};
 use crate::protocol::cloud::{Flavors, Listed};
-use crate::protocol::state::{Condition, Transaction};
+use crate::protocol::kv::{Condition, Transaction};
+use crate::state::cluster_state::ROOT;
+use crate::state::names::MachineIx;
+use crate::state::units::{ms_of, Ms};
 use http_types::Method;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-mod bookings;
 mod demand;
-mod list;
-mod returns;
+mod machine_list;
+mod provisioning;
+mod scale_in;
 
-use bookings::{clear_bookings, rent, repeat_bookings};
-use list::read_list;
-use returns::release;
+use machine_list::read_list;
+use provisioning::{clear_bookings, rent, repeat_bookings};
+use scale_in::release;
 
 pub use demand::*;
-pub use list::*;
-pub use returns::*;
+pub use machine_list::*;
+pub use scale_in::*;
 
 const TICK_MS: u64 = 250;
 /// Time between two looks of a node that does not own the duty; a change of owner rings.
--- a/src/coordination/renting/bookings.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -1,13 +1,13 @@
 //! Bookings: intents on record, requests, and what came of them.
 
 use super::{requests, supply, wanted, Pool, RentingDuty, AT_ONCE, CALL_MS};
-use crate::bookkeeping::cluster_state::{BookingRecord, ROOT};
-use crate::bookkeeping::names::Index;
-use crate::bookkeeping::units::Ms;
-use crate::coordination::node::{wall_ms, Node};
-use crate::coordination::store::{set, Outcome};
+use crate::coordination::controller::{wall_ms, Node};
+use crate::coordination::kv::{set, Outcome};
 use crate::protocol::cloud::{Booking, Hosts};
-use crate::protocol::state::{Condition, Transaction, Write};
+use crate::protocol::kv::{Condition, Transaction, Write};
+use crate::state::cluster_state::{BookingRecord, ROOT};
+use crate::state::names::Index;
+use crate::state::units::Ms;
 use http_types::Method;
 use std::collections::HashSet;
 use std::rc::Rc;
--- a/src/coordination/renting/returns.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -1,15 +1,15 @@
 //! Which machines go back, and when.
 
 use super::{RentingDuty, CALL_MS};
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::fleet::Machine;
-use crate::bookkeeping::names::{Index, MachineIx, ZoneIx};
-use crate::bookkeeping::units::{ms_of, Ms};
-use crate::coordination::node::Node;
+use crate::coordination::controller::Node;
 use crate::coordination::peer_messages;
-use crate::coordination::plan::SchedulerConfig;
+use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::protocol::cloud::{Hosts, Listed};
 use crate::protocol::peers::{Ask, Reply};
+use crate::state::cluster_state::ClusterState;
+use crate::state::machine::Machine;
+use crate::state::names::{Index, MachineIx, ZoneIx};
+use crate::state::units::{ms_of, Ms};
 use http_types::Method;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/cancellations.rs
@@ -1,14 +1,14 @@
 //! Cancellations: telling the other controllers, and stopping tasks whose owner does not.
 
-use super::node::{Node, NotificationState, Peer};
-use super::plan::SchedulerConfig;
-use super::worker_connectivity;
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::fleet::Attempt;
-use crate::bookkeeping::names::{Index, MachineIx};
-use crate::bookkeeping::units::Ms;
+use crate::coordination::controller::{Node, NotificationState, Peer};
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::coordination::worker_connectivity;
 use crate::protocol::peers::{Ask, Reply, MAX_JOBS};
 use crate::protocol::workers::{Commands, Order, Report, TaskState};
+use crate::state::cluster_state::ClusterState;
+use crate::state::machine::Attempt;
+use crate::state::names::{Index, MachineIx};
+use crate::state::units::Ms;
 use crate::transport::TransportError;
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/src/coordination/node.rs
+++ b/src/coordination/controller.rs
@@ -1,22 +1,22 @@
 //! One controller: what its duties share.
 
-use super::metrics::Metrics;
-use super::plan::SchedulerConfig;
-use super::replication::Replication;
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::fleet::Machine;
-use crate::bookkeeping::knowledge::Knowledge;
-use crate::bookkeeping::names::{Index, ShardIx};
-use crate::bookkeeping::units::{ms_of, Ms};
+use crate::coordination::metrics::Metrics;
+use crate::coordination::replication::Replication;
+use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::features::Features;
-use crate::protocol::state::Limits;
+use crate::protocol::kv::Limits;
 use crate::settings::{Objective, Operator, Platform};
+use crate::state::cancellation_watermark::Knowledge;
+use crate::state::cluster_state::ClusterState;
+use crate::state::machine::Machine;
+use crate::state::names::{Index, ShardIx};
+use crate::state::units::{ms_of, Ms};
 use crate::transport::frames::PeerClient;
 use crate::transport::http::Client;
 use crate::transport::{within, within_beat};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use standby::takeover::Takeovers;
+use standby::failover::Takeovers;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
--- a/src/coordination/takeovers.rs
+++ b/src/coordination/failover.rs
@@ -1,16 +1,16 @@
 //! Takeovers of shards: what records and peers tell of each, and the permits that follow.
 
-use super::membership::{self, Known};
-use super::node::Node;
-use super::plan::SchedulerConfig;
-use super::replication;
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::names::{Index, ShardIx};
-use crate::bookkeeping::units::{ms_of, Ms};
+use crate::coordination::controller::Node;
+use crate::coordination::membership::{self, Known};
+use crate::coordination::replication;
+use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::settings::Workers;
+use crate::state::cluster_state::ClusterState;
+use crate::state::names::{Index, ShardIx};
+use crate::state::units::{ms_of, Ms};
 use standby::bound::TakeoverBound;
+use standby::failover::{Observation, Owner, Refusal, State, Transition};
 use standby::ids::{Millis, Revision, ShardId, Token};
-use standby::takeover::{Observation, Owner, Refusal, State, Transition};
 use std::cell::Ref;
 use std::collections::HashMap;
 
@@ -151,7 +151,7 @@
         }
     }
 
-    pub(super) fn log_transition(&self, change: Transition) {
+    pub(crate) fn log_transition(&self, change: Transition) {
         if self.features.standby().is_none() {
             return;
         }
--- a/src/coordination/reports.rs
+++ b/src/coordination/heartbeats.rs
@@ -1,18 +1,19 @@
 //! Workers' reports.
 
-use super::node::Node;
-use super::plan::{self, SchedulerConfig};
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::fleet::{Attempt, Machine, Seen, Stamp};
-use crate::bookkeeping::names::{Index, JobIx, MachineIx, ShardIx};
-use crate::bookkeeping::units::{ms_of, Ms};
+use crate::coordination::controller::Node;
+use crate::coordination::scheduler::commands;
+use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::protocol::workers::{
     split_task, Elsewhere, Report, ReportAnswer, TaskReport, TaskState, Why,
 };
+use crate::state::cluster_state::ClusterState;
+use crate::state::machine::{Attempt, Machine, Seen, Stamp};
+use crate::state::names::{Index, JobIx, MachineIx, ShardIx};
+use crate::state::units::{ms_of, Ms};
 use crate::transport::http::Answer;
+use standby::failover::Refusal;
 use standby::ids::Token;
 use standby::permit::Permits;
-use standby::takeover::Refusal;
 use std::rc::Rc;
 
 /// Time that an answer gives the planner to settle and claim first.
@@ -165,7 +166,7 @@
     // A late copy is not what its worker waits for: no order in this answer would arrive.
     let newest = taken != Taken::Old && m.stamp == (report.session, report.seq);
     let orders = if newest {
-        plan::orders(cluster, config, permits, mix, now)
+        commands::orders(cluster, config, permits, mix, now)
     } else {
         Vec::new()
     };
@@ -321,7 +322,7 @@
     for ix in failed {
         note_failure(cluster, ix, mix, now);
     }
-    for (a, grace) in plan::on_notice(cluster, mix) {
+    for (a, grace) in commands::on_notice(cluster, mix) {
         if let Some(m) = cluster.machine_mut(mix) {
             m.stopping.entry(a).or_insert(grace);
         }
--- a/src/coordination/job_api.rs
+++ b/src/coordination/job_api.rs
@@ -1,12 +1,14 @@
 //! The users' door.
 
-use super::node::{wall_ms, Node};
-use super::store::{set, Outcome};
-use super::{cancellations, planner};
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::job::{Job, JobRecord, JobState};
-use crate::protocol::state::{Condition, Transaction};
+use crate::coordination::cancellations;
+use crate::coordination::controller::{wall_ms, Node};
+use crate::coordination::kv::{set, Outcome};
+use crate::coordination::scheduler::draft;
+use crate::coordination::scheduler::planner;
+use crate::protocol::kv::{Condition, Transaction};
 use crate::protocol::users::{parse_job, valid_id, JobSpec, JobStatus, MAX_AWAITS};
+use crate::state::cluster_state::ClusterState;
+use crate::state::job::{Job, JobRecord, JobState};
 use crate::transport::http::{jittered, Answer, Incoming};
 use crate::transport::pause;
 use http_types::Method;
@@ -33,7 +35,7 @@
             node.metrics.time("health", up)
         }
         (["v1", "report"], Method::Post) => {
-            let work = super::reports::handle(&node, req.body);
+            let work = crate::coordination::heartbeats::handle(&node, req.body);
             node.metrics.routine("reports", work).await
         }
         (["v1", "jobs"], Method::Post) => {
@@ -253,7 +255,7 @@
             cluster.job(id).map(|(ix, job)| {
                 let mut job = job.clone();
                 job.state = JobState::Cancelled;
-                let mut draft = super::plan::DraftTransaction::default();
+                let mut draft = draft::DraftTransaction::default();
                 draft.jobs.insert(ix, job);
                 draft
             })
--- a/src/coordination/store.rs
+++ b/src/coordination/kv.rs
@@ -1,13 +1,14 @@
 //! Dealings with the state service: transactions, the watch and fresh reads.
 
-use super::node::Node;
-use super::plan::DraftTransaction;
-use crate::bookkeeping::cluster_state::{ClusterState, ROOT};
-use crate::bookkeeping::job::Job;
-use crate::bookkeeping::names::{Index, JobIx};
-use crate::bookkeeping::records::PartRecord;
-use crate::bookkeeping::units::Ms;
-use crate::protocol::state::{Changes, Committed, Condition, Event, Page, Transaction, Write};
+use crate::coordination::controller::Node;
+use crate::coordination::reconciliation;
+use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::protocol::kv::{Changes, Committed, Condition, Event, Page, Transaction, Write};
+use crate::state::cluster_state::{ClusterState, ROOT};
+use crate::state::job::Job;
+use crate::state::names::{Index, JobIx};
+use crate::state::records::PartRecord;
+use crate::state::units::Ms;
 use crate::transport::http::{jittered, Fetched};
 use crate::transport::{pause, TransportError};
 use http_types::Method;
@@ -81,7 +82,7 @@
 
     /// Commits a draft and takes it over into the view.
     pub async fn commit_draft(&self, draft: &DraftTransaction) -> Outcome {
-        super::plan::give_up(&mut self.cluster.borrow_mut(), draft);
+        reconciliation::give_up(&mut self.cluster.borrow_mut(), draft);
         let txn = transaction(&self.cluster.borrow(), draft);
         let outcome = self.commit(&txn).await;
         if outcome == Outcome::Refused(400) {
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -1,19 +1,19 @@
 //! Membership: the node's leased key, and who owns which shard.
 
-use super::node::{ExternalService, Node, Peer};
-use super::plan::SchedulerConfig;
-use super::store::{set, Outcome};
-use super::takeovers::{self, standbys};
-use crate::bookkeeping::cluster_state::{ClusterState, NodeRecord, ShardRecord, Versioned, ROOT};
-use crate::bookkeeping::fleet::LateStart;
-use crate::bookkeeping::names::{Index, ShardIx, ZoneIx};
-use crate::bookkeeping::records::{SECOND_FORM, STANDBY_VERSION};
-use crate::bookkeeping::units::{ms_of, Ms};
-use crate::protocol::state::{Condition, Lease, LeaseRequest, Transaction};
+use crate::coordination::controller::{ExternalService, Node, Peer};
+use crate::coordination::failover::{self, standbys};
+use crate::coordination::kv::{set, Outcome};
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::protocol::kv::{Condition, Lease, LeaseRequest, Transaction};
+use crate::state::cluster_state::{ClusterState, NodeRecord, ShardRecord, Versioned, ROOT};
+use crate::state::machine::LateStart;
+use crate::state::names::{Index, ShardIx, ZoneIx};
+use crate::state::records::{SECOND_FORM, STANDBY_VERSION};
+use crate::state::units::{ms_of, Ms};
 use http_types::Method;
+use standby::failover::{Takeovers, Transition};
 use standby::ids::{Millis, ShardId};
 use standby::role::{self, Candidate, ZonePreference};
-use standby::takeover::{Takeovers, Transition};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
 
@@ -410,7 +410,7 @@
             known.ownerless.entry(shard).or_insert(now);
         }
     }
-    takeovers::note_standbys(node, standbys(&cluster, known, now));
+    failover::note_standbys(node, standbys(&cluster, known, now));
     // Without an own key there is nothing to take shards with.
     let own = cluster.nodes.get(&node.config.node);
     if own.is_some_and(|r| r.rec.incarnation == node.config.incarnation) {
@@ -454,7 +454,7 @@
     shard: ShardIx,
     step: fn(&mut Takeovers, ShardId, Millis) -> Option<Transition>,
 ) {
-    let now = takeovers::millis(node.now());
+    let now = failover::millis(node.now());
     let change = step(&mut node.takeovers.borrow_mut(), ShardId(shard.0), now);
     if let Some(change) = change {
         node.log_transition(change);
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,17 +1,18 @@
-//! Membership, queues and pull, gangs, renting, cancellation.
+//! What controllers decide and do together: scheduling, reconciliation, membership and failover,
+//! replication to standbys, cancellations, autoscaling, and the handlers of requests.
 
+pub mod autoscaler;
 pub mod cancellations;
+pub mod controller;
+pub mod failover;
+pub mod heartbeats;
 pub mod job_api;
+pub mod kv;
 pub mod membership;
 pub mod metrics;
-pub mod node;
 pub mod peer_messages;
-pub mod plan;
-pub mod planner;
 pub mod rate_limiter;
-pub mod renting;
+pub mod reconciliation;
 pub mod replication;
-pub mod reports;
-pub mod store;
-pub mod takeovers;
+pub mod scheduler;
 pub mod worker_connectivity;
--- a/src/coordination/peer_messages.rs
+++ b/src/coordination/peer_messages.rs
@@ -1,12 +1,14 @@
 //! What controllers tell each other.
 
-use super::node::Node;
-use super::plan::SchedulerConfig;
-use super::{cancellations, plan, planner, replication};
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::names::{Index, ShardIx};
-use crate::bookkeeping::units::{Ms, Resources};
+use crate::coordination::controller::Node;
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::coordination::scheduler::gangs;
+use crate::coordination::scheduler::planner;
+use crate::coordination::{cancellations, replication};
 use crate::protocol::peers::{Ask, MachineNews, Reply};
+use crate::state::cluster_state::ClusterState;
+use crate::state::names::{Index, ShardIx};
+use crate::state::units::{Ms, Resources};
 use crate::transport::TransportError;
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
@@ -14,7 +16,7 @@
 
 const NEWS_MS: u64 = 1000;
 /// How long machines are kept free for a gang unless that is asked again.
-pub(super) const HOLD_MS: u64 = 4000;
+pub(crate) const HOLD_MS: u64 = 4000;
 
 /// Duty: tells the others about the own machines, and holds machines for gangs.
 pub async fn news(node: Rc<Node>) {
@@ -166,7 +168,12 @@
     let now = node.now();
     let holds = {
         let cluster = node.cluster.borrow();
-        plan::gang_holds(&cluster, &node.config, now, super::node::wall_ms())
+        gangs::gang_holds(
+            &cluster,
+            &node.config,
+            now,
+            crate::coordination::controller::wall_ms(),
+        )
     };
     for (job, machines) in holds {
         let (id, names): (String, Vec<String>) = {
--- a/src/coordination/rate_limiter.rs
+++ b/src/coordination/rate_limiter.rs
@@ -1,6 +1,6 @@
 //! Requests kept within a limit that others set, instead of finding it by refusals.
 
-use crate::bookkeeping::units::Ms;
+use crate::state::units::Ms;
 
 /// A budget of requests that fills with time.
 #[derive(Clone, Debug)]
--- a/src/coordination/plan/evidence.rs
+++ b/src/coordination/reconciliation.rs
@@ -1,13 +1,14 @@
 //! What reports and deletions prove of placements.
 
-use super::{DraftTransaction, SchedulerConfig};
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::fleet::{Attempt, Machine, Seen};
-use crate::bookkeeping::job::{Job, JobState};
-use crate::bookkeeping::names::{Index, JobIx, MachineIx};
-use crate::bookkeeping::units::Ms;
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::protocol::users::Shape;
 use crate::protocol::workers::{TaskState, Why};
+use crate::state::cluster_state::ClusterState;
+use crate::state::job::{Job, JobState};
+use crate::state::machine::{Attempt, Machine, Seen};
+use crate::state::names::{Index, JobIx, MachineIx};
+use crate::state::units::Ms;
 use standby::permit::Permits;
 
 /// True if a gang has lost some of its tasks and the rest has to go.
@@ -42,7 +43,7 @@
 
 /// True if an attempt that is not there should not be started there any more: it was there
 /// and is lost, or nothing reaches the machine.
-pub(super) fn given_up(m: &Machine, a: Attempt) -> bool {
+pub(crate) fn given_up(m: &Machine, a: Attempt) -> bool {
     m.shown.contains(&a) || m.deaf.is_some()
 }
 
@@ -192,7 +193,7 @@
 }
 
 /// True if this node may decide for the shard that a job's name maps to.
-pub(super) fn permits_gang(
+pub(crate) fn permits_gang(
     cluster: &ClusterState,
     config: &SchedulerConfig,
     permits: &Permits,
--- a/src/coordination/replication.rs
+++ b/src/coordination/replication.rs
@@ -4,20 +4,21 @@
 //! told to the standby of each shard, so that a takeover goes on with it. It is a hint like the
 //! queues themselves: nothing starts or ends by it, and a takeover without it is as safe.
 
-use super::node::Node;
-use super::peer_messages::HOLD_MS;
-use super::plan::{DraftTransaction, SchedulerConfig};
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::fleet::Machine;
-use crate::bookkeeping::names::{Index, ShardIx};
-use crate::bookkeeping::units::Ms;
+use crate::coordination::controller::Node;
+use crate::coordination::peer_messages::HOLD_MS;
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::protocol::peers::{Ask, Reply, ShardStanding};
+use crate::state::cluster_state::ClusterState;
+use crate::state::machine::Machine;
+use crate::state::names::{Index, ShardIx};
+use crate::state::units::Ms;
 use standby::follower::Follower;
 use standby::ids::ShardId;
 use standby::message::{Answer, Decision, MachineState, Message, QueuedTask};
 use standby::permit::Permits;
 use standby::publisher::{Publisher, StreamLimits};
-use standby::shadow::Shadow;
+use standby::replica_state::Shadow;
 use std::collections::{BTreeMap, HashSet};
 use std::rc::Rc;
 
--- a/src/coordination/plan/room.rs
+++ b/src/coordination/scheduler/bin_packing.rs
@@ -1,13 +1,14 @@
 //! Free room, and how well machines suit tasks.
 
-use super::{DraftTransaction, SchedulerConfig};
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::fleet::Machine;
-use crate::bookkeeping::job::{Job, Spec};
-use crate::bookkeeping::names::{Index, JobIx, MachineIx, MachineTypeIx, ZoneIx};
-use crate::bookkeeping::units::{ms_of, Resources};
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::protocol::users::Rank;
 use crate::protocol::workers::TaskState;
+use crate::state::cluster_state::ClusterState;
+use crate::state::job::{Job, Spec};
+use crate::state::machine::Machine;
+use crate::state::names::{Index, JobIx, MachineIx, MachineTypeIx, ZoneIx};
+use crate::state::units::{ms_of, Resources};
 
 /// Free room by machine, drafted changes included.
 #[derive(Clone, Debug)]
@@ -97,7 +98,7 @@
 }
 
 /// Time a machine needs for a task's image.
-pub(super) fn fetch_ms(cluster: &ClusterState, spec: &Spec, m: &Machine) -> u64 {
+pub(crate) fn fetch_ms(cluster: &ClusterState, spec: &Spec, m: &Machine) -> u64 {
     if m.has_image(spec.image) {
         return 0;
     }
@@ -134,7 +135,7 @@
     ((fetch + stranded + kind + spare) * 1000.0) as i64
 }
 
-pub(super) fn is_empty(cluster: &ClusterState, m: &Machine, free: Resources) -> bool {
+pub(crate) fn is_empty(cluster: &ClusterState, m: &Machine, free: Resources) -> bool {
     cluster
         .machine_types
         .get(&m.machine_type)
--- a/src/coordination/plan/claims.rs
+++ b/src/coordination/scheduler/claims.rs
@@ -1,20 +1,26 @@
 //! Claims of waiting tasks, and binding them to queues.
 
-use super::gangs::claim_gangs;
-use super::order::{backed_off, waiting_jobs, Waiting};
-use super::room::{allowed, free_room, is_empty, leaves_alone, misfit, smallest_need, Room};
-use super::shares::{claimants, crowds_out, pay, Claimant};
-use super::{DraftTransaction, SchedulerConfig, SAMPLE};
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::fleet::Machine;
-use crate::bookkeeping::job::{Job, Placement, Spec};
-use crate::bookkeeping::names::{Index, JobIx, MachineIx, ShardIx, ZoneIx};
-use crate::bookkeeping::units::{Ms, Resources};
+use crate::coordination::scheduler::bin_packing::{
+    allowed, free_room, is_empty, leaves_alone, misfit, smallest_need, Room,
+};
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::coordination::scheduler::gangs::claim_gangs;
+use crate::coordination::scheduler::job_order::{backed_off, waiting_jobs, Waiting};
+use crate::coordination::scheduler::quota::{claimants, crowds_out, pay, Claimant};
 use crate::protocol::users::{Rank, Shape};
+use crate::state::cluster_state::ClusterState;
+use crate::state::job::{Job, Placement, Spec};
+use crate::state::machine::Machine;
+use crate::state::names::{Index, JobIx, MachineIx, ShardIx, ZoneIx};
+use crate::state::units::{Ms, Resources};
 use standby::permit::{Permit, Permits};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet};
 
+/// Machines looked at when there are more: a sample in place of a full search.
+pub const SAMPLE: usize = 64;
+
 /// True for tasks that are claimed many at a time while changes are scarce.
 fn deferrable(spec: &Spec, rank: Rank) -> bool {
     spec.wire.shape == Shape::Array && rank > Rank::High
@@ -275,7 +281,7 @@
 }
 
 /// Drafts placements of one attempt; false if the transaction is full or the limit is reached.
-pub(super) fn place(
+pub(crate) fn place(
     cluster: &ClusterState,
     config: &SchedulerConfig,
     draft: &mut DraftTransaction,
--- a/src/coordination/plan/orders.rs
+++ b/src/coordination/scheduler/commands.rs
@@ -1,13 +1,15 @@
 //! Orders to workers.
 
-use super::evidence::{given_up, may_start_late, unanswered_start, unwanted, waits_again};
-use super::SchedulerConfig;
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::fleet::{Attempt, LateStart, Machine};
-use crate::bookkeeping::names::{Index, MachineIx};
-use crate::bookkeeping::units::Ms;
+use crate::coordination::reconciliation::{
+    given_up, may_start_late, unanswered_start, unwanted, waits_again,
+};
+use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::protocol::users::Shape;
 use crate::protocol::workers::{Order, TaskState, Why};
+use crate::state::cluster_state::ClusterState;
+use crate::state::machine::{Attempt, LateStart, Machine};
+use crate::state::names::{Index, MachineIx};
+use crate::state::units::Ms;
 use standby::permit::Permits;
 
 /// Orders for a machine in answer to its newest report. Notes the starts it sends.
--- a/src/coordination/plan/gangs.rs
+++ b/src/coordination/scheduler/gangs.rs
@@ -1,16 +1,17 @@
 //! Gangs of more than one task, which skip the queues.
 
-use super::claims::place;
-use super::order::backed_off;
-use super::room::{allowed, fetch_ms, smallest_need, Room};
-use super::shares::fits_beside_services;
-use super::{DraftTransaction, SchedulerConfig};
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::fleet::Machine;
-use crate::bookkeeping::job::{Job, Spec};
-use crate::bookkeeping::names::{Index, JobIx, MachineIx, ZoneIx};
-use crate::bookkeeping::units::{Ms, Resources};
+use crate::coordination::scheduler::bin_packing::{allowed, fetch_ms, smallest_need, Room};
+use crate::coordination::scheduler::claims::place;
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::coordination::scheduler::job_order::backed_off;
+use crate::coordination::scheduler::quota::fits_beside_services;
 use crate::protocol::users::Rank;
+use crate::state::cluster_state::ClusterState;
+use crate::state::job::{Job, Spec};
+use crate::state::machine::Machine;
+use crate::state::names::{Index, JobIx, MachineIx, ZoneIx};
+use crate::state::units::{Ms, Resources};
 use standby::permit::{Permit, Permits};
 use std::collections::{BTreeMap, HashMap};
 
@@ -86,7 +87,7 @@
 }
 
 /// Places gangs whose shard this node owns, all tasks in one claim.
-pub(super) fn claim_gangs(
+pub(crate) fn claim_gangs(
     cluster: &ClusterState,
     config: &SchedulerConfig,
     permits: &Permits,
--- a/src/coordination/plan/order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -1,14 +1,15 @@
 //! The order of service.
 
-use super::{DraftTransaction, SchedulerConfig};
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::job::{Job, Spec};
-use crate::bookkeeping::names::JobIx;
-use crate::bookkeeping::units::{ms_of, Ms};
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::protocol::users::Rank;
+use crate::state::cluster_state::ClusterState;
+use crate::state::job::{Job, Spec};
+use crate::state::names::JobIx;
+use crate::state::units::{ms_of, Ms};
 use std::rc::Rc;
 
-pub(super) fn backed_off(cluster: &ClusterState, ix: JobIx, now: Ms) -> bool {
+pub(crate) fn backed_off(cluster: &ClusterState, ix: JobIx, now: Ms) -> bool {
     cluster.suspects.contains(&ix)
         || cluster
             .failures
@@ -20,8 +21,8 @@
 pub struct Waiting {
     /// Job.
     pub ix: JobIx,
-    pub(super) rank: Rank,
-    pub(super) spec: Rc<Spec>,
+    pub(crate) rank: Rank,
+    pub(crate) spec: Rc<Spec>,
 }
 
 /// One in so many seconds belongs to what is late.
--- a/src/coordination/planner.rs
+++ b/src/coordination/scheduler/planner.rs
@@ -1,19 +1,26 @@
 //! The planning duty: passes, their commits, and the pull between controllers.
 
-use super::node::{wall_ms, Direct, Node};
-use super::plan::{self, DraftTransaction, Push, Pushed};
-use super::replication;
-use super::store::Outcome;
-use crate::bookkeeping::fleet::Machine;
-use crate::bookkeeping::job::Placement;
-use crate::bookkeeping::names::{Index, JobIx, MachineIx, ShardIx};
-use crate::bookkeeping::units::Ms;
+use crate::coordination::controller::{wall_ms, Direct, Node};
+use crate::coordination::kv::Outcome;
+use crate::coordination::reconciliation;
+use crate::coordination::replication;
+use crate::coordination::scheduler::bin_packing;
+use crate::coordination::scheduler::claims;
+use crate::coordination::scheduler::commands;
+use crate::coordination::scheduler::commands::{Push, Pushed};
+use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::coordination::scheduler::preemption;
+use crate::coordination::scheduler::quota;
 use crate::protocol::peers::{Ask, Reply, TaskRef};
 use crate::protocol::workers::{Commands, Report};
+use crate::state::job::Placement;
+use crate::state::machine::Machine;
+use crate::state::names::{Index, JobIx, MachineIx, ShardIx};
+use crate::state::units::Ms;
 use crate::transport::http::{jittered, Client};
 use crate::transport::{pause, TransportError};
 use http_types::Method;
-use standby::takeover::Refusal;
+use standby::failover::Refusal;
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -140,13 +147,13 @@
         draft.cascades = CASCADES;
     }
     metrics.time("- settle", || {
-        plan::settle(&cluster, config, &permits, &mut draft, now);
+        reconciliation::settle(&cluster, config, &permits, &mut draft, now);
     });
     let idle = metrics.time("- claim", || {
-        plan::claim(&cluster, config, &permits, &mut draft, now, wall_ms())
+        claims::claim(&cluster, config, &permits, &mut draft, now, wall_ms())
     });
     if now.since(occasional.lowered) > LOWER_MS {
-        plan::lower_shares(&cluster, config, &permits, &mut draft);
+        quota::lower_shares(&cluster, config, &permits, &mut draft);
         occasional.lowered = now;
     }
     (draft, idle)
@@ -228,7 +235,7 @@
     // What finds no place goes out with the answer to the machine's next report.
     let mut place = || node.direct().map(|slot| slots.push(slot)).is_some();
     let permits = node.permits();
-    let pushes = plan::pushes(
+    let pushes = commands::pushes(
         &mut node.cluster.borrow_mut(),
         &node.config,
         &permits,
@@ -276,10 +283,10 @@
         node.heard_worker();
     }
     let mut cluster = node.cluster.borrow_mut();
-    plan::note_pushed(&mut cluster, &p, how);
+    commands::note_pushed(&mut cluster, &p, how);
     let report = answer.and_then(|f| rmp_serde::from_slice::<Report>(&f.body).ok());
     if let Some(r) = report {
-        super::reports::take(&mut cluster, p.machine, &r, node.now(), None);
+        crate::coordination::heartbeats::take(&mut cluster, p.machine, &r, node.now(), None);
     }
 }
 
@@ -369,7 +376,7 @@
             let j = &cluster.jobs[ix.at()];
             j.waits(*task)
                 && j.spec.as_ref().is_some_and(|s| {
-                    s.need.fits(room) && plan::allowed(&cluster, j, *ix, s, idle, m)
+                    s.need.fits(room) && bin_packing::allowed(&cluster, j, *ix, s, idle, m)
                 })
         })?
     };
@@ -421,7 +428,7 @@
 
 /// Binds the tasks of a job just accepted here to machines, wherever their queues are.
 pub fn bind_job(node: &Rc<Node>, ix: JobIx) {
-    let bound = plan::bind(
+    let bound = claims::bind(
         &node.cluster.borrow(),
         &node.config,
         ix,
@@ -477,7 +484,7 @@
     let permits = node.permits();
     let mut cluster = node.cluster.borrow_mut();
     let turn = ShardIx::new((wall / TURN_MS) as usize % (cluster.shards.len() - 1));
-    for (mix, a, grace) in plan::preempt(&cluster, &node.config, &permits, turn, now, wall) {
+    for (mix, a, grace) in preemption::preempt(&cluster, &node.config, &permits, turn, now, wall) {
         log::info!(
             "{}/{} on {} makes room for work of a higher priority",
             cluster.jobs[a.0.at()].id,
--- a/src/coordination/plan/preempt.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -1,15 +1,16 @@
 //! Room made for work of a higher priority.
 
-use super::order::waiting_jobs;
-use super::room::{allowed, free_room};
-use super::shares::used_by_team;
-use super::{DraftTransaction, SchedulerConfig};
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::fleet::{Attempt, Machine};
-use crate::bookkeeping::names::{Index, MachineIx, ShardIx};
-use crate::bookkeeping::units::{Ms, Resources};
+use crate::coordination::scheduler::bin_packing::{allowed, free_room};
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::coordination::scheduler::job_order::waiting_jobs;
+use crate::coordination::scheduler::quota::used_by_team;
 use crate::protocol::users::Rank;
 use crate::protocol::workers::TaskState;
+use crate::state::cluster_state::ClusterState;
+use crate::state::machine::{Attempt, Machine};
+use crate::state::names::{Index, MachineIx, ShardIx};
+use crate::state::units::{Ms, Resources};
 use standby::permit::Permits;
 
 /// Attempts to be stopped on machines of one shard, to make room for work of a higher
--- a/src/coordination/plan/shares.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -1,12 +1,13 @@
 //! Teams' limits and the shards' shares of them.
 
-use super::gangs::waiting_gangs;
-use super::{DraftTransaction, SchedulerConfig};
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::job::{Job, Spec};
-use crate::bookkeeping::names::{Index, ShardIx, TeamIx};
-use crate::bookkeeping::units::{Ms, Resources};
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::coordination::scheduler::gangs::waiting_gangs;
 use crate::protocol::users::{Rank, Shape};
+use crate::state::cluster_state::ClusterState;
+use crate::state::job::{Job, Spec};
+use crate::state::names::{Index, ShardIx, TeamIx};
+use crate::state::units::{Ms, Resources};
 use standby::permit::Permits;
 
 /// What placements of a team use, whoever pays.
@@ -49,7 +50,7 @@
 }
 
 /// A gang that has waited for its share of its team's limit.
-pub(super) struct Claimant {
+pub(crate) struct Claimant {
     team: TeamIx,
     order: (Rank, u64),
     all: Resources,
@@ -59,7 +60,7 @@
 ///
 /// Small tasks use every bit of a limit as it comes free, so a gang that needs much at once
 /// would wait for as long as any come.
-pub(super) fn claimants(
+pub(crate) fn claimants(
     cluster: &ClusterState,
     config: &SchedulerConfig,
     now: Ms,
@@ -84,7 +85,7 @@
 }
 
 /// True if a task would take what an older gang of its team waits for.
-pub(super) fn crowds_out(
+pub(crate) fn crowds_out(
     cluster: &ClusterState,
     draft: &DraftTransaction,
     claimants: &[Claimant],
@@ -106,7 +107,7 @@
 }
 
 /// Makes room in the payer's share of the team's limit, raising the share if the limit allows.
-pub(super) fn pay(
+pub(crate) fn pay(
     cluster: &ClusterState,
     config: &SchedulerConfig,
     draft: &mut DraftTransaction,
--- a/src/coordination/worker_connectivity.rs
+++ b/src/coordination/worker_connectivity.rs
@@ -1,12 +1,12 @@
 //! Reaching workers directly: showing tokens, asking whether they hear this node, and it them.
 
-use super::node::Node;
-use super::plan::SchedulerConfig;
-use crate::bookkeeping::cluster_state::ClusterState;
-use crate::bookkeeping::fleet::Machine;
-use crate::bookkeeping::names::{Index, MachineIx, ShardIx};
-use crate::bookkeeping::units::{ms_of, Ms};
+use crate::coordination::controller::Node;
+use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::protocol::workers::{Commands, Report};
+use crate::state::cluster_state::ClusterState;
+use crate::state::machine::Machine;
+use crate::state::names::{Index, MachineIx, ShardIx};
+use crate::state::units::{ms_of, Ms};
 use crate::transport::http::{Client, Fetched};
 use http_types::Method;
 use std::collections::HashMap;
@@ -146,7 +146,7 @@
 }
 
 /// Asks a worker for its status; its answer, whatever it is, and the client that got it.
-pub(super) async fn status(addr: &str) -> Option<(Fetched, Client)> {
+pub(crate) async fn status(addr: &str) -> Option<(Fetched, Client)> {
     let client = Client::new(addr.parse().ok()?);
     let answer = client.call(Method::Get, "/status", Vec::new(), PROBE_MS);
     let answer = answer.await.ok()?;
@@ -184,7 +184,7 @@
 }
 
 /// Sends direct commands; what is answered proves nothing and is dropped.
-pub(super) async fn command(client: &Client, commands: &Commands) {
+pub(crate) async fn command(client: &Client, commands: &Commands) {
     if let Ok(body) = rmp_serde::to_vec_named(commands) {
         let _ = client.call(Method::Post, "/commands", body, PROBE_MS).await;
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,6 @@
 //! pointhook: a cluster scheduler. Controllers hold short queues of waiting
 //! tasks, one per machine; a machine with free room pulls.
 
-pub mod bookkeeping;
 pub mod cli;
 pub mod coordination;
 pub mod features;
@@ -9,4 +8,5 @@
 pub mod observe_command;
 pub mod protocol;
 pub mod settings;
+pub mod state;
 pub mod transport;
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,7 +1,7 @@
 //! Wire types and their checks.
 
 pub mod cloud;
+pub mod kv;
 pub mod peers;
-pub mod state;
 pub mod users;
 pub mod workers;
--- a/src/bookkeeping/cluster_state.rs
+++ b/src/state/cluster_state.rs
@@ -1,9 +1,9 @@
 //! The cached view: everything a controller knows. Pure, no I/O.
 
-use super::fleet::{Attempt, Machine, MachineType, Seen};
-use super::graph::Graph;
+use super::cancellation_watermark::Knowledge;
+use super::dependency_graph::Graph;
 use super::job::{Job, JobRecord, JobState, Placement, Spec, StoredPlacement};
-use super::knowledge::Knowledge;
+use super::machine::{Attempt, Machine, MachineType, Seen};
 use super::names::{
     ImageIx, Index, Interner, JobIx, MachineIx, MachineTypeIx, ShardIx, TeamIx, ZoneIx,
 };
--- a/src/bookkeeping/dependencies.rs
+++ b/src/state/dependencies.rs
@@ -1,7 +1,7 @@
 //! Jobs that await others, and jobs that are cancelled, alone or with one that they need.
 
 use super::cluster_state::ClusterState;
-use super::graph;
+use super::dependency_graph;
 use super::job::{DependencyState, Job, JobState, Spec};
 use super::names::{Index, JobIx};
 use super::units::ms_of;
@@ -24,7 +24,7 @@
         let names = spec.map_or(&[] as &[String], |s| &s.wire.awaits);
         let dependencies = names.iter().map(|n| self.job(n).map(|(_, j)| j));
         let dependents = self.graph.dependents(id).iter().map(|d| &self.jobs[d.at()]);
-        graph::dependency_state(submitted, (rank, due), dependencies, dependents)
+        dependency_graph::dependency_state(submitted, (rank, due), dependencies, dependents)
     }
 
     /// Enters an open job under those that it needs.
--- a/src/bookkeeping/record_intake.rs
+++ b/src/state/record_intake.rs
@@ -6,7 +6,7 @@
 use super::job::JobRecord;
 use super::names::{Index, JobIx, TeamIx};
 use crate::protocol::cloud::Flavors;
-use crate::protocol::state::{Entry, Event};
+use crate::protocol::kv::{Entry, Event};
 use rmpv::Value;
 use std::collections::HashSet;
 
--- a/src/bookkeeping/resource_totals.rs
+++ b/src/state/resource_totals.rs
@@ -1,7 +1,7 @@
 //! Sums over placements, kept current as records change, so that no pass walks them all.
 
-use super::fleet::Attempt;
 use super::job::Job;
+use super::machine::Attempt;
 use super::names::{Index, JobIx, MachineIx, ShardIx, TeamIx};
 use super::units::Resources;
 
--- a/tests/renting.rs
+++ b/tests/autoscaling.rs
@@ -2,17 +2,17 @@
 
 mod support;
 
-use pointhook::bookkeeping::cluster_state::{BookingRecord, ROOT};
-use pointhook::bookkeeping::names::{Index, MachineTypeIx, ZoneIx};
-use pointhook::bookkeeping::units::{Ms, Resources};
-use pointhook::coordination::rate_limiter::RateLimiter;
-use pointhook::coordination::renting::{
+use pointhook::coordination::autoscaler::{
     list_every_ms, requests, supply, wanted, Pages, Pool, Supply, Wanted,
 };
-use pointhook::coordination::store::{set, Outcome};
+use pointhook::coordination::kv::{set, Outcome};
+use pointhook::coordination::rate_limiter::RateLimiter;
 use pointhook::protocol::cloud::{HostList, Listed};
-use pointhook::protocol::state::Transaction;
+use pointhook::protocol::kv::Transaction;
 use pointhook::protocol::users::Shape;
+use pointhook::state::cluster_state::{BookingRecord, ROOT};
+use pointhook::state::names::{Index, MachineTypeIx, ZoneIx};
+use pointhook::state::units::{Ms, Resources};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use support::controller::Controller;
 use support::job;
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use pointhook::bookkeeping::job::JobState;
-use pointhook::bookkeeping::knowledge::Knowledge;
-use pointhook::bookkeeping::units::Ms;
+use pointhook::state::cancellation_watermark::Knowledge;
+use pointhook::state::job::JobState;
+use pointhook::state::units::Ms;
 use support::controller::{CANCEL_MS, LEASE_MS, RENEW_MS};
 use support::job;
 use support::world::World;
@@ -187,7 +187,7 @@
     assert_eq!(c.job("job-1").state, JobState::Cancelled);
     assert_eq!(c.job("job-1").version, before);
     // A newer record that is still open, from a read that began before.
-    let rec = pointhook::bookkeeping::job::JobRecord {
+    let rec = pointhook::state::job::JobRecord {
         state: JobState::Open,
         ..c.cluster.record(&c.job("job-1").clone())
     };
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -4,14 +4,17 @@
 mod support;
 
 use futures_lite::future::{block_on, poll_once};
-use pointhook::bookkeeping::job::JobState;
-use pointhook::bookkeeping::names::{ShardIx, ZoneIx};
-use pointhook::bookkeeping::units::Ms;
-use pointhook::coordination::node::{self, outage_is_everyones, Notifier, PeerSeen, WorkerContact};
-use pointhook::coordination::{membership, peer_messages, plan, renting, worker_connectivity};
+use pointhook::coordination::controller::{
+    self, outage_is_everyones, Notifier, PeerSeen, WorkerContact,
+};
+use pointhook::coordination::scheduler::commands;
+use pointhook::coordination::{autoscaler, membership, peer_messages, worker_connectivity};
 use pointhook::protocol::peers::MachineNews;
 use pointhook::protocol::users::Shape;
 use pointhook::protocol::workers::Order;
+use pointhook::state::job::JobState;
+use pointhook::state::names::{ShardIx, ZoneIx};
+use pointhook::state::units::Ms;
 use std::collections::HashMap;
 use support::controller::{one, play, Controller};
 use support::job;
@@ -247,14 +250,14 @@
     new.plan(&mut store, 200_000);
     assert_eq!(new.job("job-1").placements.len(), 1);
     // It is in no list and nobody hears it: it is deleted by name, which proves it gone.
-    let names = renting::lost(&new.cluster, &HashMap::new(), |_| true);
+    let names = autoscaler::lost(&new.cluster, &HashMap::new(), |_| true);
     assert_eq!(names, ["m1"]);
-    assert!(renting::lost(&new.cluster, &HashMap::new(), |_| false).is_empty());
+    assert!(autoscaler::lost(&new.cluster, &HashMap::new(), |_| false).is_empty());
     let mix = new.machine("m1");
     new.cluster.set_gone(mix);
     new.plan(&mut store, 200_000);
     assert!(new.job("job-1").placements.is_empty());
-    assert!(renting::lost(&new.cluster, &HashMap::new(), |_| true).is_empty());
+    assert!(autoscaler::lost(&new.cluster, &HashMap::new(), |_| true).is_empty());
 }
 
 fn news(name: &str, silent_ms: u64) -> MachineNews {
@@ -332,7 +335,7 @@
     let (mut store, mut old) = one();
     let mut w = Worker::new("m1", "north", 0);
     old.visit(&mut store, &mut w, 0);
-    let limits = renting::Silence {
+    let limits = autoscaler::Silence {
         sure_ms: 10_000,
         lease_ms: 10_000,
     };
@@ -391,7 +394,7 @@
     let accepted = c.job("job-1").version;
     assert!(!matches!(
         c.submit(&mut store, job("job-1", 1), 20),
-        pointhook::coordination::store::Outcome::Done(_)
+        pointhook::coordination::kv::Outcome::Done(_)
     ));
     assert_eq!(c.job("job-1").version, accepted);
     play(&mut c, &mut store, &mut [&mut w], 500, 12_000);
@@ -399,7 +402,7 @@
     // A repeated start after the end of a job has no placement to rest on.
     let mix = c.machine("m1");
     assert!(
-        plan::orders(&mut c.cluster, &c.config, c.takeovers.permits(), mix, Ms(0))
+        commands::orders(&mut c.cluster, &c.config, c.takeovers.permits(), mix, Ms(0))
             .iter()
             .all(|o| !matches!(o, Order::Start { .. }))
     );
@@ -513,10 +516,10 @@
     let now = Ms(41_000);
     assert_eq!(peer_messages::silence(m.heard, m.known, owned, now), 41_000);
     assert_eq!(
-        peer_messages::silence(m.heard, m.known, node::listened(owned, woke), now),
+        peer_messages::silence(m.heard, m.known, controller::listened(owned, woke), now),
         1000
     );
-    assert_eq!(node::listened(owned, None), owned);
+    assert_eq!(controller::listened(owned, None), owned);
 }
 
 #[test]
@@ -530,7 +533,7 @@
     old.submit(&mut store, job("job-1", 1), 1500);
     let draft = old.draft(1600);
     assert_eq!(draft.claims.len(), 1);
-    let late = pointhook::coordination::store::transaction(&old.cluster, &draft);
+    let late = pointhook::coordination::kv::transaction(&old.cluster, &draft);
     // It stands still past its lease; another takes its shards and gives the task away.
     store.end_lease(old.lease);
     let mut new = Controller::start("s1", 2, &mut store, 20_000);
@@ -540,17 +543,17 @@
     // It goes on where it stood: the commit, an answer held back, a proof by time.
     assert!(!matches!(
         Controller::send(&mut store, &late, 40_000),
-        pointhook::coordination::store::Outcome::Done(_)
+        pointhook::coordination::kv::Outcome::Done(_)
     ));
     let r = w.report(40_000);
     let held = old.report_without_store(&r, 40_000).unwrap();
     assert!(!held.orders.iter().any(|o| matches!(o, Order::Start { .. })));
     let proof = old.draft(60_000);
     assert!(!proof.is_empty());
-    let by_time = pointhook::coordination::store::transaction(&old.cluster, &proof);
+    let by_time = pointhook::coordination::kv::transaction(&old.cluster, &proof);
     assert!(!matches!(
         Controller::send(&mut store, &by_time, 60_000),
-        pointhook::coordination::store::Outcome::Done(_)
+        pointhook::coordination::kv::Outcome::Done(_)
     ));
     assert_eq!(other.started.len(), 1);
     assert_eq!(w.started.len(), 1);
@@ -607,8 +610,8 @@
     let (north, south, east) = (ZoneIx(0), ZoneIx(1), ZoneIx(2));
     let counts = HashMap::from([(north, (300, 30)), (south, (300, 280)), (east, (4, 4))]);
     // A tenth of a zone, or all of a handful of machines, may well have failed.
-    assert!(renting::cut_zones(&counts).into_iter().eq([south]));
-    let limits = renting::Silence {
+    assert!(autoscaler::cut_zones(&counts).into_iter().eq([south]));
+    let limits = autoscaler::Silence {
         sure_ms: 20_000,
         lease_ms: 22_000,
     };
--- a/tests/http_api.rs
+++ b/tests/http_api.rs
@@ -2,13 +2,13 @@
 
 mod support;
 
-use pointhook::bookkeeping::cluster_state::ClusterState;
-use pointhook::bookkeeping::job::Ranges;
-use pointhook::bookkeeping::names::{Interner, MachineIx};
 use pointhook::protocol::peers::{decode_ask, encode, Ask, TaskRef};
 use pointhook::protocol::users::{parse_job, JobSpec, Shape};
 use pointhook::protocol::workers::{split_task, Report};
 use pointhook::settings::{Operator, Platform};
+use pointhook::state::cluster_state::ClusterState;
+use pointhook::state::job::Ranges;
+use pointhook::state::names::{Interner, MachineIx};
 use std::path::PathBuf;
 use support::{cloud, controller::team, job};
 
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -3,10 +3,11 @@
 
 mod support;
 
-use pointhook::bookkeeping::names::Index;
-use pointhook::bookkeeping::units::Ms;
-use pointhook::coordination::{peer_messages, planner, reports};
+use pointhook::coordination::scheduler::planner;
+use pointhook::coordination::{heartbeats, peer_messages};
 use pointhook::protocol::peers::{self, Ask, TaskRef};
+use pointhook::state::names::Index;
+use pointhook::state::units::Ms;
 use std::collections::BTreeSet;
 use support::controller::{one, Controller};
 use support::job;
@@ -108,9 +109,9 @@
     while waiting(&c) < before {
         before = waiting(&c);
         let draft = c.draft(10);
-        let transaction = pointhook::coordination::store::transaction(&c.cluster, &draft);
+        let transaction = pointhook::coordination::kv::transaction(&c.cluster, &draft);
         let outcome = Controller::send(&mut store, &transaction, 10);
-        pointhook::coordination::store::conclude(&mut c.cluster, &draft, &outcome);
+        pointhook::coordination::kv::conclude(&mut c.cluster, &draft, &outcome);
     }
     assert_eq!(before, 0);
     assert_eq!(c.cluster.occupied().count(), MACHINES);
@@ -122,8 +123,8 @@
     for i in 0..MACHINES {
         let zone = ["north", "south"][i % 2];
         let report = Worker::new(&machine_name(i), zone, 0).report(1000);
-        let received = reports::receive(&mut c.cluster, &c.config, &report, 10_000, Ms(1000));
-        assert!(matches!(received, reports::Received::Taken(..)));
+        let received = heartbeats::receive(&mut c.cluster, &c.config, &report, 10_000, Ms(1000));
+        assert!(matches!(received, heartbeats::Received::Taken(..)));
     }
     let reported = c.cluster.all_machines().filter(|(_, m)| m.stamp.0 > 0);
     assert_eq!(reported.count(), MACHINES);
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -3,6 +3,8 @@
 
 mod support;
 
+use pointhook::coordination::scheduler::draft;
+use pointhook::coordination::scheduler::quota;
 use pointhook::protocol::users::Shape;
 use support::controller::{CANCEL_MS, LEASE_MS};
 use support::job;
@@ -35,23 +37,18 @@
     waits.vcpus = 1000.0;
     let c = w.owner_of_zone("north");
     assert!(w.submit(c, waits));
-    let team = pointhook::bookkeeping::names::TeamIx(1);
+    let team = pointhook::state::names::TeamIx(1);
     let lowered = {
         let c = w.node(c);
-        let mut d = pointhook::coordination::plan::DraftTransaction::default();
-        pointhook::coordination::plan::lower_shares(
-            &c.cluster,
-            &c.config,
-            c.takeovers.permits(),
-            &mut d,
-        );
+        let mut d = draft::DraftTransaction::default();
+        quota::lower_shares(&c.cluster, &c.config, c.takeovers.permits(), &mut d);
         assert!(d.teams.contains_key(&team));
         d
     };
     // Nothing is heard of it, and it is carried out after what comes next.
-    let late = pointhook::coordination::store::transaction(&w.node(c).cluster, &lowered);
-    let unknown = pointhook::coordination::store::Outcome::Unknown;
-    pointhook::coordination::store::conclude(&mut w.node(c).cluster, &lowered, &unknown);
+    let late = pointhook::coordination::kv::transaction(&w.node(c).cluster, &lowered);
+    let unknown = pointhook::coordination::kv::Outcome::Unknown;
+    pointhook::coordination::kv::conclude(&mut w.node(c).cluster, &lowered, &unknown);
     let mut second = small("job-2", 2);
     second.zone = Some("north".into());
     assert!(w.submit(north, second));
@@ -150,7 +147,7 @@
     assert!(worker.has("job-1/0"));
     // The first has the shard back, and remembers that end.
     store.end_lease(other.lease);
-    let key = format!("{}node/n1", pointhook::bookkeeping::cluster_state::ROOT);
+    let key = format!("{}node/n1", pointhook::state::cluster_state::ROOT);
     assert_eq!(store.version(&key), 0);
     c.sync(&store);
     c.keep_shards(&mut store, 17_000);
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -2,13 +2,14 @@
 
 mod support;
 
-use pointhook::bookkeeping::cluster_state::ROOT;
-use pointhook::bookkeeping::job::JobState;
-use pointhook::bookkeeping::records::SECOND_FORM;
+use pointhook::coordination::kv::Outcome;
 use pointhook::coordination::membership::begin_second_form;
-use pointhook::coordination::store::Outcome;
-use pointhook::protocol::state::Limits;
+use pointhook::coordination::scheduler::preemption;
+use pointhook::protocol::kv::Limits;
 use pointhook::protocol::users::{parse_job, JobSpec, Rank, Shape, MAX_AWAITS};
+use pointhook::state::cluster_state::ROOT;
+use pointhook::state::job::JobState;
+use pointhook::state::records::SECOND_FORM;
 use support::controller::{one, Controller, CANCEL_MS};
 use support::job;
 use support::world::World;
@@ -288,8 +289,8 @@
 
 #[test]
 fn what_an_urgent_job_needs_is_not_stopped_for_another_urgent_one() {
-    use pointhook::bookkeeping::names::ShardIx;
-    use pointhook::bookkeeping::units::Ms;
+    use pointhook::state::names::ShardIx;
+    use pointhook::state::units::Ms;
     for needed in [false, true] {
         let (mut store, mut c) = one();
         let mut w = support::worker::Worker::new("m1", "north", 0);
@@ -309,7 +310,7 @@
         c.submit(&mut store, other, 4000);
         support::controller::play(&mut c, &mut store, &mut [&mut w], 4000, 12_000);
         let turn = ShardIx(0);
-        let stops = pointhook::coordination::plan::preempt(
+        let stops = preemption::preempt(
             &c.cluster,
             &c.config,
             c.takeovers.permits(),
@@ -334,14 +335,14 @@
     // One of them comes back with the old version before that is carried out.
     store.end_lease(s1.lease);
     let key = format!("{ROOT}node/s1");
-    let old = pointhook::bookkeeping::records::NodeRecord {
+    let old = pointhook::state::records::NodeRecord {
         incarnation: 3,
         forms: 0,
         standby: 0,
     };
-    let write = pointhook::protocol::state::Transaction {
+    let write = pointhook::protocol::kv::Transaction {
         conditions: Vec::new(),
-        writes: pointhook::coordination::store::set(key, &old, None)
+        writes: pointhook::coordination::kv::set(key, &old, None)
             .into_iter()
             .collect(),
     };
@@ -398,7 +399,7 @@
     w.run(20_000);
     let widest = |w: &World| {
         let entries = w.store.list(ROOT, "", 10_000).entries;
-        let size = |e: &pointhook::protocol::state::Entry| e.v.to_string().len();
+        let size = |e: &pointhook::protocol::kv::Entry| e.v.to_string().len();
         entries.iter().map(size).max().unwrap()
     };
     assert!(widest(&w) > 2048);
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -2,15 +2,20 @@
 
 mod support;
 
-use pointhook::bookkeeping::job::JobState;
-use pointhook::bookkeeping::units::{Ms, Resources};
-use pointhook::coordination::node::finish_times;
-use pointhook::coordination::planner::Changes;
-use pointhook::coordination::{peer_messages, plan, reports};
+use pointhook::coordination::controller::finish_times;
+use pointhook::coordination::reconciliation;
+use pointhook::coordination::scheduler::claims;
+use pointhook::coordination::scheduler::draft;
+use pointhook::coordination::scheduler::gangs;
+use pointhook::coordination::scheduler::job_order;
+use pointhook::coordination::scheduler::planner::Changes;
+use pointhook::coordination::{heartbeats, peer_messages};
 use pointhook::protocol::peers::{self, Ask, MachineNews};
 use pointhook::protocol::users::{Rank, Shape};
 use pointhook::protocol::workers::TaskState;
 use pointhook::settings::Objective;
+use pointhook::state::job::JobState;
+use pointhook::state::units::{Ms, Resources};
 use support::controller::{one, play, Controller};
 use support::job;
 use support::store::Store;
@@ -42,7 +47,7 @@
     let ix = c.job_ix("job-1");
     for _ in 0..20 {
         assert_eq!(
-            plan::bind(&c.cluster, &c.config, ix, Ms(10), 10),
+            claims::bind(&c.cluster, &c.config, ix, Ms(10), 10),
             [(0, warm)]
         );
     }
@@ -93,8 +98,8 @@
 }
 
 fn order(c: &Controller, wall: u64) -> Vec<String> {
-    let draft = plan::DraftTransaction::default();
-    let jobs = plan::waiting_jobs(&c.cluster, &c.config, &draft, Ms(wall), wall);
+    let draft = draft::DraftTransaction::default();
+    let jobs = job_order::waiting_jobs(&c.cluster, &c.config, &draft, Ms(wall), wall);
     let names = jobs
         .iter()
         .map(|w| c.cluster.jobs[w.ix.0 as usize].id.to_string());
@@ -160,7 +165,7 @@
         if now == 10_000 {
             c.submit(&mut store, gang.clone(), now);
         }
-        for (ix, machines) in plan::gang_holds(&c.cluster, &c.config, Ms(now), now) {
+        for (ix, machines) in gangs::gang_holds(&c.cluster, &c.config, Ms(now), now) {
             for m in machines {
                 c.cluster.machine_mut(m).unwrap().held = Some((ix, Ms(now + 4000)));
             }
@@ -243,15 +248,15 @@
     }
     let mut changes = 0;
     loop {
-        let mut d = plan::DraftTransaction::default();
-        plan::settle(&c.cluster, &c.config, c.takeovers.permits(), &mut d, Ms(20));
+        let mut d = draft::DraftTransaction::default();
+        reconciliation::settle(&c.cluster, &c.config, c.takeovers.permits(), &mut d, Ms(20));
         if d.is_empty() {
             break;
         }
         changes += d.jobs.len();
-        let txn = pointhook::coordination::store::transaction(&c.cluster, &d);
+        let txn = pointhook::coordination::kv::transaction(&c.cluster, &d);
         let out = Controller::send(&mut store, &txn, 20);
-        pointhook::coordination::store::conclude(&mut c.cluster, &d, &out);
+        pointhook::coordination::kv::conclude(&mut c.cluster, &d, &out);
     }
     assert_eq!((placed(&c), changes), (0, 12));
 }
@@ -265,15 +270,15 @@
     play(&mut c, &mut store, &mut [&mut w], 0, 1500);
     assert_eq!(c.job("job-1").placements.len(), 4);
     let later = |c: &Controller, now| {
-        let mut d = plan::DraftTransaction::deferring(true, 0);
-        plan::settle(
+        let mut d = draft::DraftTransaction::deferring(true, 0);
+        reconciliation::settle(
             &c.cluster,
             &c.config,
             c.takeovers.permits(),
             &mut d,
             Ms(now),
         );
-        plan::claim(
+        claims::claim(
             &c.cluster,
             &c.config,
             c.takeovers.permits(),
@@ -288,7 +293,7 @@
     r.tasks[3].state = TaskState::Running;
     r.tasks[3].why = None;
     let take =
-        |c: &mut Controller, r| reports::receive(&mut c.cluster, &c.config, r, 10_000, Ms(4000));
+        |c: &mut Controller, r| heartbeats::receive(&mut c.cluster, &c.config, r, 10_000, Ms(4000));
     take(&mut c, &r);
     assert!(later(&c, 4000).is_empty());
     let mut urgent = job("job-2", 3);
@@ -355,7 +360,7 @@
     // Younger work keeps coming that can make the first time.
     let back = |c: &Controller, age: u64| {
         let job = c.job("job-1");
-        plan::put_back(&c.config, job, job.spec.as_ref().unwrap(), age * 1000 + 1)
+        job_order::put_back(&c.config, job, job.spec.as_ref().unwrap(), age * 1000 + 1)
     };
     assert_eq!(back(&c, 100), 1);
     // It can't make 150 s any more, but the last: it goes first before that is in doubt.
@@ -371,7 +376,8 @@
     c.submit(&mut store, spec, 1);
     c.plan(&mut store, 10);
     let job = c.job("job-2");
-    let at = |age: u64| plan::put_back(&c.config, job, job.spec.as_ref().unwrap(), age * 1000 + 1);
+    let at =
+        |age: u64| job_order::put_back(&c.config, job, job.spec.as_ref().unwrap(), age * 1000 + 1);
     assert!(!job.placements.is_empty());
     assert_eq!((at(40), at(61), at(139), at(140)), (1, 2, 2, 0));
 }
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -2,15 +2,19 @@
 
 mod support;
 
-use pointhook::bookkeeping::cluster_state::{ClusterState, ROOT};
-use pointhook::bookkeeping::job::JobState;
-use pointhook::bookkeeping::names::{Index, ShardIx, TeamIx, ZoneIx};
-use pointhook::bookkeeping::units::Ms;
-use pointhook::coordination::plan::{self, DraftTransaction};
-use pointhook::coordination::reports;
-use pointhook::coordination::store::{behind_for_long, conclude, transaction, Outcome};
+use pointhook::coordination::heartbeats;
+use pointhook::coordination::kv::{behind_for_long, conclude, transaction, Outcome};
+use pointhook::coordination::reconciliation;
+use pointhook::coordination::scheduler::draft::DraftTransaction;
+use pointhook::coordination::scheduler::gangs;
+use pointhook::coordination::scheduler::preemption;
+use pointhook::coordination::scheduler::quota;
 use pointhook::protocol::users::{Rank, Shape};
 use pointhook::protocol::workers::Order;
+use pointhook::state::cluster_state::{ClusterState, ROOT};
+use pointhook::state::job::JobState;
+use pointhook::state::names::{Index, ShardIx, TeamIx, ZoneIx};
+use pointhook::state::units::Ms;
 use std::collections::HashSet;
 use support::controller::{commands, one, play, Controller};
 use support::job;
@@ -196,7 +200,7 @@
     // A newer message without the task, sent before the answer arrived.
     let other = w.report(700);
     let mix = c.machine("m1");
-    reports::take(&mut c.cluster, mix, &other, Ms(700), None);
+    heartbeats::take(&mut c.cluster, mix, &other, Ms(700), None);
     c.plan(&mut store, 700);
     assert_eq!(c.job("job-1").placements.len(), 1);
     assert!(w.answered(&answer, r.session, 500, 800));
@@ -304,14 +308,14 @@
             .learn_machine("m2", "oven", "south", true, Ms(10))
             .unwrap(),
     );
-    reports::take(
+    heartbeats::take(
         &mut north.cluster,
         m1,
         &r1,
         Ms(10),
         Some((tokens[0], 10_000)),
     );
-    reports::take(
+    heartbeats::take(
         &mut south.cluster,
         m2,
         &r2,
@@ -348,13 +352,13 @@
     let team = TeamIx(1);
     assert_eq!(c.cluster.teams[1].rec.share(ShardIx(0)), (8000, 2000));
     let mut d = DraftTransaction::default();
-    plan::lower_shares(&c.cluster, &c.config, c.takeovers.permits(), &mut d);
+    quota::lower_shares(&c.cluster, &c.config, c.takeovers.permits(), &mut d);
     assert!(d.teams.is_empty());
     // Another shard's share that nothing uses goes, since a task waits.
     let mut rec = c.cluster.teams[1].rec.clone();
     rec.set(ShardIx(0), (8000, 2500));
     c.cluster.teams[1].rec = rec;
-    plan::lower_shares(&c.cluster, &c.config, c.takeovers.permits(), &mut d);
+    quota::lower_shares(&c.cluster, &c.config, c.takeovers.permits(), &mut d);
     assert_eq!(d.teams[&team].share(ShardIx(0)), (8000, 2000));
 }
 
@@ -596,7 +600,7 @@
     c.submit(&mut store, busy, 2);
     let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "south", 0));
     play(&mut c, &mut store, &mut [&mut w1, &mut w2], 0, 1000);
-    let holds = plan::gang_holds(&c.cluster, &c.config, Ms(1000), 10_000);
+    let holds = gangs::gang_holds(&c.cluster, &c.config, Ms(1000), 10_000);
     assert_eq!(holds.len(), 1);
     assert_eq!(holds[0].0, c.job_ix("job-1"));
     assert_eq!(holds[0].1.len(), 2);
@@ -670,7 +674,7 @@
     prod.priority = Rank::Production;
     prod.vcpus = 8.0;
     c.submit(&mut store, prod, 3000);
-    assert!(plan::preempt(
+    assert!(preemption::preempt(
         &c.cluster,
         &c.config,
         c.takeovers.permits(),
@@ -679,7 +683,7 @@
         5000
     )
     .is_empty());
-    let stops = plan::preempt(
+    let stops = preemption::preempt(
         &c.cluster,
         &c.config,
         c.takeovers.permits(),
@@ -695,7 +699,7 @@
     second.priority = Rank::Production;
     second.vcpus = 8.0;
     c.submit(&mut store, second, 3000);
-    let stops = plan::preempt(
+    let stops = preemption::preempt(
         &c.cluster,
         &c.config,
         c.takeovers.permits(),
@@ -711,7 +715,7 @@
     same.vcpus = 8.0;
     c.cancel(&mut store, "job-3", 5000);
     c.submit(&mut store, same, 5000);
-    assert!(plan::preempt(
+    assert!(preemption::preempt(
         &c.cluster,
         &c.config,
         c.takeovers.permits(),
@@ -990,7 +994,7 @@
         500,
         8000,
     );
-    let holds = |c: &Controller| plan::gang_holds(&c.cluster, &c.config, Ms(8000), 8000);
+    let holds = |c: &Controller| gangs::gang_holds(&c.cluster, &c.config, Ms(8000), 8000);
     assert!(holds(&c).is_empty());
     // Once the service is cancelled the gang may come about, and machines are kept for it.
     c.cancel(&mut store, "job-1", 8000);
@@ -1024,16 +1028,16 @@
     let draft = c.draft(now);
     let ix = c.job_ix("job-1");
     assert!(draft.jobs[&ix].placements.is_empty());
-    plan::give_up(&mut c.cluster, &draft);
+    reconciliation::give_up(&mut c.cluster, &draft);
     let on_its_way = transaction(&c.cluster, &draft);
     let r = w.report(now + 20);
     assert_eq!(r.session, 2);
-    let got = reports::receive(&mut c.cluster, &c.config, &r, 10_000, Ms(now + 20));
-    let reports::Received::Taken(mix, token, taken) = got else {
+    let got = heartbeats::receive(&mut c.cluster, &c.config, &r, 10_000, Ms(now + 20));
+    let heartbeats::Received::Taken(mix, token, taken) = got else {
         panic!("not taken");
     };
     let taken = (mix, token, taken);
-    let answer = reports::reply(
+    let answer = heartbeats::reply(
         &mut c.cluster,
         &c.config,
         c.takeovers.permits(),
@@ -1065,7 +1069,7 @@
     let late = w.report(9000);
     let newer = w.report(9100);
     let mix = c.machine("m1");
-    reports::take(&mut c.cluster, mix, &newer, Ms(9100), None);
+    heartbeats::take(&mut c.cluster, mix, &newer, Ms(9100), None);
     assert!(c.report(&mut store, &late, 9200).is_some());
     let over = heard.plus(c.config.dead_ms + 10).0;
     assert!(!c.draft(over).jobs.contains_key(&ix), "answered since");
@@ -1076,7 +1080,7 @@
 // they raised their shard's token every few seconds.
 #[test]
 fn only_direct_starts_that_may_still_run_raise_the_token() {
-    use pointhook::bookkeeping::fleet::LateStart;
+    use pointhook::state::machine::LateStart;
     let (mut store, mut c) = one();
     let mut w = Worker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -3,21 +3,23 @@
 
 mod support;
 
-use pointhook::bookkeeping::cluster_state::ROOT;
-use pointhook::bookkeeping::names::ShardIx;
-use pointhook::bookkeeping::units::Ms;
+use pointhook::coordination::kv::Outcome;
 use pointhook::coordination::membership::{moves, Known, Move};
-use pointhook::coordination::plan::{self, DraftTransaction};
+use pointhook::coordination::reconciliation;
 use pointhook::coordination::replication;
-use pointhook::coordination::store::Outcome;
+use pointhook::coordination::scheduler::claims;
+use pointhook::coordination::scheduler::draft::DraftTransaction;
 use pointhook::observe_command;
 use pointhook::protocol::peers::{self, Reply, ShardStanding};
 use pointhook::protocol::users::{JobSpec, Shape};
 use pointhook::settings::Workers;
+use pointhook::state::cluster_state::ROOT;
+use pointhook::state::names::ShardIx;
+use pointhook::state::units::Ms;
+use standby::failover::State;
 use standby::follower::Follower;
 use standby::ids::ShardId;
 use standby::publisher::{Publisher, StreamLimits};
-use standby::takeover::State;
 use support::controller::{Controller, Standby};
 use support::job;
 use support::store::Store;
@@ -313,11 +315,11 @@
         gang_peer_s: 8.0,
         cancel_s: 55.0,
     };
-    let short = pointhook::coordination::takeovers::bound(&workers(10.0));
+    let short = pointhook::coordination::failover::bound(&workers(10.0));
     assert!(short.meets_goal());
     assert_eq!(short.total_ms(), 8600);
     assert_eq!(short.total_after_hang_ms(), 12_100);
-    let long = pointhook::coordination::takeovers::bound(&workers(30.0));
+    let long = pointhook::coordination::failover::bound(&workers(30.0));
     assert_eq!(long.total_ms(), 9600);
     assert!(long.to_string().contains("lease 5100"));
 }
@@ -401,8 +403,8 @@
     assert!(permits.get(ShardId(0)).is_some());
     let mut draft = DraftTransaction::default();
     let (cluster, config) = (&d.owner.cluster, &d.owner.config);
-    plan::settle(cluster, config, permits, &mut draft, Ms(800));
-    plan::claim(cluster, config, permits, &mut draft, Ms(800), 800);
+    reconciliation::settle(cluster, config, permits, &mut draft, Ms(800));
+    claims::claim(cluster, config, permits, &mut draft, Ms(800), 800);
     assert!(draft.is_empty(), "{draft:?}");
 }
 
--- a/tests/support/controller.rs
+++ b/tests/support/controller.rs
@@ -3,24 +3,30 @@
 use super::cloud::flavor;
 use super::store::Store;
 use super::worker::Worker;
-use pointhook::bookkeeping::cluster_state::{ClusterState, NodeRecord, ROOT};
-use pointhook::bookkeeping::job::{JobRecord, JobState};
-use pointhook::bookkeeping::knowledge::Knowledge;
-use pointhook::bookkeeping::names::{Index, JobIx, MachineIx, ShardIx, ZoneIx};
-use pointhook::bookkeeping::records::{SECOND_FORM, STANDBY_VERSION};
-use pointhook::bookkeeping::units::Ms;
 use pointhook::coordination::cancellations::{self, Leftovers};
-use pointhook::coordination::plan::{self, DraftTransaction, Push, SchedulerConfig};
-use pointhook::coordination::store::{conclude, set, transaction, Outcome};
-use pointhook::coordination::{membership, reports, takeovers};
+use pointhook::coordination::kv::{conclude, set, transaction, Outcome};
+use pointhook::coordination::reconciliation;
+use pointhook::coordination::scheduler::claims;
+use pointhook::coordination::scheduler::commands;
+use pointhook::coordination::scheduler::commands::Push;
+use pointhook::coordination::scheduler::config::SchedulerConfig;
+use pointhook::coordination::scheduler::draft::DraftTransaction;
+use pointhook::coordination::scheduler::quota;
+use pointhook::coordination::{failover, heartbeats, membership};
 use pointhook::protocol::cloud::Flavors;
-use pointhook::protocol::state::Limits;
-use pointhook::protocol::state::{Condition, Transaction};
+use pointhook::protocol::kv::Limits;
+use pointhook::protocol::kv::{Condition, Transaction};
 use pointhook::protocol::users::JobSpec;
 use pointhook::protocol::workers::{Commands, Report, ReportAnswer};
 use pointhook::settings::Team;
+use pointhook::state::cancellation_watermark::Knowledge;
+use pointhook::state::cluster_state::{ClusterState, NodeRecord, ROOT};
+use pointhook::state::job::{JobRecord, JobState};
+use pointhook::state::names::{Index, JobIx, MachineIx, ShardIx, ZoneIx};
+use pointhook::state::records::{SECOND_FORM, STANDBY_VERSION};
+use pointhook::state::units::Ms;
+use standby::failover::{Refusal, State, Takeovers};
 use standby::ids::{Revision, ShardId, Token};
-use standby::takeover::{Refusal, State, Takeovers};
 use std::collections::{BTreeMap, HashMap};
 
 pub struct Controller {
@@ -269,7 +275,7 @@
         let mut draft = DraftTransaction::default();
         draft.jobs.insert(
             ix,
-            pointhook::bookkeeping::job::Job {
+            pointhook::state::job::Job {
                 state: JobState::Cancelled,
                 ..job
             },
@@ -287,9 +293,9 @@
             let standby = standby == Some(self.config.node.as_str());
             let heard = |_: &str| Some(Ms(now));
             let (cluster, config) = (&self.cluster, &self.config);
-            let seen = takeovers::observation(cluster, config, shard, standby, heard, Ms(now));
+            let seen = failover::observation(cluster, config, shard, standby, heard, Ms(now));
             let id = ShardId(shard.0);
-            for change in self.takeovers.observe(id, seen, takeovers::millis(Ms(now))) {
+            for change in self.takeovers.observe(id, seen, failover::millis(Ms(now))) {
                 if change.to == State::SteppedDown {
                     self.stepped_down.push(shard);
                 }
@@ -301,7 +307,7 @@
     pub fn refused_by_worker(&mut self, shard: ShardIx, seen: u64, now: u64) {
         let refusal = Refusal::Worker { seen: Token(seen) };
         let known = Revision(self.cluster.revision);
-        let now = takeovers::millis(Ms(now));
+        let now = failover::millis(Ms(now));
         let change = self
             .takeovers
             .refused(ShardId(shard.0), refusal, known, now);
@@ -318,9 +324,9 @@
         if now.is_multiple_of(1000) && !self.cascaded {
             d.cascades = 2;
         }
-        plan::settle(&self.cluster, &self.config, permits, &mut d, Ms(now));
-        plan::claim(&self.cluster, &self.config, permits, &mut d, Ms(now), now);
-        plan::lower_shares(&self.cluster, &self.config, permits, &mut d);
+        reconciliation::settle(&self.cluster, &self.config, permits, &mut d, Ms(now));
+        claims::claim(&self.cluster, &self.config, permits, &mut d, Ms(now), now);
+        quota::lower_shares(&self.cluster, &self.config, permits, &mut d);
         d
     }
 
@@ -333,7 +339,7 @@
             if draft.is_empty() {
                 return;
             }
-            plan::give_up(&mut self.cluster, &draft);
+            reconciliation::give_up(&mut self.cluster, &draft);
             let out = Self::send(store, &transaction(&self.cluster, &draft), now);
             conclude(&mut self.cluster, &draft, &out);
             // As the duty does: what was refused is tried again at its next turn.
@@ -356,13 +362,13 @@
 
     /// Takes a report and answers it; `None` is 421.
     pub fn report(&mut self, store: &mut Store, r: &Report, now: u64) -> Option<ReportAnswer> {
-        let received = reports::receive(&mut self.cluster, &self.config, r, 10_000, Ms(now));
-        let reports::Received::Taken(mix, token, taken) = received else {
+        let received = heartbeats::receive(&mut self.cluster, &self.config, r, 10_000, Ms(now));
+        let heartbeats::Received::Taken(mix, token, taken) = received else {
             return None;
         };
         self.plan(store, now);
         self.observe(now);
-        reports::reply(
+        heartbeats::reply(
             &mut self.cluster,
             &self.config,
             self.takeovers.permits(),
@@ -481,7 +487,7 @@
         let Some((txn, record)) = membership::move_transaction(&self.cluster, m) else {
             return Outcome::Refused(0);
         };
-        let (id, at) = (ShardId(m.shard.0), takeovers::millis(Ms(now)));
+        let (id, at) = (ShardId(m.shard.0), failover::millis(Ms(now)));
         if m.to == self.config.node {
             self.takeovers.fence_sent(id, at);
         }
@@ -512,7 +518,7 @@
     pub fn pushes(&mut self, now: u64) -> Vec<Push> {
         self.observe(now);
         let permits = self.takeovers.permits();
-        plan::pushes(&mut self.cluster, &self.config, permits, Ms(now), || true)
+        commands::pushes(&mut self.cluster, &self.config, permits, Ms(now), || true)
     }
 
     pub fn machine(&self, name: &str) -> MachineIx {
@@ -526,7 +532,7 @@
         self.cluster.job(id).expect("known job").0
     }
 
-    pub fn job(&self, id: &str) -> &pointhook::bookkeeping::job::Job {
+    pub fn job(&self, id: &str) -> &pointhook::state::job::Job {
         self.cluster.job(id).expect("known job").1
     }
 }
--- a/tests/support/liveness.rs
+++ b/tests/support/liveness.rs
@@ -1,8 +1,8 @@
 //! Checks that ready jobs do not wait while there is room for them.
 
 use super::world::World;
-use pointhook::bookkeeping::names::{Index, TeamIx};
 use pointhook::protocol::users::{JobSpec, Shape};
+use pointhook::state::names::{Index, TeamIx};
 use std::collections::BTreeMap;
 
 /// Longest time for which a ready job may wait although there is room for it.
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -4,18 +4,20 @@
 use super::controller::{commands, Controller, Standby, CANCEL_MS, LEASE_MS};
 use super::store::Store;
 use super::worker::Worker;
-use pointhook::bookkeeping::cluster_state::ClusterState;
-use pointhook::bookkeeping::names::{Index, ShardIx, TeamIx};
-use pointhook::bookkeeping::units::Ms;
 use pointhook::coordination::cancellations;
+use pointhook::coordination::heartbeats::{self, Received};
+use pointhook::coordination::kv::Outcome;
 use pointhook::coordination::membership;
 use pointhook::coordination::peer_messages;
-use pointhook::coordination::plan::{self, Pushed};
-use pointhook::coordination::reports::{self, Received};
-use pointhook::coordination::store::Outcome;
+use pointhook::coordination::scheduler::commands;
+use pointhook::coordination::scheduler::commands::Pushed;
+use pointhook::coordination::scheduler::preemption;
 use pointhook::coordination::worker_connectivity;
 use pointhook::protocol::users::{JobSpec, Shape};
 use pointhook::protocol::workers::{Commands, Report};
+use pointhook::state::cluster_state::ClusterState;
+use pointhook::state::names::{Index, ShardIx, TeamIx};
+use pointhook::state::units::Ms;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 pub const NAMES: [&str; 3] = ["n1", "n2", "s1"];
@@ -473,7 +475,7 @@
                 let turn = ShardIx((now / 1000 % 2) as u32);
                 c.observe(now);
                 let permits = c.takeovers.permits();
-                let stops = plan::preempt(&c.cluster, &c.config, permits, turn, Ms(now), now);
+                let stops = preemption::preempt(&c.cluster, &c.config, permits, turn, Ms(now), now);
                 for (mix, a, grace) in stops {
                     if let Some(m) = c.cluster.machine_mut(mix) {
                         m.stopping.insert(a, grace);
@@ -483,7 +485,7 @@
             for p in c.pushes(now) {
                 let name = c.cluster.machine_names.name(p.machine).clone();
                 let how = self.command(at, &name, commands(&p));
-                plan::note_pushed(&mut c.cluster, &p, how);
+                commands::note_pushed(&mut c.cluster, &p, how);
             }
             self.poke(at, &c);
             if now.is_multiple_of(1000) {
@@ -534,7 +536,7 @@
             self.next_node(h);
             return;
         };
-        let received = reports::receive(&mut c.cluster, &c.config, &report, 10_000, Ms(now));
+        let received = heartbeats::receive(&mut c.cluster, &c.config, &report, 10_000, Ms(now));
         let answer = match received {
             Received::Taken(mix, token, taken) => {
                 c.plan(&mut self.store, now);
@@ -542,7 +544,7 @@
                 let got = (mix, token, taken);
                 let permits = c.takeovers.permits();
                 let answer =
-                    reports::reply(&mut c.cluster, &c.config, permits, &report, got, Ms(now));
+                    heartbeats::reply(&mut c.cluster, &c.config, permits, &report, got, Ms(now));
                 answer.ok_or(None)
             }
             Received::Elsewhere(owner) => Err(owner),
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -1,12 +1,12 @@
 //! Both versions serve side by side: what either writes, the other reads.
 
-use pointhook::bookkeeping::job::{JobRecord, JobState, Ranges};
-use pointhook::bookkeeping::names::ShardIx;
-use pointhook::bookkeeping::records::{
-    BookingRecord, NodeRecord, PartRecord, ShardRecord, TeamRecord, SECOND_FORM,
-};
 use pointhook::protocol::peers::{self, Ask, MachineNews, Reply, TaskRef};
 use pointhook::protocol::users::{JobSpec, Rank, Shape};
+use pointhook::state::job::{JobRecord, JobState, Ranges};
+use pointhook::state::names::ShardIx;
+use pointhook::state::records::{
+    BookingRecord, NodeRecord, PartRecord, ShardRecord, TeamRecord, SECOND_FORM,
+};
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
