--- a/crates/rehearsal/src/cloud.rs
+++ b/crates/rehearsal/src/cloud.rs
@@ -1,23 +1,25 @@
 //! The cloud: machine types, bookings that can be repeated, a list.
 
-use pointhook::protocol::cloud::{Booking, Flavor, Flavors, HostList, Listed};
+use pointhook::protocol::cloud::{
+    CloudMachineType, ListedMachine, MachineListPage, MachineTypeCatalog, ProvisioningRequest,
+};
 use std::collections::BTreeMap;
 
 /// A cloud with as many machines as anyone asks for, up to a limit.
 pub struct Cloud {
     /// Machine types.
-    pub flavors: Flavors,
+    pub flavors: MachineTypeCatalog,
     /// Machines that it has.
     pub capacity: u32,
     /// Rented machines with the time of their rental.
-    pub machines: BTreeMap<String, (Listed, u64)>,
+    pub machines: BTreeMap<String, (ListedMachine, u64)>,
     answered: BTreeMap<String, Vec<String>>,
     next: u32,
 }
 
 /// The one machine type of the stand-ins.
-pub fn flavor() -> Flavor {
-    Flavor {
+pub fn flavor() -> CloudMachineType {
+    CloudMachineType {
         name: "oven".into(),
         vcpus: 16.0,
         gpus: 4.0,
@@ -34,7 +36,7 @@
 impl Default for Cloud {
     fn default() -> Self {
         Cloud {
-            flavors: Flavors {
+            flavors: MachineTypeCatalog {
                 types: vec![flavor()],
             },
             capacity: 8,
@@ -47,8 +49,12 @@
 
 impl Cloud {
     /// Machines rented; `None` is 503. A repeated name that got machines gets the same.
-    pub fn book(&mut self, b: &Booking, now_ms: u64) -> Option<Vec<String>> {
-        if let Some(a) = self.answered.get(&b.request) {
+    pub fn send_provisioning_request(
+        &mut self,
+        b: &ProvisioningRequest,
+        now_ms: u64,
+    ) -> Option<Vec<String>> {
+        if let Some(a) = self.answered.get(&b.request_id) {
             return Some(a.clone());
         }
         let left = self.capacity.saturating_sub(self.machines.len() as u32);
@@ -60,7 +66,7 @@
         for _ in 0..count {
             let name = format!("n-{:06}", self.next);
             self.next += 1;
-            let listed = Listed {
+            let listed = ListedMachine {
                 name: name.clone(),
                 addr: "127.0.0.1:1".into(),
                 machine_type: b.machine_type.clone(),
@@ -72,7 +78,7 @@
             self.machines.insert(name.clone(), (listed, now_ms));
             names.push(name);
         }
-        self.answered.insert(b.request.clone(), names.clone());
+        self.answered.insert(b.request_id.clone(), names.clone());
         Some(names)
     }
 
@@ -84,13 +90,13 @@
     }
 
     /// All rented machines.
-    pub fn list(&self, now_ms: u64) -> HostList {
+    pub fn list(&self, now_ms: u64) -> MachineListPage {
         let hosts = self.machines.values().map(|(l, at)| {
             let mut l = l.clone();
             l.age_s = (now_ms - at) as f64 / 1000.0;
             l
         });
-        HostList {
+        MachineListPage {
             hosts: hosts.collect(),
             more: false,
         }
--- a/crates/rehearsal/src/jobs.rs
+++ b/crates/rehearsal/src/jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs that stand-in users submit.
 
-use pointhook::protocol::users::{JobSpec, Rank, Shape};
+use pointhook::protocol::users::{JobKind, JobSpec, Priority};
 
 /// A small job; tests change what matters to them.
 pub fn job(id: &str, tasks: u32) -> JobSpec {
@@ -8,8 +8,8 @@
         id: id.into(),
         class: "bake".into(),
         team: "ovens".into(),
-        shape: Shape::Array,
-        priority: Rank::Normal,
+        kind: JobKind::Array,
+        priority: Priority::Normal,
         tasks,
         vcpus: 4.0,
         gpus: 1.0,
@@ -21,10 +21,10 @@
         one_zone: false,
         spread: false,
         spot: true,
-        estimate_s: 10.0,
+        estimated_run_s: 10.0,
         checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_grace_s: 0.0,
         deadline_s: None,
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -1,7 +1,7 @@
 //! Plays takeovers on loopback and prints their distribution: see docs/standby.md, "Measurement".
 
 use clap::Parser;
-use rehearsal::takeover::{rehearse, Interruption, Options, Outcome};
+use rehearsal::takeover::{rehearse, CommitOutcome, Interruption, Options};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -56,7 +56,7 @@
     }
 }
 
-fn print(outcome: &Outcome) {
+fn print(outcome: &CommitOutcome) {
     let times = outcome.histogram();
     let kept = outcome.takeovers_ms.iter().filter(|t| t.is_none()).count();
     println!(
--- a/crates/rehearsal/src/network.rs
+++ b/crates/rehearsal/src/network.rs
@@ -8,9 +8,9 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use http_types::Method;
-use pointhook::protocol::cloud::{Booking, Hosts};
+use pointhook::protocol::cloud::{MachineNames, ProvisioningRequest};
 use pointhook::protocol::kv::{Lease, LeaseRequest, Transaction};
-use pointhook::protocol::workers::{Commands, Elsewhere, ReportAnswer};
+use pointhook::protocol::workers::{DirectCommands, HeartbeatResponse, NotOwner};
 use pointhook::transport::http::{listen, serve, Answer, Client, Incoming};
 use pointhook::transport::pause;
 use std::cell::{Cell, RefCell};
@@ -26,7 +26,7 @@
     /// Time between reports.
     pub report_ms: u64,
     /// Time that a task's image takes.
-    pub fetch_ms: u64,
+    pub image_pull_ms: u64,
     /// Time that a task runs.
     pub run_ms: u64,
     /// The workers' lease.
@@ -174,10 +174,10 @@
             Answer::of(200, &list)
         }
         (Method::Post, "/hosts") => {
-            let Ok(b) = rmp_serde::from_slice::<Booking>(&body) else {
+            let Ok(b) = rmp_serde::from_slice::<ProvisioningRequest>(&body) else {
                 return Answer::bare(400);
             };
-            let Some(hosts) = w.cloud.borrow_mut().book(&b, now) else {
+            let Some(hosts) = w.cloud.borrow_mut().send_provisioning_request(&b, now) else {
                 return Answer::bare(503);
             };
             for name in &hosts {
@@ -187,7 +187,7 @@
                     }
                     let mut worker = Worker::new(name, &b.zone, now);
                     worker.spot = b.spot;
-                    worker.fetch_ms = w.habits.fetch_ms;
+                    worker.image_pull_ms = w.habits.image_pull_ms;
                     worker.run_ms = w.habits.run_ms;
                     worker.lease_ms = w.habits.lease_ms;
                     let worker = Rc::new(RefCell::new(worker));
@@ -195,10 +195,10 @@
                     ex.spawn(work(w.clone(), ex.clone(), worker)).detach();
                 }
             }
-            Answer::of(200, &Hosts { hosts })
+            Answer::of(200, &MachineNames { hosts })
         }
         (Method::Post, "/hosts/release") => {
-            let Ok(h) = rmp_serde::from_slice::<Hosts>(&body) else {
+            let Ok(h) = rmp_serde::from_slice::<MachineNames>(&body) else {
                 return Answer::bare(400);
             };
             w.cloud.borrow_mut().release(&h.hosts);
@@ -269,7 +269,7 @@
             let now = world.now();
             let mut status = 200;
             if req.path == "/commands" {
-                match rmp_serde::from_slice::<Commands>(&req.body.unwrap_or_default()) {
+                match rmp_serde::from_slice::<DirectCommands>(&req.body.unwrap_or_default()) {
                     Ok(c) => status = me.borrow_mut().command(&c, now),
                     Err(_) => return Answer::bare(400),
                 }
@@ -291,15 +291,17 @@
         let mut next = None;
         match answer {
             Ok(f) if f.status == 200 => {
-                if let Ok(a) = rmp_serde::from_slice::<ReportAnswer>(&f.body) {
+                if let Ok(a) = rmp_serde::from_slice::<HeartbeatResponse>(&f.body) {
                     w.answered.set(w.answered.get() + 1);
                     let now = w.now();
-                    worker.borrow_mut().answered(&a, report.session, sent, now);
+                    worker
+                        .borrow_mut()
+                        .answered(&a, report.agent_epoch, sent, now);
                 }
             }
             Ok(f) if f.status == 421 => {
-                let owner = rmp_serde::from_slice::<Elsewhere>(&f.body).ok();
-                let owner = owner.and_then(|e| e.report_to);
+                let owner = rmp_serde::from_slice::<NotOwner>(&f.body).ok();
+                let owner = owner.and_then(|e| e.owner);
                 let named = owner.and_then(|o| nodes.iter().position(|(n, _)| *n == o));
                 next = Some((named.unwrap_or((at + 1) % nodes.len()), named.is_some()));
             }
--- a/crates/rehearsal/src/takeover.rs
+++ b/crates/rehearsal/src/takeover.rs
@@ -61,7 +61,7 @@
 
 /// What came of a rehearsal.
 #[derive(Debug)]
-pub struct Outcome {
+pub struct CommitOutcome {
     /// Time from each interruption to the first decision of the next owner, ms; `None` if the
     /// interrupted controller kept its shard.
     pub takeovers_ms: Vec<Option<u64>>,
@@ -71,7 +71,7 @@
     pub violations: Vec<Violation>,
 }
 
-impl Outcome {
+impl CommitOutcome {
     /// Jobs that were accepted.
     pub fn jobs(&self) -> usize {
         let accepted = |e: &&Entry| matches!(e.event, Event::Accepted { .. });
@@ -106,7 +106,7 @@
 }
 
 /// Plays a rehearsal.
-pub fn rehearse(options: &Options) -> Result<Outcome, RehearsalError> {
+pub fn rehearse(options: &Options) -> Result<CommitOutcome, RehearsalError> {
     let folder = own_folder(&format!("takeover-{}", options.seed))?;
     let executor = Rc::new(LocalExecutor::new());
     let result = async_io::block_on(executor.run(play(options, folder.clone(), executor.clone())));
@@ -118,7 +118,7 @@
     options: &Options,
     folder: PathBuf,
     executor: Rc<LocalExecutor<'static>>,
-) -> Result<Outcome, RehearsalError> {
+) -> Result<CommitOutcome, RehearsalError> {
     let mut rng = fastrand::Rng::with_seed(options.seed);
     let local: SocketAddr = ([127, 0, 0, 1], 0).into();
     let (state, cloud) = (listen(local)?, listen(local)?);
@@ -138,7 +138,7 @@
     let world = Rc::new(World::new(Habits {
         controllers: all.iter().map(|a| (a.name.clone(), a.bind)).collect(),
         report_ms: 1000,
-        fetch_ms: 100,
+        image_pull_ms: 100,
         run_ms: RUN_MS,
         lease_ms: 10_000,
         tell: false,
@@ -163,7 +163,7 @@
     if !finished && violations.is_empty() {
         return Err(RehearsalError::Timeout("the batch to be done"));
     }
-    Ok(Outcome {
+    Ok(CommitOutcome {
         takeovers_ms,
         history,
         violations,
@@ -240,7 +240,7 @@
     let owner = controllers.iter().position(|c| c.name() == record.owner)?;
     Some(Target {
         shard,
-        token: record.token,
+        token: record.fencing_token,
         owner,
     })
 }
--- a/crates/rehearsal/src/worker.rs
+++ b/crates/rehearsal/src/worker.rs
@@ -1,14 +1,14 @@
 //! A worker: tasks, token, session and lease.
 
 use pointhook::protocol::workers::{
-    Commands, Order, Report, ReportAnswer, TaskReport, TaskState, Why,
+    Command, DirectCommands, ExitReason, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
 };
 
 struct Task {
     name: String,
     attempt: u64,
     state: TaskState,
-    why: Option<Why>,
+    why: Option<ExitReason>,
     until: u64,
 }
 
@@ -34,7 +34,7 @@
     pub lease_ms: u64,
     renewed: u64,
     /// Time that tasks take to fetch and to run.
-    pub fetch_ms: u64,
+    pub image_pull_ms: u64,
     /// Time that tasks run.
     pub run_ms: u64,
     /// Every start, in order.
@@ -60,7 +60,7 @@
             tasks: Vec::new(),
             lease_ms: 10_000,
             renewed: now,
-            fetch_ms: 1000,
+            image_pull_ms: 1000,
             run_ms: 5000,
             started: Vec::new(),
             completed: Vec::new(),
@@ -81,13 +81,17 @@
     pub fn advance(&mut self, now: u64) {
         self.lapse(now);
         for t in &mut self.tasks {
-            if t.state == TaskState::Fetching && now >= t.until {
+            if t.state == TaskState::PullingImage && now >= t.until {
                 t.state = TaskState::Running;
                 t.until += self.run_ms;
             }
             if t.state == TaskState::Running && now >= t.until {
                 t.state = TaskState::Exited;
-                t.why = Some(if self.sick { Why::Error } else { Why::Done });
+                t.why = Some(if self.sick {
+                    ExitReason::Error
+                } else {
+                    ExitReason::Done
+                });
                 if !self.sick {
                     self.completed.push(t.name.clone());
                 }
@@ -96,50 +100,50 @@
     }
 
     /// Its next report.
-    pub fn report(&mut self, now: u64) -> Report {
+    pub fn report(&mut self, now: u64) -> Heartbeat {
         self.advance(now);
         self.seq += 1;
-        let tasks = self.tasks.iter().map(|t| TaskReport {
+        let tasks = self.tasks.iter().map(|t| TaskStatus {
             task: t.name.clone(),
             attempt: t.attempt,
             state: t.state,
-            why: t.why,
-            saved: None,
+            exit_reason: t.why,
+            checkpointed: None,
         });
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             addr: self.addr.clone(),
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
-            token: self.token,
-            notice_s: None,
+            agent_epoch: self.session,
+            sequence: self.seq,
+            fencing_token: self.token,
+            preemption_notice_s: None,
             tasks: tasks.collect(),
         }
     }
 
     /// Takes the answer to a report sent at `sent`; false if it had to be dropped.
-    pub fn answered(&mut self, a: &ReportAnswer, session: u64, sent: u64, now: u64) -> bool {
+    pub fn answered(&mut self, a: &HeartbeatResponse, session: u64, sent: u64, now: u64) -> bool {
         self.advance(now);
-        if a.token < self.token || session != self.session || now > sent + 4000 {
+        if a.fencing_token < self.token || session != self.session || now > sent + 4000 {
             return false;
         }
-        self.token = a.token;
+        self.token = a.fencing_token;
         self.renewed = sent;
-        self.execute(&a.orders, now);
+        self.execute(&a.commands, now);
         true
     }
 
     /// Takes direct commands; the status.
-    pub fn command(&mut self, c: &Commands, now: u64) -> u16 {
+    pub fn command(&mut self, c: &DirectCommands, now: u64) -> u16 {
         self.advance(now);
-        if c.token < self.token || c.session != self.session {
+        if c.fencing_token < self.token || c.agent_epoch != self.session {
             return 409;
         }
-        self.token = c.token;
-        self.execute(&c.orders, now);
+        self.token = c.fencing_token;
+        self.execute(&c.commands, now);
         200
     }
 
@@ -147,42 +151,42 @@
     pub fn give_up_waiting(&mut self) {
         for t in self.tasks.iter_mut() {
             t.state = TaskState::Exited;
-            t.why = Some(Why::Alone);
+            t.why = Some(ExitReason::GangTimeout);
         }
     }
 
-    fn execute(&mut self, orders: &[Order], now: u64) {
+    fn execute(&mut self, orders: &[Command], now: u64) {
         for o in orders {
             match o {
-                Order::Start { piece, attempt } => {
+                Command::Start { task, attempt } => {
                     if self
                         .tasks
                         .iter()
-                        .any(|t| (&t.name, t.attempt) == (piece, *attempt))
+                        .any(|t| (&t.name, t.attempt) == (task, *attempt))
                     {
                         continue;
                     }
-                    self.started.push((piece.clone(), *attempt));
+                    self.started.push((task.clone(), *attempt));
                     self.tasks.push(Task {
-                        name: piece.clone(),
+                        name: task.clone(),
                         attempt: *attempt,
-                        state: TaskState::Fetching,
+                        state: TaskState::PullingImage,
                         why: None,
-                        until: now + self.fetch_ms,
+                        until: now + self.image_pull_ms,
                     });
                 }
-                Order::Stop { piece, attempt, .. } => {
+                Command::Stop { task, attempt, .. } => {
                     let found = self
                         .tasks
                         .iter_mut()
-                        .find(|t| (&t.name, t.attempt) == (piece, *attempt));
+                        .find(|t| (&t.name, t.attempt) == (task, *attempt));
                     if let Some(t) = found.filter(|t| t.state != TaskState::Exited) {
                         t.state = TaskState::Exited;
-                        t.why = Some(Why::Stopped);
+                        t.why = Some(ExitReason::Stopped);
                     }
                 }
-                Order::Forget { piece, attempt } => self.tasks.retain(|t| {
-                    (&t.name, t.attempt) != (piece, *attempt) || t.state != TaskState::Exited
+                Command::AcknowledgeExit { task, attempt } => self.tasks.retain(|t| {
+                    (&t.name, t.attempt) != (task, *attempt) || t.state != TaskState::Exited
                 }),
             }
         }
@@ -191,7 +195,7 @@
     /// Tasks that take room here: those on the machine, with their image, and all others that
     /// have not exited.
     pub fn on_machine(&self) -> (Vec<&str>, usize) {
-        let on = |t: &&Task| matches!(t.state, TaskState::Running | TaskState::Saving);
+        let on = |t: &&Task| matches!(t.state, TaskState::Running | TaskState::Checkpointing);
         let names = self.tasks.iter().filter(on).map(|t| t.name.as_str());
         let all = self.tasks.iter().filter(|t| t.state != TaskState::Exited);
         (names.collect(), all.count())
@@ -207,7 +211,10 @@
     /// True if its reports show the completion of a task of a job.
     pub fn shows_completion_of(&self, id: &str) -> bool {
         let of_job = |t: &Task| t.name.split('/').next() == Some(id);
-        let mut done = self.tasks.iter().filter(|t| t.why == Some(Why::Done));
+        let mut done = self
+            .tasks
+            .iter()
+            .filter(|t| t.why == Some(ExitReason::Done));
         done.any(of_job)
     }
 
--- a/crates/rehearsal/tests/checker.rs
+++ b/crates/rehearsal/tests/checker.rs
@@ -151,18 +151,18 @@
     let shard = ShardRecord {
         owner: "n0".into(),
         incarnation: 1,
-        token: 7,
+        fencing_token: 7,
     };
     recorder.committed(&written(shard_key(), &shard), 5, 0);
     let record = |attempt: u64| {
         let record = JobRecord {
             spec: None,
             state: pointhook::state::job::JobState::Open,
-            submitted: 0,
+            submitted_at: 0,
             done: Default::default(),
             placements: vec![(0, attempt, "m1".into(), 0, 0)],
             next_attempt: attempt + 1,
-            finished: 0,
+            finished_at: 0,
         };
         written(format!("{ROOT}job/job-1"), &record)
     };
--- a/crates/standby/src/bound.rs
+++ b/crates/standby/src/bound.rs
@@ -5,7 +5,7 @@
 
 /// The terms of the time from the last sign of life of an owner to the first decision of the next.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub struct TakeoverBound {
+pub struct FailoverBound {
     /// Until the state service ends the owner's membership.
     pub lease_ms: u64,
     /// Until the standby sees that: a notification, and the turn of its duty.
@@ -21,7 +21,7 @@
     pub first_report_after_hang_ms: u64,
 }
 
-impl TakeoverBound {
+impl FailoverBound {
     fn until_caught_up_ms(&self) -> u64 {
         self.lease_ms + self.detection_ms + self.fence_ms + self.catch_up_ms
     }
@@ -42,7 +42,7 @@
     }
 }
 
-impl std::fmt::Display for TakeoverBound {
+impl std::fmt::Display for FailoverBound {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
--- a/crates/standby/src/failover.rs
+++ b/crates/standby/src/failover.rs
@@ -11,7 +11,7 @@
 //! is not recorded by then can be recorded later. *Catching up* ends when all records are known
 //! as of a revision that is not below the fence. Only then is a permit issued.
 
-use crate::ids::{Millis, Revision, ShardId, Token};
+use crate::ids::{FencingToken, Millis, Revision, ShardId};
 use crate::permit::{Permit, Permits};
 
 /// Who owns a shard, by the records.
@@ -22,7 +22,7 @@
     /// This process, under a token that was recorded at the fence.
     Me {
         /// Token.
-        token: Token,
+        token: FencingToken,
         /// Revision at which it was recorded.
         fence: Revision,
     },
@@ -54,12 +54,12 @@
     /// The state service has another version of the shard's record than a transaction rested on.
     StateService {
         /// Token of the permit that the transaction rested on.
-        token: Token,
+        token: FencingToken,
     },
     /// A worker has seen a higher token.
     Worker {
         /// Token that the worker has seen.
-        seen: Token,
+        seen: FencingToken,
     },
 }
 
@@ -77,14 +77,14 @@
     /// Owner whose records are not yet known as of the fence.
     CatchingUp {
         /// Own token.
-        token: Token,
+        token: FencingToken,
         /// Revision that has to be known.
         fence: Revision,
     },
     /// Owner with a permit.
     Active {
         /// Own token.
-        token: Token,
+        token: FencingToken,
     },
     /// Former owner that has found out.
     SteppedDown,
@@ -120,16 +120,16 @@
 
 /// Takeovers of all shards on one controller, and the permits that they issue.
 #[derive(Debug)]
-pub struct Takeovers {
-    shards: Vec<Takeover>,
+pub struct Failovers {
+    shards: Vec<Failover>,
     permits: Permits,
 }
 
-impl Takeovers {
+impl Failovers {
     /// A controller that owns nothing.
-    pub fn new(shards: usize) -> Takeovers {
-        let takeover = |at: usize| Takeover::new(ShardId(at as u32));
-        Takeovers {
+    pub fn new(shards: usize) -> Failovers {
+        let takeover = |at: usize| Failover::new(ShardId(at as u32));
+        Failovers {
             shards: (0..shards).map(takeover).collect(),
             permits: Permits::none(shards),
         }
@@ -223,7 +223,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Refused {
     /// Own token that was refused.
-    token: Token,
+    token: FencingToken,
     /// Records were known as of this revision then.
     known: Revision,
 }
@@ -231,34 +231,34 @@
 impl Refused {
     /// True if what is known now leaves the refusal behind: a new token, or records that are
     /// newer than the refusal and still name this owner.
-    fn is_explained(self, token: Token, known: Revision) -> bool {
+    fn is_explained(self, token: FencingToken, known: Revision) -> bool {
         token > self.token || known > self.known
     }
 }
 
 /// Takeover of one shard.
 #[derive(Debug)]
-struct Takeover {
+struct Failover {
     shard: ShardId,
     state: State,
     last_sign_of_life: Option<Millis>,
     refused: Option<Refused>,
     /// Highest foreign token that a worker has shown.
-    highest_seen: Token,
+    highest_seen: FencingToken,
 }
 
-impl Takeover {
-    fn new(shard: ShardId) -> Takeover {
-        Takeover {
+impl Failover {
+    fn new(shard: ShardId) -> Failover {
+        Failover {
             shard,
             state: State::Idle,
             last_sign_of_life: None,
             refused: None,
-            highest_seen: Token::default(),
+            highest_seen: FencingToken::default(),
         }
     }
 
-    fn owned_token(&self) -> Option<Token> {
+    fn owned_token(&self) -> Option<FencingToken> {
         match self.state {
             State::Active { token } | State::CatchingUp { token, .. } => Some(token),
             _ => None,
@@ -267,15 +267,15 @@
 
     /// The state that what is seen asks for; `None` if it is the present one.
     fn next(&mut self, seen: Observation) -> Option<State> {
-        let wanted = match seen.owner {
+        let plan_scale_out = match seen.owner {
             Owner::Me { token, fence } => self.as_owner(token, fence, seen.known),
             Owner::Nobody => self.as_other(seen.standby, false),
             Owner::Other { alive, silent, .. } => self.as_other(seen.standby, alive && !silent),
         };
-        (wanted != self.state).then_some(wanted)
+        (plan_scale_out != self.state).then_some(plan_scale_out)
     }
 
-    fn as_owner(&mut self, token: Token, fence: Revision, known: Revision) -> State {
+    fn as_owner(&mut self, token: FencingToken, fence: Revision, known: Revision) -> State {
         if let Some(refused) = self.refused {
             if !refused.is_explained(token, known) {
                 return State::SteppedDown;
--- a/crates/standby/src/follower.rs
+++ b/crates/standby/src/follower.rs
@@ -1,7 +1,7 @@
 //! The standby's end of the stream: notices what is lost, doubled, reordered or of another token.
 
 use crate::message::{Answer, Message};
-use crate::replica_state::Shadow;
+use crate::replica_state::ReplicaState;
 
 /// Messages that were not simply the next one, by what was wrong.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
@@ -17,7 +17,7 @@
 /// A snapshot that is being received.
 #[derive(Clone, Debug)]
 struct Receiving {
-    shadow: Shadow,
+    shadow: ReplicaState,
     next: u64,
     part: u32,
 }
@@ -27,7 +27,7 @@
 pub struct Follower {
     token: u64,
     /// Complete state, and the next decision that is wanted.
-    complete: Option<(Shadow, u64)>,
+    complete: Option<(ReplicaState, u64)>,
     receiving: Option<Receiving>,
     irregularities: Irregularities,
 }
@@ -39,7 +39,7 @@
     }
 
     /// The owner's state without gaps; `None` before a snapshot is complete.
-    pub fn shadow(&self) -> Option<&Shadow> {
+    pub fn shadow(&self) -> Option<&ReplicaState> {
         self.complete.as_ref().map(|(shadow, _)| shadow)
     }
 
@@ -91,9 +91,10 @@
                 machines,
                 ..
             } => {
-                if let Some((_, wanted)) = self.complete.as_ref().filter(|(_, n)| n >= next) {
+                if let Some((_, plan_scale_out)) = self.complete.as_ref().filter(|(_, n)| n >= next)
+                {
                     self.irregularities.repeated += 1;
-                    return Answer::Next(*wanted);
+                    return Answer::Next(*plan_scale_out);
                 }
                 let Some(mut receiving) = self.receiving(*next, *part) else {
                     return self.gap();
@@ -107,9 +108,9 @@
                     return Answer::Next(*next);
                 }
                 receiving.part = part.saturating_add(1);
-                let wanted = receiving.part;
+                let plan_scale_out = receiving.part;
                 self.receiving = Some(receiving);
-                Answer::NextPart(wanted)
+                Answer::NextPart(plan_scale_out)
             }
         }
     }
@@ -119,7 +120,7 @@
         if part == 0 {
             self.complete = None;
             return Some(Receiving {
-                shadow: Shadow::default(),
+                shadow: ReplicaState::default(),
                 next,
                 part,
             });
--- a/crates/standby/src/ids.rs
+++ b/crates/standby/src/ids.rs
@@ -6,7 +6,7 @@
 
 /// Fencing token of a shard; every change of owner raises it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default)]
-pub struct Token(pub u64);
+pub struct FencingToken(pub u64);
 
 /// Revision of the state service.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default)]
--- a/crates/standby/src/permit.rs
+++ b/crates/standby/src/permit.rs
@@ -4,7 +4,7 @@
 //! every record as of the revision at which that token was recorded. Only the takeover's state
 //! machine issues permits; a decision that needs one can't be compiled without it.
 
-use crate::ids::{Revision, ShardId, Token};
+use crate::ids::{FencingToken, Revision, ShardId};
 
 /// Permit to decide for one shard under one token.
 ///
@@ -12,12 +12,12 @@
 #[derive(PartialEq, Eq, Debug)]
 pub struct Permit {
     shard: ShardId,
-    token: Token,
+    token: FencingToken,
     fence: Revision,
 }
 
 impl Permit {
-    pub(crate) fn issue(shard: ShardId, token: Token, fence: Revision) -> Permit {
+    pub(crate) fn issue(shard: ShardId, token: FencingToken, fence: Revision) -> Permit {
         Permit {
             shard,
             token,
@@ -31,7 +31,7 @@
     }
 
     /// Token under which it was issued.
-    pub fn token(&self) -> Token {
+    pub fn token(&self) -> FencingToken {
         self.token
     }
 
--- a/crates/standby/src/publisher.rs
+++ b/crates/standby/src/publisher.rs
@@ -5,7 +5,7 @@
 //! way, so nothing accumulates between the two.
 
 use crate::message::{Answer, Decision, MachineState, Message};
-use crate::replica_state::Shadow;
+use crate::replica_state::ReplicaState;
 use std::collections::VecDeque;
 
 /// Bounds of a stream.
@@ -40,7 +40,7 @@
 /// A snapshot that is being sent.
 #[derive(Clone, Debug)]
 struct Loading {
-    shadow: Shadow,
+    shadow: ReplicaState,
     next: u64,
     part: u32,
     /// Last machine of the parts that were taken.
@@ -55,7 +55,7 @@
     shard: u32,
     token: u64,
     limits: StreamLimits,
-    shadow: Shadow,
+    shadow: ReplicaState,
     tail: VecDeque<Decision>,
     /// Sequence number of the first decision in the tail.
     first: u64,
@@ -71,7 +71,7 @@
             shard,
             token,
             limits,
-            shadow: Shadow::default(),
+            shadow: ReplicaState::default(),
             tail: VecDeque::new(),
             first: 0,
             progress: Progress::Behind,
@@ -86,7 +86,7 @@
     }
 
     /// State with all decisions in it.
-    pub fn shadow(&self) -> &Shadow {
+    pub fn shadow(&self) -> &ReplicaState {
         &self.shadow
     }
 
@@ -183,16 +183,18 @@
                 self.outranked = token > self.token;
                 self.outranked
             }
-            (Answer::Next(wanted), Progress::Following { next }) => {
+            (Answer::Next(plan_scale_out), Progress::Following { next }) => {
                 let known = *next..=end;
-                *next = wanted;
-                known.contains(&wanted)
+                *next = plan_scale_out;
+                known.contains(&plan_scale_out)
             }
-            (Answer::Next(wanted), Progress::Loading(loading)) => {
+            (Answer::Next(plan_scale_out), Progress::Loading(loading)) => {
                 // It may have more than the snapshot, from before its owner began it.
                 let known = loading.next..=end;
-                self.progress = Progress::Following { next: wanted };
-                known.contains(&wanted)
+                self.progress = Progress::Following {
+                    next: plan_scale_out,
+                };
+                known.contains(&plan_scale_out)
             }
             (Answer::NextPart(part), Progress::Loading(loading)) => loading.advance(part),
             (Answer::NextPart(_) | Answer::NeedsSnapshot, _) | (_, Progress::Behind) => false,
@@ -239,14 +241,14 @@
     }
 
     /// The standby has the part that was sent and wants this one; false if that is another.
-    fn advance(&mut self, wanted: u32) -> bool {
+    fn advance(&mut self, plan_scale_out: u32) -> bool {
         let Some((Some(end), false)) = self.sent.take() else {
             return false;
         };
-        if wanted != self.part + 1 {
+        if plan_scale_out != self.part + 1 {
             return false;
         }
-        self.part = wanted;
+        self.part = plan_scale_out;
         self.taken = Some(end);
         true
     }
--- a/crates/standby/src/replica_state.rs
+++ b/crates/standby/src/replica_state.rs
@@ -12,12 +12,12 @@
 /// The map is persistent: a copy shares its nodes and costs the same at any size, so that a
 /// snapshot does not hold up its owner.
 #[derive(Clone, Debug, Default)]
-pub struct Shadow {
+pub struct ReplicaState {
     machines: RedBlackTreeMap<String, MachineState>,
     decided: u64,
 }
 
-impl Shadow {
+impl ReplicaState {
     /// Takes a decision. One machine more than can be remembered is left out.
     pub fn apply(&mut self, decision: &Decision) {
         match decision {
@@ -76,8 +76,8 @@
     }
 }
 
-impl PartialEq for Shadow {
-    fn eq(&self, other: &Shadow) -> bool {
+impl PartialEq for ReplicaState {
+    fn eq(&self, other: &ReplicaState) -> bool {
         self.decided == other.decided && self.machines().eq(other.machines())
     }
 }
--- a/crates/standby/tests/failover.rs
+++ b/crates/standby/tests/failover.rs
@@ -1,7 +1,7 @@
 //! The takeover's state machine and the choice of a standby.
 
-use standby::failover::{Observation, Owner, Refusal, State, Takeovers, Transition};
-use standby::ids::{Millis, Revision, ShardId, Token};
+use standby::failover::{Failovers, Observation, Owner, Refusal, State, Transition};
+use standby::ids::{FencingToken, Millis, Revision, ShardId};
 use standby::role::{pick, standby_of, Candidate, ZonePreference};
 
 const SHARD: ShardId = ShardId(0);
@@ -10,7 +10,7 @@
 
 fn me(token: u64, fence: u64) -> Owner {
     Owner::Me {
-        token: Token(token),
+        token: FencingToken(token),
         fence: Revision(fence),
     }
 }
@@ -37,14 +37,14 @@
 
 /// A takeover with its clock.
 struct Played {
-    takeovers: Takeovers,
+    takeovers: Failovers,
     now: u64,
 }
 
 impl Played {
     fn new() -> Played {
         Played {
-            takeovers: Takeovers::new(1),
+            takeovers: Failovers::new(1),
             now: 1000,
         }
     }
@@ -140,10 +140,12 @@
 
 #[test]
 fn a_refusal_withdraws_the_permit_until_newer_records_explain_it() {
-    let token = Token(1);
+    let token = FencingToken(1);
     for refusal in [
         Refusal::StateService { token },
-        Refusal::Worker { seen: Token(2) },
+        Refusal::Worker {
+            seen: FencingToken(2),
+        },
     ] {
         let mut p = Played::new();
         p.observe(seen(me(1, 3), 5));
@@ -163,7 +165,7 @@
     p.observe(seen(me(1, 3), 3));
     // A transaction under token 1 is on its way while the owner raises its own token.
     p.observe(seen(me(2, 6), 6));
-    let token = Token(1);
+    let token = FencingToken(1);
     assert!(!p.refused(Refusal::StateService { token }, 6));
     // Nothing else is ever recorded: the owner goes on all the same.
     assert!(p.observe(seen(me(2, 6), 6)).is_empty());
@@ -174,11 +176,26 @@
 fn a_worker_with_a_token_that_nobody_recorded_stops_its_shard_once_at_most() {
     let mut p = Played::new();
     p.observe(seen(me(5, 3), 5));
-    assert!(!p.refused(Refusal::Worker { seen: Token(5) }, 5));
-    assert!(p.refused(Refusal::Worker { seen: Token(99) }, 5));
+    assert!(!p.refused(
+        Refusal::Worker {
+            seen: FencingToken(5)
+        },
+        5
+    ));
+    assert!(p.refused(
+        Refusal::Worker {
+            seen: FencingToken(99)
+        },
+        5
+    ));
     p.observe(seen(me(5, 3), 6));
     for _ in 0..3 {
-        assert!(!p.refused(Refusal::Worker { seen: Token(99) }, 6));
+        assert!(!p.refused(
+            Refusal::Worker {
+                seen: FencingToken(99)
+            },
+            6
+        ));
     }
     assert_eq!(p.permit(), Some(5));
 }
@@ -188,7 +205,7 @@
     let mut issued = 0;
     for seed in 0..CASES {
         arbtest::arbtest(|u| {
-            let mut takeovers = Takeovers::new(1);
+            let mut takeovers = Failovers::new(1);
             let (mut known, mut token) = (0, 1);
             for step in 0..40 {
                 let now = Millis(step);
@@ -216,7 +233,7 @@
                 if refused {
                     let token = match owner {
                         Owner::Me { token, .. } => token,
-                        _ => Token(0),
+                        _ => FencingToken(0),
                     };
                     let refusal = Refusal::StateService { token };
                     takeovers.refused(SHARD, refusal, Revision(known), now);
--- a/crates/standby/tests/stream.rs
+++ b/crates/standby/tests/stream.rs
@@ -50,7 +50,7 @@
 }
 
 /// Sends messages until nothing is left to tell.
-fn settle(publisher: &mut Publisher, follower: &mut Follower) {
+fn reconcile(publisher: &mut Publisher, follower: &mut Follower) {
     for _ in 0..1000 {
         let Some(message) = publisher.next_message() else {
             return;
@@ -80,7 +80,7 @@
     // The owner goes on deciding while the parts are on their way.
     publisher.publish(machine(3, 2));
     publisher.answered(follower.take(&first, 0));
-    settle(&mut publisher, &mut follower);
+    reconcile(&mut publisher, &mut follower);
     assert_eq!(publisher.lag(), Some(0));
     assert_eq!(follower.shadow(), Some(publisher.shadow()));
     assert_eq!(follower.shadow().unwrap().decided(), 77);
@@ -91,18 +91,18 @@
 
 #[test]
 fn a_standby_that_is_behind_by_more_than_the_tail_gets_a_snapshot() {
-    for behind in [1, SMALL.tail, SMALL.tail + 1, 20 * SMALL.tail] {
+    for lag in [1, SMALL.tail, SMALL.tail + 1, 20 * SMALL.tail] {
         let mut publisher = Publisher::new(0, 1, SMALL);
         let mut follower = Follower::default();
-        settle(&mut publisher, &mut follower);
-        for i in 0..behind {
+        reconcile(&mut publisher, &mut follower);
+        for i in 0..lag {
             publisher.publish(machine(i % 30, i % 4));
         }
         let message = publisher.next_message().unwrap();
         let snapshot = matches!(message, Message::Snapshot { .. });
-        assert_eq!(snapshot, behind > SMALL.tail, "{behind}");
+        assert_eq!(snapshot, lag > SMALL.tail, "{lag}");
         publisher.answered(follower.take(&message, 0));
-        settle(&mut publisher, &mut follower);
+        reconcile(&mut publisher, &mut follower);
         assert_eq!(follower.shadow(), Some(publisher.shadow()));
     }
 }
@@ -117,7 +117,7 @@
     }
     publisher.unanswered();
     let mut follower = Follower::default();
-    settle(&mut publisher, &mut follower);
+    reconcile(&mut publisher, &mut follower);
     assert_eq!(follower.shadow(), Some(publisher.shadow()));
 }
 
@@ -126,12 +126,12 @@
     let (mut old, mut new) = (Publisher::new(0, 4, SMALL), Publisher::new(0, 5, SMALL));
     let mut follower = Follower::default();
     old.publish(machine(1, 1));
-    settle(&mut old, &mut follower);
+    reconcile(&mut old, &mut follower);
     new.publish(machine(2, 1));
-    settle(&mut new, &mut follower);
+    reconcile(&mut new, &mut follower);
     assert_eq!(follower.shadow(), Some(new.shadow()));
     old.publish(machine(3, 1));
-    settle(&mut old, &mut follower);
+    reconcile(&mut old, &mut follower);
     assert!(old.is_outranked());
     assert_eq!(
         (follower.token(), follower.irregularities().outdated),
@@ -161,7 +161,7 @@
     let late = publisher.next_message().unwrap();
     publisher.answered(follower.take(&late, 0));
     publisher.publish(machine(1, 2));
-    settle(&mut publisher, &mut follower);
+    reconcile(&mut publisher, &mut follower);
     assert_eq!(follower.take(&late, 0), Answer::Next(2));
     assert_eq!(follower.shadow(), Some(publisher.shadow()));
     let ahead = Message::Tail {
@@ -204,7 +204,7 @@
                 }
             }
         }
-        settle(&mut publisher, &mut follower);
+        reconcile(&mut publisher, &mut follower);
         assert_eq!(follower.shadow(), Some(publisher.shadow()), "seed {seed}");
     }
 }
--- a/examples/load.rs
+++ b/examples/load.rs
@@ -9,7 +9,7 @@
 use async_executor::LocalExecutor;
 use clap::Parser;
 use http_types::Method;
-use pointhook::protocol::users::{JobSpec, Rank, Shape};
+use pointhook::protocol::users::{JobKind, JobSpec, Priority};
 use pointhook::transport::http::{listen, Client};
 use pointhook::transport::pause;
 use rehearsal::network::{self, Habits, World};
@@ -88,17 +88,17 @@
 /// Jobs of all shapes in the proportions of a busy deployment; about one task in two of a machine.
 fn job(n: u64) -> JobSpec {
     let (shape, tasks, priority, size) = match n % 16 {
-        0 => (Shape::Service, 6, Rank::Production, 1.0),
-        1..=5 => (Shape::Gang, 1 << (n % 3), Rank::High, 1.0),
-        6..=9 => (Shape::Gang, 1 << (n % 5), Rank::Normal, 2.0),
-        _ => (Shape::Array, 15, Rank::Normal, 1.0),
+        0 => (JobKind::Service, 6, Priority::Production, 1.0),
+        1..=5 => (JobKind::Gang, 1 << (n % 3), Priority::High, 1.0),
+        6..=9 => (JobKind::Gang, 1 << (n % 5), Priority::Normal, 2.0),
+        _ => (JobKind::Array, 15, Priority::Normal, 1.0),
     };
-    let gang = shape == Shape::Gang;
+    let gang = shape == JobKind::Gang;
     JobSpec {
         id: format!("job-{n:06}"),
         class: format!("class-{}", n % 16 / 6),
         team: "ovens".into(),
-        shape,
+        kind: shape,
         priority,
         tasks,
         vcpus: 8.0 * size,
@@ -111,11 +111,11 @@
         one_zone: gang,
         spread: false,
         spot: !gang || size < 2.0,
-        estimate_s: 100.0,
+        estimated_run_s: 100.0,
         checkpoint_s: 15.0,
-        save_s: 2.0,
+        checkpoint_grace_s: 2.0,
         deadline_s: None,
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
     }
 }
 
@@ -163,7 +163,7 @@
     let w = Rc::new(World::new(Habits {
         controllers: all.iter().map(|a| (a.name.clone(), a.bind)).collect(),
         report_ms: (args.report_s * 1000.0) as u64,
-        fetch_ms: 10_000,
+        image_pull_ms: 10_000,
         run_ms: args.run_s * 1000,
         lease_ms: 30_000,
         tell: false,
--- a/examples/rehearsal.rs
+++ b/examples/rehearsal.rs
@@ -16,7 +16,7 @@
     let w = Rc::new(World::new(Habits {
         controllers: vec![("mill-0".into(), addr(CONTROLLER)?)],
         report_ms: 1000,
-        fetch_ms: 1000,
+        image_pull_ms: 1000,
         run_ms: 5000,
         lease_ms: 10_000,
         tell: true,
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,6 +1,6 @@
 //! The command line.
 
-use crate::coordination::controller::Node;
+use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::planner;
 use crate::coordination::{
     autoscaler, cancellations, failover, job_api, kv, membership, peer_messages, replication,
@@ -10,7 +10,7 @@
 use crate::job_command::{self, JobAction, JobCommandError};
 use crate::observe_command::{self, ObserveError, Subject};
 use crate::settings::{Operator, Platform, SettingsError};
-use crate::transport::executor_priorities::Lanes;
+use crate::transport::executor_priorities::ExecutorPriorities;
 use crate::transport::{frames, http};
 use clap::{Args, Parser, Subcommand};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     #[command(flatten)]
     serve: Files,
     #[command(subcommand)]
-    command: Option<Command>,
+    command: Option<CliCommand>,
 }
 
 #[derive(Args)]
@@ -42,7 +42,7 @@
 }
 
 #[derive(Subcommand)]
-enum Command {
+enum CliCommand {
     /// Checks settings files without starting
     Check(Files),
     /// Shows what a running controller sees
@@ -81,20 +81,20 @@
     let cli = Cli::parse();
     let result = match cli.command {
         None => load(&cli.serve).and_then(serve),
-        Some(Command::Check(files)) => load(&files).map(|settings| {
+        Some(CliCommand::Check(files)) => load(&files).map(|settings| {
             if let Some(w) = settings.platform.settings.workers.warning() {
                 println!("warning: {w}");
             }
             println!("settings are good");
         }),
-        Some(Command::Observe { subject }) => {
+        Some(CliCommand::Observe { subject }) => {
             observe_command::run(&subject).map_err(CliError::from)
         }
-        Some(Command::Schema) => {
+        Some(CliCommand::Schema) => {
             println!("{:#}", Features::schema());
             Ok(())
         }
-        Some(Command::Job { action }) => job_command::run(action).map_err(CliError::from),
+        Some(CliCommand::Job { action }) => job_command::run(action).map_err(CliError::from),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
@@ -142,7 +142,7 @@
         .filter_module("async_h1", log::LevelFilter::Off)
         .format_target(false)
         .init();
-    let lanes = Lanes::default();
+    let lanes = ExecutorPriorities::default();
     let ex = lanes.duties.clone();
     let door = |addr| http::listen(addr).map_err(|source| CliError::Listen { addr, source });
     async_io::block_on(async {
@@ -158,27 +158,27 @@
         if let Some(w) = platform.settings.workers.warning() {
             log::warn!("{w}");
         }
-        let node = Rc::new(Node::new(platform, operator, features, ex.clone()));
-        node.duty("watch", kv::watch);
-        node.duty("fresh reads", kv::fresh_reads);
-        node.duty("members", membership::run);
-        node.duty("poke", worker_connectivity::poke);
-        node.duty("planner", planner::run);
-        node.duty("cancellations", cancellations::run);
-        node.duty("news", peer_messages::news);
-        if let Some(standby) = node.features.standby() {
-            let bound = failover::bound(&node.platform.settings.workers);
+        let controller = Rc::new(Controller::new(platform, operator, features, ex.clone()));
+        controller.spawn_supervised("watch", kv::watch);
+        controller.spawn_supervised("fresh reads", kv::fresh_reads);
+        controller.spawn_supervised("members", membership::run);
+        controller.spawn_supervised("poke", worker_connectivity::announce_ownership);
+        controller.spawn_supervised("planner", planner::run);
+        controller.spawn_supervised("cancellations", cancellations::run);
+        controller.spawn_supervised("news", peer_messages::news);
+        if let Some(standby) = controller.features.standby() {
+            let bound = failover::bound(&controller.platform.settings.workers);
             log::info!("the warm standby is on: {standby:?}, takeover within {bound}");
             if !bound.meets_goal() {
                 log::warn!("the times of the deployment allow no takeover within 10 s");
             }
-            node.duty("replication", replication::run);
+            controller.spawn_supervised("replication", replication::run);
         }
-        node.duty("renting", autoscaler::run);
-        let n = node.clone();
+        controller.spawn_supervised("renting", autoscaler::run);
+        let n = controller.clone();
         let answering = frames::serve(ex.clone(), peers, move |ask| peer_messages::handle(&n, ask));
         ex.spawn(answering).detach();
-        let n = node.clone();
+        let n = controller.clone();
         let (l, of_worker) = (lanes.clone(), job_api::of_worker);
         let serving = http::serve_in(l, of_worker, users, sockets, move |req| {
             job_api::handle(n.clone(), req)
--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -1,16 +1,16 @@
 //! What is to be rented: pure functions of the view.
 
-use super::AT_ONCE;
+use super::MAX_CONCURRENT_REQUESTS;
 use crate::coordination::scheduler::bin_packing;
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::coordination::scheduler::quota;
-use crate::protocol::cloud::Listed;
-use crate::protocol::users::Rank;
+use crate::protocol::cloud::ListedMachine;
+use crate::protocol::users::Priority;
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::{Job, Spec};
-use crate::state::names::{Index, JobIx, MachineIx, MachineTypeIx, TeamIx, ZoneIx};
-use crate::state::units::{ms_of, Ms, Resources};
+use crate::state::names::{Index, JobIndex, MachineIndex, MachineTypeIndex, TeamIndex, ZoneIndex};
+use crate::state::units::{millis_from_seconds, MonotonicMillis, Resources};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
 
@@ -34,9 +34,9 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
 pub struct Pool {
     /// Type.
-    pub machine_type: MachineTypeIx,
+    pub machine_type: MachineTypeIndex,
     /// Zone.
-    pub zone: ZoneIx,
+    pub zone: ZoneIndex,
     /// Spot.
     pub spot: bool,
 }
@@ -49,25 +49,25 @@
     /// Room that waiting tasks may use.
     pub free: Resources,
     /// Zone limits and the like are those of a machine of this index, if it is up.
-    pub machine: Option<MachineIx>,
+    pub machine: Option<MachineIndex>,
 }
 
 /// What needs room: tasks of a job that waits, or of one that is expected (no index).
 struct Demand {
-    ix: Option<JobIx>,
+    ix: Option<JobIndex>,
     spec: Rc<Spec>,
     tasks: u32,
 }
 
 /// How many of each job's waiting tasks its team's limit lets run now.
-fn demands(cluster: &ClusterState, now: Ms, wall_ms: u64) -> Vec<Demand> {
+fn demands(cluster: &ClusterState, now: MonotonicMillis, wall_ms: u64) -> Vec<Demand> {
     let mut room: Vec<(i64, i64)> = Vec::new();
     for (t, l) in cluster.team_limits.iter().enumerate() {
-        let used = quota::used_by_team(cluster, &DraftTransaction::default(), TeamIx::new(t));
+        let used = quota::used_by_team(cluster, &DraftTransaction::default(), TeamIndex::new(t));
         let left = |most: i64, used: i64| if most == 0 { i64::MAX } else { most - used };
-        room.push((left(l.most.0, used.0), left(l.most.1, used.1)));
+        room.push((left(l.limit.0, used.0), left(l.limit.1, used.1)));
     }
-    let mut jobs: Vec<(JobIx, &Job)> = cluster
+    let mut jobs: Vec<(JobIndex, &Job)> = cluster
         .active_jobs()
         .filter(|(_, j)| j.waiting_count() > 0)
         .filter(|(ix, _)| {
@@ -77,13 +77,19 @@
                 .is_none_or(|(_, until)| now >= *until)
         })
         .collect();
-    jobs.sort_by_key(|(ix, j)| (j.dependency_state.rank, j.dependency_state.since, *ix));
+    jobs.sort_by_key(|(ix, j)| {
+        (
+            j.dependency_state.priority,
+            j.dependency_state.eligible_since,
+            *ix,
+        )
+    });
     let mut out = Vec::new();
     // Teams one of whose gangs waits for the rest of the limit.
-    let mut claimed: HashSet<TeamIx> = HashSet::new();
+    let mut claimed: HashSet<TeamIndex> = HashSet::new();
     for (ix, j) in jobs {
         let Some(s) = &j.spec else { continue };
-        if claimed.contains(&s.team) && !quota::past_courtesy(j, wall_ms) {
+        if claimed.contains(&s.team) && !quota::reservation_expired(j, wall_ms) {
             continue;
         }
         let r = &mut room[s.team.at()];
@@ -118,13 +124,17 @@
 /// Room for jobs that are likely to come while a machine boots, by what came lately.
 fn expected(cluster: &ClusterState, config: &SchedulerConfig, wall_ms: u64) -> Vec<Demand> {
     let mut classes: BTreeMap<&str, (u32, Rc<Spec>)> = BTreeMap::new();
-    let Some(first) = cluster.opened else {
+    let Some(first) = cluster.first_submission else {
         return Vec::new();
     };
     // What is there when the service opens is a backlog, not a rate.
     let from = wall_ms.saturating_sub(ARRIVALS_MS).max(first + BACKLOG_MS);
     let span = wall_ms.saturating_sub(from).max(60_000);
-    for (_, spec) in cluster.arrivals.iter().filter(|(at, _)| *at >= from) {
+    for (_, spec) in cluster
+        .recent_submissions
+        .iter()
+        .filter(|(at, _)| *at >= from)
+    {
         let class = classes
             .entry(spec.wire.class.as_str())
             .or_insert((0, spec.clone()));
@@ -133,7 +143,7 @@
     let boot_ms = cluster
         .machine_types
         .values()
-        .map(|r| ms_of(r.flavor.boot_s))
+        .map(|r| millis_from_seconds(r.description.boot_s))
         .max()
         .unwrap_or(0);
     let machines = cluster.all_machines().count();
@@ -141,9 +151,9 @@
     let mut out = Vec::new();
     for (tasks, spec) in classes.into_values() {
         let part = if spec.wire.spot {
-            config.headroom
+            config.capacity_buffer_spot
         } else {
-            config.headroom_ordinary
+            config.capacity_buffer_on_demand
         };
         let per_boot = f64::from(tasks) * boot_ms as f64 / span as f64;
         let tasks = (per_boot * part).round() as u32;
@@ -160,26 +170,26 @@
 
 /// What to rent, and which machines are needed.
 #[derive(Default)]
-pub struct Wanted {
+pub struct ScaleOutPlan {
     /// Machines to rent, per pool.
-    pub rent: BTreeMap<Pool, u32>,
+    pub machines_to_rent: BTreeMap<Pool, u32>,
     /// Machines that waiting or expected tasks need.
-    pub needed: HashSet<MachineIx>,
+    pub needed_machines: HashSet<MachineIndex>,
 }
 
 /// What to rent so that waiting and expected tasks find room.
-pub fn wanted(
+pub fn plan_scale_out(
     cluster: &ClusterState,
     config: &SchedulerConfig,
     supply: &mut Vec<Supply>,
     blocked: &HashSet<Pool>,
-    now: Ms,
+    now: MonotonicMillis,
     wall_ms: u64,
-) -> Wanted {
-    let mut out = Wanted::default();
+) -> ScaleOutPlan {
+    let mut out = ScaleOutPlan::default();
     let spares = expected(cluster, config, wall_ms);
     for demand in demands(cluster, now, wall_ms).into_iter().chain(spares) {
-        let mut fit = DemandFit::new(cluster, config, &demand, wall_ms);
+        let mut fit = DemandPlacement::new(cluster, config, &demand, wall_ms);
         fit.choose_zone(supply, blocked);
         fit.place(supply, blocked, &mut out);
     }
@@ -187,40 +197,40 @@
 }
 
 /// Where the tasks of one demand may go, given those that are placed already.
-struct DemandFit<'a> {
+struct DemandPlacement<'a> {
     cluster: &'a ClusterState,
     config: &'a SchedulerConfig,
     demand: &'a Demand,
-    job: Option<(JobIx, &'a Job)>,
-    rank: Rank,
+    job: Option<(JobIndex, &'a Job)>,
+    rank: Priority,
     waited_ms: u64,
     /// Tasks by zone, those that run included.
-    per_zone: HashMap<ZoneIx, u32>,
+    per_zone: HashMap<ZoneIndex, u32>,
     /// The only zone in which a gang of one zone can be complete.
-    only: Option<ZoneIx>,
+    only: Option<ZoneIndex>,
 }
 
-impl<'a> DemandFit<'a> {
+impl<'a> DemandPlacement<'a> {
     fn new(
         cluster: &'a ClusterState,
         config: &'a SchedulerConfig,
         demand: &'a Demand,
         wall_ms: u64,
-    ) -> DemandFit<'a> {
+    ) -> DemandPlacement<'a> {
         let job = demand.ix.map(|ix| (ix, &cluster.jobs[ix.at()]));
-        let mut per_zone: HashMap<ZoneIx, u32> = HashMap::new();
+        let mut per_zone: HashMap<ZoneIndex, u32> = HashMap::new();
         for p in job.iter().flat_map(|(_, j)| &j.placements) {
             if let Some(zone) = cluster.shard_zone(p.shard) {
                 *per_zone.entry(zone).or_default() += 1;
             }
         }
-        let since = job.map(|(_, j)| j.dependency_state.since);
-        DemandFit {
+        let since = job.map(|(_, j)| j.dependency_state.eligible_since);
+        DemandPlacement {
             cluster,
             config,
             demand,
             job,
-            rank: job.map_or(demand.spec.rank(), |(_, j)| j.dependency_state.rank),
+            rank: job.map_or(demand.spec.priority(), |(_, j)| j.dependency_state.priority),
             waited_ms: since.map_or(0, |since| wall_ms.saturating_sub(since)),
             per_zone,
             only: None,
@@ -243,7 +253,7 @@
     }
 
     /// Places all tasks, on what is there or on what is to be rented.
-    fn place(&mut self, supply: &mut Vec<Supply>, blocked: &HashSet<Pool>, out: &mut Wanted) {
+    fn place(&mut self, supply: &mut Vec<Supply>, blocked: &HashSet<Pool>, out: &mut ScaleOutPlan) {
         let need = self.demand.spec.need;
         let mut next = 0;
         for _ in 0..self.demand.tasks {
@@ -255,13 +265,13 @@
             if let Some(s) = supply.get_mut(next) {
                 s.free = s.free.minus(need);
                 *self.per_zone.entry(s.pool.zone).or_default() += 1;
-                out.needed.extend(s.machine);
+                out.needed_machines.extend(s.machine);
                 continue;
             }
             let Some((pool, room)) = self.pool_to_rent(blocked) else {
                 return;
             };
-            *out.rent.entry(pool).or_default() += 1;
+            *out.machines_to_rent.entry(pool).or_default() += 1;
             *self.per_zone.entry(pool.zone).or_default() += 1;
             supply.push(Supply {
                 pool,
@@ -276,13 +286,13 @@
         let open = |p: &Pool| {
             self.allows(p)
                 && !blocked.contains(p)
-                && !self.leaves_alone(p, true)
+                && !self.reserved_for_on_demand(p, true)
                 && !self.is_dear(p)
         };
         let need = &self.demand.spec.need;
         let pool = cheapest(self.cluster, need, self.demand.tasks, open)?;
         let machine_type = self.cluster.machine_types.get(&pool.machine_type)?;
-        Some((pool, machine_type.room))
+        Some((pool, machine_type.capacity))
     }
 
     /// True if the next task may go to this machine.
@@ -293,10 +303,12 @@
         spec.need.fits(s.free)
             && self.allows(&s.pool)
             && !(self.is_dear(&s.pool) && is_whole)
-            && !self.leaves_alone(&s.pool, is_whole)
-            && machine.zip(self.job).is_none_or(|((mix, m), (ix, job))| {
-                bin_packing::allowed(self.cluster, job, ix, spec, mix, m)
-            })
+            && !self.reserved_for_on_demand(&s.pool, is_whole)
+            && machine
+                .zip(self.job)
+                .is_none_or(|((machine_index, m), (ix, job))| {
+                    bin_packing::allowed(self.cluster, job, ix, spec, machine_index, m)
+                })
     }
 
     /// True if the job allows machines of this pool beside its other tasks.
@@ -314,7 +326,7 @@
             && (spec.wire.spot || !p.spot)
     }
 
-    fn allows_zone(&self, zone: ZoneIx) -> bool {
+    fn allows_zone(&self, zone: ZoneIndex) -> bool {
         let cap = match self.job {
             Some(_) => self.demand.spec.zone_cap(),
             None => u32::MAX,
@@ -324,8 +336,8 @@
     }
 
     /// True for ordinary machines that the job leaves to others for now.
-    fn leaves_alone(&self, p: &Pool, empty: bool) -> bool {
-        bin_packing::leaves_alone(
+    fn reserved_for_on_demand(&self, p: &Pool, empty: bool) -> bool {
+        bin_packing::reserved_for_on_demand(
             self.cluster,
             self.config,
             &self.demand.spec,
@@ -349,8 +361,8 @@
     supply: &[Supply],
     spec: &Spec,
     open: impl Fn(&Pool) -> bool,
-) -> Option<ZoneIx> {
-    let zones = (0..cluster.zone_names.len()).map(ZoneIx::new);
+) -> Option<ZoneIndex> {
+    let zones = (0..cluster.zone_names.len()).map(ZoneIndex::new);
     zones
         .filter(|z| spec.zone.is_none_or(|only| only == *z))
         .max_by_key(|z| {
@@ -377,7 +389,7 @@
     cluster
         .machine_types
         .get(&s.pool.machine_type)
-        .is_some_and(|r| r.room == s.free)
+        .is_some_and(|r| r.capacity == s.free)
 }
 
 /// The pool with the least cost for a task; boot time counts a little.
@@ -391,19 +403,19 @@
     let mut machine_types: Vec<_> = cluster.machine_types.iter().collect();
     machine_types.sort_by_key(|(ix, _)| **ix);
     for (ix, machine_type) in machine_types {
-        if !need.fits(machine_type.room) {
+        if !need.fits(machine_type.capacity) {
             continue;
         }
         let mut fit = 0u32;
-        let mut left = machine_type.room;
+        let mut left = machine_type.capacity;
         while fit < tasks.max(1) && need.fits(left) && fit < 64 {
             left = left.minus(*need);
             fit += 1;
         }
         // What a task leaves free is used by others more often than not.
-        let share = need.share_of(machine_type.room) * f64::from(fit);
+        let share = need.share_of(machine_type.capacity) * f64::from(fit);
         let used = share.clamp(0.5, 1.0) * 0.5 + share.min(1.0) * 0.5;
-        for zone in &machine_type.flavor.zones {
+        for zone in &machine_type.description.zones {
             let Some(zone) = cluster.zone_names.find(zone) else {
                 continue;
             };
@@ -417,12 +429,12 @@
                     continue;
                 }
                 let price = if spot {
-                    machine_type.flavor.spot_price
+                    machine_type.description.spot_price
                 } else {
-                    machine_type.flavor.price
+                    machine_type.description.price
                 };
                 let cost = price * used / f64::from(fit.max(1))
-                    * (1.0 + machine_type.flavor.boot_s / 300.0);
+                    * (1.0 + machine_type.description.boot_s / 300.0);
                 // Equal pools share the load between zones.
                 let cost = cost * (1.0 + fastrand::f64() * 0.02);
                 if best.as_ref().is_none_or(|(c, _)| cost < *c) {
@@ -437,34 +449,34 @@
 /// Everything rented, as supply for what waits.
 pub fn supply(
     cluster: &ClusterState,
-    list: &HashMap<String, Listed>,
+    list: &HashMap<String, ListedMachine>,
     silent_ms: u64,
-    now: Ms,
+    now: MonotonicMillis,
 ) -> Vec<Supply> {
-    let free = bin_packing::free_room(cluster, &DraftTransaction::default());
+    let free = bin_packing::free_capacity(cluster, &DraftTransaction::default());
     let booked: HashSet<&str> = cluster
-        .bookings
+        .provisioning_requests
         .values()
-        .flat_map(|b| b.rec.hosts.iter().map(String::as_str))
+        .flat_map(|b| b.record.machines.iter().map(String::as_str))
         .collect();
     let mut out = Vec::new();
-    for (mix, m) in cluster.all_machines() {
+    for (machine_index, m) in cluster.all_machines() {
         let name = &*m.name;
         let listed = list.get(name);
-        let up = m.takes(now, silent_ms);
+        let up = m.is_schedulable(now, silent_ms);
         // One that is long overdue may never come up: what waits is not to wait for it.
         let boot_ms = cluster
             .machine_types
             .get(&m.machine_type)
-            .map_or(0, |r| ms_of(r.flavor.boot_s * OVERDUE));
-        let coming = m.heard.is_none()
-            && now.since(m.known) < boot_ms
-            && !m.is_closed()
+            .map_or(0, |r| millis_from_seconds(r.description.boot_s * OVERDUE));
+        let coming = m.last_heartbeat.is_none()
+            && now.since(m.discovered_at) < boot_ms
+            && !m.is_cordoned()
             && (booked.contains(name) || listed.is_some_and(|h| h.status != "failed"));
         if !up && !coming {
             continue;
         }
-        if let Some(free) = free.get(mix) {
+        if let Some(free) = free.get(machine_index) {
             out.push(Supply {
                 pool: Pool {
                     machine_type: m.machine_type,
@@ -472,29 +484,33 @@
                     spot: m.spot,
                 },
                 free,
-                machine: Some(mix),
+                machine: Some(machine_index),
             });
         }
     }
     // Bookings without an answer may have rented what they ask for.
-    for b in cluster.bookings.values().filter(|b| b.rec.hosts.is_empty()) {
+    for b in cluster
+        .provisioning_requests
+        .values()
+        .filter(|b| b.record.machines.is_empty())
+    {
         let (Some(machine_type), Some(zone)) = (
-            cluster.machine_type_names.find(&b.rec.machine_type),
-            cluster.zone_names.find(&b.rec.zone),
+            cluster.machine_type_names.find(&b.record.machine_type),
+            cluster.zone_names.find(&b.record.zone),
         ) else {
             continue;
         };
         let Some(r) = cluster.machine_types.get(&machine_type) else {
             continue;
         };
-        for _ in 0..b.rec.count {
+        for _ in 0..b.record.count {
             out.push(Supply {
                 pool: Pool {
                     machine_type,
                     zone,
-                    spot: b.rec.spot,
+                    spot: b.record.spot,
                 },
-                free: r.room,
+                free: r.capacity,
                 machine: None,
             });
         }
@@ -508,7 +524,7 @@
 pub fn requests(rent: BTreeMap<Pool, u32>) -> Vec<(Pool, u32)> {
     let mut left = rent;
     let mut out = Vec::new();
-    while !left.is_empty() && out.len() < AT_ONCE {
+    while !left.is_empty() && out.len() < MAX_CONCURRENT_REQUESTS {
         for (pool, n) in &mut left {
             let part = (*n).min(MOST_AT_ONCE);
             out.push((*pool, part));
@@ -516,6 +532,6 @@
         }
         left.retain(|_, n| *n > 0);
     }
-    out.truncate(AT_ONCE);
+    out.truncate(MAX_CONCURRENT_REQUESTS);
     out
 }
--- a/src/coordination/autoscaler/machine_list.rs
+++ b/src/coordination/autoscaler/machine_list.rs
@@ -1,9 +1,9 @@
 //! The cloud's list of machines, read page by page.
 
-use super::{RentingDuty, CALL_MS};
-use crate::coordination::controller::{ExternalService, Node};
-use crate::protocol::cloud::{HostList, Listed};
-use crate::state::units::Ms;
+use super::{AutoscalerState, CALL_MS};
+use crate::coordination::controller::{Controller, ExternalService};
+use crate::protocol::cloud::{ListedMachine, MachineListPage};
+use crate::state::units::MonotonicMillis;
 use http_types::Method;
 use std::rc::Rc;
 
@@ -35,8 +35,8 @@
 /// the next turn goes on from there.
 #[derive(Default)]
 pub struct Pages {
-    list: Vec<Listed>,
-    since: Option<Ms>,
+    list: Vec<ListedMachine>,
+    since: Option<MonotonicMillis>,
 }
 
 impl Pages {
@@ -44,7 +44,7 @@
     ///
     /// The time allowed grows with what was read: a fixed one would begin the list of a large
     /// fleet anew for ever where the cloud serves few requests a second.
-    pub fn next(&mut self, now: Ms, rps: f64) -> &str {
+    pub fn next(&mut self, now: MonotonicMillis, rps: f64) -> &str {
         let pages = self.list.len() / PAGE + 1;
         let stale_ms = STALE_MS.max(STALE_READS * read_ms(rps, pages));
         if self.since.is_some_and(|t| now.since(t) >= stale_ms) {
@@ -54,7 +54,7 @@
         self.list.last().map_or("", |h| h.name.as_str())
     }
     /// Takes a page; the whole list if it was the last.
-    pub fn take(&mut self, page: HostList) -> Option<Vec<Listed>> {
+    pub fn take(&mut self, page: MachineListPage) -> Option<Vec<ListedMachine>> {
         let more = page.more && !page.hosts.is_empty();
         self.list.extend(page.hosts);
         (!more).then(|| std::mem::take(self).list)
@@ -62,29 +62,34 @@
 }
 
 /// Reads pages of the machine list as far as the cloud's limit lets it.
-pub(super) async fn read_list(node: &Rc<Node>, duty: &mut RentingDuty) {
-    let rps = node.platform.settings.cloud.rps;
+pub(super) async fn read_list(controller: &Rc<Controller>, duty: &mut AutoscalerState) {
+    let rps = controller.platform.settings.cloud.rps;
     let list = loop {
-        let now = node.now();
-        if !duty.pace.take(now, 0.0) {
+        let now = controller.now();
+        if !duty.rate_limiter.take(now, 0.0) {
             return;
         }
-        let Some(page) = read_page(node, duty.pages.next(now, rps)).await else {
-            duty.list_due = node.now().plus(500);
+        let Some(page) = read_page(controller, duty.pages.next(now, rps)).await else {
+            duty.list_due = controller.now().plus(500);
             return;
         };
         if let Some(list) = duty.pages.take(page) {
             break list;
         }
     };
-    let now = node.now();
+    let now = controller.now();
     let pages = list.len() / PAGE + 1;
     duty.list_due = now.plus(list_every_ms(rps, pages));
     duty.listed_at = Some(now);
-    let mut cluster = node.cluster.borrow_mut();
+    let mut cluster = controller.cluster.borrow_mut();
     for h in &list {
-        if let Some(mix) = cluster.learn_machine(&h.name, &h.machine_type, &h.zone, h.spot, now) {
-            if let Some(m) = cluster.machine_mut(mix).filter(|m| m.addr.is_empty()) {
+        if let Some(machine_index) =
+            cluster.learn_machine(&h.name, &h.machine_type, &h.zone, h.spot, now)
+        {
+            if let Some(m) = cluster
+                .machine_mut(machine_index)
+                .filter(|m| m.addr.is_empty())
+            {
                 m.addr.clone_from(&h.addr);
             }
         }
@@ -94,24 +99,26 @@
         .retain(|n, t| duty.listed.contains_key(n) || now.since(*t) < STALE_MS);
 }
 
-async fn read_page(node: &Rc<Node>, from: &str) -> Option<HostList> {
+async fn read_page(controller: &Rc<Controller>, from: &str) -> Option<MachineListPage> {
     let path = format!("/hosts?from={from}&most={PAGE}");
-    let answer = node.cloud.call(Method::Get, &path, Vec::new(), CALL_MS);
+    let answer = controller
+        .cloud
+        .call(Method::Get, &path, Vec::new(), CALL_MS);
     match answer.await {
         Ok(f) if f.status == 200 => {
-            node.note_served(ExternalService::Cloud, true);
+            controller.record_availability(ExternalService::Cloud, true);
             rmp_serde::from_slice(&f.body).ok()
         }
         Ok(f) => {
             log::debug!("machine list refused with {}", f.status);
             // 429 is our own haste, not the cloud's trouble.
-            node.note_served(ExternalService::Cloud, f.status == 429);
+            controller.record_availability(ExternalService::Cloud, f.status == 429);
             None
         }
         Err(e) => {
             log::debug!("machine list: {e}");
-            node.note_served(ExternalService::Cloud, false);
-            node.cloud.reset();
+            controller.record_availability(ExternalService::Cloud, false);
+            controller.cloud.reset();
             None
         }
     }
--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -1,84 +1,107 @@
 //! Bookings: intents on record, requests, and what came of them.
 
-use super::{requests, supply, wanted, Pool, RentingDuty, AT_ONCE, CALL_MS};
-use crate::coordination::controller::{wall_ms, Node};
-use crate::coordination::kv::{set, Outcome};
-use crate::protocol::cloud::{Booking, Hosts};
+use super::{
+    plan_scale_out, requests, supply, AutoscalerState, Pool, CALL_MS, MAX_CONCURRENT_REQUESTS,
+};
+use crate::coordination::controller::{wall_ms, Controller};
+use crate::coordination::kv::{set, CommitOutcome};
+use crate::protocol::cloud::{MachineNames, ProvisioningRequest};
 use crate::protocol::kv::{Condition, Transaction, Write};
-use crate::state::cluster_state::{BookingRecord, ROOT};
+use crate::state::cluster_state::{ProvisioningRecord, ROOT};
 use crate::state::names::Index;
-use crate::state::units::Ms;
+use crate::state::units::MonotonicMillis;
 use http_types::Method;
 use std::collections::HashSet;
 use std::rc::Rc;
 
 /// Asks once more for bookings without an answer: a repeated one rents nothing twice.
-pub(super) async fn repeat_bookings(node: &Rc<Node>, duty: &mut RentingDuty) {
-    let now = node.now();
-    let open: Vec<(String, BookingRecord)> = {
-        let cluster = node.cluster.borrow();
+pub(super) async fn retry_provisioning(controller: &Rc<Controller>, duty: &mut AutoscalerState) {
+    let now = controller.now();
+    let open: Vec<(String, ProvisioningRecord)> = {
+        let cluster = controller.cluster.borrow();
         cluster
-            .bookings
+            .provisioning_requests
             .iter()
-            .filter(|(_, b)| b.rec.hosts.is_empty())
-            .filter(|(n, _)| duty.booked_at.get(*n).is_none_or(|t| now.since(*t) > 2000))
-            .map(|(n, b)| (n.clone(), b.rec.clone()))
-            .take(AT_ONCE)
-            .take_while(|_| duty.pace.take(now, 0.0))
+            .filter(|(_, b)| b.record.machines.is_empty())
+            .filter(|(n, _)| {
+                duty.requested_at
+                    .get(*n)
+                    .is_none_or(|t| now.since(*t) > 2000)
+            })
+            .map(|(n, b)| (n.clone(), b.record.clone()))
+            .take(MAX_CONCURRENT_REQUESTS)
+            .take_while(|_| duty.rate_limiter.take(now, 0.0))
             .collect()
     };
-    book_all(node, duty, open).await;
+    send_provisioning_requests(controller, duty, open).await;
 }
 
 /// Sends bookings side by side and notes together what came of them.
-async fn book_all(node: &Rc<Node>, duty: &mut RentingDuty, list: Vec<(String, BookingRecord)>) {
+async fn send_provisioning_requests(
+    controller: &Rc<Controller>,
+    duty: &mut AutoscalerState,
+    list: Vec<(String, ProvisioningRecord)>,
+) {
     let mut running = Vec::new();
     for (name, rec) in list {
-        duty.booked_at.insert(name.clone(), node.now());
-        let n = node.clone();
-        running.push(node.ex.spawn(async move {
-            let answer = book(&n, &name, &rec).await;
+        duty.requested_at.insert(name.clone(), controller.now());
+        let n = controller.clone();
+        running.push(controller.executor.spawn(async move {
+            let answer = send_provisioning_request(&n, &name, &rec).await;
             (name, rec, answer)
         }));
     }
-    let mut notes: Vec<(String, Option<BookingRecord>)> = Vec::new();
+    let mut notes: Vec<(String, Option<ProvisioningRecord>)> = Vec::new();
     for task in running {
         let (name, rec, answer) = task.await;
-        notes.extend(note_booking(node, duty, &name, rec, answer).map(|r| (name, r)));
+        notes.extend(
+            apply_provisioning_response(controller, duty, &name, rec, answer).map(|r| (name, r)),
+        );
     }
-    store_bookings(node, &notes).await;
+    commit_provisioning_records(controller, &notes).await;
 }
 
 /// Sends a booking; status and machines.
-async fn book(node: &Rc<Node>, name: &str, rec: &BookingRecord) -> Option<(u16, Option<Hosts>)> {
-    let request = Booking {
-        request: name.to_string(),
+async fn send_provisioning_request(
+    controller: &Rc<Controller>,
+    name: &str,
+    rec: &ProvisioningRecord,
+) -> Option<(u16, Option<MachineNames>)> {
+    let request = ProvisioningRequest {
+        request_id: name.to_string(),
         machine_type: rec.machine_type.clone(),
         zone: rec.zone.clone(),
         spot: rec.spot,
         count: rec.count,
     };
     let body = rmp_serde::to_vec_named(&request).ok()?;
-    match node.cloud.call(Method::Post, "/hosts", body, CALL_MS).await {
-        Ok(f) => Some((f.status, rmp_serde::from_slice::<Hosts>(&f.body).ok())),
+    match controller
+        .cloud
+        .call(Method::Post, "/hosts", body, CALL_MS)
+        .await
+    {
+        Ok(f) => Some((
+            f.status,
+            rmp_serde::from_slice::<MachineNames>(&f.body).ok(),
+        )),
         Err(e) => {
             log::warn!("booking {name}: {e}; it will be repeated");
-            node.cloud.reset();
+            controller.cloud.reset();
             None
         }
     }
 }
 
 /// What the record of a booking shall be after an answer; the outer `None` leaves it as it is.
-fn note_booking(
-    node: &Rc<Node>,
-    duty: &mut RentingDuty,
+fn apply_provisioning_response(
+    controller: &Rc<Controller>,
+    duty: &mut AutoscalerState,
     name: &str,
-    mut rec: BookingRecord,
-    answer: Option<(u16, Option<Hosts>)>,
-) -> Option<Option<BookingRecord>> {
-    let now = node.now();
-    let mut cluster = node.cluster.borrow_mut();
+    mut rec: ProvisioningRecord,
+    answer: Option<(u16, Option<MachineNames>)>,
+) -> Option<Option<ProvisioningRecord>> {
+    let now = controller.now();
+    let mut cluster = controller.cluster.borrow_mut();
     let pool = Pool {
         machine_type: cluster.machine_type_names.intern(&rec.machine_type),
         zone: cluster.zone_names.find(&rec.zone)?,
@@ -102,8 +125,8 @@
             for n in &h.hosts {
                 cluster.learn_machine(n, &rec.machine_type, &rec.zone, rec.spot, now);
             }
-            rec.hosts = h.hosts;
-            Some((!rec.hosts.is_empty()).then_some(rec))
+            rec.machines = h.hosts;
+            Some((!rec.machines.is_empty()).then_some(rec))
         }
         (503, _) => {
             log::info!(
@@ -123,21 +146,27 @@
     }
 }
 
-fn back_off(duty: &mut RentingDuty, pool: Pool, now: Ms) {
+fn back_off(duty: &mut AutoscalerState, pool: Pool, now: MonotonicMillis) {
     let entry = duty.backoff.entry(pool).or_insert((now, 3000));
     entry.1 = (entry.1 * 2).min(20_000);
     entry.0 = now.plus(entry.1);
 }
 
 /// Writes or removes bookings, as long as this node owns the duty.
-async fn store_bookings(node: &Rc<Node>, list: &[(String, Option<BookingRecord>)]) -> bool {
+async fn commit_provisioning_records(
+    controller: &Rc<Controller>,
+    list: &[(String, Option<ProvisioningRecord>)],
+) -> bool {
     let mut all = true;
-    let at_once = node.config.limits(&node.cluster.borrow()).txn_ops;
+    let at_once = controller
+        .config
+        .limits(&controller.cluster.borrow())
+        .txn_ops;
     for part in list.chunks(at_once) {
         let txn = {
-            let cluster = node.cluster.borrow();
-            let shard = cluster.renting();
-            let write = |(name, rec): &(String, Option<BookingRecord>)| {
+            let cluster = controller.cluster.borrow();
+            let shard = cluster.autoscaler_shard();
+            let write = |(name, rec): &(String, Option<ProvisioningRecord>)| {
                 let key = format!("{ROOT}book/{name}");
                 match rec {
                     Some(r) => set(key, r, None),
@@ -152,40 +181,48 @@
                 writes: part.iter().filter_map(write).collect(),
             }
         };
-        all &= matches!(node.commit(&txn).await, Outcome::Done(_));
+        all &= matches!(controller.commit(&txn).await, CommitOutcome::Committed(_));
     }
     // The next step depends on what the records say.
-    list.is_empty() || node.refreshed(1500).await && all
+    list.is_empty() || controller.refresh(1500).await && all
 }
 
 /// Removes bookings whose machines are all in the list, or should long be.
-pub(super) async fn clear_bookings(node: &Rc<Node>, duty: &mut RentingDuty, lag_ms: u64) {
-    let now = node.now();
+pub(super) async fn remove_completed_requests(
+    controller: &Rc<Controller>,
+    duty: &mut AutoscalerState,
+    lag_ms: u64,
+) {
+    let now = controller.now();
     let old: Vec<String> = {
-        let cluster = node.cluster.borrow();
+        let cluster = controller.cluster.borrow();
         cluster
-            .bookings
+            .provisioning_requests
             .iter()
             .filter(|(n, b)| {
-                let at = *duty.booked_at.entry((*n).clone()).or_insert(now);
-                let listed = b.rec.hosts.iter().all(|h| duty.listed.contains_key(h));
-                !b.rec.hosts.is_empty()
+                let at = *duty.requested_at.entry((*n).clone()).or_insert(now);
+                let listed = b
+                    .record
+                    .machines
+                    .iter()
+                    .all(|h| duty.listed.contains_key(h));
+                !b.record.machines.is_empty()
                     && now.since(at) > lag_ms * 2
                     && (listed || now.since(at) > lag_ms * 4 + 10_000)
             })
             .map(|(n, _)| n.clone())
-            .take(node.config.limits(&cluster).txn_ops)
+            .take(controller.config.limits(&cluster).txn_ops)
             .collect()
     };
     let removed: Vec<_> = old.into_iter().map(|n| (n, None)).collect();
-    store_bookings(node, &removed).await;
+    commit_provisioning_records(controller, &removed).await;
     for (n, _) in removed {
-        duty.booked_at.remove(&n);
+        duty.requested_at.remove(&n);
     }
 }
 
-pub(super) async fn rent(node: &Rc<Node>, duty: &mut RentingDuty) {
-    let now = node.now();
+pub(super) async fn rent(controller: &Rc<Controller>, duty: &mut AutoscalerState) {
+    let now = controller.now();
     // Without a list of this owner's time, what is rented already is not known.
     if duty.listed_at.is_none() {
         return;
@@ -197,22 +234,34 @@
         .map(|(p, _)| *p)
         .collect();
     let plan = {
-        let cluster = node.cluster.borrow();
-        let mut have = supply(&cluster, &duty.listed, node.config.silent_ms, now);
-        wanted(&cluster, &node.config, &mut have, &blocked, now, wall_ms())
+        let cluster = controller.cluster.borrow();
+        let mut have = supply(
+            &cluster,
+            &duty.listed,
+            controller.config.unresponsive_ms,
+            now,
+        );
+        plan_scale_out(
+            &cluster,
+            &controller.config,
+            &mut have,
+            &blocked,
+            now,
+            wall_ms(),
+        )
     };
     let mut list = Vec::new();
-    duty.needed = plan.needed;
-    for (pool, count) in requests(plan.rent) {
+    duty.needed = plan.needed_machines;
+    for (pool, count) in requests(plan.machines_to_rent) {
         // While there is something to return one request is left for that: those who wait for a
         // machine to be proven gone wait as long as those who need a new one.
-        let keep = if duty.returns_due { 1.0 } else { 0.0 };
-        if !duty.pace.take(node.now(), keep) {
+        let keep = if duty.scale_in_pending { 1.0 } else { 0.0 };
+        if !duty.rate_limiter.take(controller.now(), keep) {
             break;
         }
         duty.counter += 1;
-        let cluster = node.cluster.borrow();
-        let rec = BookingRecord {
+        let cluster = controller.cluster.borrow();
+        let rec = ProvisioningRecord {
             machine_type: cluster
                 .machine_type_names
                 .name(pool.machine_type)
@@ -220,17 +269,17 @@
             zone: cluster.zone_names.name(pool.zone).to_string(),
             spot: pool.spot,
             count,
-            hosts: Vec::new(),
+            machines: Vec::new(),
         };
         // The token is of this owner alone, so no name is ever used twice.
-        list.push((format!("b-{}-{}", duty.token, duty.counter), rec));
+        list.push((format!("b-{}-{}", duty.fencing_token, duty.counter), rec));
     }
     // The intent is on record before the request: whoever takes over asks again.
     let intents: Vec<_> = list
         .iter()
         .map(|(n, r)| (n.clone(), Some(r.clone())))
         .collect();
-    if !list.is_empty() && store_bookings(node, &intents).await {
-        book_all(node, duty, list).await;
+    if !list.is_empty() && commit_provisioning_records(controller, &intents).await {
+        send_provisioning_requests(controller, duty, list).await;
     }
 }
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/cancellations.rs
@@ -1,20 +1,20 @@
 //! Cancellations: telling the other controllers, and stopping tasks whose owner does not.
 
-use crate::coordination::controller::{Node, NotificationState, Peer};
+use crate::coordination::controller::{Controller, NotificationState, Peer};
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::worker_connectivity;
-use crate::protocol::peers::{Ask, Reply, MAX_JOBS};
-use crate::protocol::workers::{Commands, Order, Report, TaskState};
+use crate::protocol::peers::{PeerRequest, PeerResponse, MAX_JOBS};
+use crate::protocol::workers::{Command, DirectCommands, Heartbeat, TaskState};
 use crate::state::cluster_state::ClusterState;
-use crate::state::machine::Attempt;
-use crate::state::names::{Index, MachineIx};
-use crate::state::units::Ms;
+use crate::state::machine::TaskAttempt;
+use crate::state::names::{Index, MachineIndex};
+use crate::state::units::MonotonicMillis;
 use crate::transport::TransportError;
 use std::collections::HashMap;
 use std::rc::Rc;
 
 /// Time between two rounds.
-const BEAT_MS: u64 = 1000;
+const TICK_MS: u64 = 1000;
 /// Time that a peer has to answer.
 const PEER_MS: u64 = 900;
 /// Longest time for which a peer that closes the connection is left alone.
@@ -25,14 +25,18 @@
 const AGAIN_MS: u64 = 3000;
 
 /// Duty: exchanges cancellations with all peers, and sees to tasks that are left of them.
-pub async fn run(node: Rc<Node>) {
-    let mut leftovers = Leftovers::default();
+pub async fn run(controller: Rc<Controller>) {
+    let mut leftovers = CancelledTaskSweeper::default();
     loop {
-        node.beat(BEAT_MS, None).await;
-        tell(&node);
-        let due = leftovers.due(&node.cluster.borrow(), &node.config, node.now());
+        controller.tick(TICK_MS, None).await;
+        tell(&controller);
+        let due = leftovers.due(
+            &controller.cluster.borrow(),
+            &controller.config,
+            controller.now(),
+        );
         for stop in due {
-            if !node.spawn_direct(end(node.clone(), stop)) {
+            if !controller.spawn_direct(end(controller.clone(), stop)) {
                 break;
             }
         }
@@ -43,77 +47,81 @@
 ///
 /// Called at once when one is confirmed. Peers that can't be reached are told by the next round,
 /// for as long as tasks of the job may be left.
-pub fn tell(node: &Rc<Node>) {
-    for (at, peer) in node.peers.iter().enumerate() {
-        if node.now() < peer.untold.get().0 {
+pub fn tell(controller: &Rc<Controller>) {
+    for (at, peer) in controller.peers.iter().enumerate() {
+        if controller.now() < peer.retry_cancellations_after.get().0 {
             continue;
         }
-        if peer.telling.get() != NotificationState::Idle {
-            peer.telling.set(NotificationState::More);
+        if peer.cancellation_broadcast.get() != NotificationState::Idle {
+            peer.cancellation_broadcast.set(NotificationState::Pending);
             continue;
         }
-        peer.telling.set(NotificationState::Busy);
-        let node = node.clone();
-        let ex = node.ex.clone();
+        peer.cancellation_broadcast.set(NotificationState::Busy);
+        let controller = controller.clone();
+        let ex = controller.executor.clone();
         let exchanges = async move {
-            let peer = &node.peers[at];
-            while exchange(&node, at, peer).await
-                && peer.telling.replace(NotificationState::Busy) == NotificationState::More
-            {
-            }
-            peer.telling.set(NotificationState::Idle);
+            let peer = &controller.peers[at];
+            while exchange(&controller, at, peer).await
+                && peer.cancellation_broadcast.replace(NotificationState::Busy)
+                    == NotificationState::Pending
+            {}
+            peer.cancellation_broadcast.set(NotificationState::Idle);
         };
         ex.spawn(exchanges).detach();
     }
 }
 
 /// One question to a peer; false if it did not answer.
-async fn exchange(node: &Rc<Node>, at: usize, peer: &Peer) -> bool {
-    let asked = node.now();
-    let jobs = names(&node.cluster.borrow());
-    let reply = peer.teller.ask(&Ask::Cancelled { jobs }, PEER_MS).await;
+async fn exchange(controller: &Rc<Controller>, at: usize, peer: &Peer) -> bool {
+    let asked = controller.now();
+    let jobs = names(&controller.cluster.borrow());
+    let reply = peer
+        .cancellations_client
+        .ask(&PeerRequest::Cancelled { jobs }, PEER_MS)
+        .await;
     let reply = match reply {
         Ok(reply) => reply,
         Err(e) => {
             // One that closes the connection may be of a version that does not know the question,
             // and complains of it in its log.
             let closed = matches!(e, TransportError::Broken(_));
-            let wait = peer.untold.get().1;
+            let wait = peer.retry_cancellations_after.get().1;
             let wait = if closed {
                 (wait * 2).clamp(1000, LONGEST_MS)
             } else {
                 0
             };
-            peer.untold.set((node.now().plus(wait), wait));
+            peer.retry_cancellations_after
+                .set((controller.now().plus(wait), wait));
             return false;
         }
     };
-    peer.untold.set((Ms(0), 0));
+    peer.retry_cancellations_after.set((MonotonicMillis(0), 0));
     let news = take(
-        &mut node.cluster.borrow_mut(),
+        &mut controller.cluster.borrow_mut(),
         at,
         asked,
-        node.now(),
+        controller.now(),
         &reply,
     );
-    note(node, &news);
+    note(controller, &news);
     true
 }
 
 /// Answers a peer that tells of cancellations.
-pub fn answer(node: &Rc<Node>, jobs: &[String]) -> Reply {
-    let news = learn(&mut node.cluster.borrow_mut(), jobs);
-    note(node, &news);
-    let now = node.now();
-    tells(&node.cluster.borrow(), now, now.0)
+pub fn answer(controller: &Rc<Controller>, jobs: &[String]) -> PeerResponse {
+    let news = learn(&mut controller.cluster.borrow_mut(), jobs);
+    note(controller, &news);
+    let now = controller.now();
+    tells(&controller.cluster.borrow(), now, now.0)
 }
 
-fn note(node: &Rc<Node>, news: &[&String]) {
+fn note(controller: &Rc<Controller>, news: &[&String]) {
     for id in news {
         log::info!("job {id} is cancelled, as a peer tells");
     }
     if !news.is_empty() {
-        node.plan.notify();
+        controller.scheduling.notify();
     }
 }
 
@@ -132,11 +140,14 @@
 }
 
 /// What a process that has run for `up_ms` tells a peer that asks.
-pub fn tells(cluster: &ClusterState, now: Ms, up_ms: u64) -> Reply {
+pub fn tells(cluster: &ClusterState, now: MonotonicMillis, up_ms: u64) -> PeerResponse {
     let short = |ms: u64| ms.min(u64::from(u32::MAX)) as u32;
-    Reply::Cancelled {
+    PeerResponse::Cancelled {
         up_ms: short(up_ms),
-        age_ms: cluster.knowledge.age_ms(now).map_or(u32::MAX, short),
+        age_ms: cluster
+            .cancellation_watermark
+            .age_ms(now)
+            .map_or(u32::MAX, short),
         jobs: names(cluster),
     }
 }
@@ -145,11 +156,11 @@
 pub fn take<'a>(
     cluster: &mut ClusterState,
     peer: usize,
-    asked: Ms,
-    now: Ms,
-    reply: &'a Reply,
+    asked: MonotonicMillis,
+    now: MonotonicMillis,
+    reply: &'a PeerResponse,
 ) -> Vec<&'a String> {
-    let Reply::Cancelled {
+    let PeerResponse::Cancelled {
         up_ms,
         age_ms,
         jobs,
@@ -162,14 +173,16 @@
     if jobs.len() < MAX_JOBS {
         let age = (*age_ms != u32::MAX).then_some(u64::from(*age_ms));
         let up_ms = u64::from(*up_ms);
-        cluster.knowledge.told(peer, asked, now, up_ms, age);
+        cluster
+            .cancellation_watermark
+            .record_attestation(peer, asked, now, up_ms, age);
     }
     news
 }
 
 /// A task of a cancelled job, to be ended by a direct command.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct Leftover {
+pub struct CancelledTasks {
     /// Its machine's worker.
     pub addr: String,
     /// The tasks, as workers name them, with their attempts.
@@ -178,12 +191,12 @@
 
 /// What is left of cancelled jobs, and since when that is known.
 #[derive(Default)]
-pub struct Leftovers {
-    since: HashMap<Attempt, Ms>,
-    tried: HashMap<MachineIx, Ms>,
+pub struct CancelledTaskSweeper {
+    first_seen: HashMap<TaskAttempt, MonotonicMillis>,
+    last_attempt: HashMap<MachineIndex, MonotonicMillis>,
 }
 
-impl Leftovers {
+impl CancelledTaskSweeper {
     /// Tasks of cancelled jobs that have been left for long, by machine: those that nobody has
     /// tried lately.
     ///
@@ -195,39 +208,46 @@
         &mut self,
         cluster: &ClusterState,
         config: &SchedulerConfig,
-        now: Ms,
-    ) -> Vec<Leftover> {
-        let mut left: HashMap<Attempt, Ms> = HashMap::new();
-        let mut due: Vec<(Ms, MachineIx, Attempt)> = Vec::new();
+        now: MonotonicMillis,
+    ) -> Vec<CancelledTasks> {
+        let mut left: HashMap<TaskAttempt, MonotonicMillis> = HashMap::new();
+        let mut due: Vec<(MonotonicMillis, MachineIndex, TaskAttempt)> = Vec::new();
         for (ix, job) in cluster.cancelled() {
             for p in &job.placements {
-                let a = (ix, p.task, p.attempt);
-                let since = self.since.get(&a).copied().unwrap_or(now);
+                let a = TaskAttempt::new(ix, p.task, p.attempt);
+                let since = self.first_seen.get(&a).copied().unwrap_or(now);
                 left.insert(a, since);
                 if now.since(since) >= config.cancel_ms / DIRECT_PART {
                     due.push((since, p.machine, a));
                 }
             }
         }
-        self.since = left;
-        self.tried.retain(|_, t| now.since(*t) < AGAIN_MS);
-        due.retain(|(_, mix, _)| !self.tried.contains_key(mix));
+        self.first_seen = left;
+        self.last_attempt.retain(|_, t| now.since(*t) < AGAIN_MS);
+        due.retain(|(_, machine_index, _)| !self.last_attempt.contains_key(machine_index));
         // The oldest first, whatever finds no connection now comes next time.
         due.sort_unstable();
-        let mut out: Vec<(MachineIx, Leftover)> = Vec::new();
-        for (_, mix, a) in due {
-            let Some(m) = cluster.machine(mix).filter(|m| !m.addr.is_empty()) else {
+        let mut out: Vec<(MachineIndex, CancelledTasks)> = Vec::new();
+        for (_, machine_index, a) in due {
+            let Some(m) = cluster
+                .machine(machine_index)
+                .filter(|m| !m.addr.is_empty())
+            else {
                 continue;
             };
-            let task = (format!("{}/{}", cluster.jobs[a.0.at()].id, a.1), a.2);
-            if let Some((_, l)) = out.iter_mut().find(|(x, _)| *x == mix) {
+            let task = (
+                format!("{}/{}", cluster.jobs[a.job.at()].id, a.task),
+                a.attempt,
+            );
+            if let Some((_, l)) = out.iter_mut().find(|(x, _)| *x == machine_index) {
                 l.tasks.push(task);
             } else if out.len() < AT_A_TIME {
                 let (addr, tasks) = (m.addr.clone(), vec![task]);
-                out.push((mix, Leftover { addr, tasks }));
+                out.push((machine_index, CancelledTasks { addr, tasks }));
             }
         }
-        self.tried.extend(out.iter().map(|(mix, _)| (*mix, now)));
+        self.last_attempt
+            .extend(out.iter().map(|(machine_index, _)| (*machine_index, now)));
         out.into_iter().map(|(_, l)| l).collect()
     }
 }
@@ -238,30 +258,30 @@
 /// The stops for what a worker's status shows of these tasks; `None` if it shows none running.
 ///
 /// Token and session are the worker's own: nobody's right to command it changes by that.
-pub fn stops(r: &Report, tasks: &[(String, u64)]) -> Option<Commands> {
+pub fn stops(r: &Heartbeat, tasks: &[(String, u64)]) -> Option<DirectCommands> {
     let here = |(piece, attempt): &&(String, u64)| {
         let mut shown = r.tasks.iter().filter(|t| t.state != TaskState::Exited);
         shown.any(|t| (&t.task, t.attempt) == (piece, *attempt))
     };
-    let stop = |(piece, attempt): &(String, u64)| Order::Stop {
-        piece: piece.clone(),
+    let stop = |(piece, attempt): &(String, u64)| Command::Stop {
+        task: piece.clone(),
         attempt: *attempt,
         grace_s: 0.0,
     };
-    let orders: Vec<Order> = tasks.iter().filter(here).map(stop).collect();
-    (!orders.is_empty()).then_some(Commands {
-        token: r.token,
-        session: r.session,
-        orders,
+    let orders: Vec<Command> = tasks.iter().filter(here).map(stop).collect();
+    (!orders.is_empty()).then_some(DirectCommands {
+        fencing_token: r.fencing_token,
+        agent_epoch: r.agent_epoch,
+        commands: orders,
     })
 }
 
-async fn end(node: Rc<Node>, left: Leftover) {
+async fn end(controller: Rc<Controller>, left: CancelledTasks) {
     let Some((f, client)) = worker_connectivity::status(&left.addr).await else {
         return;
     };
-    node.heard_worker();
-    let Ok(r) = rmp_serde::from_slice::<Report>(&f.body) else {
+    controller.record_worker_contact();
+    let Ok(r) = rmp_serde::from_slice::<Heartbeat>(&f.body) else {
         return;
     };
     let Some(commands) = stops(&r, &left.tasks) else {
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -6,17 +6,17 @@
 use crate::features::Features;
 use crate::protocol::kv::Limits;
 use crate::settings::{Objective, Operator, Platform};
-use crate::state::cancellation_watermark::Knowledge;
+use crate::state::cancellation_watermark::CancellationWatermark;
 use crate::state::cluster_state::ClusterState;
 use crate::state::machine::Machine;
-use crate::state::names::{Index, ShardIx};
-use crate::state::units::{ms_of, Ms};
+use crate::state::names::{Index, ShardIndex};
+use crate::state::units::{millis_from_seconds, MonotonicMillis};
 use crate::transport::frames::PeerClient;
 use crate::transport::http::Client;
 use crate::transport::{within, within_beat};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
-use standby::failover::Takeovers;
+use standby::failover::Failovers;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
@@ -30,21 +30,21 @@
     /// Connection.
     pub client: PeerClient,
     /// Connection for cancellations, which wait for no other frames.
-    pub teller: PeerClient,
+    pub cancellations_client: PeerClient,
     /// Connection for the streams of shards that it is the standby of.
-    pub streams: PeerClient,
+    pub replication_client: PeerClient,
     /// Where telling it of cancellations stands.
-    pub telling: Cell<NotificationState>,
+    pub cancellation_broadcast: Cell<NotificationState>,
     /// After this it is told again, and how long it was left alone before.
-    pub untold: Cell<(Ms, u64)>,
+    pub retry_cancellations_after: Cell<(MonotonicMillis, u64)>,
     /// Last time it sent news.
-    pub heard: Cell<Option<Ms>>,
+    pub last_status: Cell<Option<MonotonicMillis>>,
     /// It reaches the state service, by its last news.
-    pub store_ok: Cell<bool>,
+    pub kv_reachable: Cell<bool>,
     /// It refused the last connection, so the way to it is open.
-    pub refuses: Cell<bool>,
+    pub connection_refused: Cell<bool>,
     /// Workers reach it, by its last news.
-    pub hears_workers: Cell<bool>,
+    pub workers_reachable: Cell<bool>,
 }
 
 /// Whether a peer is being told of cancellations.
@@ -56,18 +56,18 @@
     /// It is.
     Busy,
     /// It is, and there is more to tell since that began.
-    More,
+    Pending,
 }
 
 /// What a node knows of another's state.
 #[derive(Clone, Copy, Debug)]
-pub struct PeerSeen {
+pub struct PeerObservation {
     /// It told of itself lately.
-    pub heard: bool,
+    pub heard_recently: bool,
     /// It reaches the state service, as it told.
-    pub store_ok: bool,
+    pub kv_reachable: bool,
     /// It refused the last connection.
-    pub refuses: bool,
+    pub connection_refused: bool,
 }
 
 /// True if a node that does not reach the state service should take requests all the same.
@@ -75,9 +75,11 @@
 /// In an outage every node fares alike, and being unhealthy helps nobody. One that others are
 /// served without, or that hears nothing from any side, is itself cut off: its users, who
 /// would get nothing but refusals from it, have to go elsewhere.
-pub fn outage_is_everyones(peers: &[PeerSeen]) -> bool {
-    let served = peers.iter().any(|p| p.heard && p.store_ok);
-    let alone = peers.iter().all(|p| !p.heard && !p.refuses);
+pub fn is_cluster_wide_outage(peers: &[PeerObservation]) -> bool {
+    let served = peers.iter().any(|p| p.heard_recently && p.kv_reachable);
+    let alone = peers
+        .iter()
+        .all(|p| !p.heard_recently && !p.connection_refused);
     !served && (peers.is_empty() || !alone)
 }
 
@@ -113,7 +115,7 @@
         let _ = within_beat(ms, self.rx.recv()).await;
     }
     /// Rings and waits for the outcome of a turn that began afterwards; `None` after `ms`.
-    pub async fn turn(&self, ms: u64) -> Option<bool> {
+    pub async fn request_round(&self, ms: u64) -> Option<bool> {
         let (tx, rx) = async_channel::bounded(1);
         self.waiters.borrow_mut().push(tx);
         self.notify();
@@ -126,7 +128,7 @@
 }
 
 /// A controller.
-pub struct Node {
+pub struct Controller {
     /// The platform's settings.
     pub platform: Platform,
     /// The operators' settings.
@@ -138,47 +140,47 @@
     /// Everything known.
     pub cluster: RefCell<ClusterState>,
     /// State service.
-    pub store: Client,
+    pub kv: Client,
     /// State service, long polls.
-    pub watcher: Client,
+    pub kv_watch: Client,
     /// Cloud.
     pub cloud: Client,
     /// The others.
     pub peers: Vec<Peer>,
     /// Wakes the planner.
-    pub plan: Notifier,
+    pub scheduling: Notifier,
     /// Asks for a read of the newest changes.
-    pub fresh: Notifier,
+    pub fresh_reads: Notifier,
     /// Wakes the duty that keeps the node's key and shards.
-    pub members: Notifier,
+    pub membership: Notifier,
     /// Wakes the renting duty.
-    pub rent: Notifier,
+    pub autoscaling: Notifier,
     /// Last time the view was brought up to date.
-    pub current: Cell<Option<Ms>>,
+    pub view_updated_at: Cell<Option<MonotonicMillis>>,
     /// Last time the state service served a request.
-    pub store_served: Cell<Option<Ms>>,
+    pub kv_last_available: Cell<Option<MonotonicMillis>>,
     /// Whether the state service and the cloud were last seen to serve, for the log.
-    pub served: [Cell<bool>; 2],
+    pub available: [Cell<bool>; 2],
     /// Last time a malformed message was told of, and how many came since.
-    complained: Cell<(Option<Ms>, u32)>,
+    last_rate_limited_warning: Cell<(Option<MonotonicMillis>, u32)>,
     /// Takeovers of all shards, and the permits to decide for them.
-    pub takeovers: RefCell<Takeovers>,
+    pub failovers: RefCell<Failovers>,
     /// The standby of each shard, as this node sees it; empty while the feature is off.
-    pub standby_of: RefCell<HashMap<ShardIx, String>>,
+    pub standby_of: RefCell<HashMap<ShardIndex, String>>,
     /// Streams to and from standbys.
     pub replication: RefCell<Replication>,
     /// Since when a shard is owned.
-    pub owned_since: RefCell<HashMap<ShardIx, Ms>>,
+    pub owned_since: RefCell<HashMap<ShardIndex, MonotonicMillis>>,
     /// Whether workers reach this node.
-    pub worker_contact: Cell<WorkerContact>,
+    pub worker_reachability: Cell<WorkerReachability>,
     /// When this process last went on after it had stood still.
-    pub woke: Cell<Option<Ms>>,
+    pub resumed_at: Cell<Option<MonotonicMillis>>,
     /// Connections to workers that are open now.
-    directs: Cell<usize>,
+    open_worker_connections: Cell<usize>,
     /// Where turns go.
     pub metrics: Metrics,
     /// Runs the routines.
-    pub ex: Rc<LocalExecutor<'static>>,
+    pub executor: Rc<LocalExecutor<'static>>,
     started: Instant,
 }
 
@@ -187,70 +189,84 @@
 /// A node that loses its workers alone keeps its key and its shards, and would answer none of
 /// their machines until their leases are over. It gives its shards away in time.
 #[derive(Clone, Copy, Debug)]
-pub struct WorkerContact {
+pub struct WorkerReachability {
     /// The last sign of any worker.
-    last: Ms,
+    last_contact: MonotonicMillis,
     /// Since when there have been workers to be heard.
-    any: Option<Ms>,
+    workers_since: Option<MonotonicMillis>,
     /// When it was last found deaf.
-    deaf: Option<Ms>,
+    unreachable_at: Option<MonotonicMillis>,
     /// Time without any sign after which it is.
     limit_ms: u64,
 }
 
-impl WorkerContact {
+impl WorkerReachability {
     /// A third of a lease leaves time to hand over and to be found by the workers.
-    pub fn new(lease_ms: u64) -> WorkerContact {
-        WorkerContact {
-            last: Ms(0),
-            any: None,
-            deaf: None,
+    pub fn new(lease_ms: u64) -> WorkerReachability {
+        WorkerReachability {
+            last_contact: MonotonicMillis(0),
+            workers_since: None,
+            unreachable_at: None,
             limit_ms: (lease_ms / 3).max(3000),
         }
     }
     /// A worker has reported or answered.
-    pub fn heard(&mut self, now: Ms) {
-        self.last = self.last.max(now);
+    pub fn record_contact(&mut self, now: MonotonicMillis) {
+        self.last_contact = self.last_contact.max(now);
     }
     /// True if workers should be asked for an answer: none has come for a while.
-    pub fn doubts(&self, now: Ms) -> bool {
-        now.since(self.last) > self.limit_ms / 2
+    pub fn probe_needed(&self, now: MonotonicMillis) -> bool {
+        now.since(self.last_contact) > self.limit_ms / 2
     }
     /// True if workers reach the node, and have for a moment; `any`: there are some to be heard.
-    pub fn hears(&mut self, any: bool, woke: Option<Ms>, now: Ms) -> bool {
-        self.any = any.then(|| self.any.unwrap_or(now));
-        let could = self.any.max(woke).map(|t| t.max(self.last));
+    pub fn update(
+        &mut self,
+        any: bool,
+        woke: Option<MonotonicMillis>,
+        now: MonotonicMillis,
+    ) -> bool {
+        self.workers_since = any.then(|| self.workers_since.unwrap_or(now));
+        let could = self
+            .workers_since
+            .max(woke)
+            .map(|t| t.max(self.last_contact));
         if any && could.is_some_and(|t| now.since(t) > self.limit_ms) {
-            self.deaf = Some(now);
+            self.unreachable_at = Some(now);
         }
-        self.heard_lately(now)
+        self.is_reachable(now)
     }
-    fn heard_lately(&self, now: Ms) -> bool {
-        self.deaf.is_none_or(|d| now.since(d) > REGAINED_MS)
+    fn is_reachable(&self, now: MonotonicMillis) -> bool {
+        self.unreachable_at
+            .is_none_or(|d| now.since(d) > RECOVERY_MS)
     }
 }
 
 /// A node that was deaf counts as hearing again after this.
-const REGAINED_MS: u64 = 5000;
+const RECOVERY_MS: u64 = 5000;
 
 /// Since when machines could be heard: what came later, the shard or the end of a stop.
-pub fn listened(owned: Option<Ms>, woke: Option<Ms>) -> Option<Ms> {
+pub fn observing_since(
+    owned: Option<MonotonicMillis>,
+    woke: Option<MonotonicMillis>,
+) -> Option<MonotonicMillis> {
     owned.max(woke)
 }
 
 /// A connection to a worker, counted while it lasts.
-pub struct Direct(Rc<Node>);
+pub struct Direct(Rc<Controller>);
 
 impl Drop for Direct {
     fn drop(&mut self) {
-        self.0.directs.set(self.0.directs.get() - 1);
+        self.0
+            .open_worker_connections
+            .set(self.0.open_worker_connections.get() - 1);
     }
 }
 
 /// How much later than due a pause ends when the process, and not its load, is the cause.
-const STOOD_STILL_MS: u64 = 2500;
+const PAUSE_THRESHOLD_MS: u64 = 2500;
 
-/// A service outside, by its place in [`Node::served`].
+/// A service outside, by its place in [`Controller::served`].
 #[derive(Clone, Copy, Debug)]
 pub enum ExternalService {
     /// The state service.
@@ -260,14 +276,16 @@
 }
 
 /// Least time between two lines on malformed messages.
-const COMPLAIN_MS: u64 = 10_000;
+const WARNING_INTERVAL_MS: u64 = 10_000;
 
 /// By class, the times in which its jobs are expected to finish, the shortest first.
 pub fn finish_times(objectives: &[Objective]) -> HashMap<String, Vec<u64>> {
     let mut out: HashMap<String, Vec<u64>> = HashMap::new();
     for o in objectives.iter().filter(|o| o.kind == "finished") {
         if let (Some(class), Some(within)) = (&o.class, o.within_s) {
-            out.entry(class.clone()).or_default().push(ms_of(within));
+            out.entry(class.clone())
+                .or_default()
+                .push(millis_from_seconds(within));
         }
     }
     for times in out.values_mut() {
@@ -283,34 +301,34 @@
         .map_or(0, |d| d.as_millis() as u64)
 }
 
-impl Node {
+impl Controller {
     /// A controller that knows nothing yet.
     pub fn new(
         platform: Platform,
         operator: Operator,
         features: Features,
         ex: Rc<LocalExecutor<'static>>,
-    ) -> Node {
+    ) -> Controller {
         let s = &platform.settings;
         let config = SchedulerConfig {
-            node: platform.node.clone(),
+            controller_name: platform.node.clone(),
             // Grows from start to start of the same node, and stays a whole number below 2^53.
             incarnation: wall_ms() * 2048 + fastrand::u64(0..2048),
-            silent_ms: ms_of(s.workers.report_s * 2.5) + 500,
+            unresponsive_ms: millis_from_seconds(s.workers.report_s * 2.5) + 500,
             queue_cap: operator.queue_cap,
-            steal_ms: ms_of(operator.steal_after_s),
-            gang_hold_ms: ms_of(operator.gang_hold_s),
-            spot_patience_ms: ms_of(operator.spot_patience_s),
-            headroom: operator.headroom,
-            headroom_ordinary: operator.headroom_ordinary,
+            steal_after_ms: millis_from_seconds(operator.steal_after_s),
+            gang_reservation_after_ms: millis_from_seconds(operator.gang_hold_s),
+            spot_patience_ms: millis_from_seconds(operator.spot_patience_s),
+            capacity_buffer_spot: operator.headroom,
+            capacity_buffer_on_demand: operator.headroom_ordinary,
             // Clocks differ by up to 0.05%; the rest is for delivery and for timers that fire late.
-            dead_ms: ms_of(s.workers.lease_s * 1.002) + 2000,
-            renew_ms: s.workers.renew_ms(),
-            cancel_ms: ms_of(s.workers.cancel_s),
-            finish_within: finish_times(&s.objectives),
+            lease_expiry_ms: millis_from_seconds(s.workers.lease_s * 1.002) + 2000,
+            max_watermark_age_ms: s.workers.renew_ms(),
+            cancel_ms: millis_from_seconds(s.workers.cancel_s),
+            completion_targets: finish_times(&s.objectives),
             limits_now: s.state.limits(),
             limits_next: s.state.next.as_ref().map_or(Limits::NONE, |n| n.limits()),
-            limits_seen: Cell::new(Limits::NONE),
+            limits_observed: Cell::new(Limits::NONE),
         };
         let peers = platform
             .siblings
@@ -318,42 +336,45 @@
             .map(|p| Peer {
                 name: p.node.clone(),
                 client: PeerClient::new(p.addr),
-                teller: PeerClient::new(p.addr),
-                streams: PeerClient::new(p.addr),
-                telling: Cell::default(),
-                untold: Cell::default(),
-                heard: Cell::new(None),
-                store_ok: Cell::new(false),
-                refuses: Cell::new(false),
-                hears_workers: Cell::new(true),
+                cancellations_client: PeerClient::new(p.addr),
+                replication_client: PeerClient::new(p.addr),
+                cancellation_broadcast: Cell::default(),
+                retry_cancellations_after: Cell::default(),
+                last_status: Cell::new(None),
+                kv_reachable: Cell::new(false),
+                connection_refused: Cell::new(false),
+                workers_reachable: Cell::new(true),
             })
             .collect();
         let mut cluster = ClusterState::new(&s.zones, &s.teams, operator.shards_per_zone);
-        cluster.knowledge = Knowledge::new(platform.siblings.len(), Ms(0));
-        let takeovers = Takeovers::new(cluster.shards.len());
-        Node {
+        cluster.cancellation_watermark =
+            CancellationWatermark::new(platform.siblings.len(), MonotonicMillis(0));
+        let takeovers = Failovers::new(cluster.shards.len());
+        Controller {
             cluster: RefCell::new(cluster),
-            store: Client::new(platform.outside.state),
-            watcher: Client::new(platform.outside.state),
+            kv: Client::new(platform.outside.state),
+            kv_watch: Client::new(platform.outside.state),
             cloud: Client::new(platform.outside.cloud),
             peers,
-            plan: Notifier::default(),
-            fresh: Notifier::default(),
-            members: Notifier::default(),
-            rent: Notifier::default(),
-            current: Cell::new(None),
-            store_served: Cell::new(None),
-            served: [Cell::new(false), Cell::new(false)],
-            complained: Cell::new((None, 0)),
-            takeovers: RefCell::new(takeovers),
+            scheduling: Notifier::default(),
+            fresh_reads: Notifier::default(),
+            membership: Notifier::default(),
+            autoscaling: Notifier::default(),
+            view_updated_at: Cell::new(None),
+            kv_last_available: Cell::new(None),
+            available: [Cell::new(false), Cell::new(false)],
+            last_rate_limited_warning: Cell::new((None, 0)),
+            failovers: RefCell::new(takeovers),
             standby_of: RefCell::new(HashMap::new()),
             replication: RefCell::default(),
             owned_since: RefCell::new(HashMap::new()),
-            worker_contact: Cell::new(WorkerContact::new(ms_of(s.workers.lease_s))),
-            woke: Cell::new(None),
-            directs: Cell::new(0),
+            worker_reachability: Cell::new(WorkerReachability::new(millis_from_seconds(
+                s.workers.lease_s,
+            ))),
+            resumed_at: Cell::new(None),
+            open_worker_connections: Cell::new(0),
             metrics: Metrics::new(log::log_enabled!(log::Level::Debug)),
-            ex,
+            executor: ex,
             started: Instant::now(),
             config,
             platform,
@@ -363,21 +384,21 @@
     }
 
     /// Now.
-    pub fn now(&self) -> Ms {
-        Ms(self.started.elapsed().as_millis() as u64)
+    pub fn now(&self) -> MonotonicMillis {
+        MonotonicMillis(self.started.elapsed().as_millis() as u64)
     }
 
     /// Runs a duty for good; one that fails is started again, with a log line.
-    pub fn duty<F, Fut>(self: &Rc<Self>, name: &'static str, duty: F)
+    pub fn spawn_supervised<F, Fut>(self: &Rc<Self>, name: &'static str, duty: F)
     where
-        F: Fn(Rc<Node>) -> Fut + 'static,
+        F: Fn(Rc<Controller>) -> Fut + 'static,
         Fut: Future<Output = ()> + 'static,
     {
-        let node = self.clone();
-        self.ex
+        let controller = self.clone();
+        self.executor
             .spawn(async move {
                 loop {
-                    let run = node.metrics.routine(name, duty(node.clone()));
+                    let run = controller.metrics.routine(name, duty(controller.clone()));
                     let run = std::panic::AssertUnwindSafe(run);
                     match futures_lite::FutureExt::catch_unwind(run).await {
                         Ok(()) => log::error!("duty {name} ended, starting it again"),
@@ -390,8 +411,8 @@
     }
 
     /// True if the state service answered lately.
-    pub fn store_ok(&self) -> bool {
-        self.store_served
+    pub fn kv_reachable(&self) -> bool {
+        self.kv_last_available
             .get()
             .is_some_and(|t| self.now().since(t) < 3000)
     }
@@ -399,27 +420,30 @@
     /// True if requests can be taken: the records are known, and the state service is
     /// within reach or out of everyone's.
     pub fn healthy(&self) -> bool {
-        let seen = |p: &Peer| PeerSeen {
-            heard: p.heard.get().is_some_and(|h| self.now().since(h) < 4000),
-            store_ok: p.store_ok.get(),
-            refuses: p.refuses.get(),
+        let seen = |p: &Peer| PeerObservation {
+            heard_recently: p
+                .last_status
+                .get()
+                .is_some_and(|h| self.now().since(h) < 4000),
+            kv_reachable: p.kv_reachable.get(),
+            connection_refused: p.connection_refused.get(),
         };
         let peers = || self.peers.iter().map(seen).collect::<Vec<_>>();
-        self.cluster.borrow().loaded && (self.store_ok() || outage_is_everyones(&peers()))
+        self.cluster.borrow().loaded && (self.kv_reachable() || is_cluster_wide_outage(&peers()))
     }
 
     /// Waits; notes if this process stood still for seconds meanwhile.
     pub async fn pause(&self, ms: u64) {
         let before = self.now();
         crate::transport::pause(ms).await;
-        self.note_stop(before, ms);
+        self.detect_pause(before, ms);
     }
 
     /// Waits for the next beat of `ms`, or for a ring; notes if this process stood still.
     ///
     /// Each turn costs, however little there is to do: duties that tick at the same rate do so
     /// in one, and what should happen sooner rings.
-    pub async fn beat(&self, ms: u64, ring: Option<&Notifier>) {
+    pub async fn tick(&self, ms: u64, ring: Option<&Notifier>) {
         let before = self.now();
         match ring {
             Some(ring) => ring.notified_by_tick(ms).await,
@@ -428,58 +452,59 @@
                 let _ = within_beat(ms, never).await;
             }
         }
-        self.note_stop(before, ms);
+        self.detect_pause(before, ms);
     }
 
-    fn note_stop(&self, before: Ms, ms: u64) {
+    fn detect_pause(&self, before: MonotonicMillis, ms: u64) {
         let now = self.now();
-        if now.since(before) > ms + STOOD_STILL_MS {
+        if now.since(before) > ms + PAUSE_THRESHOLD_MS {
             // All duties find out at once; one line tells.
             if self
-                .woke
+                .resumed_at
                 .get()
-                .is_none_or(|t| now.since(t) > STOOD_STILL_MS)
+                .is_none_or(|t| now.since(t) > PAUSE_THRESHOLD_MS)
             {
                 log::warn!(
                     "stood still for {} ms: machines are given time to be heard again",
                     now.since(before) - ms
                 );
             }
-            self.woke.set(Some(now));
+            self.resumed_at.set(Some(now));
         }
     }
 
     /// Since when a shard's machines could be heard here: not before this node had the shard,
     /// nor while it stood still.
-    pub fn listened_since(&self, shard: ShardIx) -> Option<Ms> {
+    pub fn observing_since(&self, shard: ShardIndex) -> Option<MonotonicMillis> {
         let owned = self.owned_since.borrow().get(&shard).copied();
-        listened(owned, self.woke.get())
+        observing_since(owned, self.resumed_at.get())
     }
 
     /// A worker has reported or answered.
-    pub fn heard_worker(&self) {
-        let mut worker_contact = self.worker_contact.get();
-        worker_contact.heard(self.now());
-        self.worker_contact.set(worker_contact);
+    pub fn record_worker_contact(&self) {
+        let mut worker_contact = self.worker_reachability.get();
+        worker_contact.record_contact(self.now());
+        self.worker_reachability.set(worker_contact);
     }
 
     /// True if workers reach this node.
-    pub fn hears_workers(&self) -> bool {
+    pub fn workers_reachable(&self) -> bool {
         let now = self.now();
         let any = {
             let cluster = self.cluster.borrow();
             let own = self.config.owned(&cluster);
             // Its own machines fall silent with its hearing, so what was heard once counts.
             let there = |m: &Machine| {
-                m.takes(now, self.config.silent_ms) || own[m.shard.at()] && m.heard.is_some()
+                m.is_schedulable(now, self.config.unresponsive_ms)
+                    || own[m.shard.at()] && m.last_heartbeat.is_some()
             };
             let any = cluster.all_machines().any(|(_, m)| there(m));
             any
         };
-        let mut worker_contact = self.worker_contact.get();
-        let was = worker_contact.heard_lately(now);
-        let hears = worker_contact.hears(any, self.woke.get(), now);
-        self.worker_contact.set(worker_contact);
+        let mut worker_contact = self.worker_reachability.get();
+        let was = worker_contact.is_reachable(now);
+        let hears = worker_contact.update(any, self.resumed_at.get(), now);
+        self.worker_reachability.set(worker_contact);
         if was && !hears {
             log::warn!("no worker reaches this node, its shards go to others");
         }
@@ -487,34 +512,34 @@
     }
 
     /// A place for a connection to a worker; `None` while all are taken.
-    pub fn direct(self: &Rc<Self>) -> Option<Direct> {
-        let open = self.directs.get();
+    pub fn acquire_worker_connection(self: &Rc<Self>) -> Option<Direct> {
+        let open = self.open_worker_connections.get();
         (open < self.platform.settings.machine_limits.directs()).then(|| {
-            self.directs.set(open + 1);
+            self.open_worker_connections.set(open + 1);
             Direct(self.clone())
         })
     }
 
     /// Runs work that needs one connection to a worker; false if all places are taken.
     pub fn spawn_direct(self: &Rc<Self>, work: impl Future<Output = ()> + 'static) -> bool {
-        let Some(slot) = self.direct() else {
+        let Some(slot) = self.acquire_worker_connection() else {
             return false;
         };
         let counted = async move {
             work.await;
             drop(slot);
         };
-        self.ex.spawn(counted).detach();
+        self.executor.spawn(counted).detach();
         true
     }
 
     /// Logs when a service outside goes and comes back.
-    pub fn note_served(&self, who: ExternalService, served: bool) {
+    pub fn record_availability(&self, who: ExternalService, served: bool) {
         let name = match who {
             ExternalService::State => "state service",
             ExternalService::Cloud => "cloud",
         };
-        if self.served[who as usize].replace(served) != served {
+        if self.available[who as usize].replace(served) != served {
             if served {
                 log::info!("the {name} serves");
             } else {
@@ -524,15 +549,16 @@
     }
 
     /// Tells of a malformed message, every ten seconds at most.
-    pub fn complain(&self, what: &str) {
+    pub fn warn_rate_limited(&self, what: &str) {
         let now = self.now();
-        let (last, kept) = self.complained.get();
-        if last.is_some_and(|t| now.since(t) < COMPLAIN_MS) {
-            self.complained.set((last, kept.saturating_add(1)));
+        let (last, kept) = self.last_rate_limited_warning.get();
+        if last.is_some_and(|t| now.since(t) < WARNING_INTERVAL_MS) {
+            self.last_rate_limited_warning
+                .set((last, kept.saturating_add(1)));
             return;
         }
         log::warn!("{what} ({kept} more malformed messages since the last of these lines)");
-        self.complained.set((Some(now), 0));
+        self.last_rate_limited_warning.set((Some(now), 0));
     }
 
     /// A peer by name.
--- a/src/coordination/failover.rs
+++ b/src/coordination/failover.rs
@@ -1,16 +1,16 @@
 //! Takeovers of shards: what records and peers tell of each, and the permits that follow.
 
-use crate::coordination::controller::Node;
-use crate::coordination::membership::{self, Known};
+use crate::coordination::controller::Controller;
+use crate::coordination::membership::{self, MembershipView};
 use crate::coordination::replication;
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::settings::Workers;
 use crate::state::cluster_state::ClusterState;
-use crate::state::names::{Index, ShardIx};
-use crate::state::units::{ms_of, Ms};
-use standby::bound::TakeoverBound;
+use crate::state::names::{Index, ShardIndex};
+use crate::state::units::{millis_from_seconds, MonotonicMillis};
+use standby::bound::FailoverBound;
 use standby::failover::{Observation, Owner, Refusal, State, Transition};
-use standby::ids::{Millis, Revision, ShardId, Token};
+use standby::ids::{FencingToken, Millis, Revision, ShardId};
 use std::cell::Ref;
 use std::collections::HashMap;
 
@@ -32,9 +32,9 @@
 const FIRST_REPORT_AFTER_HANG_MS: u64 = 5500;
 
 /// How long a takeover may take with these times of workers.
-pub fn bound(workers: &Workers) -> TakeoverBound {
-    TakeoverBound {
-        lease_ms: membership::lease_ms(ms_of(workers.lease_s)) + LEASE_LATE_MS,
+pub fn bound(workers: &Workers) -> FailoverBound {
+    FailoverBound {
+        lease_ms: membership::lease_ms(millis_from_seconds(workers.lease_s)) + LEASE_LATE_MS,
         detection_ms: DETECTION_MS,
         fence_ms: FENCE_MS,
         catch_up_ms: CATCH_UP_MS,
@@ -47,21 +47,21 @@
 pub fn observation(
     cluster: &ClusterState,
     config: &SchedulerConfig,
-    shard: ShardIx,
+    shard: ShardIndex,
     standby: bool,
-    heard: impl Fn(&str) -> Option<Ms>,
-    now: Ms,
+    heard: impl Fn(&str) -> Option<MonotonicMillis>,
+    now: MonotonicMillis,
 ) -> Observation {
     let slot = &cluster.shards[shard.at()];
     let owner = if config.owns(cluster, shard) {
         Owner::Me {
-            token: Token(slot.rec.token),
+            token: FencingToken(slot.record.fencing_token),
             fence: Revision(slot.version),
         }
-    } else if slot.rec.owner.is_empty() {
+    } else if slot.record.owner.is_empty() {
         Owner::Nobody
     } else {
-        let heard = heard(&slot.rec.owner);
+        let heard = heard(&slot.record.owner);
         Owner::Other {
             alive: cluster.live_owner(shard).is_some(),
             silent: heard.is_none_or(|t| now.since(t) > SILENT_MS),
@@ -76,29 +76,29 @@
 }
 
 /// The clock of the standby package.
-pub fn millis(now: Ms) -> Millis {
+pub fn millis(now: MonotonicMillis) -> Millis {
     Millis(now.0)
 }
 
-impl Node {
+impl Controller {
     /// Brings takeovers up to date with the view, and lends the permits that are held then.
     pub fn permits(&self) -> Ref<'_, standby::permit::Permits> {
         self.observe_shards();
-        Ref::map(self.takeovers.borrow(), |t| t.permits())
+        Ref::map(self.failovers.borrow(), |t| t.permits())
     }
 
     /// Looks at all shards; a change of state is logged once.
     pub fn observe_shards(&self) {
         let now = self.now();
-        let heard = |name: &str| self.peer(name).and_then(|p| p.heard.get());
+        let heard = |name: &str| self.peer(name).and_then(|p| p.last_status.get());
         let (mut left, mut taken) = (Vec::new(), Vec::new());
         {
             let cluster = self.cluster.borrow();
             let standby_of = self.standby_of.borrow();
-            let mut takeovers = self.takeovers.borrow_mut();
-            for shard in (0..cluster.shards.len()).map(ShardIx::new) {
+            let mut takeovers = self.failovers.borrow_mut();
+            for shard in (0..cluster.shards.len()).map(ShardIndex::new) {
                 let role = standby_of.get(&shard);
-                let standby = role.is_some_and(|name| *name == self.config.node);
+                let standby = role.is_some_and(|name| *name == self.config.controller_name);
                 let seen = observation(&cluster, &self.config, shard, standby, heard, now);
                 for change in takeovers.observe(ShardId(shard.0), seen, millis(now)) {
                     self.log_transition(change);
@@ -111,7 +111,7 @@
             }
         }
         for shard in left {
-            self.forget_hints(shard);
+            self.drop_shard_hints(shard);
         }
         for shard in taken {
             replication::restore(self, shard);
@@ -119,25 +119,25 @@
     }
 
     /// Notes that a token of this node was refused.
-    pub fn token_refused(&self, shard: ShardIx, refusal: Refusal) {
+    pub fn token_refused(&self, shard: ShardIndex, refusal: Refusal) {
         if self.features.standby().is_none() {
             return;
         }
         let known = Revision(self.cluster.borrow().revision);
         let now = millis(self.now());
         let change = self
-            .takeovers
+            .failovers
             .borrow_mut()
             .refused(ShardId(shard.0), refusal, known, now);
         if let Some(change) = change {
             log::warn!("shard {}: the own token was refused ({refusal:?})", shard.0);
             self.log_transition(change);
-            self.forget_hints(shard);
+            self.drop_shard_hints(shard);
         }
     }
 
     /// Drops what was derived from a permit that is gone: queues and machines kept free.
-    fn forget_hints(&self, shard: ShardIx) {
+    fn drop_shard_hints(&self, shard: ShardIndex) {
         if self.features.standby().is_none() {
             return;
         }
@@ -145,7 +145,7 @@
         for machine in cluster.machines.iter_mut().flatten() {
             if machine.shard == shard {
                 machine.queue.clear();
-                machine.held = None;
+                machine.reservation = None;
                 machine.stopping.clear();
             }
         }
@@ -167,15 +167,15 @@
 }
 
 /// Takes the standbys of all shards; a change that concerns this node's shards is logged.
-pub fn note_standbys(node: &Node, standbys: HashMap<ShardIx, String>) {
-    let before = node.standby_of.replace(standbys);
-    let cluster = node.cluster.borrow();
-    let now = node.standby_of.borrow();
+pub fn note_standbys(controller: &Controller, standbys: HashMap<ShardIndex, String>) {
+    let before = controller.standby_of.replace(standbys);
+    let cluster = controller.cluster.borrow();
+    let now = controller.standby_of.borrow();
     let owned = (0..cluster.shards.len())
-        .map(ShardIx::new)
-        .filter(|shard| node.config.owns(&cluster, *shard));
+        .map(ShardIndex::new)
+        .filter(|shard| controller.config.owns(&cluster, *shard));
     for shard in owned.filter(|shard| before.get(shard) != now.get(shard)) {
-        let name = |roles: &HashMap<ShardIx, String>| {
+        let name = |roles: &HashMap<ShardIndex, String>| {
             let name = roles.get(&shard);
             name.map_or("nobody".to_string(), Clone::clone)
         };
@@ -189,8 +189,12 @@
 }
 
 /// The standby of each shard, as this node's view has it.
-pub fn standbys(cluster: &ClusterState, known: &Known, now: Ms) -> HashMap<ShardIx, String> {
-    let shards = (0..cluster.shards.len()).map(ShardIx::new);
+pub fn standbys(
+    cluster: &ClusterState,
+    known: &MembershipView,
+    now: MonotonicMillis,
+) -> HashMap<ShardIndex, String> {
+    let shards = (0..cluster.shards.len()).map(ShardIndex::new);
     let of = |shard| {
         let name = membership::standby_of(cluster, known, shard, now)?;
         Some((shard, name.to_string()))
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -1,77 +1,91 @@
 //! Workers' reports.
 
-use crate::coordination::controller::Node;
+use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::commands;
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::protocol::workers::{
-    split_task, Elsewhere, Report, ReportAnswer, TaskReport, TaskState, Why,
+    split_task, ExitReason, Heartbeat, HeartbeatResponse, HeartbeatVersion, NotOwner, TaskState,
+    TaskStatus,
 };
 use crate::state::cluster_state::ClusterState;
-use crate::state::machine::{Attempt, Machine, Seen, Stamp};
-use crate::state::names::{Index, JobIx, MachineIx, ShardIx};
-use crate::state::units::{ms_of, Ms};
+use crate::state::machine::{Machine, ObservedTask, TaskAttempt};
+use crate::state::names::{Index, JobIndex, MachineIndex, ShardIndex};
+use crate::state::units::{millis_from_seconds, MonotonicMillis};
 use crate::transport::http::Answer;
 use standby::failover::Refusal;
-use standby::ids::Token;
+use standby::ids::FencingToken;
 use standby::permit::Permits;
 use std::rc::Rc;
 
 /// Time that an answer gives the planner to settle and claim first.
 const PLAN_MS: u64 = 400;
 /// Different jobs that may fail on a machine before it counts as faulty.
-const SICK_JOBS: usize = 2;
+const FAILED_JOBS_BEFORE_QUARANTINE: usize = 2;
 /// Different machines on which a job may fail before it is backed off.
 const BAD_JOB_MACHINES: usize = 3;
 /// First wait of a job that is backed off; it doubles with each further machine.
 const BACK_OFF_MS: u64 = 5000;
 
 fn elsewhere(report_to: Option<String>) -> Answer {
-    Answer::of(421, &Elsewhere { report_to })
+    Answer::of(421, &NotOwner { owner: report_to })
 }
 
 /// Answers a report.
-pub async fn handle(node: &Rc<Node>, body: Option<Vec<u8>>) -> Answer {
-    let parsed = body.as_deref().map(rmp_serde::from_slice::<Report>);
+pub async fn handle(controller: &Rc<Controller>, body: Option<Vec<u8>>) -> Answer {
+    let parsed = body.as_deref().map(rmp_serde::from_slice::<Heartbeat>);
     let Some(Ok(report)) = parsed else {
-        node.complain("unreadable report ignored");
+        controller.warn_rate_limited("unreadable report ignored");
         return Answer::bare(400);
     };
-    node.heard_worker();
-    if !node.cluster.borrow().loaded {
+    controller.record_worker_contact();
+    if !controller.cluster.borrow().loaded {
         return Answer::later(1);
     }
-    let lease_ms = ms_of(node.platform.settings.workers.lease_s);
+    let lease_ms = millis_from_seconds(controller.platform.settings.workers.lease_s);
     let received = {
-        let mut cluster = node.cluster.borrow_mut();
-        receive(&mut cluster, &node.config, &report, lease_ms, node.now())
+        let mut cluster = controller.cluster.borrow_mut();
+        receive(
+            &mut cluster,
+            &controller.config,
+            &report,
+            lease_ms,
+            controller.now(),
+        )
     };
-    let (mix, token, taken) = match received {
-        Received::Elsewhere(owner) => return elsewhere(owner),
-        Received::Outranked(shard, seen) => {
-            node.token_refused(shard, Refusal::Worker { seen: Token(seen) });
+    let (machine_index, token, taken) = match received {
+        HeartbeatOutcome::NotOwner(owner) => return elsewhere(owner),
+        HeartbeatOutcome::StaleFencingToken(shard, seen) => {
+            controller.token_refused(
+                shard,
+                Refusal::Worker {
+                    seen: FencingToken(seen),
+                },
+            );
             return elsewhere(None);
         }
-        Received::Taken(mix, token, taken) => (mix, token, taken),
+        HeartbeatOutcome::HeartbeatChange(machine_index, token, taken) => {
+            (machine_index, token, taken)
+        }
     };
-    if taken == Taken::News {
+    if taken == HeartbeatChange::Changed {
         let answering = |by: i32| {
-            if let Some(m) = node.cluster.borrow_mut().machine_mut(mix) {
-                m.answering = m.answering.saturating_add_signed(by);
+            if let Some(m) = controller.cluster.borrow_mut().machine_mut(machine_index) {
+                m.responses_in_progress = m.responses_in_progress.saturating_add_signed(by);
             }
         };
         answering(1);
-        node.plan.turn(PLAN_MS).await;
+        controller.scheduling.request_round(PLAN_MS).await;
         answering(-1);
     }
-    let permits = node.permits();
-    let mut cluster = node.cluster.borrow_mut();
-    let now = node.now();
+    let permits = controller.permits();
+    let mut cluster = controller.cluster.borrow_mut();
+    let now = controller.now();
     match reply(
         &mut cluster,
-        &node.config,
+        &controller.config,
         &permits,
         &report,
-        (mix, token, taken),
+        (machine_index, token, taken),
         now,
     ) {
         Some(answer) => Answer::of(200, &answer),
@@ -84,33 +98,33 @@
 fn outdated(
     cluster: &ClusterState,
     config: &SchedulerConfig,
-    report: &Report,
-    mix: MachineIx,
-    now: Ms,
+    report: &Heartbeat,
+    machine_index: MachineIndex,
+    now: MonotonicMillis,
 ) -> bool {
     let runs = report.tasks.iter().any(|t| t.state != TaskState::Exited);
-    (runs || !cluster.placed_on(mix).is_empty()) && !config.may_renew(cluster, now)
+    (runs || !cluster.placed_on(machine_index).is_empty()) && !config.may_renew(cluster, now)
 }
 
 /// What becomes of a report.
 #[derive(Debug)]
-pub enum Received {
+pub enum HeartbeatOutcome {
     /// It is for another node, which is named if it is known.
-    Elsewhere(Option<String>),
+    NotOwner(Option<String>),
     /// Its worker has seen a higher token than the own one: someone else commands its shard.
-    Outranked(ShardIx, u64),
+    StaleFencingToken(ShardIndex, u64),
     /// It was taken: machine, own token, and what it brought.
-    Taken(MachineIx, u64, Taken),
+    HeartbeatChange(MachineIndex, u64, HeartbeatChange),
 }
 
 /// Takes a report if its machine is this node's.
 pub fn receive(
     cluster: &mut ClusterState,
     config: &SchedulerConfig,
-    report: &Report,
+    report: &Heartbeat,
     lease_ms: u64,
-    now: Ms,
-) -> Received {
+    now: MonotonicMillis,
+) -> HeartbeatOutcome {
     let learnt = cluster.learn_machine(
         &report.machine,
         &report.machine_type,
@@ -118,25 +132,27 @@
         report.spot,
         now,
     );
-    let Some((mix, shard)) = learnt.and_then(|mix| Some((mix, cluster.machine(mix)?.shard))) else {
-        return Received::Elsewhere(None);
+    let Some((machine_index, shard)) = learnt
+        .and_then(|machine_index| Some((machine_index, cluster.machine(machine_index)?.shard)))
+    else {
+        return HeartbeatOutcome::NotOwner(None);
     };
     if !config.owns(cluster, shard) {
         let owner = cluster.live_owner(shard).map(str::to_string);
-        return Received::Elsewhere(owner.filter(|o| *o != config.node));
+        return HeartbeatOutcome::NotOwner(owner.filter(|o| *o != config.controller_name));
     }
-    let token = cluster.shards[shard.at()].rec.token;
-    if report.token > token {
+    let token = cluster.shards[shard.at()].record.fencing_token;
+    if report.fencing_token > token {
         // Someone else commands this machine: stand down.
         log::info!(
             "{}: token {} is above ours, {token}",
             report.machine,
-            report.token
+            report.fencing_token
         );
-        return Received::Outranked(shard, report.token);
+        return HeartbeatOutcome::StaleFencingToken(shard, report.fencing_token);
     }
-    let taken = take(cluster, mix, report, now, Some((token, lease_ms)));
-    Received::Taken(mix, token, taken)
+    let taken = take(cluster, machine_index, report, now, Some((token, lease_ms)));
+    HeartbeatOutcome::HeartbeatChange(machine_index, token, taken)
 }
 
 /// The answer to a taken report; `None` if ownership went while the planner was waited for, or
@@ -145,90 +161,94 @@
     cluster: &mut ClusterState,
     config: &SchedulerConfig,
     permits: &Permits,
-    report: &Report,
-    (mix, token, taken): (MachineIx, u64, Taken),
-    now: Ms,
-) -> Option<ReportAnswer> {
-    let m = cluster.machine(mix)?;
-    if !config.owns(cluster, m.shard) || cluster.shards[m.shard.at()].rec.token != token {
+    report: &Heartbeat,
+    (machine_index, token, taken): (MachineIndex, u64, HeartbeatChange),
+    now: MonotonicMillis,
+) -> Option<HeartbeatResponse> {
+    let m = cluster.machine(machine_index)?;
+    if !config.owns(cluster, m.shard) || cluster.shards[m.shard.at()].record.fencing_token != token
+    {
         return None;
     }
-    let outdated = outdated(cluster, config, report, mix, now);
-    let m = cluster.machine_mut(mix)?;
+    let outdated = outdated(cluster, config, report, machine_index, now);
+    let m = cluster.machine_mut(machine_index)?;
     if outdated {
         // The session will end for that, and not because nothing reaches the machine.
-        m.answered_since = Some(now);
+        m.responding_since = Some(now);
         log::info!("{}: no answer, cancellations may have been missed", m.name);
         return None;
     }
-    m.answered = Some(now);
+    m.last_response = Some(now);
     let m = &*m;
     // A late copy is not what its worker waits for: no order in this answer would arrive.
-    let newest = taken != Taken::Old && m.stamp == (report.session, report.seq);
+    let newest = taken != HeartbeatChange::Stale && m.message_version == report.version();
     let orders = if newest {
-        commands::orders(cluster, config, permits, mix, now)
+        commands::orders(cluster, config, permits, machine_index, now)
     } else {
         Vec::new()
     };
-    Some(ReportAnswer { token, orders })
+    Some(HeartbeatResponse {
+        fencing_token: token,
+        commands: orders,
+    })
 }
 
 /// What a report brought.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Taken {
+pub enum HeartbeatChange {
     /// It is no newer than what is known: a late copy, or overtaken.
-    Old,
+    Stale,
     /// It is newer, and shows what was known.
-    Same,
+    Unchanged,
     /// It shows something that the planner should look at before the answer.
-    News,
+    Changed,
 }
 
 /// The tasks of a report, names resolved.
-fn seen_tasks(cluster: &ClusterState, r: &Report) -> Vec<Seen> {
-    let seen = |t: &TaskReport| {
+fn seen_tasks(cluster: &ClusterState, r: &Heartbeat) -> Vec<ObservedTask> {
+    let seen = |t: &TaskStatus| {
         let (job, task) = split_task(&t.task)?;
-        Some(Seen {
+        Some(ObservedTask {
             job: cluster.job(job).map(|(ix, _)| ix),
             name: t.task.as_str().into(),
             task,
             attempt: t.attempt,
             state: t.state,
-            why: t.why,
+            exit_reason: t.exit_reason,
         })
     };
     r.tasks.iter().filter_map(seen).collect()
 }
 
 /// True if a report shows something else than the one before it.
-fn has_news(m: &Machine, r: &Report, tasks: &[Seen]) -> bool {
-    m.stamp.0 != r.session
-        || m.token != r.token
-        || m.leaves.is_some() != r.notice_s.is_some()
+fn has_news(m: &Machine, r: &Heartbeat, tasks: &[ObservedTask]) -> bool {
+    m.message_version.agent_epoch != r.agent_epoch
+        || m.fencing_token != r.fencing_token
+        || m.preemption_deadline.is_some() != r.preemption_notice_s.is_some()
         || m.tasks.len() != tasks.len()
-        || tasks.iter().zip(&m.tasks).any(|(a, b)| !a.same(b))
+        || tasks.iter().zip(&m.tasks).any(|(a, b)| !a.same_state_as(b))
 }
 
 /// Notes tasks that have exited since the last report; the jobs of those that failed.
-fn note_exits(m: &mut Machine, tasks: &[Seen]) -> Vec<JobIx> {
+fn note_exits(m: &mut Machine, tasks: &[ObservedTask]) -> Vec<JobIndex> {
     let mut failed = Vec::new();
     for s in tasks.iter().filter(|s| s.state == TaskState::Exited) {
-        let attempt = s.attempt_of();
-        let before = attempt.and_then(|a| m.seen(a)).map(|o| o.state);
+        let attempt = s.task_attempt();
+        let before = attempt.and_then(|a| m.observed(a)).map(|o| o.state);
         if before == Some(TaskState::Exited) {
             continue;
         }
-        let why = s.why.unwrap_or(Why::Other);
-        if why != Why::Done {
+        let why = s.exit_reason.unwrap_or(ExitReason::Other);
+        if why != ExitReason::Done {
             let (name, attempt) = (&s.name, s.attempt);
             log::debug!("{name} attempt {attempt} exited on {}: {why:?}", m.name);
         }
         // What is no job's task, or of an unknown job, says nothing of the machine.
         let Some(attempt) = attempt else { continue };
         match why {
-            Why::Done => m.failed_jobs.clear(),
-            Why::Error => failed.push(attempt.0),
-            Why::Alone => *m.alone.entry(attempt).or_default() += 1,
+            ExitReason::Done => m.failed_jobs.clear(),
+            ExitReason::Error => failed.push(attempt.job),
+            ExitReason::GangTimeout => *m.gang_timeouts.entry(attempt).or_default() += 1,
             _ => {}
         }
     }
@@ -236,52 +256,74 @@
 }
 
 /// Notes what a message says of the machine; `token`: the owner's, if the message is a report.
-fn note_message(m: &mut Machine, r: &Report, tasks: Vec<Seen>, now: Ms, token: Option<u64>) {
+fn note_message(
+    m: &mut Machine,
+    r: &Heartbeat,
+    tasks: Vec<ObservedTask>,
+    now: MonotonicMillis,
+    token: Option<u64>,
+) {
     m.addr.clone_from(&r.addr);
-    m.stamp = (r.session, r.seq);
+    m.message_version = r.version();
     if let Some(token) = token {
-        m.reported = m.stamp;
-        m.token = r.token;
-        if r.token == token {
-            m.heard = Some(now);
-            m.closed_elsewhere = false;
+        m.heartbeat_version = m.message_version;
+        m.fencing_token = r.fencing_token;
+        if r.fencing_token == token {
+            m.last_heartbeat = Some(now);
+            m.cordoned_by_owner = false;
         }
     }
     m.spot = r.spot;
-    if let Some(notice_s) = r.notice_s.filter(|_| m.leaves.is_none()) {
+    if let Some(notice_s) = r
+        .preemption_notice_s
+        .filter(|_| m.preemption_deadline.is_none())
+    {
         log::info!("machine {} is taken in {notice_s:.0} s", m.name);
     }
-    m.leaves = r.notice_s.map(|s| now.plus(ms_of(s)));
+    m.preemption_deadline = r
+        .preemption_notice_s
+        .map(|s| now.plus(millis_from_seconds(s)));
     m.tasks = tasks;
-    let shown: Vec<Attempt> = m.tasks.iter().filter_map(Seen::attempt_of).collect();
-    m.shown.extend(shown);
+    let shown: Vec<TaskAttempt> = m
+        .tasks
+        .iter()
+        .filter_map(ObservedTask::task_attempt)
+        .collect();
+    m.observed_attempts.extend(shown);
 }
 
 /// Drops direct starts that can't run any more: token or session has changed, or the start was
 /// executed and nothing of it is left.
-fn drop_late_starts(m: &mut Machine, r: &Report, placed: &[Attempt]) {
+fn drop_late_starts(m: &mut Machine, r: &Heartbeat, placed: &[TaskAttempt]) {
     let shown = &m.tasks;
-    m.late_starts.retain(|a, l| {
-        let here = || placed.contains(a) || shown.iter().any(|s| s.attempt_of() == Some(*a));
-        l.token >= r.token && l.session == r.session && (!l.answered || here())
+    m.in_flight_starts.retain(|a, l| {
+        let here = || placed.contains(a) || shown.iter().any(|s| s.task_attempt() == Some(*a));
+        l.fencing_token >= r.fencing_token
+            && l.agent_epoch == r.agent_epoch
+            && (!l.acknowledged || here())
     });
 }
 
 /// Notes failures of these jobs on a machine, which counts as faulty after several.
-fn note_sick(m: &mut Machine, failed: &[JobIx]) {
+fn note_sick(m: &mut Machine, failed: &[JobIndex]) {
     m.failed_jobs.extend(failed);
-    if m.failed_jobs.len() >= SICK_JOBS && !m.sick {
+    if m.failed_jobs.len() >= FAILED_JOBS_BEFORE_QUARANTINE && !m.quarantined {
         let name = &m.name;
         log::warn!("machine {name} fails tasks of different jobs, it gets nothing more");
-        m.sick = true;
+        m.quarantined = true;
     }
 }
 
 /// Notes that a job failed on a machine. One that fails everywhere is backed off: neither
 /// machines nor other jobs should suffer from it.
-fn note_failure(cluster: &mut ClusterState, ix: JobIx, mix: MachineIx, now: Ms) {
+fn note_failure(
+    cluster: &mut ClusterState,
+    ix: JobIndex,
+    machine_index: MachineIndex,
+    now: MonotonicMillis,
+) {
     let entry = cluster.failures.entry(ix).or_default();
-    entry.0.insert(mix);
+    entry.0.insert(machine_index);
     let on = entry.0.len();
     if on < BAD_JOB_MACHINES {
         return;
@@ -298,18 +340,18 @@
 /// `under`: for a report, the owner's token and the workers' lease.
 pub fn take(
     cluster: &mut ClusterState,
-    mix: MachineIx,
-    r: &Report,
-    now: Ms,
+    machine_index: MachineIndex,
+    r: &Heartbeat,
+    now: MonotonicMillis,
     under: Option<(u64, u64)>,
-) -> Taken {
+) -> HeartbeatChange {
     let tasks = seen_tasks(cluster, r);
-    let placed = cluster.placed_on(mix).to_vec();
-    let Some(m) = cluster.machine_mut(mix) else {
-        return Taken::Old;
+    let placed = cluster.placed_on(machine_index).to_vec();
+    let Some(m) = cluster.machine_mut(machine_index) else {
+        return HeartbeatChange::Stale;
     };
-    if (r.session, r.seq) <= m.stamp {
-        return Taken::Old;
+    if r.version() <= m.message_version {
+        return HeartbeatChange::Stale;
     }
     let news = has_news(m, r, &tasks);
     if let Some((token, lease_ms)) = under {
@@ -320,24 +362,24 @@
     drop_late_starts(m, r, &placed);
     note_sick(m, &failed);
     for ix in failed {
-        note_failure(cluster, ix, mix, now);
+        note_failure(cluster, ix, machine_index, now);
     }
-    for (a, grace) in commands::on_notice(cluster, mix) {
-        if let Some(m) = cluster.machine_mut(mix) {
+    for (a, grace) in commands::checkpoint_before_preemption(cluster, machine_index) {
+        if let Some(m) = cluster.machine_mut(machine_index) {
             m.stopping.entry(a).or_insert(grace);
         }
     }
-    prune(cluster, mix, &placed);
-    cluster.recount(mix);
+    prune(cluster, machine_index, &placed);
+    cluster.recompute_free_capacity(machine_index);
     if news {
-        Taken::News
+        HeartbeatChange::Changed
     } else {
-        Taken::Same
+        HeartbeatChange::Unchanged
     }
 }
 
 /// Reports in a row without a start that an answer held, after which nothing reaches a machine.
-const MISSES: u8 = 3;
+const MAX_UNOBSERVED_STARTS: u8 = 3;
 
 /// Judges whether what this owner answers reaches the worker.
 ///
@@ -346,53 +388,59 @@
 /// and its tasks would wait there for ever. One that shows an order's effect is reached again.
 fn listen(
     m: &mut Machine,
-    r: &Report,
-    tasks: &[Seen],
-    placed: &[Attempt],
-    now: Ms,
+    r: &Heartbeat,
+    tasks: &[ObservedTask],
+    placed: &[TaskAttempt],
+    now: MonotonicMillis,
     token: u64,
     lease_ms: u64,
 ) {
-    let answered = m.token == token && m.heard.is_some_and(|h| now.since(h) < lease_ms / 2);
-    let stamp = (r.session, r.seq);
-    if r.session > m.stamp.0 && m.stamp.0 > 0 {
-        m.misses = 0;
-        if answered && m.answered_since.is_some_and(|s| now.since(s) > lease_ms) {
+    let answered = m.fencing_token == token
+        && m.last_heartbeat
+            .is_some_and(|h| now.since(h) < lease_ms / 2);
+    let stamp = r.version();
+    if r.agent_epoch > m.message_version.agent_epoch && m.message_version.agent_epoch > 0 {
+        m.unobserved_starts = 0;
+        if answered && m.responding_since.is_some_and(|s| now.since(s) > lease_ms) {
             log::warn!(
                 "machine {}: its session ended while it was answered",
                 m.name
             );
-            m.deaf = m.deaf.or(Some(now));
+            m.unreachable_since = m.unreachable_since.or(Some(now));
         }
-        m.answered_since = Some(now);
+        m.responding_since = Some(now);
         return;
     }
     if !answered {
-        m.answered_since = Some(now);
+        m.responding_since = Some(now);
     }
-    let shows = |a: &Attempt| tasks.iter().any(|s| s.attempt_of() == Some(*a));
-    let waited = |(a, sent): (&Attempt, &Stamp)| *sent < stamp && placed.contains(a);
+    let shows = |a: &TaskAttempt| tasks.iter().any(|s| s.task_attempt() == Some(*a));
+    let waited = |(a, sent): (&TaskAttempt, &HeartbeatVersion)| *sent < stamp && placed.contains(a);
     let mut pending = m.start_sent.iter().filter(|x| waited(*x)).peekable();
     if pending.peek().is_none() {
-        m.misses = 0;
+        m.unobserved_starts = 0;
     } else if pending.any(|(a, _)| shows(a)) {
-        m.reached(now);
+        m.mark_reachable(now);
     } else {
-        m.misses = m.misses.saturating_add(1);
-        if m.misses >= MISSES && m.deaf.is_none() {
-            log::warn!("machine {} shows nothing of {} starts", m.name, m.misses);
-            m.deaf = Some(now);
+        m.unobserved_starts = m.unobserved_starts.saturating_add(1);
+        if m.unobserved_starts >= MAX_UNOBSERVED_STARTS && m.unreachable_since.is_none() {
+            log::warn!(
+                "machine {} shows nothing of {} starts",
+                m.name,
+                m.unobserved_starts
+            );
+            m.unreachable_since = Some(now);
         }
     }
 }
 
 /// Drops what is remembered of attempts that have no placement here any more.
-fn prune(cluster: &mut ClusterState, mix: MachineIx, placed: &[Attempt]) {
-    if let Some(m) = cluster.machine_mut(mix) {
+fn prune(cluster: &mut ClusterState, machine_index: MachineIndex, placed: &[TaskAttempt]) {
+    if let Some(m) = cluster.machine_mut(machine_index) {
         // Late starts stay: they outlive their placement.
         m.start_sent.retain(|a, _| placed.contains(a));
-        m.shown.retain(|a| placed.contains(a));
-        m.alone.retain(|a, _| placed.contains(a));
+        m.observed_attempts.retain(|a| placed.contains(a));
+        m.gang_timeouts.retain(|a, _| placed.contains(a));
         m.stopping.retain(|a, _| placed.contains(a));
     }
 }
--- a/src/coordination/job_api.rs
+++ b/src/coordination/job_api.rs
@@ -1,12 +1,12 @@
 //! The users' door.
 
 use crate::coordination::cancellations;
-use crate::coordination::controller::{wall_ms, Node};
-use crate::coordination::kv::{set, Outcome};
+use crate::coordination::controller::{wall_ms, Controller};
+use crate::coordination::kv::{set, CommitOutcome};
 use crate::coordination::scheduler::draft;
 use crate::coordination::scheduler::planner;
 use crate::protocol::kv::{Condition, Transaction};
-use crate::protocol::users::{parse_job, valid_id, JobSpec, JobStatus, MAX_AWAITS};
+use crate::protocol::users::{parse_job, valid_id, JobSpec, JobStatus, MAX_DEPENDENCIES};
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::{Job, JobRecord, JobState};
 use crate::transport::http::{jittered, Answer, Incoming};
@@ -27,27 +27,30 @@
 }
 
 /// Answers users, workers and health checks.
-pub async fn handle(node: Rc<Node>, req: Incoming) -> Answer {
+pub async fn handle(controller: Rc<Controller>, req: Incoming) -> Answer {
     let parts: Vec<&str> = req.path.trim_start_matches('/').split('/').collect();
     match (parts.as_slice(), req.method) {
         (["up"], Method::Get) => {
-            let up = || Answer::bare(if node.healthy() { 200 } else { 503 });
-            node.metrics.time("health", up)
+            let up = || Answer::bare(if controller.healthy() { 200 } else { 503 });
+            controller.metrics.time("health", up)
         }
         (["v1", "report"], Method::Post) => {
-            let work = crate::coordination::heartbeats::handle(&node, req.body);
-            node.metrics.routine("reports", work).await
+            let work = crate::coordination::heartbeats::handle(&controller, req.body);
+            controller.metrics.routine("reports", work).await
         }
         (["v1", "jobs"], Method::Post) => {
-            let work = submit(&node, req.body);
-            node.metrics.routine("submissions", work).await
+            let work = submit(&controller, req.body);
+            controller.metrics.routine("submissions", work).await
         }
         (["v1", "jobs", id], Method::Get) => {
-            node.metrics.routine("users' polls", poll(&node, id)).await
+            controller
+                .metrics
+                .routine("users' polls", poll(&controller, id))
+                .await
         }
         (["v1", "jobs", id, "withdraw"], Method::Post) => {
-            let work = withdraw(&node, id);
-            node.metrics.routine("cancellations", work).await
+            let work = withdraw(&controller, id);
+            controller.metrics.routine("cancellations", work).await
         }
         (
             ["up"] | ["v1", "report" | "jobs"] | ["v1", "jobs", _] | ["v1", "jobs", _, "withdraw"],
@@ -72,41 +75,41 @@
 
 /// A final state is served from memory; anything else could be older than what another
 /// node has told, so it needs the newest changes first.
-fn settled_answer(node: &Node, id: &str) -> Option<Answer> {
-    let cluster = node.cluster.borrow();
+fn settled_answer(controller: &Controller, id: &str) -> Option<Answer> {
+    let cluster = controller.cluster.borrow();
     let (_, job) = cluster.job(id)?;
-    (!job.open()).then(|| status(200, job))
+    (!job.is_open()).then(|| status(200, job))
 }
 
-async fn submit(node: &Rc<Node>, body: Option<Vec<u8>>) -> Answer {
+async fn submit(controller: &Rc<Controller>, body: Option<Vec<u8>>) -> Answer {
     let Some(wire) = body.as_deref().and_then(parse_job) else {
         return Answer::bare(400);
     };
-    if !node.cluster.borrow().loaded {
+    if !controller.cluster.borrow().loaded {
         return Answer::later(COME_BACK_S);
     }
-    if let Some(a) = settled_answer(node, &wire.id) {
+    if let Some(a) = settled_answer(controller, &wire.id) {
         return a;
     }
-    let known = node.cluster.borrow().job(&wire.id).is_some();
+    let known = controller.cluster.borrow().job(&wire.id).is_some();
     // A job that is known gets its state whatever the types and dependencies say now.
     if !known {
-        if let Some(refusal) = refused(node, &wire).await {
+        if let Some(refusal) = refused(controller, &wire).await {
             return refusal;
         }
     }
-    store_job(node, wire).await
+    store_job(controller, wire).await
 }
 
 /// The answer to a new job that can't be taken; `None` if it can.
-async fn refused(node: &Rc<Node>, wire: &JobSpec) -> Option<Answer> {
-    let acceptable = can_run(&mut node.cluster.borrow_mut(), wire);
+async fn refused(controller: &Rc<Controller>, wire: &JobSpec) -> Option<Answer> {
+    let acceptable = can_run(&mut controller.cluster.borrow_mut(), wire);
     match acceptable {
         None => return Some(Answer::later(COME_BACK_S)),
         Some(true) => {}
-        Some(false) => return refused_as_impossible(node, &wire.id).await,
+        Some(false) => return refused_as_impossible(controller, &wire.id).await,
     }
-    refused_for_dependencies(node, &wire.awaits).await
+    refused_for_dependencies(controller, &wire.dependencies).await
 }
 
 /// True if the job can ever run; `None` while the machine types are not known.
@@ -118,37 +121,39 @@
 
 /// The answer to a job that can never run, unless another node has accepted it before; `None`
 /// then.
-async fn refused_as_impossible(node: &Rc<Node>, id: &str) -> Option<Answer> {
-    if !node.refreshed(READ_MS).await {
+async fn refused_as_impossible(controller: &Rc<Controller>, id: &str) -> Option<Answer> {
+    if !controller.refresh(READ_MS).await {
         return Some(Answer::later(COME_BACK_S));
     }
-    let known = node.cluster.borrow().job(id).is_some();
+    let known = controller.cluster.borrow().job(id).is_some();
     (!known).then(|| Answer::bare(422))
 }
 
 /// Stores a job that may be accepted, and answers its submission.
-async fn store_job(node: &Rc<Node>, wire: JobSpec) -> Answer {
+async fn store_job(controller: &Rc<Controller>, wire: JobSpec) -> Answer {
     let id = wire.id.clone();
     let record = JobRecord::submitted(wire, wall_ms());
-    let began = node.now();
-    while node.now().since(began) < WRITE_BUDGET_MS {
-        if node.cluster.borrow().job(&id).is_some() {
+    let began = controller.now();
+    while controller.now().since(began) < WRITE_BUDGET_MS {
+        if controller.cluster.borrow().job(&id).is_some() {
             break;
         }
-        match node.commit(&submission(&id, &record)).await {
-            Outcome::Done(revision) => return take_over(node, &id, revision, &record),
+        match controller.commit(&submission(&id, &record)).await {
+            CommitOutcome::Committed(revision) => {
+                return take_over(controller, &id, revision, &record)
+            }
             // Conflict: known already. Unknown: may be. Both are read below.
-            Outcome::Conflict(_) | Outcome::Unknown => {
-                node.refreshed(READ_MS).await;
+            CommitOutcome::Conflict(_) | CommitOutcome::Unknown => {
+                controller.refresh(READ_MS).await;
             }
-            Outcome::Refused(429) => {
+            CommitOutcome::Refused(429) => {
                 pause(jittered(60)).await;
             }
-            Outcome::Refused(_) => break,
+            CommitOutcome::Refused(_) => break,
         }
     }
-    if node.cluster.borrow().job(&id).is_some() && node.refreshed(READ_MS).await {
-        if let Some((_, job)) = node.cluster.borrow().job(&id) {
+    if controller.cluster.borrow().job(&id).is_some() && controller.refresh(READ_MS).await {
+        if let Some((_, job)) = controller.cluster.borrow().job(&id) {
             return status(200, job);
         }
     }
@@ -169,14 +174,17 @@
 }
 
 /// Takes a job that was just stored into the cluster state, and answers its submission.
-fn take_over(node: &Rc<Node>, id: &str, revision: u64, record: &JobRecord) -> Answer {
-    node.cluster.borrow_mut().put_job(id, revision, record);
-    let ix = node.cluster.borrow().job_names.find(id);
+fn take_over(controller: &Rc<Controller>, id: &str, revision: u64, record: &JobRecord) -> Answer {
+    controller
+        .cluster
+        .borrow_mut()
+        .put_job(id, revision, record);
+    let ix = controller.cluster.borrow().job_names.find(id);
     if let Some(ix) = ix {
-        planner::bind_job(node, ix);
+        planner::bind_job(controller, ix);
     }
     log::debug!("job {id} accepted at {revision}");
-    accepted(&node.cluster.borrow(), id, revision)
+    accepted(&controller.cluster.borrow(), id, revision)
 }
 
 /// The answer to a job that was accepted at this revision.
@@ -185,7 +193,7 @@
 /// a cancelled job is cancelled with it from the start.
 pub fn accepted(cluster: &ClusterState, id: &str, revision: u64) -> Answer {
     let known = cluster.job(id).map(|(_, job)| job);
-    if let Some(job) = known.filter(|job| job.version > revision || !job.open()) {
+    if let Some(job) = known.filter(|job| job.version > revision || !job.is_open()) {
         return status(201, job);
     }
     let pending = JobStatus {
@@ -201,19 +209,22 @@
 ///
 /// Another node may have accepted one of them a moment ago, so what is not known here is unknown
 /// only to a read begun now; and a node that can't read can't say so.
-async fn refused_for_dependencies(node: &Rc<Node>, awaits: &[String]) -> Option<Answer> {
+async fn refused_for_dependencies(
+    controller: &Rc<Controller>,
+    awaits: &[String],
+) -> Option<Answer> {
     if awaits.is_empty() {
         return None;
     }
-    if awaits.len() > MAX_AWAITS {
+    if awaits.len() > MAX_DEPENDENCIES {
         return Some(Answer::bare(422));
     }
     let unknown = || {
-        let cluster = node.cluster.borrow();
+        let cluster = controller.cluster.borrow();
         let known = |id: &String| cluster.job(id).is_some();
-        (!cluster.second_form, !awaits.iter().all(known))
+        (!cluster.record_format_v2, !awaits.iter().all(known))
     };
-    if unknown() != (false, false) && !node.refreshed(READ_MS).await {
+    if unknown() != (false, false) && !controller.refresh(READ_MS).await {
         return Some(Answer::later(COME_BACK_S));
     }
     match unknown() {
@@ -224,34 +235,34 @@
     }
 }
 
-async fn poll(node: &Rc<Node>, id: &str) -> Answer {
+async fn poll(controller: &Rc<Controller>, id: &str) -> Answer {
     if !valid_id(id) {
         return Answer::bare(404);
     }
-    if let Some(a) = settled_answer(node, id) {
+    if let Some(a) = settled_answer(controller, id) {
         return a;
     }
-    if !node.refreshed(READ_MS).await {
+    if !controller.refresh(READ_MS).await {
         return Answer::later(COME_BACK_S);
     }
-    match node.cluster.borrow().job(id) {
+    match controller.cluster.borrow().job(id) {
         Some((_, job)) => status(200, job),
         None => Answer::bare(404),
     }
 }
 
-async fn withdraw(node: &Rc<Node>, id: &str) -> Answer {
+async fn withdraw(controller: &Rc<Controller>, id: &str) -> Answer {
     if !valid_id(id) {
         return Answer::bare(404);
     }
-    let began = node.now();
+    let began = controller.now();
     let mut fresh = false;
-    while node.now().since(began) < WRITE_BUDGET_MS {
-        if let Some(a) = settled_answer(node, id) {
+    while controller.now().since(began) < WRITE_BUDGET_MS {
+        if let Some(a) = settled_answer(controller, id) {
             return a;
         }
         let drafted = {
-            let cluster = node.cluster.borrow();
+            let cluster = controller.cluster.borrow();
             cluster.job(id).map(|(ix, job)| {
                 let mut job = job.clone();
                 job.state = JobState::Cancelled;
@@ -264,28 +275,28 @@
             if fresh {
                 return Answer::bare(404);
             }
-            if !node.refreshed(READ_MS).await {
+            if !controller.refresh(READ_MS).await {
                 break;
             }
             fresh = true;
             continue;
         };
-        match node.commit_draft(&draft).await {
-            Outcome::Done(_) => {
+        match controller.commit_draft(&draft).await {
+            CommitOutcome::Committed(_) => {
                 log::info!("job {id} cancelled by its user");
-                cancellations::tell(node);
-                node.plan.notify();
+                cancellations::tell(controller);
+                controller.scheduling.notify();
             }
-            Outcome::Conflict(_) | Outcome::Unknown => {
-                node.refreshed(READ_MS).await;
+            CommitOutcome::Conflict(_) | CommitOutcome::Unknown => {
+                controller.refresh(READ_MS).await;
             }
-            Outcome::Refused(429) => {
+            CommitOutcome::Refused(429) => {
                 pause(jittered(60)).await;
             }
-            Outcome::Refused(_) => break,
+            CommitOutcome::Refused(_) => break,
         }
     }
-    match settled_answer(node, id) {
+    match settled_answer(controller, id) {
         Some(a) => a,
         None => Answer::later(COME_BACK_S),
     }
--- a/src/coordination/kv.rs
+++ b/src/coordination/kv.rs
@@ -1,14 +1,14 @@
 //! Dealings with the state service: transactions, the watch and fresh reads.
 
-use crate::coordination::controller::Node;
+use crate::coordination::controller::Controller;
 use crate::coordination::reconciliation;
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::protocol::kv::{Changes, Committed, Condition, Event, Page, Transaction, Write};
 use crate::state::cluster_state::{ClusterState, ROOT};
 use crate::state::job::Job;
-use crate::state::names::{Index, JobIx};
-use crate::state::records::PartRecord;
-use crate::state::units::Ms;
+use crate::state::names::{Index, JobIndex};
+use crate::state::records::OverflowRecord;
+use crate::state::units::MonotonicMillis;
 use crate::transport::http::{jittered, Fetched};
 use crate::transport::{pause, TransportError};
 use http_types::Method;
@@ -17,9 +17,9 @@
 
 /// How a transaction ended.
 #[derive(Debug, PartialEq)]
-pub enum Outcome {
+pub enum CommitOutcome {
     /// Applied at this revision.
-    Done(u64),
+    Committed(u64),
     /// Nothing applied: these keys had other versions.
     Conflict(Vec<String>),
     /// Nothing applied: the service does not serve now.
@@ -37,69 +37,69 @@
 /// Part of the limit on requests that fresh reads of all nodes may take.
 const READS_PART: f64 = 0.3;
 
-impl Node {
-    fn note(&self, answer: &Result<Fetched, TransportError>) {
+impl Controller {
+    fn record_kv_response(&self, answer: &Result<Fetched, TransportError>) {
         if let Ok(f) = answer {
             if f.status != 503 {
-                self.store_served.set(Some(self.now()));
+                self.kv_last_available.set(Some(self.now()));
             }
         }
     }
 
     /// One call to the state service.
-    pub async fn store_call(
+    pub async fn kv_call(
         &self,
         method: Method,
         path: &str,
         body: Vec<u8>,
     ) -> Result<Fetched, TransportError> {
-        let answer = self.store.call(method, path, body, CALL_MS).await;
-        self.note(&answer);
+        let answer = self.kv.call(method, path, body, CALL_MS).await;
+        self.record_kv_response(&answer);
         if answer.is_err() {
             // Kept connections of before a cut hang; new ones tell at once.
-            self.store.reset();
+            self.kv.reset();
         }
         answer
     }
 
     /// One transaction, sent once.
-    pub async fn commit(&self, txn: &Transaction) -> Outcome {
+    pub async fn commit(&self, txn: &Transaction) -> CommitOutcome {
         let Ok(body) = rmp_serde::to_vec_named(txn) else {
-            return Outcome::Refused(400);
+            return CommitOutcome::Refused(400);
         };
-        match self.store_call(Method::Post, "/commit", body).await {
+        match self.kv_call(Method::Post, "/commit", body).await {
             Ok(f) => match (f.status, rmp_serde::from_slice::<Committed>(&f.body)) {
-                (200, Ok(c)) => Outcome::Done(c.revision),
-                (409, Ok(c)) => Outcome::Conflict(c.failed),
-                (200 | 409, Err(_)) => Outcome::Unknown,
-                (s @ (400 | 429 | 503), _) => Outcome::Refused(s),
-                _ => Outcome::Unknown,
+                (200, Ok(c)) => CommitOutcome::Committed(c.revision),
+                (409, Ok(c)) => CommitOutcome::Conflict(c.failed),
+                (200 | 409, Err(_)) => CommitOutcome::Unknown,
+                (s @ (400 | 429 | 503), _) => CommitOutcome::Refused(s),
+                _ => CommitOutcome::Unknown,
             },
-            Err(TransportError::Connect(_)) => Outcome::Refused(0),
-            Err(_) => Outcome::Unknown,
+            Err(TransportError::Connect(_)) => CommitOutcome::Refused(0),
+            Err(_) => CommitOutcome::Unknown,
         }
     }
 
     /// Commits a draft and takes it over into the view.
-    pub async fn commit_draft(&self, draft: &DraftTransaction) -> Outcome {
-        reconciliation::give_up(&mut self.cluster.borrow_mut(), draft);
+    pub async fn commit_draft(&self, draft: &DraftTransaction) -> CommitOutcome {
+        reconciliation::mark_abandoned(&mut self.cluster.borrow_mut(), draft);
         let txn = transaction(&self.cluster.borrow(), draft);
         let outcome = self.commit(&txn).await;
-        if outcome == Outcome::Refused(400) {
-            self.adapt(&txn);
+        if outcome == CommitOutcome::Refused(400) {
+            self.adapt_limits(&txn);
         }
-        conclude(&mut self.cluster.borrow_mut(), draft, &outcome);
+        apply_outcome(&mut self.cluster.borrow_mut(), draft, &outcome);
         outcome
     }
 
     /// Takes a refusal of a transaction that is well formed as news of a smaller limit.
-    fn adapt(&self, txn: &Transaction) {
+    fn adapt_limits(&self, txn: &Transaction) {
         let size = |w: &Write| match w {
             Write::Set { v, .. } => v.to_string().len(),
             Write::Remove { .. } => 0,
         };
         let largest = txn.writes.iter().map(size).max().unwrap_or(0);
-        let seen = &self.config.limits_seen;
+        let seen = &self.config.limits_observed;
         let (before, changes) = (seen.get(), txn.writes.len());
         let after = before.refused(changes, largest);
         if after != before {
@@ -114,8 +114,8 @@
     }
 
     /// Brings the view up to the state of now; false if the state service is out of reach.
-    pub async fn refreshed(&self, ms: u64) -> bool {
-        self.fresh.turn(ms).await.unwrap_or(false)
+    pub async fn refresh(&self, ms: u64) -> bool {
+        self.fresh_reads.request_round(ms).await.unwrap_or(false)
     }
 
     async fn load_all(&self) -> bool {
@@ -126,7 +126,7 @@
         let mut from = String::new();
         loop {
             let path = format!("/keys?prefix={ROOT}&most=500{from}");
-            let Ok(f) = self.store_call(Method::Get, &path, Vec::new()).await else {
+            let Ok(f) = self.kv_call(Method::Get, &path, Vec::new()).await else {
                 return false;
             };
             let Ok(page) = rmp_serde::from_slice::<Page>(&f.body) else {
@@ -144,8 +144,8 @@
         }
         let mut cluster = self.cluster.borrow_mut();
         cluster.end_read(&fleeting, revision.unwrap_or(0));
-        cluster.knowledge.read(began);
-        self.current.set(Some(self.now()));
+        cluster.cancellation_watermark.record_read(began);
+        self.view_updated_at.set(Some(self.now()));
         log::info!(
             "records read: {keys} keys, {} open jobs, revision {}",
             cluster.active.len(),
@@ -155,10 +155,10 @@
     }
 
     /// How many changes the view lacks.
-    async fn missed(&self) -> Option<u64> {
+    async fn missed_changes(&self) -> Option<u64> {
         // A key that is never there: the answer is nothing but the revision.
         let path = format!("/keys/{ROOT}none");
-        let f = self.store_call(Method::Get, &path, Vec::new()).await.ok()?;
+        let f = self.kv_call(Method::Get, &path, Vec::new()).await.ok()?;
         let now = rmp_serde::from_slice::<Committed>(&f.body).ok()?.revision;
         Some(now.saturating_sub(self.cluster.borrow().revision))
     }
@@ -167,8 +167,8 @@
     async fn watch_once(&self, wait_ms: u64) -> bool {
         // An answer to a watch has no size limit: all that was missed in a long cut could be
         // more than this process may hold, while pages are small.
-        if behind_for_long(self.current.get(), self.now()) {
-            match self.missed().await {
+        if watch_is_stale(self.view_updated_at.get(), self.now()) {
+            match self.missed_changes().await {
                 Some(n) if n > MOST_MISSED => return self.load_all().await,
                 Some(_) => {}
                 None => return false,
@@ -178,17 +178,17 @@
         let from = self.cluster.borrow().revision;
         let path = format!("/watch?prefix={ROOT}&from={from}&wait_ms={wait_ms}");
         let answer = if wait_ms == 0 {
-            self.store_call(Method::Get, &path, Vec::new()).await
+            self.kv_call(Method::Get, &path, Vec::new()).await
         } else {
             let a = self
-                .watcher
+                .kv_watch
                 .call(Method::Get, &path, Vec::new(), wait_ms + 2000)
                 .await;
-            self.note(&a);
+            self.record_kv_response(&a);
             a
         };
         let Ok(f) = answer else {
-            self.watcher.reset();
+            self.kv_watch.reset();
             return false;
         };
         match f.status {
@@ -200,14 +200,14 @@
                 {
                     let mut cluster = self.cluster.borrow_mut();
                     cluster.take_changes(from, c.revision, &c.events);
-                    cluster.knowledge.read(began);
+                    cluster.cancellation_watermark.record_read(began);
                 }
-                if c.events.iter().any(tells_of_members) {
-                    self.members.notify();
+                if c.events.iter().any(affects_membership) {
+                    self.membership.notify();
                 }
-                self.current.set(Some(self.now()));
+                self.view_updated_at.set(Some(self.now()));
                 if !c.events.is_empty() {
-                    self.plan.notify();
+                    self.scheduling.notify();
                 }
                 true
             }
@@ -221,14 +221,14 @@
 }
 
 /// True for changes of nodes and shards.
-fn tells_of_members(e: &Event) -> bool {
+fn affects_membership(e: &Event) -> bool {
     let key = e.set.as_ref().or(e.remove.as_ref());
     let kind = key.and_then(|k| k.strip_prefix(ROOT)?.split_once('/'));
     matches!(kind, Some(("node" | "shard", _)))
 }
 
 /// True if the view was current so long ago that much may have been missed.
-pub fn behind_for_long(current: Option<Ms>, now: Ms) -> bool {
+pub fn watch_is_stale(current: Option<MonotonicMillis>, now: MonotonicMillis) -> bool {
     current.is_some_and(|t| now.since(t) > BEHIND_MS)
 }
 
@@ -243,8 +243,8 @@
     for s in draft.shards().keys() {
         condition(cluster.shard_key(*s), cluster.shards[s.at()].version);
     }
-    for t in draft.teams.keys() {
-        condition(cluster.team_key(*t), cluster.teams[t.at()].version);
+    for t in draft.team_quotas.keys() {
+        condition(cluster.team_key(*t), cluster.team_quotas[t.at()].version);
     }
     for (ix, job) in &draft.jobs {
         txn.writes.extend(set(
@@ -253,51 +253,60 @@
             None,
         ));
         // Parts change with their job's record only, whose version so stands for all of them.
-        for part in cluster.changed_parts(*ix, job) {
-            let key = ClusterState::part_key(&job.id, part);
-            let placements = cluster.stored_part(job, part);
+        for part in cluster.changed_overflows(*ix, job) {
+            let key = ClusterState::overflow_key(&job.id, part);
+            let placements = cluster.stored_overflow(job, part);
             txn.writes.extend(match placements.is_empty() {
                 true => Some(Write::Remove { remove: key }),
-                false => set(key, &PartRecord { placements }, None),
+                false => set(key, &OverflowRecord { placements }, None),
             });
         }
     }
-    for (t, rec) in &draft.teams {
+    for (t, rec) in &draft.team_quotas {
         txn.writes.extend(set(cluster.team_key(*t), rec, None));
     }
     txn
 }
 
 /// Takes the outcome of a draft over into the view.
-pub fn conclude(cluster: &mut ClusterState, draft: &DraftTransaction, outcome: &Outcome) {
+pub fn apply_outcome(
+    cluster: &mut ClusterState,
+    draft: &DraftTransaction,
+    outcome: &CommitOutcome,
+) {
     match outcome {
-        Outcome::Done(revision) => {
+        CommitOutcome::Committed(revision) => {
             for (ix, job) in &draft.jobs {
                 let rec = cluster.record(job);
-                let parts = cluster.changed_parts(*ix, job).into_iter();
-                let parts: Vec<_> = parts.map(|p| (p, cluster.stored_part(job, p))).collect();
+                let parts = cluster.changed_overflows(*ix, job).into_iter();
+                let parts: Vec<_> = parts
+                    .map(|p| (p, cluster.stored_overflow(job, p)))
+                    .collect();
                 cluster.put_job(&job.id, *revision, &rec);
                 for (part, stored) in parts {
-                    cluster.put_part(&job.id, part, *revision, &stored);
+                    cluster.put_overflow(&job.id, part, *revision, &stored);
                 }
             }
-            for (t, rec) in &draft.teams {
+            for (t, rec) in &draft.team_quotas {
                 cluster.put_team(*t, *revision, rec.clone());
             }
         }
         // It may still be applied, until the records have other versions.
-        Outcome::Unknown => {
-            let unchanged = |(ix, j): &(&JobIx, &Job)| cluster.jobs[ix.at()].version == j.version;
-            let doubtful: Vec<JobIx> = draft
+        CommitOutcome::Unknown => {
+            let unchanged =
+                |(ix, j): &(&JobIndex, &Job)| cluster.jobs[ix.at()].version == j.version;
+            let doubtful: Vec<JobIndex> = draft
                 .jobs
                 .iter()
                 .filter(unchanged)
                 .map(|(ix, _)| *ix)
                 .collect();
-            cluster.suspects.extend(doubtful);
-            cluster.suspect_teams.extend(draft.teams.keys());
+            cluster.jobs_with_unknown_outcome.extend(doubtful);
+            cluster
+                .teams_with_unknown_outcome
+                .extend(draft.team_quotas.keys());
         }
-        Outcome::Conflict(_) | Outcome::Refused(_) => {}
+        CommitOutcome::Conflict(_) | CommitOutcome::Refused(_) => {}
     }
 }
 
@@ -310,13 +319,13 @@
 }
 
 /// Duty: keeps the view close to the records.
-pub async fn watch(node: Rc<Node>) {
+pub async fn watch(controller: Rc<Controller>) {
     loop {
-        let loaded = node.cluster.borrow().loaded;
+        let loaded = controller.cluster.borrow().loaded;
         let ok = if loaded {
-            node.watch_once(WATCH_MS).await
+            controller.watch_once(WATCH_MS).await
         } else {
-            node.load_all().await
+            controller.load_all().await
         };
         if !ok {
             pause(jittered(300)).await;
@@ -328,25 +337,25 @@
 ///
 /// The more come, the more share one: all nodes together leave most of the service's limit on
 /// requests to the watches and transactions.
-pub async fn fresh_reads(node: Rc<Node>) {
-    let nodes = node.peers.len() as f64 + 1.0;
-    let apart_ms = nodes * 1000.0 / (node.platform.settings.state.rps * READS_PART);
-    let mut began = Ms(0);
+pub async fn fresh_reads(controller: Rc<Controller>) {
+    let nodes = controller.peers.len() as f64 + 1.0;
+    let apart_ms = nodes * 1000.0 / (controller.platform.settings.state.rps * READS_PART);
+    let mut began = MonotonicMillis(0);
     loop {
-        node.fresh.notified(60_000).await;
-        let left = (apart_ms as u64).saturating_sub(node.now().since(began));
+        controller.fresh_reads.notified(60_000).await;
+        let left = (apart_ms as u64).saturating_sub(controller.now().since(began));
         if left > 0 {
             pause(left).await;
         }
-        began = node.now();
-        let waiters = node.fresh.take_waiters();
+        began = controller.now();
+        let waiters = controller.fresh_reads.take_waiters();
         if waiters.is_empty() {
             continue;
         }
         let mut ok = false;
         // Over the limit a read is refused; the next moment's may not be.
         for _ in 0..3 {
-            ok = node.cluster.borrow().loaded && node.watch_once(0).await;
+            ok = controller.cluster.borrow().loaded && controller.watch_once(0).await;
             if ok {
                 break;
             }
