--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -1,37 +1,37 @@
 //! Membership: the node's leased key, and who owns which shard.
 
-use crate::coordination::controller::{ExternalService, Node, Peer};
+use crate::coordination::controller::{Controller, ExternalService, Peer};
 use crate::coordination::failover::{self, standbys};
-use crate::coordination::kv::{set, Outcome};
+use crate::coordination::kv::{set, CommitOutcome};
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::protocol::kv::{Condition, Lease, LeaseRequest, Transaction};
-use crate::state::cluster_state::{ClusterState, NodeRecord, ShardRecord, Versioned, ROOT};
-use crate::state::machine::LateStart;
-use crate::state::names::{Index, ShardIx, ZoneIx};
-use crate::state::records::{SECOND_FORM, STANDBY_VERSION};
-use crate::state::units::{ms_of, Ms};
+use crate::state::cluster_state::{ClusterState, ControllerRecord, ShardRecord, Versioned, ROOT};
+use crate::state::machine::InFlightStart;
+use crate::state::names::{Index, ShardIndex, ZoneIndex};
+use crate::state::records::{RECORD_FORMAT_V2, STANDBY_VERSION};
+use crate::state::units::{millis_from_seconds, MonotonicMillis};
 use http_types::Method;
-use standby::failover::{Takeovers, Transition};
+use standby::failover::{Failovers, Transition};
 use standby::ids::{Millis, ShardId};
 use standby::role::{self, Candidate, ZonePreference};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
 
 /// Longest time between two looks; news of nodes and shards ring.
-const BEAT_MS: u64 = 1000;
+const TICK_MS: u64 = 1000;
 /// Time after which a move that failed is tried again.
 const AGAIN_MS: u64 = 300;
 /// Age at which the lease is renewed: a little under a beat, so that none is missed.
 const RENEW_MS: u64 = 900;
 /// A node must have been there this long before it is handed shards of a living one.
-const SETTLED_MS: u64 = 2500;
+const ELIGIBLE_AFTER_MS: u64 = 2500;
 
 /// The node that should own a shard: live ones in its zone first, the work spread evenly.
-pub fn wanted_owner<'a>(
+pub fn preferred_owner<'a>(
     cluster: &ClusterState,
-    zones: &BTreeMap<String, ZoneIx>,
+    zones: &BTreeMap<String, ZoneIndex>,
     live: &[&'a str],
-    shard: ShardIx,
+    shard: ShardIndex,
 ) -> Option<&'a str> {
     let candidate = |name: &&'a str| Candidate {
         name,
@@ -46,7 +46,7 @@
 }
 
 /// Spreads the shards of a zone over equally good nodes.
-fn turn(cluster: &ClusterState, shard: ShardIx) -> usize {
+fn turn(cluster: &ClusterState, shard: ShardIndex) -> usize {
     shard.at() % cluster.shards_per_zone.max(1)
 }
 
@@ -56,28 +56,28 @@
 const LATE_MS: u64 = 2500;
 
 /// Direct starts of a machine that are kept in mind at most before the token rises.
-const KEPT_EXITS: usize = 200;
+const MAX_UNACKNOWLEDGED_EXITS: usize = 200;
 
 /// A change of owner to be tried.
 #[derive(Debug, PartialEq)]
 pub struct Move {
     /// Shard.
-    pub shard: ShardIx,
+    pub shard: ShardIndex,
     /// New owner.
     pub to: String,
 }
 
 /// What a node knows beside the records when it decides on shards.
 #[derive(Default)]
-pub struct Known {
+pub struct MembershipView {
     /// Since when each incarnation has been seen.
-    pub seen: HashMap<(String, u64), Ms>,
+    pub first_seen: HashMap<(String, u64), MonotonicMillis>,
     /// Nodes that no worker reaches.
-    pub deaf: HashSet<String>,
+    pub unreachable_from_workers: HashSet<String>,
     /// Since when this node has each of its shards.
-    pub owned: HashMap<ShardIx, Ms>,
+    pub owned_since: HashMap<ShardIndex, MonotonicMillis>,
     /// Since when a shard has no living owner.
-    pub ownerless: HashMap<ShardIx, Ms>,
+    pub ownerless_since: HashMap<ShardIndex, MonotonicMillis>,
     /// How standbys are chosen; `None`: shards without a living owner go to whoever should have
     /// them.
     pub standby: Option<StandbyRule>,
@@ -87,7 +87,7 @@
 #[derive(Clone, Debug)]
 pub struct StandbyRule {
     /// Zone of each node.
-    pub zones: BTreeMap<String, ZoneIx>,
+    pub zones: BTreeMap<String, ZoneIndex>,
     /// Nodes of other zones than the owner's first.
     pub prefer_other_zone: bool,
     /// Time for which a node must have been there, ms.
@@ -101,20 +101,27 @@
 /// The standby of a shard: a live node other than its owner that knows the feature.
 pub fn standby_of<'a>(
     cluster: &'a ClusterState,
-    known: &Known,
-    shard: ShardIx,
-    now: Ms,
+    known: &MembershipView,
+    shard: ShardIndex,
+    now: MonotonicMillis,
 ) -> Option<&'a str> {
     let rule = known.standby.as_ref()?;
-    let owner = cluster.shards[shard.at()].rec.owner.as_str();
-    let candidate = |(name, node): (&'a String, &Versioned<NodeRecord>)| Candidate {
+    let owner = cluster.shards[shard.at()].record.owner.as_str();
+    let candidate = |(name, controller): (&'a String, &Versioned<ControllerRecord>)| Candidate {
         name: name.as_str(),
         zone: rule.zones.get(name).map(|zone| zone.0),
-        settled: is_settled(known, rule, name, node, now),
-        reaches_workers: !known.deaf.contains(name),
+        settled: is_settled(known, rule, name, controller, now),
+        reaches_workers: !known.unreachable_from_workers.contains(name),
     };
-    let able = |(_, node): &(&String, &Versioned<NodeRecord>)| node.rec.standby > 0;
-    let candidates: Vec<Candidate> = cluster.nodes.iter().filter(able).map(candidate).collect();
+    let able = |(_, controller): &(&String, &Versioned<ControllerRecord>)| {
+        controller.record.standby_version > 0
+    };
+    let candidates: Vec<Candidate> = cluster
+        .controllers
+        .iter()
+        .filter(able)
+        .map(candidate)
+        .collect();
     let zone = cluster.shard_zone(shard).map(|zone| zone.0);
     let preference = match (zone, rule.prefer_other_zone) {
         (None, _) => ZonePreference::Any,
@@ -125,13 +132,15 @@
 }
 
 fn is_settled(
-    known: &Known,
+    known: &MembershipView,
     rule: &StandbyRule,
     name: &str,
-    node: &Versioned<NodeRecord>,
-    now: Ms,
+    controller: &Versioned<ControllerRecord>,
+    now: MonotonicMillis,
 ) -> bool {
-    let seen = known.seen.get(&(name.to_string(), node.rec.incarnation));
+    let seen = known
+        .first_seen
+        .get(&(name.to_string(), controller.record.incarnation));
     seen.is_some_and(|t| now.since(*t) >= rule.settle_ms)
 }
 
@@ -139,33 +148,33 @@
 /// restart of all nobody has, and shards go straight to whoever should have them.
 fn settled_standby_of<'a>(
     cluster: &'a ClusterState,
-    known: &Known,
-    shard: ShardIx,
-    now: Ms,
+    known: &MembershipView,
+    shard: ShardIndex,
+    now: MonotonicMillis,
 ) -> Option<&'a str> {
     let rule = known.standby.as_ref()?;
     let name = standby_of(cluster, known, shard, now)?;
-    let node = cluster.nodes.get(name)?;
-    is_settled(known, rule, name, node, now).then_some(name)
+    let controller = cluster.controllers.get(name)?;
+    is_settled(known, rule, name, controller, now).then_some(name)
 }
 
 /// The node that should take a shard without a living owner.
 fn successor<'a>(
     cluster: &'a ClusterState,
-    zones: &BTreeMap<String, ZoneIx>,
-    known: &Known,
-    (live, shard): (&[&'a str], ShardIx),
-    now: Ms,
+    zones: &BTreeMap<String, ZoneIndex>,
+    known: &MembershipView,
+    (live, shard): (&[&'a str], ShardIndex),
+    now: MonotonicMillis,
 ) -> Option<&'a str> {
-    let since = known.ownerless.get(&shard);
+    let since = known.ownerless_since.get(&shard);
     let abandoned = since.is_some_and(|t| now.since(*t) >= ABANDONED_MS);
-    let never_owned = cluster.shards[shard.at()].rec.owner.is_empty();
+    let never_owned = cluster.shards[shard.at()].record.owner.is_empty();
     if !abandoned && !never_owned {
         if let Some(name) = settled_standby_of(cluster, known, shard, now) {
             return Some(name);
         }
     }
-    wanted_owner(cluster, zones, live, shard)
+    preferred_owner(cluster, zones, live, shard)
 }
 
 /// What this node should change: take shards without a living owner, hand over its own
@@ -176,23 +185,26 @@
 pub fn moves(
     cluster: &ClusterState,
     config: &SchedulerConfig,
-    zones: &BTreeMap<String, ZoneIx>,
-    known: &Known,
+    zones: &BTreeMap<String, ZoneIndex>,
+    known: &MembershipView,
     may_raise: bool,
-    now: Ms,
+    now: MonotonicMillis,
 ) -> Vec<Move> {
-    let Known {
-        seen, deaf, owned, ..
+    let MembershipView {
+        first_seen: seen,
+        unreachable_from_workers: deaf,
+        owned_since: owned,
+        ..
     } = known;
-    let live: Vec<&str> = cluster.nodes.keys().map(String::as_str).collect();
+    let live: Vec<&str> = cluster.controllers.keys().map(String::as_str).collect();
     let settled: Vec<&str> = cluster
-        .nodes
+        .controllers
         .iter()
         .filter(|(n, r)| {
-            **n == config.node
+            **n == config.controller_name
                 || seen
-                    .get(&((*n).clone(), r.rec.incarnation))
-                    .is_some_and(|s| now.since(*s) >= SETTLED_MS)
+                    .get(&((*n).clone(), r.record.incarnation))
+                    .is_some_and(|s| now.since(*s) >= ELIGIBLE_AFTER_MS)
         })
         .map(|(n, _)| n.as_str())
         .collect();
@@ -200,37 +212,38 @@
     let hearing = |nodes: &[&str]| nodes.iter().any(|n| !deaf.contains(*n));
     let (all_live, all_settled) = (live, settled);
     let mut out = Vec::new();
-    for shard in (0..cluster.shards.len()).map(ShardIx::new) {
+    for shard in (0..cluster.shards.len()).map(ShardIndex::new) {
         let (mut live, mut settled) = (all_live.clone(), all_settled.clone());
         for nodes in [&mut live, &mut settled] {
-            if shard != cluster.renting() && hearing(nodes) {
+            if shard != cluster.autoscaler_shard() && hearing(nodes) {
                 nodes.retain(|n| !deaf.contains(*n));
             }
         }
         let target = match cluster.live_owner(shard) {
-            None => {
-                successor(cluster, zones, known, (&live, shard), now).filter(|n| *n == config.node)
-            }
-            Some(owner) if owner == config.node && config.owns(cluster, shard) => {
+            None => successor(cluster, zones, known, (&live, shard), now)
+                .filter(|n| *n == config.controller_name),
+            Some(owner) if owner == config.controller_name && config.owns(cluster, shard) => {
                 // A direct start that was not answered may run until the token rises, and exits
                 // that are kept against repeated ones must not fill the reports.
                 let late = || {
-                    let token = cluster.shards[shard.at()].rec.token;
+                    let token = cluster.shards[shard.at()].record.fencing_token;
                     cluster.all_machines().any(|(_, m)| {
                         // Those of older tokens can't run any more, though a silent machine
                         // keeps them: to count them would raise the token again and again.
-                        let open = |l: &&LateStart| l.token >= token;
-                        let kept = || m.late_starts.values().filter(open);
-                        let unanswered = |l: &LateStart| !l.answered && now.since(l.sent) > LATE_MS;
-                        m.shard == shard && (kept().count() > KEPT_EXITS || kept().any(unanswered))
+                        let open = |l: &&InFlightStart| l.fencing_token >= token;
+                        let kept = || m.in_flight_starts.values().filter(open);
+                        let unanswered =
+                            |l: &InFlightStart| !l.acknowledged && now.since(l.sent_at) > LATE_MS;
+                        m.shard == shard
+                            && (kept().count() > MAX_UNACKNOWLEDGED_EXITS || kept().any(unanswered))
                     })
                 };
                 let held = || {
                     let since = owned.get(&shard);
-                    since.is_some_and(|t| now.since(*t) >= SETTLED_MS)
+                    since.is_some_and(|t| now.since(*t) >= ELIGIBLE_AFTER_MS)
                 };
-                wanted_owner(cluster, zones, &settled, shard).filter(|n| {
-                    if *n == config.node {
+                preferred_owner(cluster, zones, &settled, shard).filter(|n| {
+                    if *n == config.controller_name {
                         may_raise && late()
                     } else {
                         held()
@@ -250,11 +263,11 @@
 /// The transaction of a move: valid only while nothing about either owner has changed.
 pub fn move_transaction(cluster: &ClusterState, m: &Move) -> Option<(Transaction, ShardRecord)> {
     let old = &cluster.shards[m.shard.at()];
-    let target = cluster.nodes.get(&m.to)?;
+    let target = cluster.controllers.get(&m.to)?;
     let rec = ShardRecord {
         owner: m.to.clone(),
-        incarnation: target.rec.incarnation,
-        token: old.rec.token + 1,
+        incarnation: target.record.incarnation,
+        fencing_token: old.record.fencing_token + 1,
     };
     let node_key = |n: &str| format!("{ROOT}node/{n}");
     let mut conditions = vec![
@@ -267,10 +280,13 @@
             version: target.version,
         },
     ];
-    if !old.rec.owner.is_empty() && old.rec.owner != m.to {
+    if !old.record.owner.is_empty() && old.record.owner != m.to {
         conditions.push(Condition {
-            key: node_key(&old.rec.owner),
-            version: cluster.nodes.get(&old.rec.owner).map_or(0, |n| n.version),
+            key: node_key(&old.record.owner),
+            version: cluster
+                .controllers
+                .get(&old.record.owner)
+                .map_or(0, |n| n.version),
         });
     }
     let writes = vec![set(cluster.shard_key(m.shard), &rec, None)?];
@@ -283,23 +299,23 @@
 /// A process of the old version that comes back later finds its records in the first form but for
 /// jobs with dependencies and wide ones, which it may show and cancel. That is for the operator to
 /// rule out: until the second form begins a change of version can be taken back.
-pub fn begin_second_form(cluster: &ClusterState, all: &[&str]) -> Option<Transaction> {
-    if cluster.second_form || !cluster.loaded {
+pub fn begin_record_format_v2(cluster: &ClusterState, all: &[&str]) -> Option<Transaction> {
+    if cluster.record_format_v2 || !cluster.loaded {
         return None;
     }
-    let key = format!("{ROOT}form/{SECOND_FORM}");
+    let key = format!("{ROOT}form/{RECORD_FORMAT_V2}");
     let mut conditions = vec![Condition {
         key: key.clone(),
         version: 0,
     }];
     for name in all {
-        let node = cluster.nodes.get(*name)?;
-        if node.rec.forms < SECOND_FORM {
+        let controller = cluster.controllers.get(*name)?;
+        if controller.record.record_format < RECORD_FORMAT_V2 {
             return None;
         }
         conditions.push(Condition {
             key: format!("{ROOT}node/{name}"),
-            version: node.version,
+            version: controller.version,
         });
     }
     let writes = vec![set(key, &true, None)?];
@@ -313,51 +329,53 @@
 }
 
 /// Duty: keeps the node's key and its shards.
-pub async fn run(node: Rc<Node>) {
-    let zones = zones_of_nodes(&node);
-    let ttl_ms = lease_ms(ms_of(node.platform.settings.workers.lease_s));
+pub async fn run(controller: Rc<Controller>) {
+    let zones = controller_zones(&controller);
+    let ttl_ms = lease_ms(millis_from_seconds(
+        controller.platform.settings.workers.lease_s,
+    ));
     let mut lease: Option<u64> = None;
-    let mut renewed = Ms(0);
-    let mut raised = Ms(0);
-    let mut known = Known {
-        standby: node.features.standby().map(|settings| StandbyRule {
+    let mut renewed = MonotonicMillis(0);
+    let mut raised = MonotonicMillis(0);
+    let mut known = MembershipView {
+        standby: controller.features.standby().map(|settings| StandbyRule {
             zones: zones.clone(),
             prefer_other_zone: settings.prefer_other_zone,
             settle_ms: settings.settle_ms,
         }),
-        ..Known::default()
+        ..MembershipView::default()
     };
     loop {
-        let now = node.now();
-        let loaded = node.cluster.borrow().loaded;
+        let now = controller.now();
+        let loaded = controller.cluster.borrow().loaded;
         let mut again = !loaded;
         if loaded && (lease.is_none() || now.since(renewed) >= RENEW_MS) {
-            lease = keep_lease(&node, lease, ttl_ms).await;
+            lease = renew_lease(&controller, lease, ttl_ms).await;
             renewed = now;
             again = lease.is_none();
         }
-        try_second_form(&node).await;
+        try_begin_record_format_v2(&controller).await;
         let may_raise = now.since(raised) >= RAISE_MS;
         if may_raise {
             raised = now;
         }
-        let wanted = wanted_moves(&node, &zones, &mut known, may_raise, now);
-        again |= !carry_out(&node, wanted).await;
-        note_owned(&node);
-        node.observe_shards();
-        node.note_served(ExternalService::State, node.store_ok());
+        let plan_scale_out = plan_moves(&controller, &zones, &mut known, may_raise, now);
+        again |= !execute_moves(&controller, plan_scale_out).await;
+        track_owned_shards(&controller);
+        controller.observe_shards();
+        controller.record_availability(ExternalService::State, controller.kv_reachable());
         if again {
-            node.pause(AGAIN_MS).await;
+            controller.pause(AGAIN_MS).await;
         } else {
-            node.beat(BEAT_MS, Some(&node.members)).await;
+            controller.tick(TICK_MS, Some(&controller.membership)).await;
         }
     }
 }
 
 /// The zone of each node of the deployment, as far as it is one of the settings' zones.
-fn zones_of_nodes(node: &Node) -> BTreeMap<String, ZoneIx> {
-    let cluster = node.cluster.borrow();
-    let platform = &node.platform;
+fn controller_zones(controller: &Controller) -> BTreeMap<String, ZoneIndex> {
+    let cluster = controller.cluster.borrow();
+    let platform = &controller.platform;
     let here = (platform.node.as_str(), platform.domain.as_str());
     let others = platform
         .siblings
@@ -369,134 +387,142 @@
 }
 
 /// Begins the second form of records once all nodes know it.
-async fn try_second_form(node: &Rc<Node>) {
+async fn try_begin_record_format_v2(controller: &Rc<Controller>) {
     let transaction = {
-        let peers = node.peers.iter().map(|p| p.name.as_str());
-        let all: Vec<&str> = peers.chain([node.config.node.as_str()]).collect();
-        begin_second_form(&node.cluster.borrow(), &all)
+        let peers = controller.peers.iter().map(|p| p.name.as_str());
+        let all: Vec<&str> = peers
+            .chain([controller.config.controller_name.as_str()])
+            .collect();
+        begin_record_format_v2(&controller.cluster.borrow(), &all)
     };
     let Some(transaction) = transaction else {
         return;
     };
-    if let Outcome::Done(_) = node.commit(&transaction).await {
+    if let CommitOutcome::Committed(_) = controller.commit(&transaction).await {
         log::info!("all nodes know the second form of records, it begins");
     }
-    node.refreshed(1500).await;
+    controller.refresh(1500).await;
 }
 
 /// Brings what is known beside the records up to date, and decides on shards.
-fn wanted_moves(
-    node: &Rc<Node>,
-    zones: &BTreeMap<String, ZoneIx>,
-    known: &mut Known,
+fn plan_moves(
+    controller: &Rc<Controller>,
+    zones: &BTreeMap<String, ZoneIndex>,
+    known: &mut MembershipView,
     may_raise: bool,
-    now: Ms,
+    now: MonotonicMillis,
 ) -> Vec<Move> {
-    known.deaf = deaf_nodes(node);
-    known.owned.clone_from(&node.owned_since.borrow());
-    let cluster = node.cluster.borrow();
-    known.seen.retain(|(name, incarnation), _| {
-        let record = cluster.nodes.get(name);
-        record.is_some_and(|r| r.rec.incarnation == *incarnation)
+    known.unreachable_from_workers = controllers_unreachable_from_workers(controller);
+    known
+        .owned_since
+        .clone_from(&controller.owned_since.borrow());
+    let cluster = controller.cluster.borrow();
+    known.first_seen.retain(|(name, incarnation), _| {
+        let record = cluster.controllers.get(name);
+        record.is_some_and(|r| r.record.incarnation == *incarnation)
     });
-    for (name, record) in &cluster.nodes {
-        let incarnation = (name.clone(), record.rec.incarnation);
-        known.seen.entry(incarnation).or_insert(now);
+    for (name, record) in &cluster.controllers {
+        let incarnation = (name.clone(), record.record.incarnation);
+        known.first_seen.entry(incarnation).or_insert(now);
     }
-    for shard in (0..cluster.shards.len()).map(ShardIx::new) {
+    for shard in (0..cluster.shards.len()).map(ShardIndex::new) {
         if cluster.live_owner(shard).is_some() {
-            known.ownerless.remove(&shard);
+            known.ownerless_since.remove(&shard);
         } else {
-            known.ownerless.entry(shard).or_insert(now);
+            known.ownerless_since.entry(shard).or_insert(now);
         }
     }
-    failover::note_standbys(node, standbys(&cluster, known, now));
+    failover::note_standbys(controller, standbys(&cluster, known, now));
     // Without an own key there is nothing to take shards with.
-    let own = cluster.nodes.get(&node.config.node);
-    if own.is_some_and(|r| r.rec.incarnation == node.config.incarnation) {
-        moves(&cluster, &node.config, zones, known, may_raise, now)
+    let own = cluster.controllers.get(&controller.config.controller_name);
+    if own.is_some_and(|r| r.record.incarnation == controller.config.incarnation) {
+        moves(&cluster, &controller.config, zones, known, may_raise, now)
     } else {
         Vec::new()
     }
 }
 
 /// Carries moves out, one transaction each; false if one failed, and the rest are left.
-async fn carry_out(node: &Rc<Node>, wanted: Vec<Move>) -> bool {
-    for m in wanted {
-        let transaction = move_transaction(&node.cluster.borrow(), &m);
+async fn execute_moves(controller: &Rc<Controller>, plan_scale_out: Vec<Move>) -> bool {
+    for m in plan_scale_out {
+        let transaction = move_transaction(&controller.cluster.borrow(), &m);
         let Some((transaction, record)) = transaction else {
             continue;
         };
-        if m.to == node.config.node {
-            note_fence(node, m.shard, Takeovers::fence_sent);
+        if m.to == controller.config.controller_name {
+            record_fence_step(controller, m.shard, Failovers::fence_sent);
         }
-        match node.commit(&transaction).await {
-            Outcome::Done(revision) => note_moved(node, &m, revision, record),
-            Outcome::Conflict(_) => {
-                note_fence(node, m.shard, Takeovers::fence_refused);
-                node.refreshed(1500).await;
+        match controller.commit(&transaction).await {
+            CommitOutcome::Committed(revision) => apply_move(controller, &m, revision, record),
+            CommitOutcome::Conflict(_) => {
+                record_fence_step(controller, m.shard, Failovers::fence_refused);
+                controller.refresh(1500).await;
                 return false;
             }
-            Outcome::Refused(_) => {
-                note_fence(node, m.shard, Takeovers::fence_refused);
+            CommitOutcome::Refused(_) => {
+                record_fence_step(controller, m.shard, Failovers::fence_refused);
                 return false;
             }
             // It may have been carried out, or still be: the records will tell.
-            Outcome::Unknown => return false,
+            CommitOutcome::Unknown => return false,
         }
     }
     true
 }
 
 /// A step of the transaction that raises a shard's token, told to the shard's takeover.
-fn note_fence(
-    node: &Node,
-    shard: ShardIx,
-    step: fn(&mut Takeovers, ShardId, Millis) -> Option<Transition>,
+fn record_fence_step(
+    controller: &Controller,
+    shard: ShardIndex,
+    step: fn(&mut Failovers, ShardId, Millis) -> Option<Transition>,
 ) {
-    let now = failover::millis(node.now());
-    let change = step(&mut node.takeovers.borrow_mut(), ShardId(shard.0), now);
+    let now = failover::millis(controller.now());
+    let change = step(
+        &mut controller.failovers.borrow_mut(),
+        ShardId(shard.0),
+        now,
+    );
     if let Some(change) = change {
-        node.log_transition(change);
+        controller.log_transition(change);
     }
 }
 
-fn note_moved(node: &Node, m: &Move, revision: u64, record: ShardRecord) {
+fn apply_move(controller: &Controller, m: &Move, revision: u64, record: ShardRecord) {
     log::info!(
         "shard {} goes to {} with token {}",
         m.shard.0,
         m.to,
-        record.token
+        record.fencing_token
     );
-    let mut cluster = node.cluster.borrow_mut();
+    let mut cluster = controller.cluster.borrow_mut();
     let slot = &mut cluster.shards[m.shard.at()];
     if slot.version < revision {
         slot.version = revision;
-        slot.rec = record;
+        slot.record = record;
     }
-    node.plan.notify();
+    controller.scheduling.notify();
 }
 
 /// Nodes that no worker reaches, this one among them, as far as they told lately.
-fn deaf_nodes(node: &Rc<Node>) -> HashSet<String> {
-    let now = node.now();
-    let told = |p: &&Peer| p.heard.get().is_some_and(|t| now.since(t) < 4000);
-    let peers = node.peers.iter().filter(told);
-    let peers = peers.filter(|p| !p.hears_workers.get());
+fn controllers_unreachable_from_workers(controller: &Rc<Controller>) -> HashSet<String> {
+    let now = controller.now();
+    let told = |p: &&Peer| p.last_status.get().is_some_and(|t| now.since(t) < 4000);
+    let peers = controller.peers.iter().filter(told);
+    let peers = peers.filter(|p| !p.workers_reachable.get());
     let mut out: HashSet<String> = peers.map(|p| p.name.clone()).collect();
-    if !node.hears_workers() {
-        out.insert(node.config.node.clone());
+    if !controller.workers_reachable() {
+        out.insert(controller.config.controller_name.clone());
     }
     out
 }
 
 /// Notes since when shards are owned.
-fn note_owned(node: &Rc<Node>) {
-    let now = node.now();
-    let cluster = node.cluster.borrow();
-    let mut since = node.owned_since.borrow_mut();
-    for s in (0..cluster.shards.len()).map(ShardIx::new) {
-        if !node.config.owns(&cluster, s) {
+fn track_owned_shards(controller: &Rc<Controller>) {
+    let now = controller.now();
+    let cluster = controller.cluster.borrow();
+    let mut since = controller.owned_since.borrow_mut();
+    for s in (0..cluster.shards.len()).map(ShardIndex::new) {
+        if !controller.config.owns(&cluster, s) {
             since.remove(&s);
             continue;
         }
@@ -504,21 +530,21 @@
             log::info!(
                 "owns shard {} with token {}",
                 s.0,
-                cluster.shards[s.at()].rec.token
+                cluster.shards[s.at()].record.fencing_token
             );
-            if s == cluster.renting() {
-                node.rent.notify();
+            if s == cluster.autoscaler_shard() {
+                controller.autoscaling.notify();
             }
             now
         });
     }
 }
 
-async fn keep_lease(node: &Rc<Node>, lease: Option<u64>, ttl_ms: u64) -> Option<u64> {
+async fn renew_lease(controller: &Rc<Controller>, lease: Option<u64>, ttl_ms: u64) -> Option<u64> {
     let lease = match lease {
         Some(l) => {
             let path = format!("/grants/{l}/touch");
-            match node.store_call(Method::Post, &path, Vec::new()).await {
+            match controller.kv_call(Method::Post, &path, Vec::new()).await {
                 Ok(f) if f.status == 404 => {
                     log::warn!("the lease of this node ended, taking a new one");
                     None
@@ -529,13 +555,13 @@
         }
         None => None,
     };
-    let me = node.config.node.as_str();
-    let present = node
+    let me = controller.config.controller_name.as_str();
+    let present = controller
         .cluster
         .borrow()
-        .nodes
+        .controllers
         .get(me)
-        .is_some_and(|r| r.rec.incarnation == node.config.incarnation);
+        .is_some_and(|r| r.record.incarnation == controller.config.incarnation);
     if lease.is_some() && present {
         return lease;
     }
@@ -543,20 +569,28 @@
         Some(l) => l,
         None => {
             let body = rmp_serde::to_vec_named(&LeaseRequest { ttl_ms }).ok()?;
-            let f = node.store_call(Method::Post, "/grants", body).await.ok()?;
+            let f = controller
+                .kv_call(Method::Post, "/grants", body)
+                .await
+                .ok()?;
             rmp_serde::from_slice::<Lease>(&f.body).ok()?.lease
         }
     };
-    let rec = NodeRecord {
-        incarnation: node.config.incarnation,
-        forms: SECOND_FORM,
-        standby: match node.features.standby() {
+    let rec = ControllerRecord {
+        incarnation: controller.config.incarnation,
+        record_format: RECORD_FORMAT_V2,
+        standby_version: match controller.features.standby() {
             Some(_) => STANDBY_VERSION,
             None => 0,
         },
     };
     let key = format!("{ROOT}node/{me}");
-    let version = node.cluster.borrow().nodes.get(me).map_or(0, |n| n.version);
+    let version = controller
+        .cluster
+        .borrow()
+        .controllers
+        .get(me)
+        .map_or(0, |n| n.version);
     let txn = Transaction {
         // A late write of an earlier incarnation must not replace this one's.
         conditions: vec![Condition {
@@ -565,14 +599,14 @@
         }],
         writes: vec![set(key, &rec, Some(lease))?],
     };
-    match node.commit(&txn).await {
-        Outcome::Done(_) => {
-            node.refreshed(1500).await;
+    match controller.commit(&txn).await {
+        CommitOutcome::Committed(_) => {
+            controller.refresh(1500).await;
             Some(lease)
         }
-        Outcome::Refused(400) => None,
-        Outcome::Conflict(_) => {
-            node.refreshed(1500).await;
+        CommitOutcome::Refused(400) => None,
+        CommitOutcome::Conflict(_) => {
+            controller.refresh(1500).await;
             Some(lease)
         }
         _ => Some(lease),
--- a/src/coordination/peer_messages.rs
+++ b/src/coordination/peer_messages.rs
@@ -1,57 +1,58 @@
 //! What controllers tell each other.
 
-use crate::coordination::controller::Node;
+use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::gangs;
 use crate::coordination::scheduler::planner;
 use crate::coordination::{cancellations, replication};
-use crate::protocol::peers::{Ask, MachineNews, Reply};
+use crate::protocol::peers::{MachineStatus, PeerRequest, PeerResponse};
 use crate::state::cluster_state::ClusterState;
-use crate::state::names::{Index, ShardIx};
-use crate::state::units::{Ms, Resources};
+use crate::state::names::{Index, ShardIndex};
+use crate::state::units::{MonotonicMillis, Resources};
 use crate::transport::TransportError;
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
 use std::rc::Rc;
 
-const NEWS_MS: u64 = 1000;
+const STATUS_INTERVAL_MS: u64 = 1000;
 /// How long machines are kept free for a gang unless that is asked again.
-pub(crate) const HOLD_MS: u64 = 4000;
+pub(crate) const GANG_RESERVATION_MS: u64 = 4000;
 
 /// Duty: tells the others about the own machines, and holds machines for gangs.
-pub async fn news(node: Rc<Node>) {
+pub async fn news(controller: Rc<Controller>) {
     for turn in 0u64.. {
-        node.beat(NEWS_MS, None).await;
-        if turn.is_multiple_of(SURVEY_TURNS) {
-            survey(&node);
-            if let Some(line) = node.metrics.line() {
+        controller.tick(STATUS_INTERVAL_MS, None).await;
+        if turn.is_multiple_of(UTILIZATION_LOG_ROUNDS) {
+            log_utilization(&controller);
+            if let Some(line) = controller.metrics.line() {
                 log::debug!("turns: {line}");
             }
         }
-        planner::sweep_queues(&node);
-        hold_for_gangs(&node);
-        planner::make_room(&node);
-        let now = node.now();
-        let machines = own_news(&node.cluster.borrow(), &node.config, now, |s| {
-            node.listened_since(s)
-        });
-        let asks: Rc<[Ask]> = tell(
-            &node.config.node,
-            node.store_ok(),
-            node.hears_workers(),
+        planner::prune_queues(&controller);
+        reserve_for_gangs(&controller);
+        planner::preempt_for_waiting(&controller);
+        let now = controller.now();
+        let machines =
+            own_machine_statuses(&controller.cluster.borrow(), &controller.config, now, |s| {
+                controller.observing_since(s)
+            });
+        let asks: Rc<[PeerRequest]> = tell(
+            &controller.config.controller_name,
+            controller.kv_reachable(),
+            controller.workers_reachable(),
             machines,
         )
         .into();
-        for i in 0..node.peers.len() {
-            let (node, asks) = (node.clone(), asks.clone());
-            node.ex
+        for i in 0..controller.peers.len() {
+            let (controller, asks) = (controller.clone(), asks.clone());
+            controller.executor
                 .clone()
                 .spawn(async move {
-                    let peer = &node.peers[i];
+                    let peer = &controller.peers[i];
                     for ask in asks.iter() {
-                        let told = peer.client.ask(ask, NEWS_MS).await;
+                        let told = peer.client.ask(ask, STATUS_INTERVAL_MS).await;
                         let refused = |e: &TransportError| matches!(e, TransportError::Connect(e) if e.kind() == ErrorKind::ConnectionRefused);
-                        peer.refuses.set(told.as_ref().is_err_and(refused));
+                        peer.connection_refused.set(told.as_ref().is_err_and(refused));
                         if told.is_err() {
                             break;
                         }
@@ -62,79 +63,87 @@
     }
 }
 
-/// What an owner tells of its machines; `listened`: since when a shard's could be heard.
-pub fn own_news(
+/// What an owner tells of its machines; `observing_since`: since when a shard's could be heard.
+pub fn own_machine_statuses(
     cluster: &ClusterState,
     config: &SchedulerConfig,
-    now: Ms,
-    listened: impl Fn(ShardIx) -> Option<Ms>,
-) -> Vec<MachineNews> {
+    now: MonotonicMillis,
+    observing_since: impl Fn(ShardIndex) -> Option<MonotonicMillis>,
+) -> Vec<MachineStatus> {
     let own = config.owned(cluster);
     cluster
         .all_machines()
         .filter(|(_, m)| own[m.shard.at()])
-        .map(|(_, m)| MachineNews {
+        .map(|(_, m)| MachineStatus {
             name: m.name.to_string(),
             addr: m.addr.clone(),
             machine_type: cluster.machine_type_names.name(m.machine_type).to_string(),
             zone: cluster.zone_names.name(m.zone).to_string(),
             spot: m.spot,
-            silent_ms: silence(m.heard, m.known, listened(m.shard), now),
-            heard: m.heard.is_some(),
-            sure: m.token == cluster.shards[m.shard.at()].rec.token,
-            queued: m.queue.len().min(255) as u8,
-            closed: m.closed || m.leaves.is_some() || m.deaf.is_some(),
-            sick: m.sick,
+            silent_ms: silence(
+                m.last_heartbeat,
+                m.discovered_at,
+                observing_since(m.shard),
+                now,
+            ),
+            has_reported: m.last_heartbeat.is_some(),
+            fencing_token_confirmed: m.fencing_token
+                == cluster.shards[m.shard.at()].record.fencing_token,
+            queue_length: m.queue.len().min(255) as u8,
+            cordoned: m.cordoned
+                || m.preemption_deadline.is_some()
+                || m.unreachable_since.is_some(),
+            quarantined: m.quarantined,
         })
         .collect()
 }
 
 /// Machines in one frame of news: a frame with all of a large fleet would be refused.
-const NEWS_MACHINES: usize = 128;
+const MACHINES_PER_STATUS: usize = 128;
 
 /// News in as many frames as it takes, at least one.
 pub fn tell(
     from: &str,
     store_ok: bool,
     hears_workers: bool,
-    machines: Vec<MachineNews>,
-) -> Vec<Ask> {
-    let ask = |machines: &[MachineNews]| Ask::News {
-        node: from.to_string(),
-        store_ok,
-        hears_workers,
+    machines: Vec<MachineStatus>,
+) -> Vec<PeerRequest> {
+    let ask = |machines: &[MachineStatus]| PeerRequest::Status {
+        sender: from.to_string(),
+        kv_reachable: store_ok,
+        workers_reachable: hears_workers,
         machines: machines.to_vec(),
     };
     if machines.is_empty() {
         return vec![ask(&[])];
     }
-    machines.chunks(NEWS_MACHINES).map(ask).collect()
+    machines.chunks(MACHINES_PER_STATUS).map(ask).collect()
 }
 
 /// Turns between two surveys in the log.
-const SURVEY_TURNS: u64 = 15;
+const UTILIZATION_LOG_ROUNDS: u64 = 15;
 
 /// Tells how full the own machines are, by type, and what waits.
-fn survey(node: &Node) {
+fn log_utilization(controller: &Controller) {
     if !log::log_enabled!(log::Level::Debug) {
         return;
     }
-    let cluster = node.cluster.borrow();
+    let cluster = controller.cluster.borrow();
     for (machine_type, r) in &cluster.machine_types {
         let mut sum = (0, 0, Resources::default(), 0);
-        for (mix, m) in cluster.all_machines() {
-            let own = m.machine_type == *machine_type && node.config.owns(&cluster, m.shard);
-            if !own || !m.takes(node.now(), node.config.silent_ms) {
+        for (machine_index, m) in cluster.all_machines() {
+            let own = m.machine_type == *machine_type && controller.config.owns(&cluster, m.shard);
+            if !own || !m.is_schedulable(controller.now(), controller.config.unresponsive_ms) {
                 continue;
             }
-            let free = cluster.free_on(mix).unwrap_or_default();
-            let empty = u32::from(free == r.room);
-            let tasks = cluster.placed_on(mix).len();
+            let free = cluster.free_on(machine_index).unwrap_or_default();
+            let empty = u32::from(free == r.capacity);
+            let tasks = cluster.placed_on(machine_index).len();
             sum = (sum.0 + 1, sum.1 + tasks, sum.2.plus(free), sum.3 + empty);
         }
         log::debug!(
             "{}: {} up, {} of them empty, {} tasks, free: {} cpus, {} gpus, {} GB",
-            r.flavor.name,
+            r.description.name,
             sum.0,
             sum.3,
             sum.1,
@@ -159,39 +168,50 @@
 }
 
 /// How long an owner has waited for a machine in vain.
-pub fn silence(heard: Option<Ms>, known: Ms, owned: Option<Ms>, now: Ms) -> u64 {
+pub fn silence(
+    heard: Option<MonotonicMillis>,
+    known: MonotonicMillis,
+    owned: Option<MonotonicMillis>,
+    now: MonotonicMillis,
+) -> u64 {
     let since = heard.unwrap_or(known).max(owned.unwrap_or(known));
     now.since(since)
 }
 
-fn hold_for_gangs(node: &Rc<Node>) {
-    let now = node.now();
+fn reserve_for_gangs(controller: &Rc<Controller>) {
+    let now = controller.now();
     let holds = {
-        let cluster = node.cluster.borrow();
-        gangs::gang_holds(
+        let cluster = controller.cluster.borrow();
+        gangs::gang_reservations(
             &cluster,
-            &node.config,
+            &controller.config,
             now,
             crate::coordination::controller::wall_ms(),
         )
     };
     for (job, machines) in holds {
         let (id, names): (String, Vec<String>) = {
-            let cluster = node.cluster.borrow();
+            let cluster = controller.cluster.borrow();
             let names = machines
                 .iter()
                 .map(|m| cluster.machine_names.name(*m).to_string());
             (cluster.jobs[job.0 as usize].id.to_string(), names.collect())
         };
-        hold(node, &id, &names);
-        let asks: Rc<[Ask]> = hold_frames(&id, &names).into();
-        for i in 0..node.peers.len() {
-            let (node, asks) = (node.clone(), asks.clone());
-            node.ex
+        hold(controller, &id, &names);
+        let asks: Rc<[PeerRequest]> = reservation_requests(&id, &names).into();
+        for i in 0..controller.peers.len() {
+            let (controller, asks) = (controller.clone(), asks.clone());
+            controller
+                .executor
                 .clone()
                 .spawn(async move {
                     for ask in asks.iter() {
-                        if node.peers[i].client.ask(ask, NEWS_MS).await.is_err() {
+                        if controller.peers[i]
+                            .client
+                            .ask(ask, STATUS_INTERVAL_MS)
+                            .await
+                            .is_err()
+                        {
                             break;
                         }
                     }
@@ -202,20 +222,23 @@
 }
 
 /// Machines in one frame of a hold: a gang may need thousands.
-const HELD_MACHINES: usize = 1000;
+const MACHINES_PER_RESERVATION: usize = 1000;
 
 /// What asks an owner to keep machines free for a gang, in as many frames as it takes.
-pub fn hold_frames(job: &str, machines: &[String]) -> Vec<Ask> {
-    let frame = |machines: &[String]| Ask::Hold {
+pub fn reservation_requests(job: &str, machines: &[String]) -> Vec<PeerRequest> {
+    let frame = |machines: &[String]| PeerRequest::ReserveMachines {
         job: job.to_string(),
         machines: machines.to_vec(),
     };
-    machines.chunks(HELD_MACHINES).map(frame).collect()
+    machines
+        .chunks(MACHINES_PER_RESERVATION)
+        .map(frame)
+        .collect()
 }
 
-fn hold(node: &Node, job: &str, machines: &[String]) {
-    let until = node.now().plus(HOLD_MS);
-    let mut cluster = node.cluster.borrow_mut();
+fn hold(controller: &Controller, job: &str, machines: &[String]) {
+    let until = controller.now().plus(GANG_RESERVATION_MS);
+    let mut cluster = controller.cluster.borrow_mut();
     let Some((ix, _)) = cluster.job(job) else {
         return;
     };
@@ -225,7 +248,7 @@
             .find(name)
             .and_then(|m| cluster.machine_mut(m));
         if let Some(m) = m {
-            m.held = Some((ix, until));
+            m.reservation = Some((ix, until));
         }
     }
 }
@@ -234,85 +257,89 @@
 ///
 /// Only a shard's owner knows them: one that lost its shards unnoticed goes on telling of
 /// machines that have long been silent to it alone, and they would be returned for that.
-pub fn take_news(
+pub fn apply_machine_statuses(
     cluster: &mut ClusterState,
     config: &SchedulerConfig,
     from: &str,
-    machines: Vec<MachineNews>,
-    now: Ms,
+    machines: Vec<MachineStatus>,
+    now: MonotonicMillis,
 ) {
     for n in machines {
-        let Some(mix) = cluster.learn_machine(&n.name, &n.machine_type, &n.zone, n.spot, now)
+        let Some(machine_index) =
+            cluster.learn_machine(&n.name, &n.machine_type, &n.zone, n.spot, now)
         else {
             continue;
         };
-        let told_by_owner = cluster.machine(mix).is_some_and(|m| {
-            let owner = &cluster.shards[m.shard.at()].rec.owner;
+        let told_by_owner = cluster.machine(machine_index).is_some_and(|m| {
+            let owner = &cluster.shards[m.shard.at()].record.owner;
             owner == from && !config.owns(cluster, m.shard)
         });
-        let Some(m) = cluster.machine_mut(mix).filter(|_| told_by_owner) else {
+        let Some(m) = cluster.machine_mut(machine_index).filter(|_| told_by_owner) else {
             continue;
         };
         m.addr = n.addr;
         // A machine that still boots has not been heard, only waited for.
-        if n.heard {
-            m.heard = Some(Ms(now.0.saturating_sub(n.silent_ms)));
+        if n.has_reported {
+            m.last_heartbeat = Some(MonotonicMillis(now.0.saturating_sub(n.silent_ms)));
         }
-        m.sure = n.sure;
-        m.queued_elsewhere = n.queued;
-        m.closed_elsewhere = n.closed;
-        m.sick = n.sick;
+        m.fencing_token_confirmed = n.fencing_token_confirmed;
+        m.owner_queue_length = n.queue_length;
+        m.cordoned_by_owner = n.cordoned;
+        m.quarantined = n.quarantined;
     }
 }
 
 /// Answers a peer. Everything in here is a hint; nothing starts or ends by it.
-pub fn handle(node: &Rc<Node>, ask: Ask) -> Reply {
+pub fn handle(controller: &Rc<Controller>, ask: PeerRequest) -> PeerResponse {
     let name = match ask {
-        Ask::News { .. } => "peer's news",
-        Ask::Poll { .. } => "peer's poll",
+        PeerRequest::Status { .. } => "peer's news",
+        PeerRequest::StealWork { .. } => "peer's poll",
         _ => "peer's other asks",
     };
-    node.metrics.time(name, || answer(node, ask))
+    controller.metrics.time(name, || answer(controller, ask))
 }
 
-fn answer(node: &Rc<Node>, ask: Ask) -> Reply {
-    let now = node.now();
+fn answer(controller: &Rc<Controller>, ask: PeerRequest) -> PeerResponse {
+    let now = controller.now();
     match ask {
-        Ask::News {
-            node: from,
-            store_ok,
-            hears_workers,
+        PeerRequest::Status {
+            sender: from,
+            kv_reachable,
+            workers_reachable,
             machines,
         } => {
-            if let Some(p) = node.peer(&from) {
-                p.heard.set(Some(now));
-                p.store_ok.set(store_ok);
-                if p.hears_workers.replace(hears_workers) != hears_workers {
-                    node.members.notify();
+            if let Some(p) = controller.peer(&from) {
+                p.last_status.set(Some(now));
+                p.kv_reachable.set(kv_reachable);
+                if p.workers_reachable.replace(workers_reachable) != workers_reachable {
+                    controller.membership.notify();
                 }
             }
-            take_news(
-                &mut node.cluster.borrow_mut(),
-                &node.config,
+            apply_machine_statuses(
+                &mut controller.cluster.borrow_mut(),
+                &controller.config,
                 &from,
                 machines,
                 now,
             );
-            Reply::Noted
+            PeerResponse::Acknowledged
         }
-        Ask::Bind { tasks } => {
+        PeerRequest::Bind { tasks } => {
             for (machine, t) in tasks {
-                let mix = node.cluster.borrow().machine_names.find(&machine);
-                if let Some(mix) = mix {
-                    planner::enqueue(node, mix, &t, false);
+                let machine_index = controller.cluster.borrow().machine_names.find(&machine);
+                if let Some(machine_index) = machine_index {
+                    planner::enqueue(controller, machine_index, &t, false);
                 }
             }
-            node.plan.notify();
-            Reply::Noted
+            controller.scheduling.notify();
+            PeerResponse::Acknowledged
         }
-        Ask::Poll { idle, machines } => {
+        PeerRequest::StealWork {
+            idle_machine: idle,
+            machines,
+        } => {
             let (idle, asked) = {
-                let cluster = node.cluster.borrow();
+                let cluster = controller.cluster.borrow();
                 let find = |n: &String| cluster.machine_names.find(n);
                 (
                     find(&idle),
@@ -322,47 +349,47 @@
             let given = idle.and_then(|i| {
                 asked
                     .into_iter()
-                    .find_map(|m| planner::hand_over(node, m, i, false))
+                    .find_map(|m| planner::hand_over(controller, m, i, false))
             });
-            Reply::Task(given)
+            PeerResponse::StolenTask(given)
         }
-        Ask::Hold { job, machines } => {
-            hold(node, &job, &machines);
-            Reply::Noted
+        PeerRequest::ReserveMachines { job, machines } => {
+            hold(controller, &job, &machines);
+            PeerResponse::Acknowledged
         }
-        Ask::Close { machines } => Reply::Closed(close(node, &machines)),
-        Ask::Gone { machines } => {
-            gone(node, &machines);
-            Reply::Noted
+        PeerRequest::Cordon { machines } => PeerResponse::Cordoned(close(controller, &machines)),
+        PeerRequest::MachinesDeleted { machines } => {
+            gone(controller, &machines);
+            PeerResponse::Acknowledged
         }
-        Ask::Cancelled { jobs } => cancellations::answer(node, &jobs),
-        Ask::Follow {
-            node: from,
+        PeerRequest::Cancelled { jobs } => cancellations::answer(controller, &jobs),
+        PeerRequest::Replicate {
+            sender: from,
             message,
-        } => replication::answer(node, &from, &message),
-        Ask::Standbys => Reply::Standbys {
-            shards: replication::standing(node),
+        } => replication::answer(controller, &from, &message),
+        PeerRequest::ShardStatuses => PeerResponse::ShardStatuses {
+            shards: replication::standing(controller),
         },
     }
 }
 
 /// Closes owned machines without placements; returns those that are closed now.
-pub fn close(node: &Node, machines: &[String]) -> Vec<String> {
-    let mut cluster = node.cluster.borrow_mut();
+pub fn close(controller: &Controller, machines: &[String]) -> Vec<String> {
+    let mut cluster = controller.cluster.borrow_mut();
     let mut out = Vec::new();
     for name in machines {
-        let Some(mix) = cluster.machine_names.find(name) else {
+        let Some(machine_index) = cluster.machine_names.find(name) else {
             continue;
         };
-        if !cluster.placed_on(mix).is_empty() {
+        if !cluster.placed_on(machine_index).is_empty() {
             continue;
         }
-        let config = &node.config;
+        let config = &controller.config;
         let owned = cluster
-            .machine(mix)
+            .machine(machine_index)
             .is_some_and(|m| config.owns(&cluster, m.shard));
-        if let (true, Some(m)) = (owned, cluster.machine_mut(mix)) {
-            m.closed = true;
+        if let (true, Some(m)) = (owned, cluster.machine_mut(machine_index)) {
+            m.cordoned = true;
             m.queue.clear();
             out.push(name.clone());
         }
@@ -371,11 +398,11 @@
 }
 
 /// Notes machines that the cloud has deleted.
-pub fn gone(node: &Node, machines: &[String]) {
-    let mut cluster = node.cluster.borrow_mut();
+pub fn gone(controller: &Controller, machines: &[String]) {
+    let mut cluster = controller.cluster.borrow_mut();
     for name in machines {
-        let mix = cluster.intern_machine(name);
-        cluster.set_gone(mix);
+        let machine_index = cluster.intern_machine(name);
+        cluster.mark_deleted(machine_index);
     }
-    node.plan.notify();
+    controller.scheduling.notify();
 }
--- a/src/coordination/rate_limiter.rs
+++ b/src/coordination/rate_limiter.rs
@@ -1,13 +1,13 @@
 //! Requests kept within a limit that others set, instead of finding it by refusals.
 
-use crate::state::units::Ms;
+use crate::state::units::MonotonicMillis;
 
 /// A budget of requests that fills with time.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     rate: f64,
     left: f64,
-    at: Option<Ms>,
+    at: Option<MonotonicMillis>,
 }
 
 /// Requests that may be saved up, in seconds' worth, as the cloud's protocol allows.
@@ -27,7 +27,7 @@
         (rate * BURST_S).max(2.0)
     }
     /// Takes a request if that leaves `keep` for what matters more.
-    pub fn take(&mut self, now: Ms, keep: f64) -> bool {
+    pub fn take(&mut self, now: MonotonicMillis, keep: f64) -> bool {
         let passed = self.at.map_or(0, |at| now.since(at));
         self.at = Some(now);
         let filled = self.left + self.rate * passed as f64 / 1000.0;
--- a/src/coordination/replication.rs
+++ b/src/coordination/replication.rs
@@ -4,28 +4,28 @@
 //! told to the standby of each shard, so that a takeover goes on with it. It is a hint like the
 //! queues themselves: nothing starts or ends by it, and a takeover without it is as safe.
 
-use crate::coordination::controller::Node;
-use crate::coordination::peer_messages::HOLD_MS;
+use crate::coordination::controller::Controller;
+use crate::coordination::peer_messages::GANG_RESERVATION_MS;
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::draft::DraftTransaction;
-use crate::protocol::peers::{Ask, Reply, ShardStanding};
+use crate::protocol::peers::{PeerRequest, PeerResponse, ShardStatus};
 use crate::state::cluster_state::ClusterState;
 use crate::state::machine::Machine;
-use crate::state::names::{Index, ShardIx};
-use crate::state::units::Ms;
+use crate::state::names::{Index, ShardIndex};
+use crate::state::units::MonotonicMillis;
 use standby::follower::Follower;
 use standby::ids::ShardId;
 use standby::message::{Answer, Decision, MachineState, Message, QueuedTask};
 use standby::permit::Permits;
 use standby::publisher::{Publisher, StreamLimits};
-use standby::replica_state::Shadow;
+use standby::replica_state::ReplicaState;
 use std::collections::{BTreeMap, HashSet};
 use std::rc::Rc;
 
 /// Time between two looks at what is new.
 const STREAM_MS: u64 = 500;
 /// Turns between two lines in the log.
-const SURVEY_TURNS: u64 = 30;
+const UTILIZATION_LOG_ROUNDS: u64 = 30;
 /// Time for an answer.
 const ANSWER_MS: u64 = 2000;
 /// Time after which a standby that did not answer is tried again.
@@ -41,14 +41,14 @@
     /// Messages are being sent right now.
     busy: bool,
     /// Nothing is sent before this: the standby did not answer.
-    not_before: Ms,
+    not_before: MonotonicMillis,
 }
 
 /// Streams to and from standbys, by shard.
 #[derive(Default)]
 pub struct Replication {
-    published: BTreeMap<ShardIx, Stream>,
-    followed: BTreeMap<ShardIx, Follower>,
+    published: BTreeMap<ShardIndex, Stream>,
+    followed: BTreeMap<ShardIndex, Follower>,
     /// Messages sent since the last line of the log that tells them.
     messages: u64,
     /// Their bytes.
@@ -66,7 +66,7 @@
 
     /// One line on all streams of this node, and a new count.
     fn line(&mut self) -> String {
-        let lag = |(shard, stream): (&ShardIx, &Stream)| {
+        let lag = |(shard, stream): (&ShardIndex, &Stream)| {
             let lag = stream.publisher.lag();
             let lag = lag.map_or("no snapshot yet".to_string(), |n| format!("{n} behind"));
             format!("shard {} to {}: {lag}", shard.0, stream.to)
@@ -78,49 +78,53 @@
     }
 
     /// The stream of a shard to a standby; one that has changed begins with a snapshot.
-    fn stream(&mut self, shard: ShardIx, token: u64, to: &str) -> &mut Stream {
+    fn stream(&mut self, shard: ShardIndex, token: u64, to: &str) -> &mut Stream {
         let stream = self.published.entry(shard).or_insert_with(|| Stream {
             publisher: Publisher::new(shard.0, token, StreamLimits::default()),
             to: to.to_string(),
             busy: false,
-            not_before: Ms(0),
+            not_before: MonotonicMillis(0),
         });
         if stream.to != to {
             stream.to = to.to_string();
             stream.publisher.follow_anew();
-            stream.not_before = Ms(0);
+            stream.not_before = MonotonicMillis(0);
         }
         stream
     }
 }
 
 /// Duty: tells standbys what is new.
-pub async fn run(node: Rc<Node>) {
+pub async fn run(controller: Rc<Controller>) {
     for turn in 1u64.. {
-        node.beat(STREAM_MS, None).await;
-        if turn.is_multiple_of(SURVEY_TURNS) {
-            log::debug!("streams: {}", node.replication.borrow_mut().line());
+        controller.tick(STREAM_MS, None).await;
+        if turn.is_multiple_of(UTILIZATION_LOG_ROUNDS) {
+            log::debug!("streams: {}", controller.replication.borrow_mut().line());
         }
-        if !node.cluster.borrow().loaded {
+        if !controller.cluster.borrow().loaded {
             continue;
         }
-        for shard in publish(&node) {
-            node.ex.clone().spawn(send(node.clone(), shard)).detach();
+        for shard in publish(&controller) {
+            controller
+                .executor
+                .clone()
+                .spawn(send(controller.clone(), shard))
+                .detach();
         }
     }
 }
 
 /// Publishes what has changed of all owned shards; the shards with something to send.
-fn publish(node: &Node) -> Vec<ShardIx> {
-    let permits = node.permits();
-    let cluster = node.cluster.borrow();
-    let standby_of = node.standby_of.borrow();
-    let mut replication = node.replication.borrow_mut();
-    replication.retain_owned(&cluster, &node.config, &permits);
-    let now = node.now();
+fn publish(controller: &Controller) -> Vec<ShardIndex> {
+    let permits = controller.permits();
+    let cluster = controller.cluster.borrow();
+    let standby_of = controller.standby_of.borrow();
+    let mut replication = controller.replication.borrow_mut();
+    replication.retain_owned(&cluster, &controller.config, &permits);
+    let now = controller.now();
     let mut ready = Vec::new();
     for (shard, name) in standby_of.iter() {
-        let Some(permit) = node.config.permit(&cluster, &permits, *shard) else {
+        let Some(permit) = controller.config.permit(&cluster, &permits, *shard) else {
             continue;
         };
         let stream = replication.stream(*shard, permit.token().0, name);
@@ -136,7 +140,12 @@
 }
 
 /// Publishes the machines of a shard that have changed since they were published last.
-pub fn publish_changes(cluster: &ClusterState, shard: ShardIx, now: Ms, publisher: &mut Publisher) {
+pub fn publish_changes(
+    cluster: &ClusterState,
+    shard: ShardIndex,
+    now: MonotonicMillis,
+    publisher: &mut Publisher,
+) {
     let of_shard = || cluster.all_machines().filter(|(_, m)| m.shard == shard);
     let mut changed = Vec::new();
     let (mut present, mut added) = (0, 0);
@@ -162,13 +171,17 @@
     }
 }
 
-fn held_for<'a>(cluster: &'a ClusterState, machine: &Machine, now: Ms) -> Option<&'a str> {
-    let (gang, until) = machine.held?;
+fn held_for<'a>(
+    cluster: &'a ClusterState,
+    machine: &Machine,
+    now: MonotonicMillis,
+) -> Option<&'a str> {
+    let (gang, until) = machine.reservation?;
     (now < until).then(|| &*cluster.jobs[gang.at()].id)
 }
 
-fn state_of(cluster: &ClusterState, machine: &Machine, now: Ms) -> MachineState {
-    let queued = |(job, task, _): &(_, u32, Ms)| QueuedTask {
+fn state_of(cluster: &ClusterState, machine: &Machine, now: MonotonicMillis) -> MachineState {
+    let queued = |(job, task, _): &(_, u32, MonotonicMillis)| QueuedTask {
         job: cluster.jobs[Index::at(*job)].id.to_string(),
         task: *task,
     };
@@ -179,8 +192,13 @@
 }
 
 /// True if a published state is the machine's now; nothing is copied for that.
-fn is_state_of(cluster: &ClusterState, machine: &Machine, now: Ms, state: &MachineState) -> bool {
-    let same = |(queued, (job, task, _)): (&QueuedTask, &(_, u32, Ms))| {
+fn is_state_of(
+    cluster: &ClusterState,
+    machine: &Machine,
+    now: MonotonicMillis,
+    state: &MachineState,
+) -> bool {
+    let same = |(queued, (job, task, _)): (&QueuedTask, &(_, u32, MonotonicMillis))| {
         queued.task == *task && *queued.job == *cluster.jobs[Index::at(*job)].id
     };
     state.held_for.as_deref() == held_for(cluster, machine, now)
@@ -189,16 +207,16 @@
 }
 
 /// Sends what a stream has, message by message, as long as they are answered.
-async fn send(node: Rc<Node>, shard: ShardIx) {
+async fn send(controller: Rc<Controller>, shard: ShardIndex) {
     for _ in 0..MESSAGES {
         let next = {
-            let mut replication = node.replication.borrow_mut();
+            let mut replication = controller.replication.borrow_mut();
             let stream = replication.published.get_mut(&shard);
             stream.and_then(|s| Some((s.publisher.next_message()?, s.to.clone())))
         };
         let Some((message, to)) = next else { break };
-        let answer = deliver(&node, &message, &to).await;
-        let mut replication = node.replication.borrow_mut();
+        let answer = deliver(&controller, &message, &to).await;
+        let mut replication = controller.replication.borrow_mut();
         let Some(stream) = replication.published.get_mut(&shard) else {
             break;
         };
@@ -210,54 +228,59 @@
             Some(answer) => stream.publisher.answered(answer),
             None => {
                 stream.publisher.unanswered();
-                stream.not_before = node.now().plus(AGAIN_MS);
+                stream.not_before = controller.now().plus(AGAIN_MS);
                 break;
             }
         }
     }
-    let mut replication = node.replication.borrow_mut();
+    let mut replication = controller.replication.borrow_mut();
     if let Some(stream) = replication.published.get_mut(&shard) {
         stream.busy = false;
     }
 }
 
-async fn deliver(node: &Node, message: &Message, to: &str) -> Option<Answer> {
+async fn deliver(controller: &Controller, message: &Message, to: &str) -> Option<Answer> {
     let message = message.encode()?;
     {
-        let mut replication = node.replication.borrow_mut();
+        let mut replication = controller.replication.borrow_mut();
         replication.messages += 1;
         replication.bytes += message.len() as u64;
     }
-    let ask = Ask::Follow {
-        node: node.config.node.clone(),
+    let ask = PeerRequest::Replicate {
+        sender: controller.config.controller_name.clone(),
         message,
     };
-    match node.peer(to)?.streams.ask(&ask, ANSWER_MS).await {
-        Ok(Reply::Followed { answer }) => Answer::decode(&answer),
+    match controller
+        .peer(to)?
+        .replication_client
+        .ask(&ask, ANSWER_MS)
+        .await
+    {
+        Ok(PeerResponse::ReplicationAnswer { answer }) => Answer::decode(&answer),
         _ => None,
     }
 }
 
 /// Answers an owner whose shard this node follows.
-pub fn answer(node: &Node, from: &str, message: &[u8]) -> Reply {
+pub fn answer(controller: &Controller, from: &str, message: &[u8]) -> PeerResponse {
     let answer = Message::decode(message)
-        .and_then(|message| take(node, &message))
+        .and_then(|message| take(controller, &message))
         .and_then(|answer| answer.encode());
     if answer.is_none() {
-        node.complain(&format!("unreadable message of {from} for its standby"));
+        controller.warn_rate_limited(&format!("unreadable message of {from} for its standby"));
     }
     let answer = answer.unwrap_or_default();
-    Reply::Followed { answer }
+    PeerResponse::ReplicationAnswer { answer }
 }
 
-fn take(node: &Node, message: &Message) -> Option<Answer> {
+fn take(controller: &Controller, message: &Message) -> Option<Answer> {
     let (shard, _) = message.origin();
-    let shard = ShardIx(shard);
+    let shard = ShardIndex(shard);
     let recorded = {
-        let cluster = node.cluster.borrow();
-        cluster.shards.get(shard.at())?.rec.token
+        let cluster = controller.cluster.borrow();
+        cluster.shards.get(shard.at())?.record.fencing_token
     };
-    let mut replication = node.replication.borrow_mut();
+    let mut replication = controller.replication.borrow_mut();
     let follower = replication.followed.entry(shard).or_default();
     let before = follower.irregularities();
     let answer = follower.take(message, recorded);
@@ -272,37 +295,40 @@
 }
 
 /// How all shards and their standbys stand, for operators.
-pub fn standing(node: &Node) -> Vec<ShardStanding> {
-    node.observe_shards();
-    let cluster = node.cluster.borrow();
-    let standby_of = node.standby_of.borrow();
-    let takeovers = node.takeovers.borrow();
-    let replication = node.replication.borrow();
-    let standing = |shard: ShardIx| {
-        let record = &cluster.shards[shard.at()].rec;
+pub fn standing(controller: &Controller) -> Vec<ShardStatus> {
+    controller.observe_shards();
+    let cluster = controller.cluster.borrow();
+    let standby_of = controller.standby_of.borrow();
+    let takeovers = controller.failovers.borrow();
+    let replication = controller.replication.borrow();
+    let standing = |shard: ShardIndex| {
+        let record = &cluster.shards[shard.at()].record;
         let stream = replication.published.get(&shard);
         let follower = replication.followed.get(&shard);
         let complete = follower.filter(|f| f.shadow().is_some());
-        ShardStanding {
+        ShardStatus {
             shard: shard.0,
             owner: record.owner.clone(),
-            token: record.token,
+            fencing_token: record.fencing_token,
             state: takeovers.state(ShardId(shard.0)).name().to_string(),
             standby: standby_of.get(&shard).cloned(),
-            behind: stream.and_then(|s| s.publisher.lag()),
-            follows: complete.map(Follower::token),
+            replication_lag: stream.and_then(|s| s.publisher.lag()),
+            replica_of_token: complete.map(Follower::token),
         }
     };
-    let shards = (0..cluster.shards.len()).map(ShardIx::new);
+    let shards = (0..cluster.shards.len()).map(ShardIndex::new);
     shards.map(standing).collect()
 }
 
 /// Attempts that a draft removes from the records, by the shard of their machine.
-pub fn ended(node: &Node, draft: &DraftTransaction) -> Vec<(ShardIx, QueuedTask, u64)> {
-    if node.features.standby().is_none() {
+pub fn ended(
+    controller: &Controller,
+    draft: &DraftTransaction,
+) -> Vec<(ShardIndex, QueuedTask, u64)> {
+    if controller.features.standby().is_none() {
         return Vec::new();
     }
-    let cluster = node.cluster.borrow();
+    let cluster = controller.cluster.borrow();
     let mut out = Vec::new();
     for (ix, job) in &draft.jobs {
         let before = cluster.jobs[ix.at()].placements.iter();
@@ -316,17 +342,17 @@
 
 /// Publishes decisions that were recorded at a revision.
 pub fn note_committed(
-    node: &Node,
+    controller: &Controller,
     draft: &DraftTransaction,
-    ended: Vec<(ShardIx, QueuedTask, u64)>,
+    ended: Vec<(ShardIndex, QueuedTask, u64)>,
     revision: u64,
 ) {
-    let mut replication = node.replication.borrow_mut();
+    let mut replication = controller.replication.borrow_mut();
     if replication.published.is_empty() {
         return;
     }
-    let cluster = node.cluster.borrow();
-    let mut publish = |shard: ShardIx, decision| {
+    let cluster = controller.cluster.borrow();
+    let mut publish = |shard: ShardIndex, decision| {
         if let Some(stream) = replication.published.get_mut(&shard) {
             stream.publisher.publish(decision);
         }
@@ -352,16 +378,16 @@
 }
 
 /// Goes on with what the former owner of a shard told, once this node may decide for it.
-pub fn restore(node: &Node, shard: ShardIx) {
-    let follower = node.replication.borrow_mut().followed.remove(&shard);
+pub fn restore(controller: &Controller, shard: ShardIndex) {
+    let follower = controller.replication.borrow_mut().followed.remove(&shard);
     let Some(follower) = follower else { return };
-    let mut cluster = node.cluster.borrow_mut();
+    let mut cluster = controller.cluster.borrow_mut();
     // Only the state of the owner just before: an older one's queues have long been served.
-    let token = cluster.shards[shard.at()].rec.token;
+    let token = cluster.shards[shard.at()].record.fencing_token;
     let Some(shadow) = follower.shadow().filter(|_| follower.token() + 1 == token) else {
         return;
     };
-    let restored = restore_shadow(&mut cluster, shard, shadow, node.now());
+    let restored = restore_replica(&mut cluster, shard, shadow, controller.now());
     log::info!(
         "shard {}: goes on with {} queued tasks and {} machines kept for gangs of token {}, \
          decided up to revision {}",
@@ -383,18 +409,22 @@
 }
 
 /// Takes a former owner's queues and held machines over, as far as they still make sense.
-pub fn restore_shadow(
+pub fn restore_replica(
     cluster: &mut ClusterState,
-    shard: ShardIx,
-    shadow: &Shadow,
-    now: Ms,
+    shard: ShardIndex,
+    shadow: &ReplicaState,
+    now: MonotonicMillis,
 ) -> Restored {
     let mut restored = Restored::default();
     for (name, state) in shadow.machines() {
-        let Some(mix) = cluster.machine_names.find(name) else {
+        let Some(machine_index) = cluster.machine_names.find(name) else {
             continue;
         };
-        let waits = |t: &&QueuedTask| cluster.job(&t.job).is_some_and(|(_, j)| j.waits(t.task));
+        let waits = |t: &&QueuedTask| {
+            cluster
+                .job(&t.job)
+                .is_some_and(|(_, j)| j.is_waiting(t.task))
+        };
         let queue: Vec<_> = state
             .queue
             .iter()
@@ -402,8 +432,11 @@
             .filter_map(|t| Some((cluster.job(&t.job)?.0, t.task, now)))
             .collect();
         let gang = state.held_for.as_ref().and_then(|id| cluster.job(id));
-        let gang = gang.filter(|(_, job)| job.runnable()).map(|(ix, _)| ix);
-        let Some(machine) = cluster.machine_mut(mix).filter(|m| m.shard == shard) else {
+        let gang = gang.filter(|(_, job)| job.is_runnable()).map(|(ix, _)| ix);
+        let Some(machine) = cluster
+            .machine_mut(machine_index)
+            .filter(|m| m.shard == shard)
+        else {
             continue;
         };
         for entry in queue {
@@ -417,7 +450,7 @@
             }
         }
         if let Some(gang) = gang {
-            machine.held = Some((gang, now.plus(HOLD_MS)));
+            machine.reservation = Some((gang, now.plus(GANG_RESERVATION_MS)));
             restored.held += 1;
         }
     }
--- a/src/coordination/scheduler/bin_packing.rs
+++ b/src/coordination/scheduler/bin_packing.rs
@@ -2,32 +2,32 @@
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::draft::DraftTransaction;
-use crate::protocol::users::Rank;
+use crate::protocol::users::Priority;
 use crate::protocol::workers::TaskState;
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::{Job, Spec};
-use crate::state::machine::Machine;
-use crate::state::names::{Index, JobIx, MachineIx, MachineTypeIx, ZoneIx};
-use crate::state::units::{ms_of, Resources};
+use crate::state::machine::{Machine, TaskAttempt};
+use crate::state::names::{Index, JobIndex, MachineIndex, MachineTypeIndex, ZoneIndex};
+use crate::state::units::{millis_from_seconds, Resources};
 
 /// Free room by machine, drafted changes included.
 #[derive(Clone, Debug)]
-pub struct Room(Vec<Option<Resources>>);
+pub struct FreeCapacity(Vec<Option<Resources>>);
 
-impl Room {
+impl FreeCapacity {
     /// What is free on a machine.
-    pub fn get(&self, m: MachineIx) -> Option<Resources> {
+    pub fn get(&self, m: MachineIndex) -> Option<Resources> {
         self.0.get(m.at()).copied().flatten()
     }
     /// Takes some of it; parts may become negative.
-    pub fn take(&mut self, m: MachineIx, need: Resources) {
+    pub fn take(&mut self, m: MachineIndex, need: Resources) {
         self.change(m, |f| f.minus(need));
     }
     /// Gives some back.
-    pub fn give(&mut self, m: MachineIx, need: Resources) {
+    pub fn give(&mut self, m: MachineIndex, need: Resources) {
         self.change(m, |f| f.plus(need));
     }
-    fn change(&mut self, m: MachineIx, by: impl FnOnce(Resources) -> Resources) {
+    fn change(&mut self, m: MachineIndex, by: impl FnOnce(Resources) -> Resources) {
         if let Some(Some(f)) = self.0.get_mut(m.at()) {
             *f = by(*f);
         }
@@ -35,8 +35,8 @@
 }
 
 /// Free room of machines, after placements and whatever else was reported.
-pub fn free_room(cluster: &ClusterState, draft: &DraftTransaction) -> Room {
-    let mut free = Room(cluster.room().to_vec());
+pub fn free_capacity(cluster: &ClusterState, draft: &DraftTransaction) -> FreeCapacity {
+    let mut free = FreeCapacity(cluster.free_capacity().to_vec());
     for (ix, job) in &draft.jobs {
         let old = &cluster.jobs[ix.at()];
         let Some(s) = &job.spec else { continue };
@@ -54,8 +54,8 @@
         {
             // What a report still shows takes its room until it has exited, and what is done
             // takes none in the view either.
-            let a = (*ix, p.task, p.attempt);
-            let there = cluster.machine(p.machine).and_then(|m| m.seen(a));
+            let a = TaskAttempt::new(*ix, p.task, p.attempt);
+            let there = cluster.machine(p.machine).and_then(|m| m.observed(a));
             if there.is_none_or(|t| t.state == TaskState::Exited && !t.is_done()) {
                 free.give(p.machine, s.need);
             }
@@ -68,9 +68,9 @@
 pub fn allowed(
     cluster: &ClusterState,
     job: &Job,
-    ix: JobIx,
+    ix: JobIndex,
     spec: &Spec,
-    mix: MachineIx,
+    machine_index: MachineIndex,
     m: &Machine,
 ) -> bool {
     let kind = spec
@@ -82,12 +82,12 @@
     let failed_here = cluster
         .failures
         .get(&ix)
-        .is_some_and(|(on, _)| on.contains(&mix));
+        .is_some_and(|(on, _)| on.contains(&machine_index));
     kind && !failed_here && zone_allowed(cluster, job, spec, m.zone)
 }
 
 /// Zone rules against all placements of the record, old attempts counted until proven gone.
-fn zone_allowed(cluster: &ClusterState, job: &Job, spec: &Spec, zone: ZoneIx) -> bool {
+fn zone_allowed(cluster: &ClusterState, job: &Job, spec: &Spec, zone: ZoneIndex) -> bool {
     let zones = || {
         job.placements
             .iter()
@@ -98,27 +98,27 @@
 }
 
 /// Time a machine needs for a task's image.
-pub(crate) fn fetch_ms(cluster: &ClusterState, spec: &Spec, m: &Machine) -> u64 {
+pub(crate) fn image_pull_ms(cluster: &ClusterState, spec: &Spec, m: &Machine) -> u64 {
     if m.has_image(spec.image) {
         return 0;
     }
     let rate = cluster
         .machine_types
         .get(&m.machine_type)
-        .map(|r| r.flavor.fetch_gb_per_s);
-    ms_of(spec.wire.image_gb / rate.unwrap_or(0.0).max(0.01))
+        .map(|r| r.description.fetch_gb_per_s);
+    millis_from_seconds(spec.wire.image_gb / rate.unwrap_or(0.0).max(0.01))
 }
 
 /// How well a machine suits a task; less is better, in seconds of waiting.
 ///
 /// Fetching an image is time lost. Room that nothing else can use once the task is
 /// there is lost too, and spot machines are for the work that may run on them.
-pub fn misfit(cluster: &ClusterState, spec: &Spec, m: &Machine, free: Resources) -> i64 {
+pub fn bin_packing_cost(cluster: &ClusterState, spec: &Spec, m: &Machine, free: Resources) -> i64 {
     let Some(machine_type) = cluster.machine_types.get(&m.machine_type) else {
         return i64::MAX;
     };
-    let fetch = fetch_ms(cluster, spec, m) as f64 / 1000.0;
-    let whole = machine_type.room;
+    let fetch = image_pull_ms(cluster, spec, m) as f64 / 1000.0;
+    let whole = machine_type.capacity;
     let left = free.minus(spec.need);
     let part = |a: i64, b: i64| if b > 0 { a as f64 / b as f64 } else { 0.0 };
     let parts = [
@@ -139,7 +139,7 @@
     cluster
         .machine_types
         .get(&m.machine_type)
-        .is_some_and(|r| r.room == free)
+        .is_some_and(|r| r.capacity == free)
 }
 
 /// True if a task that may run on spot machines should leave this one alone for now: an
@@ -149,23 +149,22 @@
 ///
 /// The dearer ordinary machines of that type are, the longer: at four times the spot price the
 /// whole of the operators' patience, at twice the price or less none.
-pub fn leaves_alone(
+pub fn reserved_for_on_demand(
     cluster: &ClusterState,
     config: &SchedulerConfig,
     spec: &Spec,
-    rank: Rank,
+    rank: Priority,
     waited_ms: u64,
-    on: (MachineTypeIx, bool),
+    on: (MachineTypeIndex, bool),
     empty: bool,
 ) -> bool {
     let (machine_type, spot) = on;
-    if !spec.wire.spot || spot || !empty || rank <= Rank::High {
+    if !spec.wire.spot || spot || !empty || rank <= Priority::High {
         return false;
     }
-    let ratio = cluster
-        .machine_types
-        .get(&machine_type)
-        .map_or(4.0, |r| r.flavor.price / r.flavor.spot_price.max(0.001));
+    let ratio = cluster.machine_types.get(&machine_type).map_or(4.0, |r| {
+        r.description.price / r.description.spot_price.max(0.001)
+    });
     let part = ((ratio - 2.0) / 2.0).clamp(0.0, 1.0);
     (waited_ms as f64) < config.spot_patience_ms as f64 * part
 }
--- a/src/coordination/scheduler/claims.rs
+++ b/src/coordination/scheduler/claims.rs
@@ -1,19 +1,20 @@
 //! Claims of waiting tasks, and binding them to queues.
 
 use crate::coordination::scheduler::bin_packing::{
-    allowed, free_room, is_empty, leaves_alone, misfit, smallest_need, Room,
+    allowed, bin_packing_cost, free_capacity, is_empty, reserved_for_on_demand, smallest_need,
+    FreeCapacity,
 };
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::coordination::scheduler::gangs::claim_gangs;
-use crate::coordination::scheduler::job_order::{backed_off, waiting_jobs, Waiting};
-use crate::coordination::scheduler::quota::{claimants, crowds_out, pay, Claimant};
-use crate::protocol::users::{Rank, Shape};
+use crate::coordination::scheduler::job_order::{is_backed_off, waiting_jobs, Waiting};
+use crate::coordination::scheduler::quota::{pay, starved_gangs, would_starve_gang, StarvedGang};
+use crate::protocol::users::{JobKind, Priority};
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::{Job, Placement, Spec};
 use crate::state::machine::Machine;
-use crate::state::names::{Index, JobIx, MachineIx, ShardIx, ZoneIx};
-use crate::state::units::{Ms, Resources};
+use crate::state::names::{Index, JobIndex, MachineIndex, ShardIndex, ZoneIndex};
+use crate::state::units::{MonotonicMillis, Resources};
 use standby::permit::{Permit, Permits};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashMap, HashSet};
@@ -22,8 +23,8 @@
 pub const SAMPLE: usize = 64;
 
 /// True for tasks that are claimed many at a time while changes are scarce.
-fn deferrable(spec: &Spec, rank: Rank) -> bool {
-    spec.wire.shape == Shape::Array && rank > Rank::High
+fn deferrable(spec: &Spec, rank: Priority) -> bool {
+    spec.wire.kind == JobKind::Array && rank > Priority::High
 }
 
 /// Claims waiting tasks for owned machines with free room; returns machines that found nothing.
@@ -32,14 +33,14 @@
     config: &SchedulerConfig,
     permits: &Permits,
     draft: &mut DraftTransaction,
-    now: Ms,
+    now: MonotonicMillis,
     wall_ms: u64,
-) -> Vec<MachineIx> {
-    let mut free = free_room(cluster, draft);
+) -> Vec<MachineIndex> {
+    let mut free = free_capacity(cluster, draft);
     claim_gangs(cluster, config, permits, draft, &mut free, now);
     let mut jobs = waiting_jobs(cluster, config, draft, now, wall_ms);
-    if draft.defer {
-        jobs.retain(|w| !deferrable(&w.spec, w.rank));
+    if draft.batch_array_updates {
+        jobs.retain(|w| !deferrable(&w.spec, w.priority));
     }
     let Some(least) = smallest_need(jobs.iter().map(|w| &*w.spec)) else {
         return Vec::new();
@@ -57,14 +58,14 @@
         machines,
         permitted,
         queued: freshly_queued(cluster, config, now),
-        claimants: claimants(cluster, config, now, wall_ms),
+        starved_gangs: starved_gangs(cluster, config, now, wall_ms),
         free,
         pulled: HashSet::new(),
     };
-    let ranks: BTreeSet<Rank> = jobs.iter().map(|w| w.rank).collect();
+    let ranks: BTreeSet<Priority> = jobs.iter().map(|w| w.priority).collect();
     for rank in ranks {
         pass.claim_from_queues(draft, rank);
-        for waiting in jobs.iter().filter(|w| w.rank == rank) {
+        for waiting in jobs.iter().filter(|w| w.priority == rank) {
             pass.claim_for_job(draft, waiting);
         }
     }
@@ -76,13 +77,13 @@
     cluster: &'a ClusterState,
     config: &SchedulerConfig,
     permitted: &[Option<&Permit>],
-    (free, least): (&Room, Resources),
-    now: Ms,
-) -> Vec<(MachineIx, &'a Machine)> {
-    let usable = |(mix, m): &(MachineIx, &Machine)| {
-        free.get(*mix).is_some_and(|f| least.fits(f))
+    (free, least): (&FreeCapacity, Resources),
+    now: MonotonicMillis,
+) -> Vec<(MachineIndex, &'a Machine)> {
+    let usable = |(machine_index, m): &(MachineIndex, &Machine)| {
+        free.get(*machine_index).is_some_and(|f| least.fits(f))
             && permitted[m.shard.at()].is_some()
-            && m.takes(now, config.silent_ms)
+            && m.is_schedulable(now, config.unresponsive_ms)
     };
     cluster.all_machines().filter(usable).collect()
 }
@@ -91,10 +92,10 @@
 fn freshly_queued(
     cluster: &ClusterState,
     config: &SchedulerConfig,
-    now: Ms,
-) -> HashSet<(JobIx, u32)> {
+    now: MonotonicMillis,
+) -> HashSet<(JobIndex, u32)> {
     let entries = cluster.all_machines().flat_map(|(_, m)| &m.queue);
-    let fresh = entries.filter(|(_, _, since)| now.since(*since) < config.steal_ms);
+    let fresh = entries.filter(|(_, _, since)| now.since(*since) < config.steal_after_ms);
     fresh.map(|(ix, task, _)| (*ix, *task)).collect()
 }
 
@@ -102,17 +103,17 @@
 struct ClaimPass<'a> {
     cluster: &'a ClusterState,
     config: &'a SchedulerConfig,
-    now: Ms,
+    now: MonotonicMillis,
     wall_ms: u64,
-    machines: Vec<(MachineIx, &'a Machine)>,
+    machines: Vec<(MachineIndex, &'a Machine)>,
     /// By shard: the permit to decide for it.
     permitted: Vec<Option<&'a Permit>>,
     /// Tasks left to the machines in whose queues they wait.
-    queued: HashSet<(JobIx, u32)>,
-    claimants: Vec<Claimant>,
-    free: Room,
+    queued: HashSet<(JobIndex, u32)>,
+    starved_gangs: Vec<StarvedGang>,
+    free: FreeCapacity,
     /// Machines for which something was claimed.
-    pulled: HashSet<MachineIx>,
+    pulled: HashSet<MachineIndex>,
 }
 
 impl ClaimPass<'_> {
@@ -121,21 +122,22 @@
         &self,
         job: &Job,
         room: Resources,
-        ix: JobIx,
+        ix: JobIndex,
         spec: &Spec,
-        (mix, m): (MachineIx, &Machine),
+        (machine_index, m): (MachineIndex, &Machine),
     ) -> bool {
-        let rank = job.dependency_state.rank;
-        let held = m.held.is_some_and(|(_, until)| self.now < until);
+        let rank = job.dependency_state.priority;
+        let held = m.reservation.is_some_and(|(_, until)| self.now < until);
         spec.need.fits(room)
-            && (!held || rank == Rank::Production)
-            && allowed(self.cluster, job, ix, spec, mix, m)
-            && !leaves_alone(
+            && (!held || rank == Priority::Production)
+            && allowed(self.cluster, job, ix, spec, machine_index, m)
+            && !reserved_for_on_demand(
                 self.cluster,
                 self.config,
                 spec,
                 rank,
-                self.wall_ms.saturating_sub(job.dependency_state.since),
+                self.wall_ms
+                    .saturating_sub(job.dependency_state.eligible_since),
                 (m.machine_type, m.spot),
                 is_empty(self.cluster, m, room),
             )
@@ -143,34 +145,34 @@
 
     /// True if the job leaves its team's limit to a gang.
     fn gives_way(&self, draft: &DraftTransaction, job: &Job, spec: &Spec) -> bool {
-        let claimants = &self.claimants;
-        crowds_out(self.cluster, draft, claimants, job, spec, self.wall_ms)
+        let starved_gangs = &self.starved_gangs;
+        would_starve_gang(self.cluster, draft, starved_gangs, job, spec, self.wall_ms)
     }
 
     /// Each machine's own queue, first in first out among those of one priority.
-    fn claim_from_queues(&mut self, draft: &mut DraftTransaction, rank: Rank) {
+    fn claim_from_queues(&mut self, draft: &mut DraftTransaction, rank: Priority) {
         for n in 0..self.machines.len() {
-            let (mix, m) = self.machines[n];
+            let (machine_index, m) = self.machines[n];
             for (ix, task, since) in &m.queue {
                 // What has waited here for long is unbound again, and served in that order.
-                if self.now.since(*since) >= self.config.steal_ms {
+                if self.now.since(*since) >= self.config.steal_after_ms {
                     continue;
                 }
                 let job = draft.job(self.cluster, *ix);
                 let spec = job.spec.clone();
-                let Some(spec) = spec.filter(|_| job.dependency_state.rank == rank) else {
+                let Some(spec) = spec.filter(|_| job.dependency_state.priority == rank) else {
                     continue;
                 };
-                let room = self.free.get(mix).unwrap_or_default();
-                if draft.defer && deferrable(&spec, rank)
-                    || !job.waits(*task)
-                    || backed_off(self.cluster, *ix, self.now)
+                let room = self.free.get(machine_index).unwrap_or_default();
+                if draft.batch_array_updates && deferrable(&spec, rank)
+                    || !job.is_waiting(*task)
+                    || is_backed_off(self.cluster, *ix, self.now)
                     || self.gives_way(draft, job, &spec)
-                    || !self.fits(job, room, *ix, &spec, (mix, m))
+                    || !self.fits(job, room, *ix, &spec, (machine_index, m))
                 {
                     continue;
                 }
-                self.place(draft, *ix, &spec, *task, (mix, m));
+                self.place(draft, *ix, &spec, *task, (machine_index, m));
             }
         }
     }
@@ -188,7 +190,7 @@
         }
         let tasks: Vec<u32> = draft
             .job(self.cluster, ix)
-            .waiting()
+            .waiting_tasks()
             .filter(|t| !self.queued.contains(&(ix, *t)))
             .take(self.machines.len() * 8)
             .collect();
@@ -218,40 +220,51 @@
         draft: &DraftTransaction,
         waiting: &Waiting,
         n: usize,
-    ) -> Option<Reverse<(i64, MachineIx, usize)>> {
-        let (mix, m) = self.machines[n];
-        let room = self.free.get(mix)?;
+    ) -> Option<Reverse<(i64, MachineIndex, usize)>> {
+        let (machine_index, m) = self.machines[n];
+        let room = self.free.get(machine_index)?;
         let job = draft.job(self.cluster, waiting.ix);
-        self.fits(job, room, waiting.ix, &waiting.spec, (mix, m))
-            .then(|| Reverse((misfit(self.cluster, &waiting.spec, m, room), mix, n)))
+        self.fits(job, room, waiting.ix, &waiting.spec, (machine_index, m))
+            .then(|| {
+                Reverse((
+                    bin_packing_cost(self.cluster, &waiting.spec, m, room),
+                    machine_index,
+                    n,
+                ))
+            })
     }
 
     /// Drafts one placement; false if the transaction or the team's limit has no room for it.
     fn place(
         &mut self,
         draft: &mut DraftTransaction,
-        ix: JobIx,
+        ix: JobIndex,
         spec: &Spec,
         task: u32,
-        (mix, m): (MachineIx, &Machine),
+        (machine_index, m): (MachineIndex, &Machine),
     ) -> bool {
         let Some(permit) = self.permitted[m.shard.at()] else {
             return false;
         };
-        let on = [(task, mix, m)];
+        let on = [(task, machine_index, m)];
         let placed = place(self.cluster, self.config, draft, ix, spec, &on, permit);
         if placed {
-            self.free.take(mix, spec.need);
-            self.pulled.insert(mix);
+            self.free.take(machine_index, spec.need);
+            self.pulled.insert(machine_index);
         }
         placed
     }
 
     /// Machines that have room left and for which nothing was claimed.
-    fn found_nothing(&self, least: Resources) -> Vec<MachineIx> {
-        let has_room = |mix: &MachineIx| self.free.get(*mix).is_some_and(|f| least.fits(f));
-        let all = self.machines.iter().map(|(mix, _)| *mix);
-        all.filter(|mix| !self.pulled.contains(mix) && has_room(mix))
+    fn found_nothing(&self, least: Resources) -> Vec<MachineIndex> {
+        let has_room = |machine_index: &MachineIndex| {
+            self.free.get(*machine_index).is_some_and(|f| least.fits(f))
+        };
+        let all = self
+            .machines
+            .iter()
+            .map(|(machine_index, _)| *machine_index);
+        all.filter(|machine_index| !self.pulled.contains(machine_index) && has_room(machine_index))
             .collect()
     }
 }
@@ -262,21 +275,23 @@
     cluster: &ClusterState,
     config: &SchedulerConfig,
     draft: &mut DraftTransaction,
-    ix: JobIx,
+    ix: JobIndex,
     n: usize,
 ) -> Option<Vec<u16>> {
     let value_bytes = config.limits(cluster).value_bytes;
     let job = draft.job(cluster, ix);
-    let parts = job.parts_for(n, value_bytes, cluster.second_form)?;
+    let parts = job.overflow_indices_for(n, value_bytes, cluster.record_format_v2)?;
     let fresh = usize::from(!draft.jobs.contains_key(&ix));
     let mut new: Vec<u16> = parts.iter().copied().filter(|p| *p > 0).collect();
     new.dedup();
-    new.retain(|p| !draft.parts.contains(&(ix, *p)));
+    new.retain(|p| !draft.overflow_records.contains(&(ix, *p)));
     if !draft.has_room(cluster, config, new.len() + fresh) {
-        draft.cut = true;
+        draft.truncated = true;
         return None;
     }
-    draft.parts.extend(new.into_iter().map(|p| (ix, p)));
+    draft
+        .overflow_records
+        .extend(new.into_iter().map(|p| (ix, p)));
     Some(parts)
 }
 
@@ -285,12 +300,12 @@
     cluster: &ClusterState,
     config: &SchedulerConfig,
     draft: &mut DraftTransaction,
-    ix: JobIx,
+    ix: JobIndex,
     spec: &Spec,
-    on: &[(u32, MachineIx, &Machine)],
+    on: &[(u32, MachineIndex, &Machine)],
     permit: &Permit,
 ) -> bool {
-    let payer = ShardIx(permit.shard().0);
+    let payer = ShardIndex(permit.shard().0);
     if !pay(
         cluster,
         config,
@@ -314,16 +329,16 @@
         .iter()
         .zip(&parts)
         .map(|((task, machine, m), part)| Placement {
-            part: *part,
+            overflow_index: *part,
             task: *task,
             attempt,
             machine: *machine,
             shard: m.shard,
-            payer,
+            charged_shard: payer,
         });
     let placements: Vec<Placement> = placements.collect();
     job.placements.extend(&placements);
-    draft.rest_on(permit);
+    draft.require_ownership(permit);
     draft.claims.extend(placements.into_iter().map(|p| (ix, p)));
     true
 }
@@ -333,82 +348,95 @@
 pub fn bind(
     cluster: &ClusterState,
     config: &SchedulerConfig,
-    ix: JobIx,
-    now: Ms,
+    ix: JobIndex,
+    now: MonotonicMillis,
     wall_ms: u64,
-) -> Vec<(u32, MachineIx)> {
+) -> Vec<(u32, MachineIndex)> {
     let job = &cluster.jobs[ix.at()];
     let Some(spec) = job.spec.clone().filter(|s| !s.is_wide_gang()) else {
         return Vec::new();
     };
-    let mut free = free_room(cluster, &DraftTransaction::default());
-    for (mix, m) in cluster.all_machines() {
+    let mut free = free_capacity(cluster, &DraftTransaction::default());
+    for (machine_index, m) in cluster.all_machines() {
         for (j, t, _) in &m.queue {
             let q = &cluster.jobs[j.at()];
-            if let (true, Some(s)) = (q.waits(*t), &q.spec) {
-                free.take(mix, s.need);
+            if let (true, Some(s)) = (q.is_waiting(*t), &q.spec) {
+                free.take(machine_index, s.need);
             }
         }
     }
-    let candidates = cluster.all_machines().filter(|(mix, m)| {
-        m.takes(now, config.silent_ms)
-            && m.held.is_none()
-            && allowed(cluster, job, ix, &spec, *mix, m)
+    let candidates = cluster.all_machines().filter(|(machine_index, m)| {
+        m.is_schedulable(now, config.unresponsive_ms)
+            && m.reservation.is_none()
+            && allowed(cluster, job, ix, &spec, *machine_index, m)
     });
     // Machines with room and the image are few: a sample of hundreds misses most of them.
-    let (mut machines, mut others): (Vec<_>, Vec<_>) = candidates.partition(|(mix, m)| {
-        m.has_image(spec.image) && free.get(*mix).is_some_and(|f| spec.need.fits(f))
-    });
+    let (mut machines, mut others): (Vec<_>, Vec<_>) =
+        candidates.partition(|(machine_index, m)| {
+            m.has_image(spec.image) && free.get(*machine_index).is_some_and(|f| spec.need.fits(f))
+        });
     for list in [&mut machines, &mut others] {
         while list.len() > SAMPLE {
             list.swap_remove(fastrand::usize(..list.len()));
         }
     }
     machines.extend(others);
-    let mut queued: HashMap<MachineIx, usize> = machines
+    let mut queued: HashMap<MachineIndex, usize> = machines
         .iter()
-        .map(|(mix, m)| (*mix, m.queue.len().max(m.queued_elsewhere.into())))
+        .map(|(machine_index, m)| {
+            (
+                *machine_index,
+                m.queue.len().max(m.owner_queue_length.into()),
+            )
+        })
         .collect();
-    let mut per_zone: HashMap<ZoneIx, u32> = HashMap::new();
+    let mut per_zone: HashMap<ZoneIndex, u32> = HashMap::new();
     for p in &job.placements {
         if let Some(z) = cluster.shard_zone(p.shard) {
             *per_zone.entry(z).or_default() += 1;
         }
     }
-    let waited = wall_ms.saturating_sub(job.dependency_state.since);
+    let waited = wall_ms.saturating_sub(job.dependency_state.eligible_since);
     let mut out = Vec::new();
-    for task in job.waiting() {
+    for task in job.waiting_tasks() {
         let zone_ok = |m: &Machine| per_zone.get(&m.zone).copied().unwrap_or(0) < spec.zone_cap();
         let fitting = machines
             .iter()
-            .filter_map(|(mix, m)| {
-                let room = free.get(*mix)?;
-                let alone = leaves_alone(
+            .filter_map(|(machine_index, m)| {
+                let room = free.get(*machine_index)?;
+                let alone = reserved_for_on_demand(
                     cluster,
                     config,
                     &spec,
-                    job.dependency_state.rank,
+                    job.dependency_state.priority,
                     waited,
                     (m.machine_type, m.spot),
                     is_empty(cluster, m, room),
                 );
                 let good = zone_ok(m) && spec.need.fits(room) && !alone;
-                good.then(|| (misfit(cluster, &spec, m, room), (*mix, *m)))
+                good.then(|| {
+                    (
+                        bin_packing_cost(cluster, &spec, m, room),
+                        (*machine_index, *m),
+                    )
+                })
             })
-            .min_by_key(|(cost, (mix, _))| (*cost, *mix))
+            .min_by_key(|(cost, (machine_index, _))| (*cost, *machine_index))
             .map(|(_, chosen)| chosen);
         let chosen = fitting.or_else(|| {
             machines
                 .iter()
                 .copied()
-                .filter(|(mix, m)| zone_ok(m) && queued[mix] < config.queue_cap)
-                .min_by_key(|(mix, _)| queued[mix])
+                .filter(|(machine_index, m)| zone_ok(m) && queued[machine_index] < config.queue_cap)
+                .min_by_key(|(machine_index, _)| queued[machine_index])
         });
-        let Some((mix, m)) = chosen else { break };
-        free.take(mix, spec.need);
-        *queued.entry(mix).or_default() += 1;
+        let Some((machine_index, m)) = chosen else {
+            break;
+        };
+        free.take(machine_index, spec.need);
+        *queued.entry(machine_index).or_default() += 1;
         *per_zone.entry(m.zone).or_default() += 1;
-        out.push((task, mix));
+        out.push((task, machine_index));
     }
     out
 }
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -2,15 +2,15 @@
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::draft::DraftTransaction;
-use crate::protocol::users::Rank;
+use crate::protocol::users::Priority;
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::{Job, Spec};
-use crate::state::names::JobIx;
-use crate::state::units::{ms_of, Ms};
+use crate::state::names::JobIndex;
+use crate::state::units::{millis_from_seconds, MonotonicMillis};
 use std::rc::Rc;
 
-pub(crate) fn backed_off(cluster: &ClusterState, ix: JobIx, now: Ms) -> bool {
-    cluster.suspects.contains(&ix)
+pub(crate) fn is_backed_off(cluster: &ClusterState, ix: JobIndex, now: MonotonicMillis) -> bool {
+    cluster.jobs_with_unknown_outcome.contains(&ix)
         || cluster
             .failures
             .get(&ix)
@@ -20,13 +20,13 @@
 /// A waiting job, in the order of service.
 pub struct Waiting {
     /// Job.
-    pub ix: JobIx,
-    pub(crate) rank: Rank,
+    pub ix: JobIndex,
+    pub(crate) priority: Priority,
     pub(crate) spec: Rc<Spec>,
 }
 
 /// One in so many seconds belongs to what is late.
-const LATE_TURNS: u64 = 5;
+const OVERDUE_TURN_SECONDS: u64 = 5;
 
 /// How far the order of service puts a job back within its priority.
 ///
@@ -38,13 +38,13 @@
 /// minutes, or two and a half times the time allowed if that is less, its first task goes
 /// before all, and in one second of five all late work does, the oldest first.
 pub fn put_back(config: &SchedulerConfig, job: &Job, spec: &Spec, wall_ms: u64) -> u8 {
-    let age = wall_ms.saturating_sub(job.dependency_state.since);
+    let age = wall_ms.saturating_sub(job.dependency_state.eligible_since);
     let begun = !job.placements.is_empty() || job.done.count() > 0;
-    let class = config.finish_within.get(&spec.wire.class);
+    let class = config.completion_targets.get(&spec.wire.class);
     let own = job
         .dependency_state
-        .due
-        .map(|d| d.saturating_sub(job.dependency_state.since));
+        .deadline
+        .map(|d| d.saturating_sub(job.dependency_state.eligible_since));
     let times = own.into_iter().chain(class.into_iter().flatten().copied());
     let (first, last) = times.fold((None, 0), |(f, l), t| (f.or(Some(t)), l.max(t)));
     let begin_by = first.map_or(BEGIN_MS, |d| BEGIN_MS.min(d * 5 / 2));
@@ -52,8 +52,8 @@
         return 0;
     }
     let Some(first) = first else { return 1 };
-    let end = age + ms_of(spec.wire.estimate_s);
-    let late_turn = (wall_ms / 1000).is_multiple_of(LATE_TURNS);
+    let end = age + millis_from_seconds(spec.wire.estimated_run_s);
+    let late_turn = (wall_ms / 1000).is_multiple_of(OVERDUE_TURN_SECONDS);
     match (end <= first, end <= last) {
         (true, _) => 1,
         (_, true) if last > first && age * 5 >= last * 2 => 0,
@@ -72,7 +72,7 @@
 /// Not so where a class is only expected to finish within some time: there a team's guarantee
 /// and the waits count as much, and the oldest first serves them better.
 fn size_step(job: &Job, back: u8) -> u32 {
-    if back != 1 || job.dependency_state.due.is_none() {
+    if back != 1 || job.dependency_state.deadline.is_none() {
         return 0;
     }
     job.waiting_count().max(1).ilog2()
@@ -83,25 +83,29 @@
     cluster: &ClusterState,
     config: &SchedulerConfig,
     draft: &DraftTransaction,
-    now: Ms,
+    now: MonotonicMillis,
     wall_ms: u64,
 ) -> Vec<Waiting> {
-    let mut out: Vec<(Rank, u8, u32, u64, Waiting)> = cluster
+    let mut out: Vec<(Priority, u8, u32, u64, Waiting)> = cluster
         .active_jobs()
-        .filter(|(ix, _)| !backed_off(cluster, *ix, now))
+        .filter(|(ix, _)| !is_backed_off(cluster, *ix, now))
         .filter_map(|(ix, _)| {
             let j = draft.job(cluster, ix);
             let spec = j.spec.clone()?;
             (j.waiting_count() > 0 && !spec.is_wide_gang()).then(|| {
-                let rank = j.dependency_state.rank;
+                let rank = j.dependency_state.priority;
                 let back = put_back(config, j, &spec, wall_ms);
                 let size = size_step(j, back);
                 (
                     rank,
                     back,
                     size,
-                    j.dependency_state.since,
-                    Waiting { ix, rank, spec },
+                    j.dependency_state.eligible_since,
+                    Waiting {
+                        ix,
+                        priority: rank,
+                        spec,
+                    },
                 )
             })
         })
--- a/src/coordination/scheduler/planner.rs
+++ b/src/coordination/scheduler/planner.rs
@@ -1,22 +1,22 @@
 //! The planning duty: passes, their commits, and the pull between controllers.
 
-use crate::coordination::controller::{wall_ms, Direct, Node};
-use crate::coordination::kv::Outcome;
+use crate::coordination::controller::{wall_ms, Controller, Direct};
+use crate::coordination::kv::CommitOutcome;
 use crate::coordination::reconciliation;
 use crate::coordination::replication;
 use crate::coordination::scheduler::bin_packing;
 use crate::coordination::scheduler::claims;
 use crate::coordination::scheduler::commands;
-use crate::coordination::scheduler::commands::{Push, Pushed};
+use crate::coordination::scheduler::commands::{DirectStart, DirectStartOutcome};
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::coordination::scheduler::preemption;
 use crate::coordination::scheduler::quota;
-use crate::protocol::peers::{Ask, Reply, TaskRef};
-use crate::protocol::workers::{Commands, Report};
+use crate::protocol::peers::{PeerRequest, PeerResponse, TaskRef};
+use crate::protocol::workers::{DirectCommands, Heartbeat, HeartbeatVersion};
 use crate::state::job::Placement;
 use crate::state::machine::Machine;
-use crate::state::names::{Index, JobIx, MachineIx, ShardIx};
-use crate::state::units::Ms;
+use crate::state::names::{Index, JobIndex, MachineIndex, ShardIndex};
+use crate::state::units::MonotonicMillis;
 use crate::transport::http::{jittered, Client};
 use crate::transport::{pause, TransportError};
 use http_types::Method;
@@ -25,7 +25,7 @@
 use std::rc::Rc;
 
 /// Passes in a row before others get a turn.
-const PASSES: usize = 12;
+const MAX_PASSES: usize = 12;
 const PEER_MS: u64 = 800;
 const WORKER_MS: u64 = 2000;
 
@@ -37,9 +37,9 @@
 #[derive(Default)]
 pub struct Changes {
     seen: u64,
-    at: Ms,
+    at: MonotonicMillis,
     a_second: f64,
-    gathered: Ms,
+    gathered: MonotonicMillis,
     window_ms: u64,
 }
 
@@ -47,11 +47,11 @@
 const SPARE_PART: f64 = 0.5;
 /// Longest time that ends and claims of arrays are gathered. A job's end is written at once by
 /// the node that sees it whole, and no later than this by others.
-const GATHER_MS: f64 = 1000.0;
+const BATCH_WINDOW_MS: f64 = 1000.0;
 
 impl Changes {
     /// True if arrays' small news should wait for more of it; `total` counts all changes seen.
-    pub fn defer(&mut self, now: Ms, total: u64, limit: f64) -> bool {
+    pub fn defer(&mut self, now: MonotonicMillis, total: u64, limit: f64) -> bool {
         let span = now.since(self.at);
         if span >= 1000 {
             let rate = total.saturating_sub(self.seen) as f64 * 1000.0 / span as f64;
@@ -61,7 +61,7 @@
             self.at = now;
             let part = self.a_second / limit.max(0.1);
             let full = (part - SPARE_PART) / (0.9 - SPARE_PART);
-            self.window_ms = (full.clamp(0.0, 1.0) * GATHER_MS) as u64;
+            self.window_ms = (full.clamp(0.0, 1.0) * BATCH_WINDOW_MS) as u64;
         }
         if now.since(self.gathered) < self.window_ms {
             return true;
@@ -70,7 +70,7 @@
         false
     }
     /// How long the planner may sleep.
-    pub fn wait_ms(&self, now: Ms) -> u64 {
+    pub fn wait_ms(&self, now: MonotonicMillis) -> u64 {
         match self.window_ms {
             0 => IDLE_MS,
             w => w
@@ -81,41 +81,47 @@
 }
 
 /// Jobs cancelled with others that are written down at a time, and the time between.
-const CASCADES: usize = 2;
-const CASCADE_MS: u64 = 1000;
+const CASCADES_PER_PASS: usize = 2;
+const CASCADE_INTERVAL_MS: u64 = 1000;
 
 /// Longest sleep of the planner.
 const IDLE_MS: u64 = 700;
 
 /// Time between two lowerings of unused shares.
-const LOWER_MS: u64 = 2000;
+const QUOTA_LOWERING_INTERVAL_MS: u64 = 2000;
 
 /// When the parts of a pass that are not made each time were made last.
 #[derive(Default)]
-struct Occasional {
-    lowered: Ms,
-    cascaded: Ms,
+struct PeriodicSteps {
+    lowered: MonotonicMillis,
+    cascaded: MonotonicMillis,
 }
 
 /// Duty: plans whenever something changed, and now and then.
-pub async fn run(node: Rc<Node>) {
-    let mut occasional = Occasional::default();
-    let mut last_poll: HashMap<MachineIx, (u64, u64)> = HashMap::new();
+pub async fn run(controller: Rc<Controller>) {
+    let mut occasional = PeriodicSteps::default();
+    let mut last_poll: HashMap<MachineIndex, HeartbeatVersion> = HashMap::new();
     let mut changes = Changes::default();
     loop {
-        node.plan.notified(changes.wait_ms(node.now())).await;
-        if !node.cluster.borrow().loaded {
+        controller
+            .scheduling
+            .notified(changes.wait_ms(controller.now()))
+            .await;
+        if !controller.cluster.borrow().loaded {
             continue;
         }
-        let waiters = node.plan.take_waiters();
-        let limit = node.config.limits(&node.cluster.borrow()).write_rps;
-        let defer = changes.defer(node.now(), node.cluster.borrow().changes, limit);
+        let waiters = controller.scheduling.take_waiters();
+        let limit = controller
+            .config
+            .limits(&controller.cluster.borrow())
+            .write_rps;
+        let defer = changes.defer(controller.now(), controller.cluster.borrow().changes, limit);
         let lowered_before = occasional.lowered;
         let mut idle = Vec::new();
-        for _ in 0..PASSES {
+        for _ in 0..MAX_PASSES {
             let draft;
-            (draft, idle) = draft_pass(&node, defer, &mut occasional);
-            if draft.is_empty() || !commit_pass(&node, &draft).await {
+            (draft, idle) = draft_pass(&controller, defer, &mut occasional);
+            if draft.is_empty() || !commit_pass(&controller, &draft).await {
                 break;
             }
         }
@@ -123,93 +129,96 @@
             let _ = w.try_send(true);
         }
         if occasional.lowered != lowered_before {
-            last_poll.retain(|m, _| node.cluster.borrow().machine(*m).is_some());
+            last_poll.retain(|m, _| controller.cluster.borrow().machine(*m).is_some());
         }
-        node.metrics.time("- pushes", || push_starts(&node));
-        node.metrics
-            .time("- pulls", || pull(&node, &idle, &mut last_poll));
+        controller
+            .metrics
+            .time("- pushes", || send_direct_starts(&controller));
+        controller
+            .metrics
+            .time("- pulls", || pull(&controller, &idle, &mut last_poll));
     }
 }
 
 /// What one pass changes, and the machines that found nothing in it.
 fn draft_pass(
-    node: &Node,
+    controller: &Controller,
     defer: bool,
-    occasional: &mut Occasional,
-) -> (DraftTransaction, Vec<MachineIx>) {
-    let now = node.now();
-    let permits = node.permits();
-    let cluster = node.cluster.borrow();
-    let (config, metrics) = (&node.config, &node.metrics);
-    let mut draft = DraftTransaction::deferring(defer, wall_ms());
-    if now.since(occasional.cascaded) >= CASCADE_MS {
+    occasional: &mut PeriodicSteps,
+) -> (DraftTransaction, Vec<MachineIndex>) {
+    let now = controller.now();
+    let permits = controller.permits();
+    let cluster = controller.cluster.borrow();
+    let (config, metrics) = (&controller.config, &controller.metrics);
+    let mut draft = DraftTransaction::batching(defer, wall_ms());
+    if now.since(occasional.cascaded) >= CASCADE_INTERVAL_MS {
         occasional.cascaded = now;
-        draft.cascades = CASCADES;
+        draft.cascade_budget = CASCADES_PER_PASS;
     }
     metrics.time("- settle", || {
-        reconciliation::settle(&cluster, config, &permits, &mut draft, now);
+        reconciliation::reconcile(&cluster, config, &permits, &mut draft, now);
     });
     let idle = metrics.time("- claim", || {
         claims::claim(&cluster, config, &permits, &mut draft, now, wall_ms())
     });
-    if now.since(occasional.lowered) > LOWER_MS {
-        quota::lower_shares(&cluster, config, &permits, &mut draft);
+    if now.since(occasional.lowered) > QUOTA_LOWERING_INTERVAL_MS {
+        quota::lower_unused_quota(&cluster, config, &permits, &mut draft);
         occasional.lowered = now;
     }
     (draft, idle)
 }
 
 /// Commits what a pass changes; true if another pass should follow at once.
-async fn commit_pass(node: &Rc<Node>, draft: &DraftTransaction) -> bool {
-    let told = claims_told(node, draft);
-    let ended = replication::ended(node, draft);
+async fn commit_pass(controller: &Rc<Controller>, draft: &DraftTransaction) -> bool {
+    let told = describe_claims(controller, draft);
+    let ended = replication::ended(controller, draft);
     let (jobs, claims) = (draft.jobs.len(), draft.claims.len());
-    match node.commit_draft(draft).await {
-        Outcome::Done(revision) => {
+    match controller.commit_draft(draft).await {
+        CommitOutcome::Committed(revision) => {
             log::debug!("committed at {revision}: {jobs} jobs, {claims} claims");
-            replication::note_committed(node, draft, ended, revision);
+            replication::note_committed(controller, draft, ended, revision);
             for line in told {
                 log::debug!("{line}");
             }
             // What was ready is done; the next pass is for what comes next.
-            draft.cut
+            draft.truncated
         }
-        Outcome::Conflict(keys) => {
+        CommitOutcome::Conflict(keys) => {
             log::debug!("conflict on {keys:?}");
-            note_refused_tokens(node, draft, &keys);
-            node.refreshed(1500).await;
+            report_stale_tokens(controller, draft, &keys);
+            controller.refresh(1500).await;
             true
         }
-        Outcome::Refused(status) => {
+        CommitOutcome::Refused(status) => {
             log::debug!("state service refused with {status}");
             pause(jittered(150)).await;
             false
         }
-        Outcome::Unknown => {
+        CommitOutcome::Unknown => {
             log::warn!("no answer to a transaction on {jobs} jobs, reading before going on");
-            node.refreshed(1500).await;
+            controller.refresh(1500).await;
             false
         }
     }
 }
 
 /// Shards whose record has another version than the draft rests on: their tokens are refused.
-fn note_refused_tokens(node: &Node, draft: &DraftTransaction, keys: &[String]) {
+fn report_stale_tokens(controller: &Controller, draft: &DraftTransaction, keys: &[String]) {
     for (shard, token) in draft.shards() {
-        let key = node.cluster.borrow().shard_key(*shard);
+        let key = controller.cluster.borrow().shard_key(*shard);
         if keys.contains(&key) {
-            node.token_refused(*shard, Refusal::StateService { token: *token });
+            controller.token_refused(*shard, Refusal::StateService { token: *token });
         }
     }
 }
 
 /// Which tasks a draft claims, for which machine, and how long after their job came.
-fn claims_told(node: &Node, draft: &DraftTransaction) -> Vec<String> {
+fn describe_claims(controller: &Controller, draft: &DraftTransaction) -> Vec<String> {
     if !log::log_enabled!(log::Level::Debug) {
         return Vec::new();
     }
-    let cluster = node.cluster.borrow();
-    let line = |(ix, p): &(JobIx, Placement)| {
+    let cluster = controller.cluster.borrow();
+    let line = |(ix, p): &(JobIndex, Placement)| {
         let job = &cluster.jobs[ix.at()];
         let (spec, m) = (job.spec.as_ref()?, cluster.machine(p.machine)?);
         Some(format!(
@@ -223,28 +232,34 @@
             cluster.machine_type_names.name(m.machine_type),
             m.spot,
             m.has_image(spec.image),
-            wall_ms().saturating_sub(job.dependency_state.since)
+            wall_ms().saturating_sub(job.dependency_state.eligible_since)
         ))
     };
     draft.claims.iter().filter_map(line).collect()
 }
 
 /// Sends starts that can't wait for the next report.
-fn push_starts(node: &Rc<Node>) {
+fn send_direct_starts(controller: &Rc<Controller>) {
     let mut slots: Vec<Direct> = Vec::new();
     // What finds no place goes out with the answer to the machine's next report.
-    let mut place = || node.direct().map(|slot| slots.push(slot)).is_some();
-    let permits = node.permits();
-    let pushes = commands::pushes(
-        &mut node.cluster.borrow_mut(),
-        &node.config,
+    let mut place = || {
+        controller
+            .acquire_worker_connection()
+            .map(|slot| slots.push(slot))
+            .is_some()
+    };
+    let permits = controller.permits();
+    let direct_starts = commands::direct_starts(
+        &mut controller.cluster.borrow_mut(),
+        &controller.config,
         &permits,
-        node.now(),
+        controller.now(),
         &mut place,
     );
-    for (p, slot) in pushes.into_iter().zip(slots) {
-        let push = push(node.clone(), p);
-        node.ex
+    for (p, slot) in direct_starts.into_iter().zip(slots) {
+        let push = push(controller.clone(), p);
+        controller
+            .executor
             .spawn(async move {
                 push.await;
                 drop(slot);
@@ -253,12 +268,12 @@
     }
 }
 
-async fn push(node: Rc<Node>, p: Push) {
+async fn push(controller: Rc<Controller>, p: DirectStart) {
     let Ok(addr) = p.addr.parse() else { return };
-    let commands = Commands {
-        token: p.token,
-        session: p.session,
-        orders: p.orders.clone(),
+    let commands = DirectCommands {
+        fencing_token: p.fencing_token,
+        agent_epoch: p.agent_epoch,
+        commands: p.commands.clone(),
     };
     let Ok(body) = rmp_serde::to_vec_named(&commands) else {
         return;
@@ -270,59 +285,71 @@
     let unsent = matches!(sent, Err(TransportError::Connect(_)));
     let answer = sent.ok().filter(|f| matches!(f.status, 200 | 409));
     let how = match &answer {
-        Some(f) if f.status == 200 => Pushed::Executed,
-        Some(_) => Pushed::Refused,
-        None if unsent => Pushed::Refused,
-        None => Pushed::Unknown,
+        Some(f) if f.status == 200 => DirectStartOutcome::Executed,
+        Some(_) => DirectStartOutcome::Refused,
+        None if unsent => DirectStartOutcome::Refused,
+        None => DirectStartOutcome::Unknown,
     };
-    if how == Pushed::Unknown {
+    if how == DirectStartOutcome::Unknown {
         // It may run minutes later: the token of this shard has to be raised.
         log::info!("no answer to direct starts at {}", p.addr);
     }
     if answer.is_some() {
-        node.heard_worker();
+        controller.record_worker_contact();
     }
-    let mut cluster = node.cluster.borrow_mut();
-    commands::note_pushed(&mut cluster, &p, how);
-    let report = answer.and_then(|f| rmp_serde::from_slice::<Report>(&f.body).ok());
+    let mut cluster = controller.cluster.borrow_mut();
+    commands::record_direct_start_outcome(&mut cluster, &p, how);
+    let report = answer.and_then(|f| rmp_serde::from_slice::<Heartbeat>(&f.body).ok());
     if let Some(r) = report {
-        crate::coordination::heartbeats::take(&mut cluster, p.machine, &r, node.now(), None);
+        crate::coordination::heartbeats::take(&mut cluster, p.machine, &r, controller.now(), None);
     }
 }
 
 /// Idle machines poll a few random others, once for each of their reports.
-fn pull(node: &Rc<Node>, idle: &[MachineIx], last: &mut HashMap<MachineIx, (u64, u64)>) {
+fn pull(
+    controller: &Rc<Controller>,
+    idle: &[MachineIndex],
+    last: &mut HashMap<MachineIndex, HeartbeatVersion>,
+) {
     // Machines with queues, looked up once for all that poll now.
-    let mut queues: Option<Vec<(MachineIx, usize)>> = None;
-    for mix in idle {
+    let mut queues: Option<Vec<(MachineIndex, usize)>> = None;
+    for machine_index in idle {
         let (stamp, chosen) = {
-            let cluster = node.cluster.borrow();
-            let Some(m) = cluster.machine(*mix) else {
+            let cluster = controller.cluster.borrow();
+            let Some(m) = cluster.machine(*machine_index) else {
                 continue;
             };
-            if last.get(mix) == Some(&m.stamp) {
+            if last.get(machine_index) == Some(&m.message_version) {
                 continue;
             }
             let queues = queues.get_or_insert_with(|| {
-                let waits = |o: &Machine| !o.queue.is_empty() || o.queued_elsewhere > 0;
+                let waits = |o: &Machine| !o.queue.is_empty() || o.owner_queue_length > 0;
                 let with = cluster.all_machines().filter(|(_, o)| waits(o));
                 with.map(|(ix, o)| (ix, o.shard.at())).collect()
             });
-            let others = queues.iter().copied().filter(|(ix, _)| ix != mix);
+            let others = queues.iter().copied().filter(|(ix, _)| ix != machine_index);
             (
-                m.stamp,
-                fastrand::choose_multiple(others, node.operator.polls),
+                m.message_version,
+                fastrand::choose_multiple(others, controller.operator.polls),
             )
         };
-        last.insert(*mix, stamp);
+        last.insert(*machine_index, stamp);
         let mut remote: HashMap<String, Vec<String>> = HashMap::new();
         let mut found = false;
         for (other, shard) in chosen {
-            let owner = node.cluster.borrow().shards[shard].rec.owner.clone();
-            if owner == node.config.node {
-                found = found || hand_over(node, other, *mix, true).is_some();
+            let owner = controller.cluster.borrow().shards[shard]
+                .record
+                .owner
+                .clone();
+            if owner == controller.config.controller_name {
+                found = found || hand_over(controller, other, *machine_index, true).is_some();
             } else {
-                let name = node.cluster.borrow().machine_names.name(other).to_string();
+                let name = controller
+                    .cluster
+                    .borrow()
+                    .machine_names
+                    .name(other)
+                    .to_string();
                 remote.entry(owner).or_default().push(name);
             }
             if found {
@@ -330,31 +357,48 @@
             }
         }
         if found {
-            node.plan.notify();
+            controller.scheduling.notify();
             continue;
         }
         for (owner, machines) in remote {
-            let (node, mix) = (node.clone(), *mix);
-            node.ex
+            let (controller, machine_index) = (controller.clone(), *machine_index);
+            controller
+                .executor
                 .clone()
-                .spawn(poll_peer(node, owner, machines, mix))
+                .spawn(poll_peer(controller, owner, machines, machine_index))
                 .detach();
         }
     }
 }
 
-async fn poll_peer(node: Rc<Node>, owner: String, machines: Vec<String>, mix: MachineIx) {
-    let idle = node.cluster.borrow().machine_names.name(mix).to_string();
-    let Some(peer) = node.peer(&owner) else {
+async fn poll_peer(
+    controller: Rc<Controller>,
+    owner: String,
+    machines: Vec<String>,
+    machine_index: MachineIndex,
+) {
+    let idle = controller
+        .cluster
+        .borrow()
+        .machine_names
+        .name(machine_index)
+        .to_string();
+    let Some(peer) = controller.peer(&owner) else {
         return;
     };
-    if let Ok(Reply::Task(Some(t))) = peer
+    if let Ok(PeerResponse::StolenTask(Some(t))) = peer
         .client
-        .ask(&Ask::Poll { idle, machines }, PEER_MS)
+        .ask(
+            &PeerRequest::StealWork {
+                idle_machine: idle,
+                machines,
+            },
+            PEER_MS,
+        )
         .await
     {
-        if enqueue(&node, mix, &t, true) {
-            node.plan.notify();
+        if enqueue(&controller, machine_index, &t, true) {
+            controller.scheduling.notify();
         }
     }
 }
@@ -362,25 +406,30 @@
 /// Takes the first head of `other`'s queue that fits the idle machine. The giver
 /// drops it from its queue; should it be lost on the way, it is unbound again, since
 /// the job's record alone says what has been started.
-pub fn hand_over(node: &Node, other: MachineIx, idle: MachineIx, local: bool) -> Option<TaskRef> {
-    let now = node.now();
-    let permits = node.permits();
+pub fn hand_over(
+    controller: &Controller,
+    other: MachineIndex,
+    idle: MachineIndex,
+    local: bool,
+) -> Option<TaskRef> {
+    let now = controller.now();
+    let permits = controller.permits();
     let found = {
-        let cluster = node.cluster.borrow();
+        let cluster = controller.cluster.borrow();
         let giver = cluster.machine(other)?.shard;
-        node.config.permit(&cluster, &permits, giver)?;
+        controller.config.permit(&cluster, &permits, giver)?;
         let m = cluster.machine(idle)?;
         let room = cluster.free_on(idle)?;
         let queue = &cluster.machine(other)?.queue;
         queue.iter().position(|(ix, task, _)| {
             let j = &cluster.jobs[ix.at()];
-            j.waits(*task)
+            j.is_waiting(*task)
                 && j.spec.as_ref().is_some_and(|s| {
                     s.need.fits(room) && bin_packing::allowed(&cluster, j, *ix, s, idle, m)
                 })
         })?
     };
-    let mut cluster = node.cluster.borrow_mut();
+    let mut cluster = controller.cluster.borrow_mut();
     let (ix, task, _) = cluster.machine_mut(other)?.queue.remove(found)?;
     if local {
         cluster.machine_mut(idle)?.queue.push_front((ix, task, now));
@@ -390,18 +439,23 @@
 }
 
 /// Puts a task into an owned machine's queue; false if it does not wait or the queue is full.
-pub fn enqueue(node: &Node, mix: MachineIx, t: &TaskRef, front: bool) -> bool {
-    let now = node.now();
-    let mut cluster = node.cluster.borrow_mut();
+pub fn enqueue(
+    controller: &Controller,
+    machine_index: MachineIndex,
+    t: &TaskRef,
+    front: bool,
+) -> bool {
+    let now = controller.now();
+    let mut cluster = controller.cluster.borrow_mut();
     let Some((ix, job)) = cluster.job(&t.job) else {
         return false;
     };
-    if !job.waits(t.task) {
+    if !job.is_waiting(t.task) {
         return false;
     }
     // A free machine may take a few tasks at once; the cap is for those that wait.
-    let cap = node.operator.queue_cap.max(8);
-    let Some(m) = cluster.machine_mut(mix) else {
+    let cap = controller.operator.queue_cap.max(8);
+    let Some(m) = cluster.machine_mut(machine_index) else {
         return false;
     };
     if m.queue.len() >= cap || m.queue.iter().any(|q| (q.0, q.1) == (ix, t.task)) {
@@ -416,33 +470,33 @@
 }
 
 /// Tasks bound in one frame: a wide job's tasks would make a frame that is refused.
-const BOUND_TASKS: usize = 500;
+const TASKS_PER_BIND: usize = 500;
 
 /// What tells an owner of tasks bound to its machines, in as many frames as it takes.
-pub fn bind_frames(tasks: &[(String, TaskRef)]) -> Vec<Ask> {
-    let frame = |tasks: &[(String, TaskRef)]| Ask::Bind {
+pub fn bind_requests(tasks: &[(String, TaskRef)]) -> Vec<PeerRequest> {
+    let frame = |tasks: &[(String, TaskRef)]| PeerRequest::Bind {
         tasks: tasks.to_vec(),
     };
-    tasks.chunks(BOUND_TASKS).map(frame).collect()
+    tasks.chunks(TASKS_PER_BIND).map(frame).collect()
 }
 
 /// Binds the tasks of a job just accepted here to machines, wherever their queues are.
-pub fn bind_job(node: &Rc<Node>, ix: JobIx) {
+pub fn bind_job(controller: &Rc<Controller>, ix: JobIndex) {
     let bound = claims::bind(
-        &node.cluster.borrow(),
-        &node.config,
+        &controller.cluster.borrow(),
+        &controller.config,
         ix,
-        node.now(),
+        controller.now(),
         wall_ms(),
     );
     let mut remote: HashMap<String, Vec<(String, TaskRef)>> = HashMap::new();
-    for (task, mix) in bound {
+    for (task, machine_index) in bound {
         let (job, owner, name) = {
-            let cluster = node.cluster.borrow();
-            let Some(m) = cluster.machine(mix) else {
+            let cluster = controller.cluster.borrow();
+            let Some(m) = cluster.machine(machine_index) else {
                 continue;
             };
-            let owner = cluster.shards[m.shard.at()].rec.owner.clone();
+            let owner = cluster.shards[m.shard.at()].record.owner.clone();
             (
                 cluster.jobs[ix.at()].id.to_string(),
                 owner,
@@ -450,22 +504,23 @@
             )
         };
         let t = TaskRef { job, task };
-        if owner == node.config.node {
-            enqueue(node, mix, &t, false);
+        if owner == controller.config.controller_name {
+            enqueue(controller, machine_index, &t, false);
         } else {
             remote.entry(owner).or_default().push((name, t));
         }
     }
-    node.plan.notify();
+    controller.scheduling.notify();
     for (owner, tasks) in remote {
-        let node = node.clone();
-        node.ex
+        let controller = controller.clone();
+        controller
+            .executor
             .clone()
             .spawn(async move {
-                let Some(peer) = node.peer(&owner) else {
+                let Some(peer) = controller.peer(&owner) else {
                     return;
                 };
-                for ask in bind_frames(&tasks) {
+                for ask in bind_requests(&tasks) {
                     if peer.client.ask(&ask, PEER_MS).await.is_err() {
                         break;
                     }
@@ -476,32 +531,35 @@
 }
 
 /// Time a shard has for its turn at preemption.
-const TURN_MS: u64 = 2000;
+const PREEMPTION_TURN_MS: u64 = 2000;
 
 /// Marks work to be stopped for work of a higher priority.
-pub fn make_room(node: &Node) {
-    let (now, wall) = (node.now(), wall_ms());
-    let permits = node.permits();
-    let mut cluster = node.cluster.borrow_mut();
-    let turn = ShardIx::new((wall / TURN_MS) as usize % (cluster.shards.len() - 1));
-    for (mix, a, grace) in preemption::preempt(&cluster, &node.config, &permits, turn, now, wall) {
+pub fn preempt_for_waiting(controller: &Controller) {
+    let (now, wall) = (controller.now(), wall_ms());
+    let permits = controller.permits();
+    let mut cluster = controller.cluster.borrow_mut();
+    let turn = ShardIndex::new((wall / PREEMPTION_TURN_MS) as usize % (cluster.shards.len() - 1));
+    for (machine_index, a, grace) in
+        preemption::preempt(&cluster, &controller.config, &permits, turn, now, wall)
+    {
         log::info!(
             "{}/{} on {} makes room for work of a higher priority",
-            cluster.jobs[a.0.at()].id,
-            a.1,
-            cluster.machine_names.name(mix)
+            cluster.jobs[a.job.at()].id,
+            a.task,
+            cluster.machine_names.name(machine_index)
         );
-        if let Some(m) = cluster.machine_mut(mix) {
+        if let Some(m) = cluster.machine_mut(machine_index) {
             m.stopping.insert(a, grace);
         }
     }
 }
 
 /// Drops queue entries that no longer wait.
-pub fn sweep_queues(node: &Node) {
-    let mut cluster = node.cluster.borrow_mut();
+pub fn prune_queues(controller: &Controller) {
+    let mut cluster = controller.cluster.borrow_mut();
     let cluster = &mut *cluster;
     for m in cluster.machines.iter_mut().flatten() {
-        m.queue.retain(|(ix, t, _)| cluster.jobs[ix.at()].waits(*t));
+        m.queue
+            .retain(|(ix, t, _)| cluster.jobs[ix.at()].is_waiting(*t));
     }
 }
--- a/src/coordination/scheduler/quota.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -3,16 +3,20 @@
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::coordination::scheduler::gangs::waiting_gangs;
-use crate::protocol::users::{Rank, Shape};
+use crate::protocol::users::{JobKind, Priority};
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::{Job, Spec};
-use crate::state::names::{Index, ShardIx, TeamIx};
-use crate::state::units::{Ms, Resources};
+use crate::state::names::{Index, ShardIndex, TeamIndex};
+use crate::state::units::{MonotonicMillis, Resources};
 use standby::permit::Permits;
 
 /// What placements of a team use, whoever pays.
-pub fn used_by_team(cluster: &ClusterState, draft: &DraftTransaction, team: TeamIx) -> (i64, i64) {
-    let mut used = cluster.used(team);
+pub fn used_by_team(
+    cluster: &ClusterState,
+    draft: &DraftTransaction,
+    team: TeamIndex,
+) -> (i64, i64) {
+    let mut used = cluster.quota_used(team);
     for (ix, job) in &draft.jobs {
         if let Some(s) = job.spec.as_ref().filter(|s| s.team == team) {
             let n = job.placements.len() as i64 - cluster.jobs[ix.at()].placements.len() as i64;
@@ -23,10 +27,10 @@
 }
 
 /// What services of a team use of its limit, which comes free only when their users cancel them.
-fn used_by_services(cluster: &ClusterState, team: TeamIx) -> (i64, i64) {
+fn used_by_services(cluster: &ClusterState, team: TeamIndex) -> (i64, i64) {
     let jobs = cluster.active_jobs().filter_map(|(_, job)| {
         let spec = job.spec.as_ref()?;
-        let counts = spec.team == team && spec.wire.shape == Shape::Service && job.open();
+        let counts = spec.team == team && spec.wire.kind == JobKind::Service && job.is_open();
         counts.then(|| spec.need.times(job.placements.len() as u32))
     });
     jobs.fold((0, 0), |sum, used| (sum.0 + used.cpu, sum.1 + used.gpu))
@@ -42,42 +46,46 @@
 
 /// Wait after which a job leaves none of its team's limit to gangs any more: work that could run
 /// may not wait for 90 s.
-const LONGEST_COURTESY_MS: u64 = 75_000;
+const LONGEST_GANG_RESERVATION_MS: u64 = 75_000;
 
 /// True if a job has waited long enough to take room that a gang of its team waits for.
-pub(crate) fn past_courtesy(job: &Job, wall_ms: u64) -> bool {
-    wall_ms.saturating_sub(job.dependency_state.since) >= LONGEST_COURTESY_MS
+pub(crate) fn reservation_expired(job: &Job, wall_ms: u64) -> bool {
+    wall_ms.saturating_sub(job.dependency_state.eligible_since) >= LONGEST_GANG_RESERVATION_MS
 }
 
 /// A gang that has waited for its share of its team's limit.
-pub(crate) struct Claimant {
-    team: TeamIx,
-    order: (Rank, u64),
-    all: Resources,
+pub(crate) struct StarvedGang {
+    team: TeamIndex,
+    priority_and_age: (Priority, u64),
+    demand: Resources,
 }
 
 /// Gangs for whose sake younger work of their team takes no more of its limit.
 ///
 /// Small tasks use every bit of a limit as it comes free, so a gang that needs much at once
 /// would wait for as long as any come.
-pub(crate) fn claimants(
+pub(crate) fn starved_gangs(
     cluster: &ClusterState,
     config: &SchedulerConfig,
-    now: Ms,
+    now: MonotonicMillis,
     wall_ms: u64,
-) -> Vec<Claimant> {
-    let mut out: Vec<Claimant> = Vec::new();
+) -> Vec<StarvedGang> {
+    let mut out: Vec<StarvedGang> = Vec::new();
     for ix in waiting_gangs(cluster, now) {
         let job = &cluster.jobs[ix.at()];
         let Some(s) = &job.spec else { continue };
         let first = out.iter().all(|c| c.team != s.team);
-        let waited = wall_ms.saturating_sub(job.dependency_state.since) >= config.gang_hold_ms;
+        let waited = wall_ms.saturating_sub(job.dependency_state.eligible_since)
+            >= config.gang_reservation_after_ms;
         let limited = !cluster.team_limits[s.team.at()].unlimited();
         if first && waited && limited && fits_beside_services(cluster, s) {
-            out.push(Claimant {
+            out.push(StarvedGang {
                 team: s.team,
-                order: (job.dependency_state.rank, job.dependency_state.since),
-                all: s.need.times(s.tasks()),
+                priority_and_age: (
+                    job.dependency_state.priority,
+                    job.dependency_state.eligible_since,
+                ),
+                demand: s.need.times(s.tasks()),
             });
         }
     }
@@ -85,24 +93,27 @@
 }
 
 /// True if a task would take what an older gang of its team waits for.
-pub(crate) fn crowds_out(
+pub(crate) fn would_starve_gang(
     cluster: &ClusterState,
     draft: &DraftTransaction,
-    claimants: &[Claimant],
+    starved_gangs: &[StarvedGang],
     job: &Job,
     s: &Spec,
     wall_ms: u64,
 ) -> bool {
-    let Some(c) = claimants.iter().find(|c| c.team == s.team) else {
+    let Some(c) = starved_gangs.iter().find(|c| c.team == s.team) else {
         return false;
     };
-    if (job.dependency_state.rank, job.dependency_state.since) < c.order
-        || past_courtesy(job, wall_ms)
+    if (
+        job.dependency_state.priority,
+        job.dependency_state.eligible_since,
+    ) < c.priority_and_age
+        || reservation_expired(job, wall_ms)
     {
         return false;
     }
     let used = used_by_team(cluster, draft, s.team);
-    let all = c.all.plus(s.need);
+    let all = c.demand.plus(s.need);
     !cluster.team_limits[s.team.at()].allows((used.0 + all.cpu, used.1 + all.gpu))
 }
 
@@ -111,8 +122,8 @@
     cluster: &ClusterState,
     config: &SchedulerConfig,
     draft: &mut DraftTransaction,
-    team: TeamIx,
-    payer: ShardIx,
+    team: TeamIndex,
+    payer: ShardIndex,
     need: Resources,
     n: u32,
 ) -> bool {
@@ -122,8 +133,8 @@
     }
     // A claim of unknown outcome may still take what looks free, and a share that is lowered by
     // one may be less than it looks: what fits into a share is claimed without its record.
-    let doubtful = cluster.suspect_teams.contains(&team)
-        || cluster.suspects.iter().any(|j| {
+    let doubtful = cluster.teams_with_unknown_outcome.contains(&team)
+        || cluster.jobs_with_unknown_outcome.iter().any(|j| {
             cluster.jobs[j.at()]
                 .spec
                 .as_ref()
@@ -132,41 +143,49 @@
     if doubtful {
         return false;
     }
-    let mut used = cluster.paid(team, payer);
+    let mut used = cluster.quota_used_by_shard(team, payer);
     for (ix, j) in &draft.jobs {
         let Some(s) = j.spec.as_ref().filter(|s| s.team == team) else {
             continue;
         };
-        let count = |j: &Job| j.placements.iter().filter(|p| p.payer == payer).count() as i64;
+        let count = |j: &Job| {
+            j.placements
+                .iter()
+                .filter(|p| p.charged_shard == payer)
+                .count() as i64
+        };
         // Only what the draft adds counts: what it frees is free once committed.
         let added = (count(j) - count(&cluster.jobs[ix.at()])).max(0);
         used.0 += added * s.need.cpu;
         used.1 += added * s.need.gpu;
     }
     let all = need.times(n);
-    let wanted = (used.0 + all.cpu, used.1 + all.gpu);
+    let plan_scale_out = (used.0 + all.cpu, used.1 + all.gpu);
     let record = draft
-        .teams
+        .team_quotas
         .get(&team)
-        .unwrap_or(&cluster.teams[team.at()].rec);
+        .unwrap_or(&cluster.team_quotas[team.at()].record);
     let share = record.share(payer);
-    if wanted.0 <= share.0 && wanted.1 <= share.1 {
+    if plan_scale_out.0 <= share.0 && plan_scale_out.1 <= share.1 {
         return true;
     }
     let mut raised = record.clone();
-    raised.set(payer, (share.0.max(wanted.0), share.1.max(wanted.1)));
-    let fresh = usize::from(!draft.teams.contains_key(&team));
+    raised.set(
+        payer,
+        (share.0.max(plan_scale_out.0), share.1.max(plan_scale_out.1)),
+    );
+    let fresh = usize::from(!draft.team_quotas.contains_key(&team));
     if !limits.allows(raised.total()) || !draft.has_room(cluster, config, fresh + 1) {
         // What this draft frees is free for others once it is committed.
-        draft.cut = true;
+        draft.truncated = true;
         return false;
     }
-    draft.teams.insert(team, raised);
+    draft.team_quotas.insert(team, raised);
     true
 }
 
 /// Lowers shares of owned shards that are not used while work of the team waits.
-pub fn lower_shares(
+pub fn lower_unused_quota(
     cluster: &ClusterState,
     config: &SchedulerConfig,
     permits: &Permits,
@@ -174,9 +193,9 @@
 ) {
     let permitted = config.permitted(cluster, permits);
     for (t, limits) in cluster.team_limits.iter().enumerate() {
-        let team = TeamIx::new(t);
+        let team = TeamIndex::new(t);
         if limits.unlimited()
-            || draft.teams.contains_key(&team)
+            || draft.team_quotas.contains_key(&team)
             || !draft.has_room(cluster, config, 1)
         {
             continue;
@@ -186,23 +205,23 @@
             .active_jobs()
             .any(|(_, j)| of_team(j) && j.waiting_count() > 0);
         let doubtful = cluster
-            .suspects
+            .jobs_with_unknown_outcome
             .iter()
             .any(|j| of_team(&cluster.jobs[j.at()]));
         // A draft that changes one of its jobs has its say first.
         if !waits || doubtful || draft.jobs.values().any(of_team) {
             continue;
         }
-        let mut rec = cluster.teams[t].rec.clone();
-        for s in (0..cluster.shards.len()).map(ShardIx::new) {
-            let (share, used) = (rec.share(s), cluster.paid(team, s));
+        let mut rec = cluster.team_quotas[t].record.clone();
+        for s in (0..cluster.shards.len()).map(ShardIndex::new) {
+            let (share, used) = (rec.share(s), cluster.quota_used_by_shard(team, s));
             if let Some(permit) = permitted[s.at()].filter(|_| share != used) {
                 rec.set(s, used);
-                draft.rest_on(permit);
+                draft.require_ownership(permit);
             }
         }
-        if rec != cluster.teams[t].rec {
-            draft.teams.insert(team, rec);
+        if rec != cluster.team_quotas[t].record {
+            draft.team_quotas.insert(team, rec);
         }
     }
 }
--- a/src/observe_command.rs
+++ b/src/observe_command.rs
@@ -1,6 +1,6 @@
 //! `pointhook observe`: what a running controller sees, for operators.
 
-use crate::protocol::peers::{Ask, Reply, ShardStanding};
+use crate::protocol::peers::{PeerRequest, PeerResponse, ShardStatus};
 use crate::transport::frames::PeerClient;
 use crate::transport::TransportError;
 use clap::{Args, Subcommand};
@@ -58,17 +58,17 @@
     Ok(())
 }
 
-fn ask(server: SocketAddr) -> Result<Vec<ShardStanding>, ObserveError> {
+fn ask(server: SocketAddr) -> Result<Vec<ShardStatus>, ObserveError> {
     let client = PeerClient::new(server);
-    let answer = async_io::block_on(client.ask(&Ask::Standbys, ANSWER_MS));
+    let answer = async_io::block_on(client.ask(&PeerRequest::ShardStatuses, ANSWER_MS));
     match answer.map_err(|source| ObserveError::Transport { server, source })? {
-        Reply::Standbys { shards } => Ok(shards),
+        PeerResponse::ShardStatuses { shards } => Ok(shards),
         _ => Err(ObserveError::Unexpected(server)),
     }
 }
 
 /// One line a shard, for people.
-pub fn table(shards: &[ShardStanding]) -> String {
+pub fn table(shards: &[ShardStatus]) -> String {
     let mut out = row([
         "shard",
         "owner",
@@ -82,7 +82,7 @@
         out += &row([
             s.shard.to_string(),
             s.owner.clone(),
-            s.token.to_string(),
+            s.fencing_token.to_string(),
             s.state.clone(),
             s.standby.clone().unwrap_or("-".to_string()),
             progress(s),
@@ -92,8 +92,8 @@
 }
 
 /// How far the standby is, seen from the owner's or from its own end.
-fn progress(s: &ShardStanding) -> String {
-    match (s.behind, s.follows) {
+fn progress(s: &ShardStatus) -> String {
+    match (s.replication_lag, s.replica_of_token) {
         (Some(0), _) => "up to date".to_string(),
         (Some(n), _) => format!("{n} decisions behind"),
         (None, Some(token)) => format!("has the state of token {token}"),
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -4,7 +4,7 @@
 
 /// A machine type.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
-pub struct Flavor {
+pub struct CloudMachineType {
     /// Name.
     #[serde(rename = "sku")]
     pub name: String,
@@ -36,18 +36,18 @@
 
 /// Answer to `GET /flavors`.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
-pub struct Flavors {
+pub struct MachineTypeCatalog {
     /// The types.
     #[serde(rename = "rigs")]
-    pub types: Vec<Flavor>,
+    pub types: Vec<CloudMachineType>,
 }
 
 /// A rental request.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
-pub struct Booking {
+pub struct ProvisioningRequest {
     /// Name of the request, never reused.
     #[serde(rename = "booking")]
-    pub request: String,
+    pub request_id: String,
     /// Machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
@@ -63,14 +63,14 @@
 
 /// Names of machines: answer to a rental, body of a release.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
-pub struct Hosts {
+pub struct MachineNames {
     /// Machines.
     pub hosts: Vec<String>,
 }
 
 /// A machine in the list.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
-pub struct Listed {
+pub struct ListedMachine {
     /// Name.
     #[serde(rename = "uid")]
     pub name: String,
@@ -95,9 +95,9 @@
 
 /// A page of the list.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
-pub struct HostList {
+pub struct MachineListPage {
     /// Machines by name.
-    pub hosts: Vec<Listed>,
+    pub hosts: Vec<ListedMachine>,
     /// There are more.
     #[serde(default)]
     pub more: bool,
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -30,7 +30,7 @@
 
 /// What an owner tells of one of its machines.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Debug)]
-pub struct MachineNews {
+pub struct MachineStatus {
     /// Name.
     pub name: String,
     /// Worker's address.
@@ -44,49 +44,52 @@
     /// Since its last report, or since the owner began to wait for one.
     pub silent_ms: u64,
     /// It has reported at least once.
-    pub heard: bool,
+    pub has_reported: bool,
     /// It has shown the sender's token.
-    pub sure: bool,
+    pub fencing_token_confirmed: bool,
     /// Tasks in its queue.
-    pub queued: u8,
+    pub queue_length: u8,
     /// Tells that it takes no more tasks.
-    pub closed: bool,
+    pub cordoned: bool,
     /// Suspected to be faulty.
-    pub sick: bool,
+    pub quarantined: bool,
 }
 
 /// How a shard and its standby stand, as one node sees it.
 #[derive(Archive, Serialize, Deserialize, serde::Serialize, Clone, PartialEq, Debug)]
-pub struct ShardStanding {
+pub struct ShardStatus {
     /// Shard; the last one is the renting duty.
     pub shard: u32,
     /// Owner, by the records.
     pub owner: String,
     /// Token, by the records.
-    pub token: u64,
+    #[serde(rename = "token")]
+    pub fencing_token: u64,
     /// State of the shard's takeover on the node that was asked.
     pub state: String,
     /// Standby, as that node sees it.
     pub standby: Option<String>,
     /// Decisions that the standby lacks, if that node streams to it and it has a snapshot.
-    pub behind: Option<u64>,
+    #[serde(rename = "behind")]
+    pub replication_lag: Option<u64>,
     /// Token of the owner whose complete state that node has as its standby.
-    pub follows: Option<u64>,
+    #[serde(rename = "follows")]
+    pub replica_of_token: Option<u64>,
 }
 
 /// A request.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Debug)]
-pub enum Ask {
+pub enum PeerRequest {
     /// Owner's view of its machines, sent every second or so.
-    News {
+    Status {
         /// Sender.
-        node: String,
+        sender: String,
         /// The sender reaches the state service.
-        store_ok: bool,
+        kv_reachable: bool,
         /// Workers reach the sender, or it them.
-        hears_workers: bool,
+        workers_reachable: bool,
         /// Machines.
-        machines: Vec<MachineNews>,
+        machines: Vec<MachineStatus>,
     },
     /// Put these tasks into these machines' queues.
     Bind {
@@ -94,26 +97,26 @@
         tasks: Vec<(String, TaskRef)>,
     },
     /// An idle machine polls others' queues.
-    Poll {
+    StealWork {
         /// The idle machine.
-        idle: String,
+        idle_machine: String,
         /// Machines asked.
         machines: Vec<String>,
     },
     /// Keep machines free for a gang for a while.
-    Hold {
+    ReserveMachines {
         /// The gang.
         job: String,
         /// Machines.
         machines: Vec<String>,
     },
     /// Take no more tasks on these machines; they are to be returned.
-    Close {
+    Cordon {
         /// Machines.
         machines: Vec<String>,
     },
     /// The cloud has deleted these machines.
-    Gone {
+    MachinesDeleted {
         /// Machines.
         machines: Vec<String>,
     },
@@ -127,25 +130,25 @@
     },
     /// From a shard's owner to its standby: an archive of the standby package's messages. Sent only
     /// to nodes whose record says that they know it.
-    Follow {
+    Replicate {
         /// Sender.
-        node: String,
+        sender: String,
         /// The message.
         message: Vec<u8>,
     },
     /// From an operator's tool: how do shards and their standbys stand?
-    Standbys,
+    ShardStatuses,
 }
 
 /// A reply.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Debug)]
-pub enum Reply {
+pub enum PeerResponse {
     /// Taken note.
-    Noted,
+    Acknowledged,
     /// A task handed over, or none.
-    Task(Option<TaskRef>),
+    StolenTask(Option<TaskRef>),
     /// Machines that are closed and empty.
-    Closed(Vec<String>),
+    Cordoned(Vec<String>),
     /// All cancelled jobs known of which tasks may be left.
     Cancelled {
         /// For how long this process has run, ms.
@@ -156,14 +159,14 @@
         jobs: Vec<String>,
     },
     /// A standby's answer, as an archive.
-    Followed {
+    ReplicationAnswer {
         /// The answer.
         answer: Vec<u8>,
     },
     /// How shards and their standbys stand, as one node sees it.
-    Standbys {
+    ShardStatuses {
         /// Shards.
-        shards: Vec<ShardStanding>,
+        shards: Vec<ShardStatus>,
     },
 }
 
@@ -182,15 +185,15 @@
 }
 
 /// Decodes a request after validation.
-pub fn decode_ask(bytes: &[u8]) -> Option<Ask> {
+pub fn decode_request(bytes: &[u8]) -> Option<PeerRequest> {
     let mut aligned: rkyv::util::AlignedVec = rkyv::util::AlignedVec::new();
     aligned.extend_from_slice(bytes);
-    rkyv::from_bytes::<Ask, Error>(&aligned).ok()
+    rkyv::from_bytes::<PeerRequest, Error>(&aligned).ok()
 }
 
 /// Decodes a reply after validation.
-pub fn decode_reply(bytes: &[u8]) -> Option<Reply> {
+pub fn decode_response(bytes: &[u8]) -> Option<PeerResponse> {
     let mut aligned: rkyv::util::AlignedVec = rkyv::util::AlignedVec::new();
     aligned.extend_from_slice(bytes);
-    rkyv::from_bytes::<Reply, Error>(&aligned).ok()
+    rkyv::from_bytes::<PeerResponse, Error>(&aligned).ok()
 }
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -4,7 +4,7 @@
 
 /// How a job's tasks run.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Shape {
+pub enum JobKind {
     /// Independent tasks.
     #[serde(rename = "sweep")]
     Array,
@@ -18,7 +18,7 @@
 
 /// Priority; the smaller goes first.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Rank {
+pub enum Priority {
     /// Production.
     #[serde(rename = "prod")]
     Production,
@@ -46,10 +46,11 @@
     #[serde(rename = "crew")]
     pub team: String,
     /// Shape.
-    pub shape: Shape,
+    #[serde(rename = "shape")]
+    pub kind: JobKind,
     /// Priority.
     #[serde(rename = "rank")]
-    pub priority: Rank,
+    pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u32,
@@ -82,13 +83,13 @@
     pub spot: bool,
     /// Estimate of a task's run time.
     #[serde(rename = "guess_s")]
-    pub estimate_s: f64,
+    pub estimated_run_s: f64,
     /// Progress between checkpoints.
     #[serde(rename = "snapshot_s")]
     pub checkpoint_s: f64,
     /// Time to save when stopped.
     #[serde(rename = "flush_s")]
-    pub save_s: f64,
+    pub checkpoint_grace_s: f64,
     /// Deadline from submission.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
@@ -99,7 +100,7 @@
         deserialize_with = "once_each",
         skip_serializing_if = "Vec::is_empty"
     )]
-    pub awaits: Vec<String>,
+    pub dependencies: Vec<String>,
 }
 
 /// Reads a list that may be null; what is named twice counts once.
@@ -113,7 +114,7 @@
 
 /// Dependencies that a job may name: as many as a record holds under limits of the state service
 /// that are a fraction of today's.
-pub const MAX_AWAITS: usize = 64;
+pub const MAX_DEPENDENCIES: usize = 64;
 
 /// Most tasks a job may have.
 pub const MAX_TASKS: u32 = 100_000;
@@ -151,10 +152,10 @@
     Types,
     /// It awaits itself.
     #[error("a job can't await itself")]
-    AwaitsItself,
+    DependsOnItself,
     /// A dependency's id is too long for any job's.
     #[error("awaits must be ids of jobs")]
-    Awaits,
+    Dependencies,
 }
 
 impl JobSpec {
@@ -183,9 +184,9 @@
             ("gpus", self.gpus),
             ("mem_gb", self.mem_gb),
             ("size_gb", self.image_gb),
-            ("guess_s", self.estimate_s),
+            ("guess_s", self.estimated_run_s),
             ("snapshot_s", self.checkpoint_s),
-            ("flush_s", self.save_s),
+            ("flush_s", self.checkpoint_grace_s),
             ("due_s", self.deadline_s.unwrap_or(0.0)),
         ];
         if let Some((name, _)) = amounts.into_iter().find(|(_, x)| !amount(*x)) {
@@ -195,11 +196,11 @@
         if types.len() > MOST_TYPES || !types.iter().all(|t| text(t)) {
             return Err(InvalidJob::Types);
         }
-        if self.awaits.contains(&self.id) {
-            return Err(InvalidJob::AwaitsItself);
+        if self.dependencies.contains(&self.id) {
+            return Err(InvalidJob::DependsOnItself);
         }
-        if self.awaits.iter().any(|id| id.len() > LONGEST_TEXT) {
-            return Err(InvalidJob::Awaits);
+        if self.dependencies.iter().any(|id| id.len() > LONGEST_TEXT) {
+            return Err(InvalidJob::Dependencies);
         }
         Ok(())
     }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -7,16 +7,16 @@
 pub enum TaskState {
     /// Waits for its image.
     #[serde(rename = "pulling")]
-    Fetching,
+    PullingImage,
     /// Waits for its gang.
     #[serde(rename = "gathering")]
-    Waiting,
+    AwaitingGang,
     /// Runs.
     #[serde(rename = "running")]
     Running,
     /// Saves.
     #[serde(rename = "flushing")]
-    Saving,
+    Checkpointing,
     /// Ended.
     #[serde(rename = "exited")]
     Exited,
@@ -24,7 +24,7 @@
 
 /// Why a task ended.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Why {
+pub enum ExitReason {
     /// Completed.
     #[serde(rename = "done")]
     Done,
@@ -33,22 +33,22 @@
     Stopped,
     /// Another task of the gang is gone.
     #[serde(rename = "mates_gone")]
-    Peers,
+    GangMemberLost,
     /// The gang was not complete in time.
     #[serde(rename = "alone")]
-    Alone,
+    GangTimeout,
     /// Failed.
     #[serde(rename = "error")]
     Error,
     /// Refused: no room.
     #[serde(rename = "full")]
-    NoRoom,
+    InsufficientResources,
     /// Refused: another attempt is there.
     #[serde(rename = "busy")]
-    Busy,
+    OtherAttemptPresent,
     /// Refused: no such job.
     #[serde(rename = "unknown")]
-    Unknown,
+    UnknownTask,
     /// A cause this version does not know.
     #[serde(other)]
     Other,
@@ -56,7 +56,7 @@
 
 /// A task in a report.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
-pub struct TaskReport {
+pub struct TaskStatus {
     /// `job-1/3`.
     #[serde(rename = "piece")]
     pub task: String,
@@ -68,15 +68,15 @@
     pub state: TaskState,
     /// Why it exited.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Why>,
+    pub exit_reason: Option<ExitReason>,
     /// Its progress was saved.
     #[serde(rename = "stored", default, skip_serializing_if = "Option::is_none")]
-    pub saved: Option<bool>,
+    pub checkpointed: Option<bool>,
 }
 
 /// A worker's report.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
-pub struct Report {
+pub struct Heartbeat {
     /// Machine.
     #[serde(rename = "host")]
     pub machine: String,
@@ -94,30 +94,50 @@
     pub spot: bool,
     /// Session.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub agent_epoch: u64,
     /// Number of the message.
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     /// Highest token seen.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Seconds until the cloud takes the machine.
     #[serde(rename = "warning_s", default)]
-    pub notice_s: Option<f64>,
+    pub preemption_notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "pieces", default)]
-    pub tasks: Vec<TaskReport>,
+    pub tasks: Vec<TaskStatus>,
+}
+
+/// Orders a worker's messages: the one with the larger version is the newer one.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
+pub struct HeartbeatVersion {
+    /// Epoch of the worker's agent; it rises whenever the worker's lease expires.
+    pub agent_epoch: u64,
+    /// Number of the message within its epoch.
+    pub sequence: u64,
+}
+
+impl Heartbeat {
+    /// Version of this message among those of its worker.
+    pub fn version(&self) -> HeartbeatVersion {
+        HeartbeatVersion {
+            agent_epoch: self.agent_epoch,
+            sequence: self.sequence,
+        }
+    }
 }
 
 /// An order to a worker.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 #[serde(tag = "verb")]
-pub enum Order {
+pub enum Command {
     /// Start a task.
     #[serde(rename = "start")]
     Start {
         /// Task.
-        piece: String,
+        #[serde(rename = "piece")]
+        task: String,
         /// Attempt.
         #[serde(rename = "try")]
         attempt: u64,
@@ -126,7 +146,8 @@
     #[serde(rename = "stop")]
     Stop {
         /// Task.
-        piece: String,
+        #[serde(rename = "piece")]
+        task: String,
         /// Attempt.
         #[serde(rename = "try")]
         attempt: u64,
@@ -136,9 +157,10 @@
     },
     /// Remove an exited task from the reports.
     #[serde(rename = "reap")]
-    Forget {
+    AcknowledgeExit {
         /// Task.
-        piece: String,
+        #[serde(rename = "piece")]
+        task: String,
         /// Attempt.
         #[serde(rename = "try")]
         attempt: u64,
@@ -147,33 +169,35 @@
 
 /// Answer to a report.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
-pub struct ReportAnswer {
+pub struct HeartbeatResponse {
     /// Token of the commander.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// What to do, in order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// Direct commands.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
-pub struct Commands {
+pub struct DirectCommands {
     /// Token of the commander.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub fencing_token: u64,
     /// Session that they are for.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub agent_epoch: u64,
     /// What to do, in order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<Command>,
 }
 
 /// 421: who is in charge.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
-pub struct Elsewhere {
+pub struct NotOwner {
     /// The node in charge, if known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
-    pub report_to: Option<String>,
+    pub owner: Option<String>,
 }
 
 /// Splits `job-1/3`.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -86,7 +86,7 @@
     }
     /// Age of the knowledge of cancellations up to which leases are renewed, ms.
     pub fn renew_ms(&self) -> u64 {
-        crate::state::units::ms_of(self.room_s().max(LEAST_RENEW_S))
+        crate::state::units::millis_from_seconds(self.room_s().max(LEAST_RENEW_S))
     }
     /// What an operator should know of these times.
     pub fn warning(&self) -> Option<String> {
--- a/src/state/cancellation_watermark.rs
+++ b/src/state/cancellation_watermark.rs
@@ -1,14 +1,14 @@
 //! Up to which moment this node knows all confirmed cancellations. Pure, no I/O.
 
-use super::units::Ms;
+use super::units::MonotonicMillis;
 
 /// What another controller last told of the cancellations it knows.
 #[derive(Clone, Copy, Debug)]
-struct Vouched {
+struct PeerAttestation {
     /// When it was asked; what it knew then, it told.
-    asked: Ms,
+    requested_at: MonotonicMillis,
     /// The latest at which its process can have begun: it vouches for nothing before.
-    born: Ms,
+    process_started: MonotonicMillis,
 }
 
 /// Up to which moment the knowledge of confirmed cancellations is complete: every cancellation
@@ -20,67 +20,86 @@
 /// what it knows, nothing from before is missing, unless one of them has restarted since the
 /// moment up to which knowledge was complete: what its predecessor confirmed last, it can't tell.
 #[derive(Clone, Debug, Default)]
-pub struct Knowledge {
+pub struct CancellationWatermark {
     /// Start of this process: what its predecessor confirmed it knows no better than others do.
-    born: Ms,
-    upto: Option<Ms>,
-    peers: Vec<Option<Vouched>>,
+    process_started: MonotonicMillis,
+    complete_until: Option<MonotonicMillis>,
+    peers: Vec<Option<PeerAttestation>>,
 }
 
-impl Knowledge {
+impl CancellationWatermark {
     /// Of a node with this many peers, whose process began then.
-    pub fn new(peers: usize, born: Ms) -> Knowledge {
-        Knowledge {
-            born,
-            upto: None,
+    pub fn new(peers: usize, born: MonotonicMillis) -> CancellationWatermark {
+        CancellationWatermark {
+            process_started: born,
+            complete_until: None,
             peers: vec![None; peers],
         }
     }
 
     /// A read of the records that began then has brought all changes.
-    pub fn read(&mut self, began: Ms) {
-        self.upto = self.upto.max(Some(began));
-        self.follow();
+    pub fn record_read(&mut self, began: MonotonicMillis) {
+        self.complete_until = self.complete_until.max(Some(began));
+        self.advance();
     }
 
     /// A peer that was asked at `asked` has told all unsettled cancellations it knows; its own
     /// knowledge was complete `age_ms` before, and its process has run for `up_ms`.
-    pub fn told(&mut self, peer: usize, asked: Ms, now: Ms, up_ms: u64, age_ms: Option<u64>) {
+    pub fn record_attestation(
+        &mut self,
+        peer: usize,
+        asked: MonotonicMillis,
+        now: MonotonicMillis,
+        up_ms: u64,
+        age_ms: Option<u64>,
+    ) {
         if let Some(slot) = self.peers.get_mut(peer) {
             // Answers may cross; the later question counts.
-            if slot.is_none_or(|v| v.asked <= asked) {
+            if slot.is_none_or(|v| v.requested_at <= asked) {
                 // Whole milliseconds, and clocks that drift: never too early.
-                let born = Ms(now.0.saturating_sub(up_ms - up_ms / 1000)).plus(2);
-                *slot = Some(Vouched { asked, born });
+                let born = MonotonicMillis(now.0.saturating_sub(up_ms - up_ms / 1000)).plus(2);
+                *slot = Some(PeerAttestation {
+                    requested_at: asked,
+                    process_started: born,
+                });
             }
         }
         if let Some(age) = age_ms {
             let age = age.saturating_add(age / 1000 + 1);
-            let complete = asked.0.checked_sub(age).map(Ms);
-            self.upto = self.upto.max(complete.filter(|t| *t >= self.born));
+            let complete = asked.0.checked_sub(age).map(MonotonicMillis);
+            self.complete_until = self
+                .complete_until
+                .max(complete.filter(|t| *t >= self.process_started));
         }
-        self.follow();
+        self.advance();
     }
 
     /// Moves on to where all peers have told what they know.
-    fn follow(&mut self) {
-        let Some(upto) = self.upto else { return };
-        let vouches = |v: &Option<Vouched>| v.filter(|v| v.born <= upto).map(|v| v.asked);
-        let all: Option<Vec<Ms>> = self.peers.iter().map(vouches).collect();
-        self.upto = self.upto.max(all.and_then(|a| a.into_iter().min()));
+    fn advance(&mut self) {
+        let Some(upto) = self.complete_until else {
+            return;
+        };
+        let vouches = |v: &Option<PeerAttestation>| {
+            v.filter(|v| v.process_started <= upto)
+                .map(|v| v.requested_at)
+        };
+        let all: Option<Vec<MonotonicMillis>> = self.peers.iter().map(vouches).collect();
+        self.complete_until = self
+            .complete_until
+            .max(all.and_then(|a| a.into_iter().min()));
     }
 
     /// Up to when knowledge is complete; `None` before the records were read. A node without
     /// peers confirms all that is confirmed, and so always knows it.
-    pub fn upto(&self, now: Ms) -> Option<Ms> {
-        match (self.upto, self.peers.is_empty()) {
+    pub fn complete_until(&self, now: MonotonicMillis) -> Option<MonotonicMillis> {
+        match (self.complete_until, self.peers.is_empty()) {
             (_, true) => Some(now),
             (upto, false) => upto,
         }
     }
 
     /// How old the knowledge is.
-    pub fn age_ms(&self, now: Ms) -> Option<u64> {
-        self.upto(now).map(|t| now.since(t))
+    pub fn age_ms(&self, now: MonotonicMillis) -> Option<u64> {
+        self.complete_until(now).map(|t| now.since(t))
     }
 }
--- a/src/state/cluster_state.rs
+++ b/src/state/cluster_state.rs
@@ -1,19 +1,21 @@
 //! The cached view: everything a controller knows. Pure, no I/O.
 
-use super::cancellation_watermark::Knowledge;
+use super::cancellation_watermark::CancellationWatermark;
 use super::dependency_graph::Graph;
 use super::job::{Job, JobRecord, JobState, Placement, Spec, StoredPlacement};
-use super::machine::{Attempt, Machine, MachineType, Seen};
+use super::machine::{Machine, MachineType, ObservedTask, TaskAttempt};
 use super::names::{
-    ImageIx, Index, Interner, JobIx, MachineIx, MachineTypeIx, ShardIx, TeamIx, ZoneIx,
+    ImageIndex, Index, Interner, JobIndex, MachineIndex, MachineTypeIndex, ShardIndex, TeamIndex,
+    ZoneIndex,
 };
 pub use super::records::{
-    BookingRecord, NodeRecord, PartRecord, ShardRecord, TeamLimits, TeamRecord, Versioned, ROOT,
+    ControllerRecord, OverflowRecord, ProvisioningRecord, ShardRecord, TeamLimits, TeamRecord,
+    Versioned, ROOT,
 };
 use super::resource_totals::ResourceTotals;
-use super::units::{Ms, Resources};
-use crate::protocol::cloud::Flavors;
-use crate::protocol::users::{JobSpec, Shape};
+use super::units::{MonotonicMillis, Resources};
+use crate::protocol::cloud::MachineTypeCatalog;
+use crate::protocol::users::{JobKind, JobSpec};
 use crate::protocol::workers::TaskState;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -31,65 +33,65 @@
     /// True once the records were read.
     pub loaded: bool,
     /// Job names.
-    pub job_names: Interner<JobIx>,
+    pub job_names: Interner<JobIndex>,
     /// Jobs by index.
     pub jobs: Vec<Job>,
     /// Jobs that are not settled.
     pub active: BTreeMap<u32, ()>,
     /// Machine names.
-    pub machine_names: Interner<MachineIx>,
+    pub machine_names: Interner<MachineIndex>,
     /// Machines by index; `None` if only the name is known.
     pub machines: Vec<Option<Machine>>,
     /// Types.
-    pub machine_type_names: Interner<MachineTypeIx>,
+    pub machine_type_names: Interner<MachineTypeIndex>,
     /// Types by index, as far as the cloud has described them.
-    pub machine_types: HashMap<MachineTypeIx, MachineType>,
+    pub machine_types: HashMap<MachineTypeIndex, MachineType>,
     /// Zones.
-    pub zone_names: Interner<ZoneIx>,
+    pub zone_names: Interner<ZoneIndex>,
     /// Images.
-    pub image_names: Interner<ImageIx>,
+    pub image_names: Interner<ImageIndex>,
     /// Teams.
-    pub team_names: Interner<TeamIx>,
+    pub team_names: Interner<TeamIndex>,
     /// Their limits.
     pub team_limits: Vec<TeamLimits>,
     /// Their shares.
-    pub teams: Vec<Versioned<TeamRecord>>,
+    pub team_quotas: Vec<Versioned<TeamRecord>>,
     /// Live nodes.
-    pub nodes: BTreeMap<String, Versioned<NodeRecord>>,
+    pub controllers: BTreeMap<String, Versioned<ControllerRecord>>,
     /// Shards; the last one is the renting duty.
     pub shards: Vec<Versioned<ShardRecord>>,
     /// Open bookings.
-    pub bookings: BTreeMap<String, Versioned<BookingRecord>>,
+    pub provisioning_requests: BTreeMap<String, Versioned<ProvisioningRecord>>,
     /// Jobs whose last transaction has an unknown outcome.
-    pub suspects: HashSet<JobIx>,
+    pub jobs_with_unknown_outcome: HashSet<JobIndex>,
     /// Teams whose last transaction has an unknown outcome.
-    pub suspect_teams: HashSet<TeamIx>,
+    pub teams_with_unknown_outcome: HashSet<TeamIndex>,
     /// Up to when all confirmed cancellations are known here.
-    pub knowledge: Knowledge,
+    pub cancellation_watermark: CancellationWatermark,
     /// The second form of records has begun: every node knows it.
-    pub second_form: bool,
+    pub record_format_v2: bool,
     /// Dependencies between jobs.
-    pub graph: Graph,
+    pub dependency_graph: Graph,
     /// Versions of the parts of jobs' records.
-    pub(super) parts: BTreeMap<(JobIx, u16), u64>,
+    pub(super) overflow_versions: BTreeMap<(JobIndex, u16), u64>,
     /// Jobs that others told are cancelled, until a record says so.
-    pub(super) told: HashSet<Rc<str>>,
+    pub(super) cancelled_by_peers: HashSet<Rc<str>>,
     /// Per job: machines on which it failed, and the earliest next try.
-    pub failures: HashMap<JobIx, (HashSet<MachineIx>, Ms)>,
+    pub failures: HashMap<JobIndex, (HashSet<MachineIndex>, MonotonicMillis)>,
     /// Jobs that came lately: time of day, ms, and description.
-    pub arrivals: VecDeque<(u64, Rc<Spec>)>,
+    pub recent_submissions: VecDeque<(u64, Rc<Spec>)>,
     /// Time of day of the first job known.
-    pub opened: Option<u64>,
+    pub first_submission: Option<u64>,
     /// Shards per zone.
     pub shards_per_zone: usize,
     /// This process' machine types were read from the state service.
-    pub flavors_version: u64,
+    pub machine_types_version: u64,
     /// Machines that the cloud has deleted, by index.
-    gone: Vec<bool>,
+    deleted: Vec<bool>,
     /// Sums over records and reports, kept current by every change of either.
-    tally: ResourceTotals,
+    totals: ResourceTotals,
     /// Bad records already complained about.
-    bad: HashSet<String>,
+    unreadable_records: HashSet<String>,
 }
 
 fn stable_hash(text: &str) -> u64 {
@@ -127,37 +129,37 @@
             v.team_names.intern(&t.name);
             v.team_limits.push(TeamLimits {
                 guaranteed: (milli(t.cpus), milli(t.gpus)),
-                most: (milli(t.cpus_max), milli(t.gpus_max)),
+                limit: (milli(t.cpus_max), milli(t.gpus_max)),
             });
-            v.teams.push(Versioned::default());
+            v.team_quotas.push(Versioned::default());
         }
         v.shards = vec![Versioned::default(); zones.len() * shards_per_zone + 1];
         v
     }
 
     /// The renting duty's shard.
-    pub fn renting(&self) -> ShardIx {
-        ShardIx(self.shards.len() as u32 - 1)
+    pub fn autoscaler_shard(&self) -> ShardIndex {
+        ShardIndex(self.shards.len() as u32 - 1)
     }
     /// A shard's zone; `None` for renting.
-    pub fn shard_zone(&self, s: ShardIx) -> Option<ZoneIx> {
-        (s != self.renting()).then(|| ZoneIx((s.at() / self.shards_per_zone) as u32))
+    pub fn shard_zone(&self, s: ShardIndex) -> Option<ZoneIndex> {
+        (s != self.autoscaler_shard()).then(|| ZoneIndex((s.at() / self.shards_per_zone) as u32))
     }
     /// The shard of a machine, the same everywhere and for good.
-    pub fn shard_of(&self, zone: ZoneIx, machine: &str) -> ShardIx {
+    pub fn shard_of(&self, zone: ZoneIndex, machine: &str) -> ShardIndex {
         let k = stable_hash(machine) % self.shards_per_zone as u64;
-        ShardIx((zone.at() * self.shards_per_zone) as u32 + k as u32)
+        ShardIndex((zone.at() * self.shards_per_zone) as u32 + k as u32)
     }
     /// The shard that plans a gang.
-    pub fn gang_shard(&self, id: &str) -> ShardIx {
-        ShardIx((stable_hash(id) % (self.shards.len() as u64 - 1)) as u32)
+    pub fn planning_shard(&self, id: &str) -> ShardIndex {
+        ShardIndex((stable_hash(id) % (self.shards.len() as u64 - 1)) as u32)
     }
     /// Key of a shard.
-    pub fn shard_key(&self, s: ShardIx) -> String {
+    pub fn shard_key(&self, s: ShardIndex) -> String {
         format!("{ROOT}shard/{}", s.0)
     }
     /// Key of a team.
-    pub fn team_key(&self, t: TeamIx) -> String {
+    pub fn team_key(&self, t: TeamIndex) -> String {
         format!("{ROOT}team/{}", self.team_names.name(t))
     }
     /// Key of a job.
@@ -165,29 +167,29 @@
         format!("{ROOT}job/{id}")
     }
     /// The owner of a shard if its incarnation is alive.
-    pub fn live_owner(&self, s: ShardIx) -> Option<&str> {
-        let r = &self.shards[s.at()].rec;
-        let n = self.nodes.get(&r.owner)?;
-        (n.rec.incarnation == r.incarnation).then_some(r.owner.as_str())
+    pub fn live_owner(&self, s: ShardIndex) -> Option<&str> {
+        let r = &self.shards[s.at()].record;
+        let n = self.controllers.get(&r.owner)?;
+        (n.record.incarnation == r.incarnation).then_some(r.owner.as_str())
     }
 
     /// Machine by index.
-    pub fn machine(&self, ix: MachineIx) -> Option<&Machine> {
+    pub fn machine(&self, ix: MachineIndex) -> Option<&Machine> {
         self.machines.get(ix.at())?.as_ref()
     }
     /// Machine by index, to change it.
-    pub fn machine_mut(&mut self, ix: MachineIx) -> Option<&mut Machine> {
+    pub fn machine_mut(&mut self, ix: MachineIndex) -> Option<&mut Machine> {
         self.machines.get_mut(ix.at())?.as_mut()
     }
     /// All machines with their index.
-    pub fn all_machines(&self) -> impl Iterator<Item = (MachineIx, &Machine)> {
+    pub fn all_machines(&self) -> impl Iterator<Item = (MachineIndex, &Machine)> {
         self.machines
             .iter()
             .enumerate()
-            .filter_map(|(i, m)| Some((MachineIx(i as u32), m.as_ref()?)))
+            .filter_map(|(i, m)| Some((MachineIndex(i as u32), m.as_ref()?)))
     }
     /// Index of a machine's name.
-    pub fn intern_machine(&mut self, name: &str) -> MachineIx {
+    pub fn intern_machine(&mut self, name: &str) -> MachineIndex {
         let ix = self.machine_names.intern(name);
         if self.machines.len() <= ix.at() {
             self.machines.resize(ix.at() + 1, None);
@@ -202,11 +204,11 @@
         machine_type: &str,
         zone: &str,
         spot: bool,
-        now: Ms,
-    ) -> Option<MachineIx> {
+        now: MonotonicMillis,
+    ) -> Option<MachineIndex> {
         let zone = self.zone_names.find(zone)?;
         let ix = self.intern_machine(name);
-        if self.is_gone(ix) {
+        if self.is_deleted(ix) {
             return None;
         }
         if self.machines[ix.at()].is_none() {
@@ -214,21 +216,21 @@
             let shard = self.shard_of(zone, name);
             let name = self.machine_names.name(ix).clone();
             self.machines[ix.at()] = Some(Machine::new(name, machine_type, zone, spot, shard, now));
-            self.recount(ix);
+            self.recompute_free_capacity(ix);
         }
         Some(ix)
     }
 
     /// Job by id.
-    pub fn job(&self, id: &str) -> Option<(JobIx, &Job)> {
+    pub fn job(&self, id: &str) -> Option<(JobIndex, &Job)> {
         let ix = self.job_names.find(id)?;
         Some((ix, self.jobs.get(ix.at())?))
     }
     /// Jobs that are not settled.
-    pub fn active_jobs(&self) -> impl Iterator<Item = (JobIx, &Job)> {
+    pub fn active_jobs(&self) -> impl Iterator<Item = (JobIndex, &Job)> {
         self.active
             .keys()
-            .map(|k| (JobIx(*k), &self.jobs[*k as usize]))
+            .map(|k| (JobIndex(*k), &self.jobs[*k as usize]))
     }
 
     /// Interns a description; `None` if its team or zone is unknown.
@@ -247,7 +249,7 @@
             }),
             zone,
             image: self.image_names.intern(&wire.image),
-            bytes: stored_bytes(wire),
+            record_bytes: stored_bytes(wire),
             wire: wire.clone(),
         })
     }
@@ -256,98 +258,100 @@
     pub fn can_run(&self, spec: &Spec) -> bool {
         let fits = self.machine_types.iter().any(|(ix, machine_type)| {
             spec.machine_types.as_ref().is_none_or(|r| r.contains(ix))
-                && spec.need.fits(machine_type.room)
-                && machine_type.flavor.zones.iter().any(|z| {
+                && spec.need.fits(machine_type.capacity)
+                && machine_type.description.zones.iter().any(|z| {
                     let z = self.zone_names.find(z);
                     z.is_some() && (spec.zone.is_none() || spec.zone == z)
                 })
         });
-        let tasks = match spec.wire.shape {
-            Shape::Array => 1,
-            Shape::Gang | Shape::Service => spec.tasks(),
+        let tasks = match spec.wire.kind {
+            JobKind::Array => 1,
+            JobKind::Gang | JobKind::Service => spec.tasks(),
         };
         let all = spec.need.times(tasks);
         fits && self.team_limits[spec.team.at()].allows((all.cpu, all.gpu))
     }
 
     /// What the placements paid by a shard use of a team's limit.
-    pub fn paid(&self, team: TeamIx, payer: ShardIx) -> (i64, i64) {
-        self.tally.paid(team, payer)
+    pub fn quota_used_by_shard(&self, team: TeamIndex, payer: ShardIndex) -> (i64, i64) {
+        self.totals.quota_used_by_shard(team, payer)
     }
     /// What a team's placements use, whoever pays.
-    pub fn used(&self, team: TeamIx) -> (i64, i64) {
-        self.tally.used(team)
+    pub fn quota_used(&self, team: TeamIndex) -> (i64, i64) {
+        self.totals.quota_used(team)
     }
     /// Attempts placed on a machine.
-    pub fn placed_on(&self, m: MachineIx) -> &[Attempt] {
-        self.tally.placed_on(m)
+    pub fn placed_on(&self, m: MachineIndex) -> &[TaskAttempt] {
+        self.totals.placed_on(m)
     }
     /// Machines with placements, known or not.
-    pub fn occupied(&self) -> impl Iterator<Item = MachineIx> + '_ {
-        self.tally.occupied()
+    pub fn occupied(&self) -> impl Iterator<Item = MachineIndex> + '_ {
+        self.totals.occupied()
     }
     /// True if the cloud has deleted the machine.
-    pub fn is_gone(&self, m: MachineIx) -> bool {
-        self.gone.get(m.at()).copied().unwrap_or(false)
+    pub fn is_deleted(&self, m: MachineIndex) -> bool {
+        self.deleted.get(m.at()).copied().unwrap_or(false)
     }
     /// Notes that the cloud has deleted a machine, which may be known by name only.
-    pub fn set_gone(&mut self, mix: MachineIx) {
-        if self.gone.len() <= mix.at() {
-            self.gone.resize(mix.at() + 1, false);
+    pub fn mark_deleted(&mut self, machine_index: MachineIndex) {
+        if self.deleted.len() <= machine_index.at() {
+            self.deleted.resize(machine_index.at() + 1, false);
         }
-        self.gone[mix.at()] = true;
+        self.deleted[machine_index.at()] = true;
         // Nothing of it is of use any more, and fleets change machines all day.
-        if let Some(m) = self.machines.get_mut(mix.at()) {
+        if let Some(m) = self.machines.get_mut(machine_index.at()) {
             *m = None;
         }
-        self.recount(mix);
+        self.recompute_free_capacity(machine_index);
     }
     /// Free room of a machine; `None` if it or its type is unknown.
-    pub fn free_on(&self, m: MachineIx) -> Option<Resources> {
-        self.room().get(m.at()).copied().flatten()
+    pub fn free_on(&self, m: MachineIndex) -> Option<Resources> {
+        self.free_capacity().get(m.at()).copied().flatten()
     }
     /// Room by machine after placements and whatever else was reported.
-    pub fn room(&self) -> &[Option<Resources>] {
-        self.tally.room()
+    pub fn free_capacity(&self) -> &[Option<Resources>] {
+        self.totals.free_capacity()
     }
 
     /// Counts anew what is free on a machine: after each change of its tasks or placements.
-    pub fn recount(&mut self, mix: MachineIx) {
-        let free = self.machine(mix).and_then(|m| {
-            let mut free = self.machine_types.get(&m.machine_type)?.room;
-            let placed = self.placed_on(mix);
-            let need = |ix: JobIx| {
-                let job = self.jobs.get(ix.at()).filter(|j| !j.settled())?;
+    pub fn recompute_free_capacity(&mut self, machine_index: MachineIndex) {
+        let free = self.machine(machine_index).and_then(|m| {
+            let mut free = self.machine_types.get(&m.machine_type)?.capacity;
+            let placed = self.placed_on(machine_index);
+            let need = |ix: JobIndex| {
+                let job = self.jobs.get(ix.at()).filter(|j| !j.is_settled())?;
                 Some(job.spec.as_ref()?.need)
             };
             // The record of a completed task may follow a little later.
-            let there = |a: &&Attempt| !m.seen(**a).is_some_and(Seen::is_done);
-            for n in placed.iter().filter(there).filter_map(|a| need(a.0)) {
+            let there = |a: &&TaskAttempt| !m.observed(**a).is_some_and(ObservedTask::is_done);
+            for n in placed.iter().filter(there).filter_map(|a| need(a.job)) {
                 free = free.minus(n);
             }
             for t in m.tasks.iter().filter(|t| t.state != TaskState::Exited) {
-                let extra = t.job.filter(|j| !placed.contains(&(*j, t.task, t.attempt)));
+                let extra = t
+                    .job
+                    .filter(|j| !placed.contains(&TaskAttempt::new(*j, t.task, t.attempt)));
                 if let Some(n) = extra.and_then(need) {
                     free = free.minus(n);
                 }
             }
             Some(free)
         });
-        self.tally.set_room(mix, free);
+        self.totals.set_free_capacity(machine_index, free);
     }
 
     /// Takes over a list of machine types.
-    pub fn set_flavors(&mut self, flavors: &Flavors) {
+    pub fn set_machine_types(&mut self, flavors: &MachineTypeCatalog) {
         for f in &flavors.types {
             let ix = self.machine_type_names.intern(&f.name);
             let machine_type = MachineType {
-                room: Resources::new(f.vcpus, f.gpus, f.mem_gb),
-                flavor: f.clone(),
+                capacity: Resources::new(f.vcpus, f.gpus, f.mem_gb),
+                description: f.clone(),
             };
             self.machine_types.insert(ix, machine_type);
         }
         for i in 0..self.machines.len() {
-            self.recount(MachineIx::new(i));
+            self.recompute_free_capacity(MachineIndex::new(i));
         }
     }
 
@@ -357,40 +361,40 @@
             spec: job
                 .spec
                 .as_ref()
-                .filter(|_| !job.settled())
+                .filter(|_| !job.is_settled())
                 .map(|s| s.wire.clone()),
             state: job.state,
-            submitted: job.submitted,
+            submitted_at: job.submitted_at,
             done: job.done.clone(),
-            placements: self.stored_part(job, 0),
+            placements: self.stored_overflow(job, 0),
             next_attempt: job.next_attempt,
-            finished: job.finished,
+            finished_at: job.finished_at,
         }
     }
 
     /// Key of a part of a job's record.
-    pub fn part_key(id: &str, part: u16) -> String {
+    pub fn overflow_key(id: &str, part: u16) -> String {
         format!("{ROOT}more/{id}.{part}")
     }
 
     /// The placements in one part of a job's record, to be stored.
-    pub fn stored_part(&self, job: &Job, part: u16) -> Vec<StoredPlacement> {
-        let own = job.placements.iter().filter(|p| p.part == part);
+    pub fn stored_overflow(&self, job: &Job, part: u16) -> Vec<StoredPlacement> {
+        let own = job.placements.iter().filter(|p| p.overflow_index == part);
         let stored = |p: &Placement| {
             let machine = self.machine_names.name(p.machine).to_string();
-            (p.task, p.attempt, machine, p.shard.0, p.payer.0)
+            (p.task, p.attempt, machine, p.shard.0, p.charged_shard.0)
         };
         own.map(stored).collect()
     }
 
     /// Parts other than the record itself that differ from what is known of the job.
-    pub fn changed_parts(&self, ix: JobIx, job: &Job) -> Vec<u16> {
+    pub fn changed_overflows(&self, ix: JobIndex, job: &Job) -> Vec<u16> {
         let old = &self.jobs[ix.at()];
-        let mut parts: Vec<u16> = old.placements.iter().map(|p| p.part).collect();
-        parts.extend(job.placements.iter().map(|p| p.part));
+        let mut parts: Vec<u16> = old.placements.iter().map(|p| p.overflow_index).collect();
+        parts.extend(job.placements.iter().map(|p| p.overflow_index));
         parts.sort_unstable();
         parts.dedup();
-        parts.retain(|n| *n > 0 && self.stored_part(old, *n) != self.stored_part(job, *n));
+        parts.retain(|n| *n > 0 && self.stored_overflow(old, *n) != self.stored_overflow(job, *n));
         parts
     }
 
@@ -400,16 +404,16 @@
                 task: *task,
                 attempt: *attempt,
                 machine: v.intern_machine(machine),
-                shard: ShardIx(*shard),
-                payer: ShardIx(*payer),
-                part,
+                shard: ShardIndex(*shard),
+                charged_shard: ShardIndex(*payer),
+                overflow_index: part,
             };
         stored.iter().map(|p| of(self, p)).collect()
     }
 
     /// Puts a part of a job's record of this version into the view; older versions change
     /// nothing. An empty one is gone.
-    pub fn put_part(&mut self, id: &str, part: u16, version: u64, stored: &[StoredPlacement]) {
+    pub fn put_overflow(&mut self, id: &str, part: u16, version: u64, stored: &[StoredPlacement]) {
         let Some(ix) = self
             .job_names
             .find(id)
@@ -417,14 +421,18 @@
         else {
             return;
         };
-        let known = self.parts.get(&(ix, part)).copied().unwrap_or(0);
+        let known = self
+            .overflow_versions
+            .get(&(ix, part))
+            .copied()
+            .unwrap_or(0);
         if part == 0 || known >= version {
             return;
         }
-        self.parts.insert((ix, part), version);
+        self.overflow_versions.insert((ix, part), version);
         let fresh = self.placements(stored, part);
         let mut job = self.jobs[ix.at()].clone();
-        job.placements.retain(|p| p.part != part);
+        job.placements.retain(|p| p.overflow_index != part);
         job.placements.extend(fresh);
         self.note_images(&job);
         self.store_job(ix, job);
@@ -436,15 +444,15 @@
             let cache = self.machine(p.machine).map(|m| m.machine_type);
             let cache = cache
                 .and_then(|r| self.machine_types.get(&r))
-                .map_or(f64::MAX, |r| r.flavor.cache_gb);
+                .map_or(f64::MAX, |r| r.description.cache_gb);
             if let Some(m) = self.machine_mut(p.machine) {
                 m.use_image(s.image, s.wire.image_gb, cache);
             }
         }
     }
 
-    pub(super) fn complain(&mut self, key: &str, what: &str) {
-        if self.bad.len() < 1000 && self.bad.insert(key.to_string()) {
+    pub(super) fn warn_unreadable(&mut self, key: &str, what: &str) {
+        if self.unreadable_records.len() < 1000 && self.unreadable_records.insert(key.to_string()) {
             log::error!("record {key} is unreadable and ignored: {what}");
         }
     }
@@ -462,90 +470,95 @@
             (Some(wire), None) => match self.intern_spec(wire) {
                 Some(s) => Some(Rc::new(s)),
                 None => {
-                    self.complain(id, "unknown team or zone");
+                    self.warn_unreadable(id, "unknown team or zone");
                     None
                 }
             },
         };
         if ix.at() == self.jobs.len() {
-            self.opened = Some(self.opened.map_or(rec.submitted, |o| o.min(rec.submitted)));
-            self.arrivals
-                .extend(spec.iter().map(|s| (rec.submitted, s.clone())));
-            while self.arrivals.len() > MAX_ARRIVALS {
-                self.arrivals.pop_front();
+            self.first_submission = Some(
+                self.first_submission
+                    .map_or(rec.submitted_at, |o| o.min(rec.submitted_at)),
+            );
+            self.recent_submissions
+                .extend(spec.iter().map(|s| (rec.submitted_at, s.clone())));
+            while self.recent_submissions.len() > MAX_ARRIVALS {
+                self.recent_submissions.pop_front();
             }
         }
         let mut placements = self.placements(&rec.placements, 0);
         if let Some(old) = self.jobs.get(ix.at()) {
-            placements.extend(old.placements.iter().filter(|p| p.part > 0));
+            placements.extend(old.placements.iter().filter(|p| p.overflow_index > 0));
         }
         let id = self.job_names.name(ix).clone();
         if rec.state != JobState::Open {
-            self.told.remove(&id);
+            self.cancelled_by_peers.remove(&id);
         }
         let (dependency_state, cancelled) =
-            self.dependency_state(&id, rec.submitted, spec.as_deref());
+            self.dependency_state(&id, rec.submitted_at, spec.as_deref());
         // Cancelled is final: an older record, by whatever way it comes, takes nothing back. And
         // whoever knows that one it needs is cancelled knows that it is.
         let state = match rec.state {
-            JobState::Open if cancelled || self.told.contains(&id) => JobState::Cancelled,
+            JobState::Open if cancelled || self.cancelled_by_peers.contains(&id) => {
+                JobState::Cancelled
+            }
             state => state,
         };
         let job = Job {
             id,
             version,
             state,
-            submitted: rec.submitted,
+            submitted_at: rec.submitted_at,
             spec,
             done: rec.done.clone(),
             placements,
             next_attempt: rec.next_attempt,
-            finished: rec.finished,
+            finished_at: rec.finished_at,
             dependency_state,
         };
         if rec.state == JobState::Open && cancelled {
-            self.graph.unwritten.insert(ix);
+            self.dependency_graph.unwritten.insert(ix);
         } else {
-            self.graph.unwritten.remove(&ix);
+            self.dependency_graph.unwritten.remove(&ix);
         }
         self.note_images(&job);
         self.enter(ix, &job);
         // Only a newer record tells what came of a transaction without an answer.
-        self.suspects.remove(&ix);
+        self.jobs_with_unknown_outcome.remove(&ix);
         self.store_job(ix, job);
         self.look_around();
     }
 
-    pub(super) fn store_job(&mut self, ix: JobIx, job: Job) {
-        if job.settled() {
+    pub(super) fn store_job(&mut self, ix: JobIndex, job: Job) {
+        if job.is_settled() {
             self.active.remove(&ix.0);
             self.failures.remove(&ix);
         } else {
             self.active.insert(ix.0, ());
         }
-        let mut touched: Vec<MachineIx> = job.placements.iter().map(|p| p.machine).collect();
+        let mut touched: Vec<MachineIndex> = job.placements.iter().map(|p| p.machine).collect();
         if let Some(old) = self.jobs.get(ix.at()) {
             touched.extend(old.placements.iter().map(|p| p.machine));
-            self.tally.remove(ix, old);
+            self.totals.remove(ix, old);
         }
-        self.tally.add(ix, &job);
+        self.totals.add(ix, &job);
         // Once nothing of it is left its record has no description any more.
         let spec = self.jobs.get(ix.at()).and_then(|old| old.spec.clone());
-        let over = (!job.open()).then(|| (job.id.clone(), spec));
+        let over = (!job.is_open()).then(|| (job.id.clone(), spec));
         if ix.at() == self.jobs.len() {
             self.jobs.push(job);
         } else if let Some(slot) = self.jobs.get_mut(ix.at()) {
             *slot = job;
         }
         if let Some((id, spec)) = over {
-            self.graph.over(&id);
+            self.dependency_graph.over(&id);
             // What it needed is needed by one less.
             self.look_at_needs(spec.as_deref());
         }
         touched.sort_unstable();
         touched.dedup();
         for m in touched {
-            self.recount(m);
+            self.recompute_free_capacity(m);
         }
     }
 
