--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -1,8 +1,8 @@
 //! Job records: what is stored of a job, and its form in memory.
 
-use super::names::{ImageIx, MachineIx, MachineTypeIx, ShardIx, TeamIx, ZoneIx};
+use super::names::{ImageIndex, MachineIndex, MachineTypeIndex, ShardIndex, TeamIndex, ZoneIndex};
 use super::units::Resources;
-use crate::protocol::users::{JobSpec, Rank, Shape};
+use crate::protocol::users::{JobKind, JobSpec, Priority};
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
@@ -88,7 +88,7 @@
     pub state: JobState,
     /// Time of day of the submission, ms.
     #[serde(rename = "t")]
-    pub submitted: u64,
+    pub submitted_at: u64,
     /// Done tasks.
     #[serde(rename = "d", default)]
     pub done: Ranges,
@@ -100,7 +100,7 @@
     pub next_attempt: u64,
     /// Time of day at which the last task was done, ms; 0: not yet, or written by version 0.1.
     #[serde(rename = "f", default, skip_serializing_if = "is_zero")]
-    pub finished: u64,
+    pub finished_at: u64,
 }
 
 impl JobRecord {
@@ -109,11 +109,11 @@
         JobRecord {
             spec: Some(spec),
             state: JobState::Open,
-            submitted: wall_ms,
+            submitted_at: wall_ms,
             done: Ranges::default(),
             placements: Vec::new(),
             next_attempt: 1,
-            finished: 0,
+            finished_at: 0,
         }
     }
 }
@@ -127,22 +127,22 @@
 pub struct Placement {
     /// Task.
     pub task: u32,
-    /// Attempt.
+    /// TaskAttempt.
     pub attempt: u64,
     /// Machine.
-    pub machine: MachineIx,
+    pub machine: MachineIndex,
     /// The machine's shard.
-    pub shard: ShardIx,
+    pub shard: ShardIndex,
     /// The shard whose share of the team's limit it uses.
-    pub payer: ShardIx,
+    pub charged_shard: ShardIndex,
     /// The part of the job's record that holds it; 0: the record itself.
-    pub part: u16,
+    pub overflow_index: u16,
 }
 
 /// Where it is stored makes no difference to what it is.
 impl PartialEq for Placement {
     fn eq(&self, o: &Placement) -> bool {
-        let all = |p: &Placement| (p.task, p.attempt, p.machine, p.shard, p.payer);
+        let all = |p: &Placement| (p.task, p.attempt, p.machine, p.shard, p.charged_shard);
         all(self) == all(o)
     }
 }
@@ -153,17 +153,17 @@
     /// As submitted.
     pub wire: JobSpec,
     /// Team.
-    pub team: TeamIx,
+    pub team: TeamIndex,
     /// What a task takes.
     pub need: Resources,
     /// Allowed types.
-    pub machine_types: Option<Vec<MachineTypeIx>>,
+    pub machine_types: Option<Vec<MachineTypeIndex>>,
     /// Only allowed zone.
-    pub zone: Option<ZoneIx>,
+    pub zone: Option<ZoneIndex>,
     /// Image.
-    pub image: ImageIx,
+    pub image: ImageIndex,
     /// Size of the description in a record.
-    pub bytes: usize,
+    pub record_bytes: usize,
 }
 
 impl Spec {
@@ -172,12 +172,12 @@
         self.wire.tasks
     }
     /// Priority.
-    pub fn rank(&self) -> Rank {
+    pub fn priority(&self) -> Priority {
         self.wire.priority
     }
     /// True for a gang of more than one task: it skips the queues.
     pub fn is_wide_gang(&self) -> bool {
-        self.wire.shape == Shape::Gang && self.wire.tasks > 1
+        self.wire.kind == JobKind::Gang && self.wire.tasks > 1
     }
     /// Most tasks that may be in one zone.
     pub fn zone_cap(&self) -> u32 {
@@ -199,7 +199,7 @@
     /// State.
     pub state: JobState,
     /// Time of day of the submission, ms.
-    pub submitted: u64,
+    pub submitted_at: u64,
     /// Description, while needed.
     pub spec: Option<Rc<Spec>>,
     /// Done tasks.
@@ -209,7 +209,7 @@
     /// Next attempt.
     pub next_attempt: u64,
     /// Time of day at which its last task was done, ms, if that is known.
-    pub finished: u64,
+    pub finished_at: u64,
     /// What follows from the jobs around it.
     pub dependency_state: DependencyState,
 }
@@ -220,41 +220,41 @@
     /// It waits for a dependency, so nothing of it may start.
     pub blocked: bool,
     /// Time of day from which on it could run: its submission, or the end of its last dependency.
-    pub since: u64,
+    pub eligible_since: u64,
     /// The highest priority of the job and of all that need it.
-    pub rank: Rank,
+    pub priority: Priority,
     /// Time of day by which it has to be done, for its own deadline or so that those that need
     /// it can keep theirs.
-    pub due: Option<u64>,
+    pub deadline: Option<u64>,
 }
 
 impl Job {
     /// True while it is not over.
-    pub fn open(&self) -> bool {
+    pub fn is_open(&self) -> bool {
         self.state == JobState::Open
     }
     /// True while tasks may start: it is open, and all it needs is done.
-    pub fn runnable(&self) -> bool {
-        self.open() && !self.dependency_state.blocked
+    pub fn is_runnable(&self) -> bool {
+        self.is_open() && !self.dependency_state.blocked
     }
     /// True once nothing more will happen to it.
-    pub fn settled(&self) -> bool {
-        !self.open() && self.placements.is_empty()
+    pub fn is_settled(&self) -> bool {
+        !self.is_open() && self.placements.is_empty()
     }
     /// The placement of a task.
     pub fn placement(&self, task: u32) -> Option<&Placement> {
         self.placements.iter().find(|p| p.task == task)
     }
     /// True if the task waits for a machine.
-    pub fn waits(&self, task: u32) -> bool {
-        self.runnable() && !self.done.has(task) && self.placement(task).is_none()
+    pub fn is_waiting(&self, task: u32) -> bool {
+        self.is_runnable() && !self.done.has(task) && self.placement(task).is_none()
     }
     /// Tasks that wait for a machine, from the lowest.
-    pub fn waiting(&self) -> impl Iterator<Item = u32> + '_ {
+    pub fn waiting_tasks(&self) -> impl Iterator<Item = u32> + '_ {
         let n = self
             .spec
             .as_ref()
-            .filter(|_| self.runnable())
+            .filter(|_| self.is_runnable())
             .map_or(0, |s| s.tasks());
         let mut placed: Vec<u32> = self.placements.iter().map(|p| p.task).collect();
         placed.sort_unstable();
@@ -264,7 +264,7 @@
     /// How many tasks wait.
     pub fn waiting_count(&self) -> u32 {
         match &self.spec {
-            Some(s) if self.runnable() => {
+            Some(s) if self.is_runnable() => {
                 let placed = self
                     .placements
                     .iter()
@@ -278,39 +278,48 @@
         }
     }
     /// Notes that a task is done; a gang's tasks complete together.
-    pub fn finish(&mut self, task: u32) {
+    pub fn complete_task(&mut self, task: u32) {
         let Some(spec) = self.spec.clone() else {
             return;
         };
-        match spec.wire.shape {
-            Shape::Gang => self.done = Ranges::all(spec.tasks()),
+        match spec.wire.kind {
+            JobKind::Gang => self.done = Ranges::all(spec.tasks()),
             // A replica that ends by itself is replaced.
-            Shape::Service => return,
-            Shape::Array => self.done.add(task),
+            JobKind::Service => return,
+            JobKind::Array => self.done.add(task),
         }
-        if self.open() && self.done.count() == spec.tasks() {
+        if self.is_open() && self.done.count() == spec.tasks() {
             self.state = JobState::Done;
         }
     }
     /// Drops one placement, which is proven gone.
-    pub fn remove(&mut self, task: u32, attempt: u64) -> bool {
+    pub fn remove_placement(&mut self, task: u32, attempt: u64) -> bool {
         let before = self.placements.len();
         self.placements
             .retain(|p| (p.task, p.attempt) != (task, attempt));
         before != self.placements.len()
     }
     /// Rough size of the record as JSON, without its parts.
-    pub fn size(&self) -> usize {
-        let own = self.placements.iter().filter(|p| p.part == 0).count();
-        let spec = self.spec.as_ref().map_or(0, |s| s.bytes);
+    pub fn record_bytes(&self) -> usize {
+        let own = self
+            .placements
+            .iter()
+            .filter(|p| p.overflow_index == 0)
+            .count();
+        let spec = self.spec.as_ref().map_or(0, |s| s.record_bytes);
         120 + spec + self.done.pieces() * 14 + own * PLACEMENT_BYTES
     }
     /// Parts of the record for this many more placements, each the first with room; the record
     /// itself is part 0, and the only one unless there may be `parts`.
-    pub fn parts_for(&self, n: usize, value_bytes: usize, parts: bool) -> Option<Vec<u16>> {
-        let mut sizes = vec![self.size()];
-        for p in self.placements.iter().filter(|p| p.part > 0) {
-            let at = usize::from(p.part);
+    pub fn overflow_indices_for(
+        &self,
+        n: usize,
+        value_bytes: usize,
+        parts: bool,
+    ) -> Option<Vec<u16>> {
+        let mut sizes = vec![self.record_bytes()];
+        for p in self.placements.iter().filter(|p| p.overflow_index > 0) {
+            let at = usize::from(p.overflow_index);
             if sizes.len() <= at {
                 sizes.resize(at + 1, PART_BYTES);
             }
--- a/src/state/names.rs
+++ b/src/state/names.rs
@@ -30,31 +30,31 @@
 
 index!(
     /// A job.
-    JobIx
+    JobIndex
 );
 index!(
     /// A machine.
-    MachineIx
+    MachineIndex
 );
 index!(
     /// A machine type.
-    MachineTypeIx
+    MachineTypeIndex
 );
 index!(
     /// A zone.
-    ZoneIx
+    ZoneIndex
 );
 index!(
     /// A team.
-    TeamIx
+    TeamIndex
 );
 index!(
     /// An image.
-    ImageIx
+    ImageIndex
 );
 index!(
     /// A shard of the machines (or the renting duty, which is the last one).
-    ShardIx
+    ShardIndex
 );
 
 /// Maps names to dense indices and back.
--- a/src/state/record_intake.rs
+++ b/src/state/record_intake.rs
@@ -1,11 +1,12 @@
 //! Records of the state service on their way into the view: changes of a watch and pages of a read.
 
 use super::cluster_state::{
-    BookingRecord, ClusterState, NodeRecord, PartRecord, ShardRecord, TeamRecord, Versioned, ROOT,
+    ClusterState, ControllerRecord, OverflowRecord, ProvisioningRecord, ShardRecord, TeamRecord,
+    Versioned, ROOT,
 };
 use super::job::JobRecord;
-use super::names::{Index, JobIx, TeamIx};
-use crate::protocol::cloud::Flavors;
+use super::names::{Index, JobIndex, TeamIndex};
+use crate::protocol::cloud::MachineTypeCatalog;
 use crate::protocol::kv::{Entry, Event};
 use rmpv::Value;
 use std::collections::HashSet;
@@ -18,11 +19,14 @@
 
 impl ClusterState {
     /// Puts a team's shares of this version into the view. Older versions change nothing.
-    pub fn put_team(&mut self, team: TeamIx, version: u64, rec: TeamRecord) {
-        let slot = &mut self.teams[team.at()];
+    pub fn put_team(&mut self, team: TeamIndex, version: u64, rec: TeamRecord) {
+        let slot = &mut self.team_quotas[team.at()];
         if slot.version < version {
-            *slot = Versioned { version, rec };
-            self.suspect_teams.remove(&team);
+            *slot = Versioned {
+                version,
+                record: rec,
+            };
+            self.teams_with_unknown_outcome.remove(&team);
         }
     }
 
@@ -38,14 +42,17 @@
         }
         fn newer<T>(slot: &mut Versioned<T>, version: u64, rec: T) {
             if slot.version < version {
-                *slot = Versioned { version, rec };
+                *slot = Versioned {
+                    version,
+                    record: rec,
+                };
             }
         }
         let result = match kind {
             "job" => read::<JobRecord>(v).map(|r| self.put_job(name, version, &r)),
-            "node" => read::<NodeRecord>(v).map(|rec| {
+            "node" => read::<ControllerRecord>(v).map(|rec| {
                 newer(
-                    self.nodes.entry(name.to_string()).or_default(),
+                    self.controllers.entry(name.to_string()).or_default(),
                     version,
                     rec,
                 );
@@ -64,30 +71,32 @@
                     self.put_team(t, version, rec);
                 }
             }),
-            "book" => read::<BookingRecord>(v).map(|rec| {
+            "book" => read::<ProvisioningRecord>(v).map(|rec| {
                 newer(
-                    self.bookings.entry(name.to_string()).or_default(),
+                    self.provisioning_requests
+                        .entry(name.to_string())
+                        .or_default(),
                     version,
                     rec,
                 );
             }),
-            "more" => read::<PartRecord>(v).map(|r| {
+            "more" => read::<OverflowRecord>(v).map(|r| {
                 if let Some((id, part)) = part_of(name) {
-                    self.put_part(id, part, version, &r.placements);
+                    self.put_overflow(id, part, version, &r.placements);
                 }
             }),
             "form" => {
-                self.second_form = true;
+                self.record_format_v2 = true;
                 Ok(())
             }
-            "flavors" => read::<Flavors>(v).map(|f| {
-                self.flavors_version = version;
-                self.set_flavors(&f);
+            "flavors" => read::<MachineTypeCatalog>(v).map(|f| {
+                self.machine_types_version = version;
+                self.set_machine_types(&f);
             }),
             _ => Ok(()),
         };
         if let Err(e) = result {
-            self.complain(key, &e);
+            self.warn_unreadable(key, &e);
         }
     }
 
@@ -97,15 +106,25 @@
             return;
         };
         match kind {
-            "node" if self.nodes.get(name).is_some_and(|n| n.version < version) => {
-                self.nodes.remove(name);
+            "node"
+                if self
+                    .controllers
+                    .get(name)
+                    .is_some_and(|n| n.version < version) =>
+            {
+                self.controllers.remove(name);
             }
-            "book" if self.bookings.get(name).is_some_and(|b| b.version < version) => {
-                self.bookings.remove(name);
+            "book"
+                if self
+                    .provisioning_requests
+                    .get(name)
+                    .is_some_and(|b| b.version < version) =>
+            {
+                self.provisioning_requests.remove(name);
             }
             "more" => {
                 if let Some((id, part)) = part_of(name) {
-                    self.put_part(id, part, version, &[]);
+                    self.put_overflow(id, part, version, &[]);
                 }
             }
             _ => {}
@@ -148,21 +167,21 @@
     pub fn end_read(&mut self, fleeting: &HashSet<String>, revision: u64) {
         // What is newer came meanwhile by a watch.
         let stays = |key: String, version: u64| version > revision || fleeting.contains(&key);
-        self.nodes
+        self.controllers
             .retain(|n, r| stays(format!("{ROOT}node/{n}"), r.version));
-        self.bookings
+        self.provisioning_requests
             .retain(|n, b| stays(format!("{ROOT}book/{n}"), b.version));
-        let gone: Vec<(JobIx, u16)> = self
-            .parts
+        let gone: Vec<(JobIndex, u16)> = self
+            .overflow_versions
             .iter()
             .filter(|((ix, part), version)| {
-                !stays(Self::part_key(&self.jobs[ix.at()].id, *part), **version)
+                !stays(Self::overflow_key(&self.jobs[ix.at()].id, *part), **version)
             })
             .map(|(at, _)| *at)
             .collect();
         for (ix, part) in gone {
             let id = self.jobs[ix.at()].id.clone();
-            self.put_part(&id, part, revision, &[]);
+            self.put_overflow(&id, part, revision, &[]);
         }
         self.revision = self.revision.max(revision);
         self.loaded = true;
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -1,6 +1,6 @@
 //! Records of the state service other than jobs, and their versions.
 
-use super::names::ShardIx;
+use super::names::ShardIndex;
 use serde::{Deserialize, Serialize};
 
 /// All keys of the service start with this.
@@ -8,16 +8,16 @@
 
 /// A controller's incarnation, held by a lease.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
-pub struct NodeRecord {
+pub struct ControllerRecord {
     /// Number drawn at the start of the process.
     #[serde(rename = "i")]
     pub incarnation: u64,
     /// Forms of records that its process knows; 0: only the first, of version 0.1.
     #[serde(rename = "v", default, skip_serializing_if = "is_zero")]
-    pub forms: u32,
+    pub record_format: u32,
     /// Version of the standby's messages that its process takes; 0: it follows nobody.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
-    pub standby: u32,
+    pub standby_version: u32,
 }
 
 fn is_zero(n: &u32) -> bool {
@@ -26,14 +26,14 @@
 
 /// The form of records that this version knows beside the first: jobs with dependencies, and
 /// placements in parts. It begins when every node knows it.
-pub const SECOND_FORM: u32 = 2;
+pub const RECORD_FORMAT_V2: u32 = 2;
 
 /// Version of the messages by which a standby follows an owner.
 pub const STANDBY_VERSION: u32 = 1;
 
 /// Placements of a job that its own record has no room for.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
-pub struct PartRecord {
+pub struct OverflowRecord {
     /// Placements.
     #[serde(rename = "p")]
     pub placements: Vec<super::job::StoredPlacement>,
@@ -50,7 +50,7 @@
     pub incarnation: u64,
     /// Token; every change of owner raises it.
     #[serde(rename = "t")]
-    pub token: u64,
+    pub fencing_token: u64,
 }
 
 /// Shares of a team's limit: shard, processors and graphics processors in thousandths.
@@ -63,14 +63,14 @@
 
 impl TeamRecord {
     /// A shard's share.
-    pub fn share(&self, shard: ShardIx) -> (i64, i64) {
+    pub fn share(&self, shard: ShardIndex) -> (i64, i64) {
         self.shares
             .iter()
             .find(|s| s.0 == shard.0)
             .map_or((0, 0), |s| (s.1, s.2))
     }
     /// Sets a shard's share.
-    pub fn set(&mut self, shard: ShardIx, share: (i64, i64)) {
+    pub fn set(&mut self, shard: ShardIndex, share: (i64, i64)) {
         self.shares.retain(|s| s.0 != shard.0);
         if share != (0, 0) {
             self.shares.push((shard.0, share.0, share.1));
@@ -86,7 +86,7 @@
 
 /// A rental that was asked for and may not show in the list yet.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
-pub struct BookingRecord {
+pub struct ProvisioningRecord {
     /// Type.
     #[serde(rename = "r")]
     pub machine_type: String,
@@ -101,7 +101,7 @@
     pub count: u32,
     /// Machines, once known.
     #[serde(rename = "h", default)]
-    pub hosts: Vec<String>,
+    pub machines: Vec<String>,
 }
 
 /// A record with its version.
@@ -110,7 +110,7 @@
     /// Version; 0: absent.
     pub version: u64,
     /// Record.
-    pub rec: T,
+    pub record: T,
 }
 
 /// A team's settings, in thousandths; 0: none.
@@ -119,16 +119,17 @@
     /// Guaranteed processors and graphics processors.
     pub guaranteed: (i64, i64),
     /// Limits of both.
-    pub most: (i64, i64),
+    pub limit: (i64, i64),
 }
 
 impl TeamLimits {
     /// True if nothing limits the team.
     pub fn unlimited(&self) -> bool {
-        self.most == (0, 0)
+        self.limit == (0, 0)
     }
     /// True if this much stays within the limit.
     pub fn allows(&self, used: (i64, i64)) -> bool {
-        (self.most.0 == 0 || used.0 <= self.most.0) && (self.most.1 == 0 || used.1 <= self.most.1)
+        (self.limit.0 == 0 || used.0 <= self.limit.0)
+            && (self.limit.1 == 0 || used.1 <= self.limit.1)
     }
 }
--- a/src/state/resource_totals.rs
+++ b/src/state/resource_totals.rs
@@ -1,8 +1,8 @@
 //! Sums over placements, kept current as records change, so that no pass walks them all.
 
 use super::job::Job;
-use super::machine::Attempt;
-use super::names::{Index, JobIx, MachineIx, ShardIx, TeamIx};
+use super::machine::TaskAttempt;
+use super::names::{Index, JobIndex, MachineIndex, ShardIndex, TeamIndex};
 use super::units::Resources;
 
 /// Processors and graphics processors, in thousandths.
@@ -11,7 +11,7 @@
 /// What placements use, by machine and by team.
 #[derive(Default, Debug)]
 pub struct ResourceTotals {
-    here: Vec<Vec<Attempt>>,
+    here: Vec<Vec<TaskAttempt>>,
     room: Vec<Option<Resources>>,
     paid: Vec<Vec<Amount>>,
 }
@@ -25,17 +25,17 @@
 
 impl ResourceTotals {
     /// Counts a job's placements.
-    pub fn add(&mut self, ix: JobIx, job: &Job) {
+    pub fn add(&mut self, ix: JobIndex, job: &Job) {
         self.count(ix, job, 1);
     }
     /// Takes a job's placements out again.
-    pub fn remove(&mut self, ix: JobIx, job: &Job) {
+    pub fn remove(&mut self, ix: JobIndex, job: &Job) {
         self.count(ix, job, -1);
     }
 
-    fn count(&mut self, ix: JobIx, job: &Job, sign: i64) {
+    fn count(&mut self, ix: JobIndex, job: &Job, sign: i64) {
         for p in &job.placements {
-            let a = (ix, p.task, p.attempt);
+            let a = TaskAttempt::new(ix, p.task, p.attempt);
             let here = slot(&mut self.here, p.machine.at());
             if sign > 0 {
                 here.push(a);
@@ -43,7 +43,7 @@
                 here.retain(|x| *x != a);
             }
             if let Some(s) = &job.spec {
-                let used = slot(slot(&mut self.paid, s.team.at()), p.payer.at());
+                let used = slot(slot(&mut self.paid, s.team.at()), p.charged_shard.at());
                 used.0 += sign * s.need.cpu;
                 used.1 += sign * s.need.gpu;
             }
@@ -51,17 +51,17 @@
     }
 
     /// Attempts placed on a machine.
-    pub fn placed_on(&self, m: MachineIx) -> &[Attempt] {
+    pub fn placed_on(&self, m: MachineIndex) -> &[TaskAttempt] {
         self.here.get(m.at()).map_or(&[], Vec::as_slice)
     }
     /// Machines with placements.
-    pub fn occupied(&self) -> impl Iterator<Item = MachineIx> + '_ {
+    pub fn occupied(&self) -> impl Iterator<Item = MachineIndex> + '_ {
         let here = self.here.iter().enumerate();
         here.filter(|(_, a)| !a.is_empty())
-            .map(|(i, _)| MachineIx::new(i))
+            .map(|(i, _)| MachineIndex::new(i))
     }
     /// What the placements paid by a shard use.
-    pub fn paid(&self, team: TeamIx, payer: ShardIx) -> Amount {
+    pub fn quota_used_by_shard(&self, team: TeamIndex, payer: ShardIndex) -> Amount {
         let by_payer = self.paid.get(team.at());
         by_payer
             .and_then(|p| p.get(payer.at()))
@@ -69,16 +69,16 @@
             .unwrap_or_default()
     }
     /// What a team's placements use.
-    pub fn used(&self, team: TeamIx) -> Amount {
+    pub fn quota_used(&self, team: TeamIndex) -> Amount {
         let by_payer = self.paid.get(team.at()).into_iter().flatten();
         by_payer.fold((0, 0), |a, b| (a.0 + b.0, a.1 + b.1))
     }
     /// Free room by machine; `None` where the machine or its type is unknown.
-    pub fn room(&self) -> &[Option<Resources>] {
+    pub fn free_capacity(&self) -> &[Option<Resources>] {
         &self.room
     }
     /// Notes what is free on a machine.
-    pub fn set_room(&mut self, m: MachineIx, free: Option<Resources>) {
+    pub fn set_free_capacity(&mut self, m: MachineIndex, free: Option<Resources>) {
         *slot(&mut self.room, m.at()) = free;
     }
 }
--- a/src/state/units.rs
+++ b/src/state/units.rs
@@ -2,21 +2,21 @@
 
 /// Milliseconds of this process' steady clock.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
-pub struct Ms(pub u64);
+pub struct MonotonicMillis(pub u64);
 
-impl Ms {
+impl MonotonicMillis {
     /// Milliseconds passed since `earlier`, 0 if it lies ahead.
-    pub fn since(self, earlier: Ms) -> u64 {
+    pub fn since(self, earlier: MonotonicMillis) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
     /// This time, `ms` later.
-    pub fn plus(self, ms: u64) -> Ms {
-        Ms(self.0.saturating_add(ms))
+    pub fn plus(self, ms: u64) -> MonotonicMillis {
+        MonotonicMillis(self.0.saturating_add(ms))
     }
 }
 
 /// Seconds of a settings file or message as whole milliseconds.
-pub fn ms_of(seconds: f64) -> u64 {
+pub fn millis_from_seconds(seconds: f64) -> u64 {
     (seconds.max(0.0) * 1000.0).min(1e15) as u64
 }
 
--- a/src/transport/executor_priorities.rs
+++ b/src/transport/executor_priorities.rs
@@ -10,7 +10,7 @@
 /// loses its shards for its own lateness sends all of their machines to others that are late
 /// too, and none of them recovers.
 #[derive(Clone, Default)]
-pub struct Lanes {
+pub struct ExecutorPriorities {
     /// The node's duties: its lease, records, planning, peers. What they do is bounded.
     pub duties: Rc<LocalExecutor<'static>>,
     /// New connections, health checks and users.
@@ -27,7 +27,7 @@
 /// before in small parts, so that no duty is late by all of a burst.
 const REST_MS: u64 = 1;
 
-impl Lanes {
+impl ExecutorPriorities {
     /// Runs all routines until `end` is done.
     pub async fn run<T>(&self, end: impl std::future::Future<Output = T>) -> T {
         or(end, self.turns()).await
--- a/src/transport/frames.rs
+++ b/src/transport/frames.rs
@@ -1,7 +1,7 @@
 //! Length-prefixed frames between controllers.
 
 use super::{within, Counted, TransportError};
-use crate::protocol::peers::{self, Ask, Reply, MAX_FRAME, VERSION};
+use crate::protocol::peers::{self, PeerRequest, PeerResponse, MAX_FRAME, VERSION};
 use crate::settings::PEER_CONNECTIONS;
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -39,7 +39,7 @@
 /// Serves peers; one routine a connection.
 pub async fn serve<F>(ex: Rc<LocalExecutor<'static>>, listener: Async<TcpListener>, handler: F)
 where
-    F: Fn(Ask) -> Reply + Clone + 'static,
+    F: Fn(PeerRequest) -> PeerResponse + Clone + 'static,
 {
     let open = Rc::new(Cell::new(0usize));
     loop {
@@ -55,7 +55,7 @@
         ex.spawn(async move {
             let mut s = &stream;
             while let Some(Ok(body)) = within(IDLE_MS, read(&mut s)).await {
-                let Some(ask) = peers::decode_ask(&body) else {
+                let Some(ask) = peers::decode_request(&body) else {
                     log::warn!("peer {from}: malformed frame, connection closed");
                     break;
                 };
@@ -88,7 +88,7 @@
     }
 
     /// One request and its reply within `ms`.
-    pub async fn ask(&self, ask: &Ask, ms: u64) -> Result<Reply, TransportError> {
+    pub async fn ask(&self, ask: &PeerRequest, ms: u64) -> Result<PeerResponse, TransportError> {
         let body = peers::encode(ask).ok_or_else(|| TransportError::Broken("encode".into()))?;
         let work = async {
             let kept = self.kept.borrow_mut().take();
@@ -106,7 +106,7 @@
             let mut s = &stream;
             write(&mut s, &body).await.map_err(broken)?;
             let reply = read(&mut s).await.map_err(broken)?;
-            let reply = peers::decode_reply(&reply)
+            let reply = peers::decode_response(&reply)
                 .ok_or_else(|| TransportError::Broken("malformed".into()))?;
             *self.kept.borrow_mut() = Some(stream);
             Ok(reply)
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -1,6 +1,6 @@
 //! HTTP/1.1 with MessagePack bodies, server and client.
 
-use super::executor_priorities::Lanes;
+use super::executor_priorities::ExecutorPriorities;
 use super::request_reading::Opened;
 use super::{within, Counted, TransportError};
 use async_dup::Arc;
@@ -119,7 +119,7 @@
 async fn exchange<F, Fut>(
     stream: &Stream,
     handler: &F,
-    wanted: fn(&str) -> bool,
+    plan_scale_out: fn(&str) -> bool,
 ) -> Result<Next, http_types::Error>
 where
     F: Fn(Incoming) -> Fut,
@@ -137,7 +137,7 @@
         }
     };
     let method = incoming.method;
-    let found = wanted(&incoming.path);
+    let found = plan_scale_out(&incoming.path);
     let response = to_response(handler(incoming).await, close);
     send(stream, Encoder::new(response, method)).await?;
     Ok(match (close, found) {
@@ -188,10 +188,10 @@
     F: Fn(Incoming) -> Fut + Clone + 'static,
     Fut: Future<Output = Answer> + 'static,
 {
-    let lanes = Lanes {
+    let lanes = ExecutorPriorities {
         users: ex.clone(),
         workers: ex,
-        ..Lanes::default()
+        ..ExecutorPriorities::default()
     };
     serve_in(lanes, |_| false, listener, max_connections, handler).await;
 }
@@ -199,7 +199,7 @@
 /// The same in two lanes: a connection goes to the workers' once a request on it was one of
 /// theirs, by its path.
 pub async fn serve_in<F, Fut>(
-    lanes: Lanes,
+    lanes: ExecutorPriorities,
     of_worker: fn(&str) -> bool,
     listener: Async<TcpListener>,
     max_connections: usize,
@@ -241,17 +241,17 @@
     }
 }
 
-/// Answers requests until the connection ends, or until one is `wanted`: then true.
+/// Answers requests until the connection ends, or until one is `plan_scale_out`: then true.
 ///
 /// A connection at rest, as nearly all are, holds a socket and a deadline only: what a request
 /// needs is set up when there is one. Half-open and slow peers end by these deadlines.
-async fn converse<F, Fut>(stream: &Stream, handler: &F, wanted: fn(&str) -> bool) -> bool
+async fn converse<F, Fut>(stream: &Stream, handler: &F, plan_scale_out: fn(&str) -> bool) -> bool
 where
     F: Fn(Incoming) -> Fut,
     Fut: Future<Output = Answer>,
 {
     while let Some(Ok(())) = within(REST_MS, stream.readable()).await {
-        let turn = Box::pin(exchange(stream, handler, wanted));
+        let turn = Box::pin(exchange(stream, handler, plan_scale_out));
         match within(REQUEST_MS, turn).await {
             Some(Ok(Next::Wait)) => {}
             Some(Ok(Next::HandOver)) => return true,
--- a/tests/autoscaling.rs
+++ b/tests/autoscaling.rs
@@ -3,16 +3,16 @@
 mod support;
 
 use pointhook::coordination::autoscaler::{
-    list_every_ms, requests, supply, wanted, Pages, Pool, Supply, Wanted,
+    list_every_ms, plan_scale_out, requests, supply, Pages, Pool, ScaleOutPlan, Supply,
 };
-use pointhook::coordination::kv::{set, Outcome};
+use pointhook::coordination::kv::{set, CommitOutcome};
 use pointhook::coordination::rate_limiter::RateLimiter;
-use pointhook::protocol::cloud::{HostList, Listed};
+use pointhook::protocol::cloud::{ListedMachine, MachineListPage};
 use pointhook::protocol::kv::Transaction;
-use pointhook::protocol::users::Shape;
-use pointhook::state::cluster_state::{BookingRecord, ROOT};
-use pointhook::state::names::{Index, MachineTypeIx, ZoneIx};
-use pointhook::state::units::{Ms, Resources};
+use pointhook::protocol::users::JobKind;
+use pointhook::state::cluster_state::{ProvisioningRecord, ROOT};
+use pointhook::state::names::{Index, MachineTypeIndex, ZoneIndex};
+use pointhook::state::units::{MonotonicMillis, Resources};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use support::controller::Controller;
 use support::job;
@@ -26,7 +26,7 @@
     (store, c)
 }
 
-fn oven(c: &Controller) -> MachineTypeIx {
+fn oven(c: &Controller) -> MachineTypeIndex {
     c.cluster.machine_type_names.find("oven").unwrap()
 }
 
@@ -34,7 +34,7 @@
     Supply {
         pool: Pool {
             machine_type: oven(c),
-            zone: ZoneIx::new(zone),
+            zone: ZoneIndex::new(zone),
             spot,
         },
         free: Resources::new(16.0, 4.0, 64.0),
@@ -42,9 +42,16 @@
     }
 }
 
-fn plan(c: &Controller, mut supply: Vec<Supply>, blocked: &[Pool]) -> Wanted {
+fn plan(c: &Controller, mut supply: Vec<Supply>, blocked: &[Pool]) -> ScaleOutPlan {
     let blocked: HashSet<Pool> = blocked.iter().copied().collect();
-    wanted(&c.cluster, &c.config, &mut supply, &blocked, Ms(1000), 1000)
+    plan_scale_out(
+        &c.cluster,
+        &c.config,
+        &mut supply,
+        &blocked,
+        MonotonicMillis(1000),
+        1000,
+    )
 }
 
 #[test]
@@ -52,8 +59,8 @@
     let (mut store, mut c) = ready();
     c.submit(&mut store, job("job-1", 10), 0);
     let w = plan(&c, Vec::new(), &[]);
-    assert_eq!(w.rent.values().sum::<u32>(), 3);
-    assert!(w.rent.keys().all(|p| p.spot));
+    assert_eq!(w.machines_to_rent.values().sum::<u32>(), 3);
+    assert!(w.machines_to_rent.keys().all(|p| p.spot));
 }
 
 #[test]
@@ -61,7 +68,7 @@
     let (mut store, mut c) = ready();
     c.submit(&mut store, job("job-1", 4), 0);
     let coming = vec![empty(&c, 0, true)];
-    assert!(plan(&c, coming, &[]).rent.is_empty());
+    assert!(plan(&c, coming, &[]).machines_to_rent.is_empty());
 }
 
 #[test]
@@ -71,15 +78,15 @@
     spec.spot = false;
     c.submit(&mut store, spec, 0);
     let w = plan(&c, vec![empty(&c, 0, true)], &[]);
-    assert_eq!(w.rent.len(), 1);
-    assert!(w.rent.keys().all(|p| !p.spot));
+    assert_eq!(w.machines_to_rent.len(), 1);
+    assert!(w.machines_to_rent.keys().all(|p| !p.spot));
 }
 
 #[test]
 fn a_gang_of_one_zone_goes_where_it_can_be_complete() {
     let (mut store, mut c) = ready();
     let mut spec = job("job-1", 3);
-    spec.shape = Shape::Gang;
+    spec.kind = JobKind::Gang;
     spec.one_zone = true;
     spec.spot = false;
     spec.vcpus = 16.0;
@@ -87,12 +94,12 @@
     // Two fit in the north, but nothing more is to be had there.
     let none = Pool {
         machine_type: oven(&c),
-        zone: ZoneIx(0),
+        zone: ZoneIndex(0),
         spot: false,
     };
     let w = plan(&c, vec![empty(&c, 0, false), empty(&c, 0, false)], &[none]);
-    assert_eq!(w.rent.values().sum::<u32>(), 3);
-    assert!(w.rent.keys().all(|p| p.zone == ZoneIx(1)));
+    assert_eq!(w.machines_to_rent.values().sum::<u32>(), 3);
+    assert!(w.machines_to_rent.keys().all(|p| p.zone == ZoneIndex(1)));
 }
 
 #[test]
@@ -102,7 +109,7 @@
     spec.team = "mixers".into();
     c.submit(&mut store, spec, 0);
     let w = plan(&c, Vec::new(), &[]);
-    assert_eq!(w.rent.values().sum::<u32>(), 1);
+    assert_eq!(w.machines_to_rent.values().sum::<u32>(), 1);
 }
 
 #[test]
@@ -110,28 +117,34 @@
     let (mut store, mut c) = ready();
     let of_mixers = |id: &str, tasks, shape| pointhook::protocol::users::JobSpec {
         team: "mixers".into(),
-        shape,
+        kind: shape,
         ..job(id, tasks)
     };
     let mut worker = Worker::new("m1", "north", 0);
-    c.submit(&mut store, of_mixers("job-1", 1, Shape::Service), 0);
+    c.submit(&mut store, of_mixers("job-1", 1, JobKind::Service), 0);
     c.visit(&mut store, &mut worker, 0);
     assert_eq!(c.job("job-1").placements.len(), 1);
-    c.submit(&mut store, of_mixers("job-2", 2, Shape::Gang), 100);
-    c.submit(&mut store, of_mixers("job-3", 1, Shape::Array), 200);
-    assert_eq!(plan(&c, Vec::new(), &[]).rent.values().sum::<u32>(), 1);
+    c.submit(&mut store, of_mixers("job-2", 2, JobKind::Gang), 100);
+    c.submit(&mut store, of_mixers("job-3", 1, JobKind::Array), 200);
+    assert_eq!(
+        plan(&c, Vec::new(), &[])
+            .machines_to_rent
+            .values()
+            .sum::<u32>(),
+        1
+    );
 }
 
 #[test]
 fn replicas_are_spread_over_the_zones() {
     let (mut store, mut c) = ready();
     let mut spec = job("job-1", 2);
-    spec.shape = Shape::Service;
+    spec.kind = JobKind::Service;
     spec.spread = true;
     spec.spot = false;
     c.submit(&mut store, spec, 0);
-    let zones: HashSet<ZoneIx> = plan(&c, Vec::new(), &[])
-        .rent
+    let zones: HashSet<ZoneIndex> = plan(&c, Vec::new(), &[])
+        .machines_to_rent
         .keys()
         .map(|p| p.zone)
         .collect();
@@ -142,41 +155,47 @@
 fn bookings_count_before_the_list_shows_their_machines() {
     let (mut store, mut c) = ready();
     c.submit(&mut store, job("job-1", 8), 0);
-    let mut rec = BookingRecord {
+    let mut rec = ProvisioningRecord {
         machine_type: "oven".into(),
         zone: "north".into(),
         spot: true,
         count: 2,
-        hosts: Vec::new(),
+        machines: Vec::new(),
     };
-    let put = |c: &mut Controller, store: &mut Store, rec: &BookingRecord| {
+    let put = |c: &mut Controller, store: &mut Store, rec: &ProvisioningRecord| {
         let txn = Transaction {
             conditions: Vec::new(),
             writes: set(format!("{ROOT}book/b-1-1"), rec, None)
                 .into_iter()
                 .collect(),
         };
-        assert!(matches!(Controller::send(store, &txn, 0), Outcome::Done(_)));
+        assert!(matches!(
+            Controller::send(store, &txn, 0),
+            CommitOutcome::Committed(_)
+        ));
         c.sync(store);
     };
     // Asked for, but not answered: it may have rented all it asks for.
     put(&mut c, &mut store, &rec);
     let list = HashMap::new();
-    let have = supply(&c.cluster, &list, 4000, Ms(1000));
+    let have = supply(&c.cluster, &list, 4000, MonotonicMillis(1000));
     assert_eq!(have.len(), 2);
-    assert!(plan(&c, have, &[]).rent.is_empty());
+    assert!(plan(&c, have, &[]).machines_to_rent.is_empty());
     // Answered with one machine, which the list does not show yet.
-    rec.hosts = vec!["n-000007".into()];
+    rec.machines = vec!["n-000007".into()];
     put(&mut c, &mut store, &rec);
     c.cluster
-        .learn_machine("n-000007", "oven", "north", true, Ms(1000));
-    let have = supply(&c.cluster, &list, 4000, Ms(1000));
+        .learn_machine("n-000007", "oven", "north", true, MonotonicMillis(1000));
+    let have = supply(&c.cluster, &list, 4000, MonotonicMillis(1000));
     assert_eq!(have.len(), 1);
-    assert_eq!(plan(&c, have, &[]).rent.values().sum::<u32>(), 1);
+    assert_eq!(
+        plan(&c, have, &[]).machines_to_rent.values().sum::<u32>(),
+        1
+    );
 }
 
-fn listed(name: &str) -> Listed {
-    Listed {
+fn listed(name: &str) -> ListedMachine {
+    ListedMachine {
         name: name.into(),
         addr: "127.0.0.1:1".into(),
         machine_type: "oven".into(),
@@ -189,24 +208,24 @@
 
 #[test]
 fn a_refused_page_of_the_list_loses_none_that_were_read() {
-    let page = |from: usize, n: usize, more| HostList {
+    let page = |from: usize, n: usize, more| MachineListPage {
         hosts: (from..from + n)
             .map(|i| listed(&format!("n-{i:06}")))
             .collect(),
         more,
     };
     let mut pages = Pages::default();
-    assert_eq!(pages.next(Ms(0), 3.5), "");
+    assert_eq!(pages.next(MonotonicMillis(0), 3.5), "");
     assert!(pages.take(page(0, 500, true)).is_none());
     // The next page is refused twice; it is asked for again, not the first.
-    assert_eq!(pages.next(Ms(500), 3.5), "n-000499");
-    assert_eq!(pages.next(Ms(1000), 3.5), "n-000499");
+    assert_eq!(pages.next(MonotonicMillis(500), 3.5), "n-000499");
+    assert_eq!(pages.next(MonotonicMillis(1000), 3.5), "n-000499");
     assert!(pages.take(page(500, 500, true)).is_none());
     assert_eq!(pages.take(page(1000, 3, false)).unwrap().len(), 1003);
     // A list that takes for ever would tell of long ago.
     assert!(pages.take(page(0, 500, true)).is_none());
-    assert_eq!(pages.next(Ms(2000), 3.5), "n-000499");
-    assert_eq!(pages.next(Ms(60_000), 3.5), "");
+    assert_eq!(pages.next(MonotonicMillis(2000), 3.5), "n-000499");
+    assert_eq!(pages.next(MonotonicMillis(60_000), 3.5), "");
 }
 
 #[test]
@@ -215,7 +234,7 @@
     let mut pages = Pages::default();
     let mut listed_names = 0;
     for turn in 0..16u64 {
-        let from = pages.next(Ms(turn * 3000), 0.5);
+        let from = pages.next(MonotonicMillis(turn * 3000), 0.5);
         assert_eq!(
             from.is_empty(),
             listed_names == 0,
@@ -228,7 +247,7 @@
         listed_names += 500;
         let hosts = names.map(|i| listed(&format!("n-{i:06}"))).collect();
         let more = listed_names < 4000;
-        if let Some(list) = pages.take(HostList { hosts, more }) {
+        if let Some(list) = pages.take(MachineListPage { hosts, more }) {
             assert_eq!(list.len(), 4000);
             return;
         }
@@ -243,10 +262,10 @@
     let (mut rented, mut returned) = (0u32, 0u32);
     // Renting asks as often as it can, returns come once a second.
     for now in (0..60_000u64).step_by(50) {
-        rented += u32::from(pace.take(Ms(now), 1.0));
+        rented += u32::from(pace.take(MonotonicMillis(now), 1.0));
         if now % 1000 == 0 {
             assert!(
-                now == 0 || pace.take(Ms(now), 0.0),
+                now == 0 || pace.take(MonotonicMillis(now), 0.0),
                 "a return waits at {now}"
             );
             returned += 1;
@@ -266,7 +285,7 @@
     let (_, c) = ready();
     let pool = |zone, spot| Pool {
         machine_type: oven(&c),
-        zone: ZoneIx::new(zone),
+        zone: ZoneIndex::new(zone),
         spot,
     };
     let rent = BTreeMap::from([(pool(0, true), 700), (pool(1, true), 20)]);
@@ -282,12 +301,15 @@
     let (mut store, mut c) = ready();
     c.submit(&mut store, job("job-1", 4), 0);
     c.cluster
-        .learn_machine("n-000007", "oven", "north", true, Ms(0));
-    let listed = Listed {
+        .learn_machine("n-000007", "oven", "north", true, MonotonicMillis(0));
+    let listed = ListedMachine {
         status: "booting".into(),
         ..listed("n-000007")
     };
     let list = HashMap::from([(listed.name.clone(), listed)]);
-    assert_eq!(supply(&c.cluster, &list, 4000, Ms(20_000)).len(), 1);
-    assert!(supply(&c.cluster, &list, 4000, Ms(60_000)).is_empty());
+    assert_eq!(
+        supply(&c.cluster, &list, 4000, MonotonicMillis(20_000)).len(),
+        1
+    );
+    assert!(supply(&c.cluster, &list, 4000, MonotonicMillis(60_000)).is_empty());
 }
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -2,9 +2,9 @@
 
 mod support;
 
-use pointhook::state::cancellation_watermark::Knowledge;
+use pointhook::state::cancellation_watermark::CancellationWatermark;
 use pointhook::state::job::JobState;
-use pointhook::state::units::Ms;
+use pointhook::state::units::MonotonicMillis;
 use support::controller::{CANCEL_MS, LEASE_MS, RENEW_MS};
 use support::job;
 use support::world::World;
@@ -204,37 +204,106 @@
 
 #[test]
 fn knowledge_is_complete_up_to_reads_and_to_what_all_have_told() {
-    let mut k = Knowledge::new(2, Ms(100));
-    assert_eq!(k.upto(Ms(5)), None);
-    k.read(Ms(1000));
-    assert_eq!(k.upto(Ms(2000)), Some(Ms(1000)));
+    let mut k = CancellationWatermark::new(2, MonotonicMillis(100));
+    assert_eq!(k.complete_until(MonotonicMillis(5)), None);
+    k.record_read(MonotonicMillis(1000));
+    assert_eq!(
+        k.complete_until(MonotonicMillis(2000)),
+        Some(MonotonicMillis(1000))
+    );
     // One peer alone vouches for nothing but its own read.
-    k.told(0, Ms(3000), Ms(3010), 60_000, None);
-    assert_eq!(k.upto(Ms(4000)), Some(Ms(1000)));
-    k.told(0, Ms(3000), Ms(3010), 60_000, Some(1500));
-    assert_eq!(k.upto(Ms(4000)), Some(Ms(1498)));
+    k.record_attestation(
+        0,
+        MonotonicMillis(3000),
+        MonotonicMillis(3010),
+        60_000,
+        None,
+    );
+    assert_eq!(
+        k.complete_until(MonotonicMillis(4000)),
+        Some(MonotonicMillis(1000))
+    );
+    k.record_attestation(
+        0,
+        MonotonicMillis(3000),
+        MonotonicMillis(3010),
+        60_000,
+        Some(1500),
+    );
+    assert_eq!(
+        k.complete_until(MonotonicMillis(4000)),
+        Some(MonotonicMillis(1498))
+    );
     // Both have told: complete up to when the first of them was asked.
-    k.told(1, Ms(3500), Ms(3510), 60_000, None);
-    assert_eq!(k.upto(Ms(4000)), Some(Ms(3000)));
+    k.record_attestation(
+        1,
+        MonotonicMillis(3500),
+        MonotonicMillis(3510),
+        60_000,
+        None,
+    );
+    assert_eq!(
+        k.complete_until(MonotonicMillis(4000)),
+        Some(MonotonicMillis(3000))
+    );
     // One restarts after that and can't vouch for what it confirmed before.
-    k.told(0, Ms(6000), Ms(6010), 500, None);
-    k.told(1, Ms(6000), Ms(6010), 60_000, None);
-    assert_eq!(k.upto(Ms(7000)), Some(Ms(3000)));
+    k.record_attestation(0, MonotonicMillis(6000), MonotonicMillis(6010), 500, None);
+    k.record_attestation(
+        1,
+        MonotonicMillis(6000),
+        MonotonicMillis(6010),
+        60_000,
+        None,
+    );
+    assert_eq!(
+        k.complete_until(MonotonicMillis(7000)),
+        Some(MonotonicMillis(3000))
+    );
     // A read later than its start makes up for that.
-    k.read(Ms(5600));
-    assert_eq!(k.upto(Ms(7000)), Some(Ms(6000)));
+    k.record_read(MonotonicMillis(5600));
+    assert_eq!(
+        k.complete_until(MonotonicMillis(7000)),
+        Some(MonotonicMillis(6000))
+    );
     // Answers that cross take nothing back.
-    k.told(0, Ms(5000), Ms(7000), 90_000, None);
-    assert_eq!(k.upto(Ms(7000)), Some(Ms(6000)));
+    k.record_attestation(
+        0,
+        MonotonicMillis(5000),
+        MonotonicMillis(7000),
+        90_000,
+        None,
+    );
+    assert_eq!(
+        k.complete_until(MonotonicMillis(7000)),
+        Some(MonotonicMillis(6000))
+    );
     // What another knows of the time before this process began says nothing of what this node
     // confirmed itself before it restarted.
-    let mut k = Knowledge::new(1, Ms(5000));
-    k.told(0, Ms(6000), Ms(6001), 60_000, Some(2000));
-    assert_eq!(k.upto(Ms(7000)), None);
-    k.told(0, Ms(8000), Ms(8001), 60_000, Some(2000));
-    assert_eq!(k.upto(Ms(9000)), Some(Ms(8000)));
+    let mut k = CancellationWatermark::new(1, MonotonicMillis(5000));
+    k.record_attestation(
+        0,
+        MonotonicMillis(6000),
+        MonotonicMillis(6001),
+        60_000,
+        Some(2000),
+    );
+    assert_eq!(k.complete_until(MonotonicMillis(7000)), None);
+    k.record_attestation(
+        0,
+        MonotonicMillis(8000),
+        MonotonicMillis(8001),
+        60_000,
+        Some(2000),
+    );
+    assert_eq!(
+        k.complete_until(MonotonicMillis(9000)),
+        Some(MonotonicMillis(8000))
+    );
     // A node without peers confirms everything itself.
-    assert_eq!(Knowledge::new(0, Ms(0)).upto(Ms(9)), Some(Ms(9)));
+    assert_eq!(
+        CancellationWatermark::new(0, MonotonicMillis(0)).complete_until(MonotonicMillis(9)),
+        Some(MonotonicMillis(9))
+    );
 }
 
 #[test]
@@ -346,28 +415,31 @@
 
 #[test]
 fn a_direct_stop_ends_what_saves_and_leaves_alone_what_has_ended_or_is_not_there() {
-    use pointhook::protocol::workers::{Order, TaskState};
+    use pointhook::protocol::workers::{Command, TaskState};
     let mut w = support::worker::Worker::new("m1", "north", 0);
     let mut status = w.report(0);
-    (status.token, status.session) = (7, 3);
-    let shown = |task: &str, state| pointhook::protocol::workers::TaskReport {
+    (status.fencing_token, status.agent_epoch) = (7, 3);
+    let shown = |task: &str, state| pointhook::protocol::workers::TaskStatus {
         task: task.into(),
         attempt: 2,
         state,
-        why: None,
-        saved: None,
+        exit_reason: None,
+        checkpointed: None,
     };
     status.tasks = vec![
-        shown("job-1/0", TaskState::Saving),
+        shown("job-1/0", TaskState::Checkpointing),
         shown("job-1/1", TaskState::Exited),
         shown("job-2/0", TaskState::Running),
     ];
     let left: Vec<_> = (0..3).map(|t| (format!("job-1/{t}"), 2)).collect();
     let c = pointhook::coordination::cancellations::stops(&status, &left).unwrap();
     // Under the worker's own token: nobody's right to command it changes.
-    assert_eq!((c.token, c.session, c.orders.len()), (7, 3, 1));
+    assert_eq!(
+        (c.fencing_token, c.agent_epoch, c.commands.len()),
+        (7, 3, 1)
+    );
     assert!(
-        matches!(&c.orders[0], Order::Stop { piece, grace_s, .. } if piece == "job-1/0" && *grace_s == 0.0)
+        matches!(&c.commands[0], Command::Stop { task, grace_s, .. } if task == "job-1/0" && *grace_s == 0.0)
     );
     // Another attempt is none of its business.
     let other = [("job-1/0".to_string(), 1)];
--- a/tests/costs.rs
+++ b/tests/costs.rs
@@ -4,7 +4,7 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use pointhook::transport::deadlines::Table;
-use pointhook::transport::executor_priorities::Lanes;
+use pointhook::transport::executor_priorities::ExecutorPriorities;
 use pointhook::transport::http::{listen, serve, Answer, Incoming};
 use stats_alloc::{Region, StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
@@ -159,7 +159,7 @@
 #[test]
 fn an_answer_to_a_duty_is_read_amid_hundreds_of_requests() {
     let _alone = alone();
-    let lanes = Lanes::default();
+    let lanes = ExecutorPriorities::default();
     let door = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let addr = door.local_addr().unwrap();
     async_io::block_on(lanes.run(async {
--- a/tests/failover_processes.rs
+++ b/tests/failover_processes.rs
@@ -1,10 +1,10 @@
 //! Real controllers on loopback: the one that decides is killed, and one is paused beyond its
 //! lease, while a batch runs. The full measurement is in docs/standby.md.
 
-use rehearsal::takeover::{rehearse, Interruption, Options, Outcome};
+use rehearsal::takeover::{rehearse, CommitOutcome, Interruption, Options};
 use std::path::PathBuf;
 
-fn play(interruptions: Vec<Interruption>, seed: u64) -> Outcome {
+fn play(interruptions: Vec<Interruption>, seed: u64) -> CommitOutcome {
     let root = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
     let outcome = rehearse(&Options {
         program: env!("CARGO_BIN_EXE_pointhook").into(),
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -5,16 +5,16 @@
 
 use futures_lite::future::{block_on, poll_once};
 use pointhook::coordination::controller::{
-    self, outage_is_everyones, Notifier, PeerSeen, WorkerContact,
+    self, is_cluster_wide_outage, Notifier, PeerObservation, WorkerReachability,
 };
 use pointhook::coordination::scheduler::commands;
 use pointhook::coordination::{autoscaler, membership, peer_messages, worker_connectivity};
-use pointhook::protocol::peers::MachineNews;
-use pointhook::protocol::users::Shape;
-use pointhook::protocol::workers::Order;
+use pointhook::protocol::peers::MachineStatus;
+use pointhook::protocol::users::JobKind;
+use pointhook::protocol::workers::Command;
 use pointhook::state::job::JobState;
-use pointhook::state::names::{ShardIx, ZoneIx};
-use pointhook::state::units::Ms;
+use pointhook::state::names::{ShardIndex, ZoneIndex};
+use pointhook::state::units::MonotonicMillis;
 use std::collections::HashMap;
 use support::controller::{one, play, Controller};
 use support::job;
@@ -22,7 +22,7 @@
 
 fn gang(id: &str, tasks: u32) -> pointhook::protocol::users::JobSpec {
     let mut spec = job(id, tasks);
-    spec.shape = Shape::Gang;
+    spec.kind = JobKind::Gang;
     spec.vcpus = 16.0;
     spec
 }
@@ -41,10 +41,13 @@
     assert!(w.has("job-1/0"));
     // A copy of the report from before the start, well over a lease later.
     play(&mut c, &mut store, &mut [&mut w], 2500, 30_000);
-    let heard = c.cluster.machine(c.machine("m1")).unwrap().heard;
+    let heard = c.cluster.machine(c.machine("m1")).unwrap().last_heartbeat;
     let answer = c.report(&mut store, &empty, 30_000).unwrap();
-    assert!(answer.orders.is_empty());
-    assert_eq!(c.cluster.machine(c.machine("m1")).unwrap().heard, heard);
+    assert!(answer.commands.is_empty());
+    assert_eq!(
+        c.cluster.machine(c.machine("m1")).unwrap().last_heartbeat,
+        heard
+    );
     assert_eq!(c.job("job-1").placements.len(), 1);
 }
 
@@ -58,7 +61,7 @@
     c.submit(&mut store, job("job-1", 1), 600);
     // The copy comes first after the claim: its answer goes nowhere.
     let answer = c.report(&mut store, &r, 700).unwrap();
-    assert!(answer.orders.is_empty());
+    assert!(answer.commands.is_empty());
     assert!(c
         .cluster
         .machine(c.machine("m1"))
@@ -83,7 +86,7 @@
     // The machine is long gone; only copies of its reports still come.
     new.report(&mut store, &copy, 40_000).unwrap();
     let mix = new.machine("m1");
-    assert_eq!(new.cluster.machine(mix).unwrap().heard, None);
+    assert_eq!(new.cluster.machine(mix).unwrap().last_heartbeat, None);
     assert!(new.draft(40_000).claims.is_empty());
     // The machine itself, once it has the new token, is heard and gets the work.
     let mut alive = Worker::new("m2", "north", 40_000);
@@ -98,7 +101,7 @@
     c.visit(&mut store, &mut w, 0);
     let copy = w.report(100);
     let mix = c.machine("m1");
-    c.cluster.set_gone(mix);
+    c.cluster.mark_deleted(mix);
     c.submit(&mut store, job("job-1", 1), 200);
     assert!(c.report(&mut store, &copy, 20_000).is_none());
     assert!(c.draft(20_000).claims.is_empty());
@@ -115,7 +118,12 @@
         let r = deaf.report(now);
         c.report(&mut store, &r, now).unwrap();
     }
-    assert!(c.cluster.machine(c.machine("m1")).unwrap().deaf.is_some());
+    assert!(c
+        .cluster
+        .machine(c.machine("m1"))
+        .unwrap()
+        .unreachable_since
+        .is_some());
     assert!(c.job("job-1").placements.is_empty());
     let mut other = Worker::new("m2", "north", 4000);
     c.visit(&mut store, &mut other, 4000);
@@ -129,15 +137,25 @@
     let mut w = Worker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
     let mix = c.machine("m1");
-    c.cluster.machine_mut(mix).unwrap().deaf = Some(Ms(1000));
-    let asked = worker_connectivity::unheard(&mut c.cluster, &c.config, 10_000, Ms(5000));
+    c.cluster.machine_mut(mix).unwrap().unreachable_since = Some(MonotonicMillis(1000));
+    let asked = worker_connectivity::unreachable_machines(
+        &mut c.cluster,
+        &c.config,
+        10_000,
+        MonotonicMillis(5000),
+    );
     assert_eq!(asked.len(), 1);
-    assert!(!c.cluster.machine(mix).unwrap().sick);
+    assert!(!c.cluster.machine(mix).unwrap().quarantined);
     let mut reached = c.cluster.machine(mix).unwrap().clone();
-    reached.reached(Ms(5000));
-    assert!(reached.takes(Ms(500), 4000));
-    worker_connectivity::unheard(&mut c.cluster, &c.config, 10_000, Ms(11_500));
-    assert!(c.cluster.machine(mix).unwrap().sick);
+    reached.mark_reachable(MonotonicMillis(5000));
+    assert!(reached.is_schedulable(MonotonicMillis(500), 4000));
+    worker_connectivity::unreachable_machines(
+        &mut c.cluster,
+        &c.config,
+        10_000,
+        MonotonicMillis(11_500),
+    );
+    assert!(c.cluster.machine(mix).unwrap().quarantined);
 }
 
 #[test]
@@ -151,7 +169,7 @@
     }
     assert!(w.session > 1);
     let m = c.cluster.machine(c.machine("m1")).unwrap();
-    assert!(m.deaf.is_some() && !m.takes(Ms(12_000), 4000));
+    assert!(m.unreachable_since.is_some() && !m.is_schedulable(MonotonicMillis(12_000), 4000));
 }
 
 #[test]
@@ -163,7 +181,12 @@
     w.advance(30_000);
     play(&mut c, &mut store, &mut [&mut w], 30_000, 31_000);
     assert!(w.session > 1);
-    assert!(c.cluster.machine(c.machine("m1")).unwrap().deaf.is_none());
+    assert!(c
+        .cluster
+        .machine(c.machine("m1"))
+        .unwrap()
+        .unreachable_since
+        .is_none());
 }
 
 #[test]
@@ -173,7 +196,7 @@
     let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "north", 0));
     w1.run_ms = 1_000_000;
     // The second machine fetches for longer than the first one waits.
-    w2.fetch_ms = 1_000_000;
+    w2.image_pull_ms = 1_000_000;
     play(&mut c, &mut store, &mut [&mut w1, &mut w2], 0, 2000);
     w1.give_up_waiting();
     play(&mut c, &mut store, &mut [&mut w1, &mut w2], 2000, 3000);
@@ -188,7 +211,7 @@
     let (mut store, mut c) = one();
     c.submit(&mut store, gang("job-1", 2), 0);
     let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "north", 0));
-    w2.fetch_ms = 1_000_000;
+    w2.image_pull_ms = 1_000_000;
     w1.run_ms = 1_000_000;
     play(&mut c, &mut store, &mut [&mut w1, &mut w2], 0, 2000);
     for i in 0..6 {
@@ -222,10 +245,13 @@
     // It goes on answering its worker, which keeps its task and gets nothing new.
     let r = w.report(6000);
     let a = old.report_without_store(&r, 6000).unwrap();
-    assert!(!a.orders.iter().any(|o| matches!(o, Order::Start { .. })));
-    assert!(w.answered(&a, r.session, 6000, 6000));
+    assert!(!a
+        .commands
+        .iter()
+        .any(|o| matches!(o, Command::Start { .. })));
+    assert!(w.answered(&a, r.agent_epoch, 6000, 6000));
     // The new owner shows its token; the worker reports it, and the old one stands down.
-    w.token = new.cluster.shards[0].rec.token;
+    w.token = new.cluster.shards[0].record.fencing_token;
     let r = w.report(7000);
     assert!(old.report_without_store(&r, 7000).is_none());
     // The task stays where it is, once: its placement is as good as before.
@@ -254,25 +280,25 @@
     assert_eq!(names, ["m1"]);
     assert!(autoscaler::lost(&new.cluster, &HashMap::new(), |_| false).is_empty());
     let mix = new.machine("m1");
-    new.cluster.set_gone(mix);
+    new.cluster.mark_deleted(mix);
     new.plan(&mut store, 200_000);
     assert!(new.job("job-1").placements.is_empty());
     assert!(autoscaler::lost(&new.cluster, &HashMap::new(), |_| true).is_empty());
 }
 
-fn news(name: &str, silent_ms: u64) -> MachineNews {
-    MachineNews {
+fn news(name: &str, silent_ms: u64) -> MachineStatus {
+    MachineStatus {
         name: name.into(),
         addr: "127.0.0.1:1".into(),
         machine_type: "oven".into(),
         zone: "north".into(),
         spot: true,
         silent_ms,
-        heard: true,
-        sure: true,
-        queued: 0,
-        closed: false,
-        sick: false,
+        has_reported: true,
+        fencing_token_confirmed: true,
+        queue_length: 0,
+        cordoned: false,
+        quarantined: false,
     }
 }
 
@@ -286,24 +312,27 @@
     third.sync(&store);
     let mix = third
         .cluster
-        .learn_machine("m1", "oven", "north", true, Ms(0))
+        .learn_machine("m1", "oven", "north", true, MonotonicMillis(0))
         .unwrap();
-    peer_messages::take_news(
+    peer_messages::apply_machine_statuses(
         &mut third.cluster,
         &third.config,
         "s1",
         vec![news("m1", 0)],
-        Ms(30_000),
+        MonotonicMillis(30_000),
     );
     // The deposed owner has not heard the machine for a long time and does not know why.
-    peer_messages::take_news(
+    peer_messages::apply_machine_statuses(
         &mut third.cluster,
         &third.config,
         "n1",
         vec![news("m1", 25_000)],
-        Ms(30_100),
+        MonotonicMillis(30_100),
+    );
+    assert_eq!(
+        third.cluster.machine(mix).unwrap().last_heartbeat,
+        Some(MonotonicMillis(30_000))
     );
-    assert_eq!(third.cluster.machine(mix).unwrap().heard, Some(Ms(30_000)));
 }
 
 #[test]
@@ -313,21 +342,35 @@
     old.visit(&mut store, &mut worker, 0);
     store.end_lease(old.lease);
     let mut new = Controller::start("s1", 2, &mut store, 5000);
-    let closed = MachineNews {
-        closed: true,
+    let closed = MachineStatus {
+        cordoned: true,
         ..news("m1", 0)
     };
-    peer_messages::take_news(&mut new.cluster, &new.config, "n1", vec![closed], Ms(5000));
+    peer_messages::apply_machine_statuses(
+        &mut new.cluster,
+        &new.config,
+        "n1",
+        vec![closed],
+        MonotonicMillis(5000),
+    );
     let mix = new.machine("m1");
-    assert!(!new.cluster.machine(mix).unwrap().takes(Ms(5000), 4000));
+    assert!(!new
+        .cluster
+        .machine(mix)
+        .unwrap()
+        .is_schedulable(MonotonicMillis(5000), 4000));
     new.members(&mut store, 5000);
     new.submit(&mut store, job("job-1", 1), 5000);
     play(&mut new, &mut store, &mut [&mut worker], 5500, 8000);
     assert!(worker.has("job-1/0"));
     // What the owner itself has closed, to return it, stays so.
-    new.cluster.machine_mut(mix).unwrap().closed = true;
+    new.cluster.machine_mut(mix).unwrap().cordoned = true;
     play(&mut new, &mut store, &mut [&mut worker], 8000, 10_000);
-    assert!(!new.cluster.machine(mix).unwrap().takes(Ms(10_000), 4000));
+    assert!(!new
+        .cluster
+        .machine(mix)
+        .unwrap()
+        .is_schedulable(MonotonicMillis(10_000), 4000));
 }
 
 #[test]
@@ -349,9 +392,9 @@
     let mut new = Controller::start("s1", 2, &mut store, 5000);
     let known = new
         .cluster
-        .learn_machine("m1", "oven", "north", true, Ms(5000))
+        .learn_machine("m1", "oven", "north", true, MonotonicMillis(5000))
         .unwrap();
-    new.cluster.machine_mut(known).unwrap().heard = Some(Ms(5000));
+    new.cluster.machine_mut(known).unwrap().last_heartbeat = Some(MonotonicMillis(5000));
     new.members(&mut store, 5000);
     assert_eq!(at(&new), 15_000);
     new.visit(&mut store, &mut w, 6000);
@@ -366,7 +409,7 @@
     old.sync(&store);
     // The hand-over of a shard to s1 is on its way when s1 is killed and back at once.
     let m = pointhook::coordination::membership::Move {
-        shard: ShardIx(1),
+        shard: ShardIndex(1),
         to: "s1".into(),
     };
     let (txn, _) = pointhook::coordination::membership::move_transaction(&old.cluster, &m).unwrap();
@@ -374,13 +417,13 @@
     let mut back = Controller::start("s1", 3, &mut store, 200);
     assert!(!back.owns(1));
     back.members(&mut store, 300);
-    assert!(back.owns(1) && back.cluster.shards[1].rec.token >= 3);
+    assert!(back.owns(1) && back.cluster.shards[1].record.fencing_token >= 3);
     old.sync(&store);
     assert!(!old.owns(1));
     // The old incarnation's key ends later: that must not take the new one's along.
     store.end_lease(target.lease);
     back.sync(&store);
-    assert!(back.cluster.live_owner(ShardIx(1)).is_some());
+    assert!(back.cluster.live_owner(ShardIndex(1)).is_some());
 }
 
 #[test]
@@ -394,25 +437,31 @@
     let accepted = c.job("job-1").version;
     assert!(!matches!(
         c.submit(&mut store, job("job-1", 1), 20),
-        pointhook::coordination::kv::Outcome::Done(_)
+        pointhook::coordination::kv::CommitOutcome::Committed(_)
     ));
     assert_eq!(c.job("job-1").version, accepted);
     play(&mut c, &mut store, &mut [&mut w], 500, 12_000);
     assert_eq!(c.job("job-1").state, JobState::Done);
     // A repeated start after the end of a job has no placement to rest on.
     let mix = c.machine("m1");
-    assert!(
-        commands::orders(&mut c.cluster, &c.config, c.takeovers.permits(), mix, Ms(0))
-            .iter()
-            .all(|o| !matches!(o, Order::Start { .. }))
-    );
+    assert!(commands::orders(
+        &mut c.cluster,
+        &c.config,
+        c.takeovers.permits(),
+        mix,
+        MonotonicMillis(0)
+    )
+    .iter()
+    .all(|o| !matches!(o, Command::Start { .. })));
     assert_eq!(w.started.len(), 1);
 }
 
 #[test]
 fn one_fresh_read_answers_all_who_wait_for_it() {
     let fresh = Notifier::default();
-    let mut waiting: Vec<_> = (0..50).map(|_| Box::pin(fresh.turn(60_000))).collect();
+    let mut waiting: Vec<_> = (0..50)
+        .map(|_| Box::pin(fresh.request_round(60_000)))
+        .collect();
     for w in &mut waiting {
         assert!(block_on(poll_once(w)).is_none());
     }
@@ -451,7 +500,7 @@
         let name = format!("m{i:03}");
         let mix = c
             .cluster
-            .learn_machine(&name, "oven", "north", true, Ms(0))
+            .learn_machine(&name, "oven", "north", true, MonotonicMillis(0))
             .unwrap();
         c.cluster.machine_mut(mix).unwrap().addr = "127.0.0.1:1".into();
     }
@@ -459,47 +508,57 @@
     let mut tried = HashMap::new();
     let mut reached = std::collections::HashSet::new();
     for now in [10_000u64, 11_500, 13_000, 14_500, 16_000] {
-        let due =
-            worker_connectivity::behind(&c.cluster, &c.config, &mut tried, Ms(now), |_| Some(()));
+        let due = worker_connectivity::machines_with_stale_token(
+            &c.cluster,
+            &c.config,
+            &mut tried,
+            MonotonicMillis(now),
+            |_| Some(()),
+        );
         for (mix, ..) in due.into_iter().take(60) {
-            tried.insert(mix, Ms(now));
+            tried.insert(mix, MonotonicMillis(now));
             reached.insert(mix);
         }
     }
     assert_eq!(reached.len(), 300);
     // One that has shown the token is left alone, and one in vain is tried again only later.
     let mix = c.machine("m299");
-    c.cluster.machine_mut(mix).unwrap().token = c.cluster.shards[0]
-        .rec
-        .token
-        .max(c.cluster.shards[1].rec.token);
-    let due =
-        worker_connectivity::behind(&c.cluster, &c.config, &mut tried, Ms(16_500), |_| Some(()));
+    c.cluster.machine_mut(mix).unwrap().fencing_token = c.cluster.shards[0]
+        .record
+        .fencing_token
+        .max(c.cluster.shards[1].record.fencing_token);
+    let due = worker_connectivity::machines_with_stale_token(
+        &c.cluster,
+        &c.config,
+        &mut tried,
+        MonotonicMillis(16_500),
+        |_| Some(()),
+    );
     assert!(due.iter().all(|(m, ..)| *m != mix));
     assert!(due.len() <= 240);
 }
 
 #[test]
 fn a_node_cut_off_from_all_sides_sends_its_users_elsewhere() {
-    let seen = |heard, store_ok, refuses| PeerSeen {
-        heard,
-        store_ok,
-        refuses,
+    let seen = |heard, store_ok, refuses| PeerObservation {
+        heard_recently: heard,
+        kv_reachable: store_ok,
+        connection_refused: refuses,
     };
     // The state service is down for all: being unhealthy would help nobody.
-    assert!(outage_is_everyones(&[
+    assert!(is_cluster_wide_outage(&[
         seen(true, false, false),
         seen(false, false, false)
     ]));
-    assert!(outage_is_everyones(&[]));
+    assert!(is_cluster_wide_outage(&[]));
     // A peer that ended or refuses connections shows that the way is open.
-    assert!(outage_is_everyones(&[seen(false, false, true)]));
+    assert!(is_cluster_wide_outage(&[seen(false, false, true)]));
     // Others are served, or nothing is heard from any side.
-    assert!(!outage_is_everyones(&[
+    assert!(!is_cluster_wide_outage(&[
         seen(true, true, false),
         seen(true, false, false)
     ]));
-    assert!(!outage_is_everyones(&[
+    assert!(!is_cluster_wide_outage(&[
         seen(false, true, false),
         seen(false, false, false)
     ]));
@@ -512,14 +571,22 @@
     c.visit(&mut store, &mut w, 0);
     let m = c.cluster.machine(c.machine("m1")).unwrap();
     // It owned the shard from the start, and stood still from 1 s to 40 s.
-    let (owned, woke) = (Some(Ms(0)), Some(Ms(40_000)));
-    let now = Ms(41_000);
-    assert_eq!(peer_messages::silence(m.heard, m.known, owned, now), 41_000);
+    let (owned, woke) = (Some(MonotonicMillis(0)), Some(MonotonicMillis(40_000)));
+    let now = MonotonicMillis(41_000);
     assert_eq!(
-        peer_messages::silence(m.heard, m.known, controller::listened(owned, woke), now),
+        peer_messages::silence(m.last_heartbeat, m.discovered_at, owned, now),
+        41_000
+    );
+    assert_eq!(
+        peer_messages::silence(
+            m.last_heartbeat,
+            m.discovered_at,
+            controller::observing_since(owned, woke),
+            now
+        ),
         1000
     );
-    assert_eq!(controller::listened(owned, None), owned);
+    assert_eq!(controller::observing_since(owned, None), owned);
 }
 
 #[test]
@@ -543,17 +610,20 @@
     // It goes on where it stood: the commit, an answer held back, a proof by time.
     assert!(!matches!(
         Controller::send(&mut store, &late, 40_000),
-        pointhook::coordination::kv::Outcome::Done(_)
+        pointhook::coordination::kv::CommitOutcome::Committed(_)
     ));
     let r = w.report(40_000);
     let held = old.report_without_store(&r, 40_000).unwrap();
-    assert!(!held.orders.iter().any(|o| matches!(o, Order::Start { .. })));
+    assert!(!held
+        .commands
+        .iter()
+        .any(|o| matches!(o, Command::Start { .. })));
     let proof = old.draft(60_000);
     assert!(!proof.is_empty());
     let by_time = pointhook::coordination::kv::transaction(&old.cluster, &proof);
     assert!(!matches!(
         Controller::send(&mut store, &by_time, 60_000),
-        pointhook::coordination::kv::Outcome::Done(_)
+        pointhook::coordination::kv::CommitOutcome::Committed(_)
     ));
     assert_eq!(other.started.len(), 1);
     assert_eq!(w.started.len(), 1);
@@ -564,15 +634,24 @@
     let (mut store, mut c) = one();
     Controller::start("s1", 2, &mut store, 0);
     c.sync(&store);
-    let seen = HashMap::from([("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), i), Ms(0))));
+    let seen = HashMap::from(
+        [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), i), MonotonicMillis(0))),
+    );
     let moves = |c: &Controller, deaf: &[&str]| {
-        let known = membership::Known {
-            seen: seen.clone(),
-            deaf: deaf.iter().map(|n| n.to_string()).collect(),
-            owned: c.owned_for_long(),
-            ..membership::Known::default()
+        let known = membership::MembershipView {
+            first_seen: seen.clone(),
+            unreachable_from_workers: deaf.iter().map(|n| n.to_string()).collect(),
+            owned_since: c.owned_for_long(),
+            ..membership::MembershipView::default()
         };
-        membership::moves(&c.cluster, &c.config, &c.zones, &known, false, Ms(10_000))
+        membership::moves(
+            &c.cluster,
+            &c.config,
+            &c.zones,
+            &known,
+            false,
+            MonotonicMillis(10_000),
+        )
     };
     // It owns all; the shard of the other zone goes there in any case.
     let to =
@@ -587,30 +666,39 @@
 
 #[test]
 fn hearing_is_doubted_then_lost_and_regained_only_after_a_moment() {
-    let mut worker_contact = WorkerContact::new(30_000);
+    let mut worker_contact = WorkerReachability::new(30_000);
     // The first machine comes up late; until a while after that nothing can be said.
-    assert!(worker_contact.hears(false, None, Ms(90_000)));
-    assert!(worker_contact.hears(true, None, Ms(99_000)));
-    worker_contact.heard(Ms(100_000));
-    assert!(!worker_contact.doubts(Ms(104_000)) && worker_contact.doubts(Ms(106_000)));
-    assert!(worker_contact.hears(true, None, Ms(109_000)));
+    assert!(worker_contact.update(false, None, MonotonicMillis(90_000)));
+    assert!(worker_contact.update(true, None, MonotonicMillis(99_000)));
+    worker_contact.record_contact(MonotonicMillis(100_000));
+    assert!(
+        !worker_contact.probe_needed(MonotonicMillis(104_000))
+            && worker_contact.probe_needed(MonotonicMillis(106_000))
+    );
+    assert!(worker_contact.update(true, None, MonotonicMillis(109_000)));
     // Without machines there is nothing to hear, and a halt is no silence.
-    assert!(worker_contact.clone().hears(false, None, Ms(111_000)));
     assert!(worker_contact
         .clone()
-        .hears(true, Some(Ms(110_000)), Ms(111_000)));
-    assert!(!worker_contact.hears(true, None, Ms(111_000)));
-    worker_contact.heard(Ms(112_000));
-    assert!(!worker_contact.hears(true, None, Ms(113_000)));
-    assert!(worker_contact.hears(true, None, Ms(117_000)));
+        .update(false, None, MonotonicMillis(111_000)));
+    assert!(worker_contact.clone().update(
+        true,
+        Some(MonotonicMillis(110_000)),
+        MonotonicMillis(111_000)
+    ));
+    assert!(!worker_contact.update(true, None, MonotonicMillis(111_000)));
+    worker_contact.record_contact(MonotonicMillis(112_000));
+    assert!(!worker_contact.update(true, None, MonotonicMillis(113_000)));
+    assert!(worker_contact.update(true, None, MonotonicMillis(117_000)));
 }
 
 #[test]
 fn machines_of_a_zone_that_is_cut_off_are_not_returned_at_once() {
-    let (north, south, east) = (ZoneIx(0), ZoneIx(1), ZoneIx(2));
+    let (north, south, east) = (ZoneIndex(0), ZoneIndex(1), ZoneIndex(2));
     let counts = HashMap::from([(north, (300, 30)), (south, (300, 280)), (east, (4, 4))]);
     // A tenth of a zone, or all of a handful of machines, may well have failed.
-    assert!(autoscaler::cut_zones(&counts).into_iter().eq([south]));
+    assert!(autoscaler::partitioned_zones(&counts)
+        .into_iter()
+        .eq([south]));
     let limits = autoscaler::Silence {
         sure_ms: 20_000,
         lease_ms: 22_000,
@@ -623,17 +711,26 @@
     let (mut store, mut c) = one();
     Controller::start("s1", 2, &mut store, 0);
     c.sync(&store);
-    let seen = HashMap::from([("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), i), Ms(0))));
+    let seen = HashMap::from(
+        [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), i), MonotonicMillis(0))),
+    );
     // This node has just got the shard, and does not know yet that the other is deaf.
-    let south = ZoneIx(1);
-    assert_eq!(c.cluster.shard_zone(ShardIx(1)), Some(south));
+    let south = ZoneIndex(1);
+    assert_eq!(c.cluster.shard_zone(ShardIndex(1)), Some(south));
     let moves = |c: &Controller, now: u64| {
-        let known = membership::Known {
-            seen: seen.clone(),
-            owned: HashMap::from([(ShardIx(1), Ms(10_000))]),
+        let known = membership::MembershipView {
+            first_seen: seen.clone(),
+            owned_since: HashMap::from([(ShardIndex(1), MonotonicMillis(10_000))]),
             ..Default::default()
         };
-        membership::moves(&c.cluster, &c.config, &c.zones, &known, false, Ms(now))
+        membership::moves(
+            &c.cluster,
+            &c.config,
+            &c.zones,
+            &known,
+            false,
+            MonotonicMillis(now),
+        )
     };
     assert!(moves(&c, 10_300).is_empty());
     assert!(moves(&c, 12_000).is_empty());
--- a/tests/http_api.rs
+++ b/tests/http_api.rs
@@ -2,13 +2,13 @@
 
 mod support;
 
-use pointhook::protocol::peers::{decode_ask, encode, Ask, TaskRef};
-use pointhook::protocol::users::{parse_job, JobSpec, Shape};
-use pointhook::protocol::workers::{split_task, Report};
+use pointhook::protocol::peers::{decode_request, encode, PeerRequest, TaskRef};
+use pointhook::protocol::users::{parse_job, JobKind, JobSpec};
+use pointhook::protocol::workers::{split_task, Heartbeat};
 use pointhook::settings::{Operator, Platform};
 use pointhook::state::cluster_state::ClusterState;
 use pointhook::state::job::Ranges;
-use pointhook::state::names::{Interner, MachineIx};
+use pointhook::state::names::{Interner, MachineIndex};
 use std::path::PathBuf;
 use support::{cloud, controller::team, job};
 
@@ -33,7 +33,7 @@
         |j| j.vcpus = f64::NAN,
         |j| j.gpus = -1.0,
         |j| j.mem_gb = f64::INFINITY,
-        |j| j.estimate_s = -0.5,
+        |j| j.estimated_run_s = -0.5,
         |j| j.deadline_s = Some(f64::NAN),
         |j| j.team = String::new(),
         |j| j.image = "x".repeat(1000),
@@ -87,8 +87,8 @@
     assert!(told(|j| j.id = "task-1".into()).contains("uid"));
     assert!(told(|j| j.tasks = 0).contains("pieces"));
     assert!(told(|j| j.team = String::new()).contains("crew"));
-    assert!(told(|j| j.save_s = -1.0).contains("flush_s"));
-    assert!(told(|j| j.awaits = vec![j.id.clone()]).contains("await itself"));
+    assert!(told(|j| j.checkpoint_grace_s = -1.0).contains("flush_s"));
+    assert!(told(|j| j.dependencies = vec![j.id.clone()]).contains("await itself"));
     assert!(told(|j| j.types = Some(vec![String::new()])).contains("rigs"));
     assert_eq!(job("job-000412", 3).check(), Ok(()));
 }
@@ -97,7 +97,7 @@
 fn jobs_that_can_never_run_are_told_apart() {
     let zones = ["north".to_string(), "south".to_string()];
     let mut v = ClusterState::new(&zones, &[team("ovens", 0.0), team("mixers", 2.0)], 1);
-    v.set_flavors(&pointhook::protocol::cloud::Flavors {
+    v.set_machine_types(&pointhook::protocol::cloud::MachineTypeCatalog {
         types: vec![cloud::flavor()],
     });
     let mut ok = |f: &dyn Fn(&mut JobSpec)| {
@@ -114,7 +114,7 @@
     assert!(ok(&|j| j.team = "mixers".into()));
     assert!(!ok(&|j| {
         j.team = "mixers".into();
-        j.shape = Shape::Gang;
+        j.kind = JobKind::Gang;
     }));
 }
 
@@ -123,8 +123,8 @@
     let mut seed = fastrand::Rng::with_seed(7);
     for len in 0..400 {
         let noise: Vec<u8> = (0..len).map(|_| seed.u8(..)).collect();
-        assert!(rmp_serde::from_slice::<Report>(&noise).is_err());
-        let _ = decode_ask(&noise);
+        assert!(rmp_serde::from_slice::<Heartbeat>(&noise).is_err());
+        let _ = decode_request(&noise);
     }
     assert_eq!(split_task("job-1"), None);
     assert_eq!(split_task("job-1/x"), None);
@@ -133,7 +133,7 @@
 
 #[test]
 fn frames_come_back_as_they_went() {
-    let ask = Ask::Bind {
+    let ask = PeerRequest::Bind {
         tasks: vec![(
             "m1".into(),
             TaskRef {
@@ -143,8 +143,8 @@
         )],
     };
     let sent = encode(&ask).unwrap();
-    assert_eq!(decode_ask(&sent), Some(ask));
-    assert_eq!(decode_ask(&sent[..sent.len() / 2]), None);
+    assert_eq!(decode_request(&sent), Some(ask));
+    assert_eq!(decode_request(&sent[..sent.len() / 2]), None);
 }
 
 #[test]
@@ -177,12 +177,12 @@
 
 #[test]
 fn names_are_dense_and_stay() {
-    let mut i: Interner<MachineIx> = Interner::default();
-    assert_eq!(i.intern("a"), MachineIx(0));
-    assert_eq!(i.intern("b"), MachineIx(1));
-    assert_eq!(i.intern("a"), MachineIx(0));
+    let mut i: Interner<MachineIndex> = Interner::default();
+    assert_eq!(i.intern("a"), MachineIndex(0));
+    assert_eq!(i.intern("b"), MachineIndex(1));
+    assert_eq!(i.intern("a"), MachineIndex(0));
     assert_eq!(i.find("c"), None);
-    assert_eq!(&**i.name(MachineIx(1)), "b");
+    assert_eq!(&**i.name(MachineIndex(1)), "b");
 }
 
 #[test]
@@ -196,7 +196,7 @@
     }
     // Fixed: another process, another version, the same shard.
     assert_eq!(v.shard_of(south, "n-000001"), v.shard_of(south, "n-000001"));
-    assert_eq!(v.shard_zone(v.renting()), None);
+    assert_eq!(v.shard_zone(v.autoscaler_shard()), None);
 }
 
 fn file(name: &str, text: &str) -> PathBuf {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -5,9 +5,9 @@
 
 use pointhook::coordination::scheduler::planner;
 use pointhook::coordination::{heartbeats, peer_messages};
-use pointhook::protocol::peers::{self, Ask, TaskRef};
+use pointhook::protocol::peers::{self, PeerRequest, TaskRef};
 use pointhook::state::names::Index;
-use pointhook::state::units::Ms;
+use pointhook::state::units::MonotonicMillis;
 use std::collections::BTreeSet;
 use support::controller::{one, Controller};
 use support::job;
@@ -31,16 +31,16 @@
     let (store, mut c) = one();
     for i in 0..MACHINES {
         let zone = ["north", "south"][i % 2];
-        let learnt = c
-            .cluster
-            .learn_machine(&machine_name(i), "oven", zone, true, Ms(0));
+        let learnt =
+            c.cluster
+                .learn_machine(&machine_name(i), "oven", zone, true, MonotonicMillis(0));
         let machine = c.cluster.machine_mut(learnt.unwrap()).unwrap();
-        machine.heard = Some(Ms(0));
+        machine.last_heartbeat = Some(MonotonicMillis(0));
     }
     (store, c)
 }
 
-fn assert_fits_a_frame(ask: &Ask) {
+fn assert_fits_a_frame(ask: &PeerRequest) {
     let size = peers::encode(ask).unwrap().len();
     assert!(size < peers::MAX_FRAME, "a frame of {size} bytes");
 }
@@ -48,12 +48,15 @@
 #[test]
 fn one_owner_tells_of_all_machines_in_frames_that_are_accepted() {
     let (_, c) = large_fleet();
-    let news = peer_messages::own_news(&c.cluster, &c.config, Ms(10), |_| Some(Ms(0)));
+    let news =
+        peer_messages::own_machine_statuses(&c.cluster, &c.config, MonotonicMillis(10), |_| {
+            Some(MonotonicMillis(0))
+        });
     assert_eq!(news.len(), MACHINES);
     let mut told = BTreeSet::new();
     for ask in peer_messages::tell("n1", true, true, news) {
         assert_fits_a_frame(&ask);
-        if let Ask::News { machines, .. } = ask {
+        if let PeerRequest::Status { machines, .. } = ask {
             told.extend(machines.into_iter().map(|m| m.name));
         }
     }
@@ -70,9 +73,9 @@
         })
         .collect();
     let mut told = Vec::new();
-    for ask in planner::bind_frames(&bound) {
+    for ask in planner::bind_requests(&bound) {
         assert_fits_a_frame(&ask);
-        if let Ask::Bind { tasks } = ask {
+        if let PeerRequest::Bind { tasks } = ask {
             told.extend(tasks);
         }
     }
@@ -83,9 +86,9 @@
 fn a_hold_of_all_machines_goes_out_in_frames_that_are_accepted() {
     let names: Vec<String> = (0..MACHINES).map(long_name).collect();
     let mut told = Vec::new();
-    for ask in peer_messages::hold_frames("job-000001", &names) {
+    for ask in peer_messages::reservation_requests("job-000001", &names) {
         assert_fits_a_frame(&ask);
-        if let Ask::Hold { job, machines } = ask {
+        if let PeerRequest::ReserveMachines { job, machines } = ask {
             assert_eq!(job, "job-000001");
             told.extend(machines);
         }
@@ -97,7 +100,7 @@
 fn one_owner_claims_work_for_all_machines() {
     let (mut store, mut c) = large_fleet();
     // Each machine holds four of these tasks; a record and its parts hold a job's 1,000.
-    c.cluster.second_form = true;
+    c.cluster.record_format_v2 = true;
     for i in 0..MACHINES * 4 / 1000 {
         c.submit(&mut store, job(&format!("job-{i}"), 1000), 0);
     }
@@ -111,7 +114,7 @@
         let draft = c.draft(10);
         let transaction = pointhook::coordination::kv::transaction(&c.cluster, &draft);
         let outcome = Controller::send(&mut store, &transaction, 10);
-        pointhook::coordination::kv::conclude(&mut c.cluster, &draft, &outcome);
+        pointhook::coordination::kv::apply_outcome(&mut c.cluster, &draft, &outcome);
     }
     assert_eq!(before, 0);
     assert_eq!(c.cluster.occupied().count(), MACHINES);
@@ -123,10 +126,22 @@
     for i in 0..MACHINES {
         let zone = ["north", "south"][i % 2];
         let report = Worker::new(&machine_name(i), zone, 0).report(1000);
-        let received = heartbeats::receive(&mut c.cluster, &c.config, &report, 10_000, Ms(1000));
-        assert!(matches!(received, heartbeats::Received::Taken(..)));
+        let received = heartbeats::receive(
+            &mut c.cluster,
+            &c.config,
+            &report,
+            10_000,
+            MonotonicMillis(1000),
+        );
+        assert!(matches!(
+            received,
+            heartbeats::HeartbeatOutcome::HeartbeatChange(..)
+        ));
     }
-    let reported = c.cluster.all_machines().filter(|(_, m)| m.stamp.0 > 0);
+    let reported = c
+        .cluster
+        .all_machines()
+        .filter(|(_, m)| m.message_version.agent_epoch > 0);
     assert_eq!(reported.count(), MACHINES);
     let shards: BTreeSet<usize> = c
         .cluster
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -5,7 +5,7 @@
 
 use pointhook::coordination::scheduler::draft;
 use pointhook::coordination::scheduler::quota;
-use pointhook::protocol::users::Shape;
+use pointhook::protocol::users::JobKind;
 use support::controller::{CANCEL_MS, LEASE_MS};
 use support::job;
 use support::scenarios::{recover, two_long_jobs};
@@ -16,7 +16,7 @@
     let mut w = World::new(4);
     for h in &mut w.hosts {
         h.worker.run_ms = 200_000;
-        h.worker.fetch_ms = 500;
+        h.worker.image_pull_ms = 500;
     }
     let small = |id: &str, tasks| pointhook::protocol::users::JobSpec {
         team: "mixers".into(),
@@ -37,18 +37,18 @@
     waits.vcpus = 1000.0;
     let c = w.owner_of_zone("north");
     assert!(w.submit(c, waits));
-    let team = pointhook::state::names::TeamIx(1);
+    let team = pointhook::state::names::TeamIndex(1);
     let lowered = {
         let c = w.node(c);
         let mut d = draft::DraftTransaction::default();
-        quota::lower_shares(&c.cluster, &c.config, c.takeovers.permits(), &mut d);
-        assert!(d.teams.contains_key(&team));
+        quota::lower_unused_quota(&c.cluster, &c.config, c.takeovers.permits(), &mut d);
+        assert!(d.team_quotas.contains_key(&team));
         d
     };
     // Nothing is heard of it, and it is carried out after what comes next.
     let late = pointhook::coordination::kv::transaction(&w.node(c).cluster, &lowered);
-    let unknown = pointhook::coordination::kv::Outcome::Unknown;
-    pointhook::coordination::kv::conclude(&mut w.node(c).cluster, &lowered, &unknown);
+    let unknown = pointhook::coordination::kv::CommitOutcome::Unknown;
+    pointhook::coordination::kv::apply_outcome(&mut w.node(c).cluster, &lowered, &unknown);
     let mut second = small("job-2", 2);
     second.zone = Some("north".into());
     assert!(w.submit(north, second));
@@ -65,7 +65,7 @@
     let (mut store, mut c) = support::controller::one();
     let mut worker = support::worker::Worker::new("m1", "north", 0);
     let mut gang = job("job-1", 1);
-    gang.shape = pointhook::protocol::users::Shape::Gang;
+    gang.kind = pointhook::protocol::users::JobKind::Gang;
     c.submit(&mut store, gang, 0);
     support::controller::play(&mut c, &mut store, &mut [&mut worker], 0, 1500);
     assert!(worker.has("job-1/0"));
@@ -88,7 +88,7 @@
     let (mut store, mut c) = support::controller::one();
     let mut hosts = [("m1", 0), ("m2", 0)].map(|(n, t)| {
         let mut w = support::worker::Worker::new(n, "north", t);
-        w.fetch_ms = 60_000;
+        w.image_pull_ms = 60_000;
         w
     });
     for w in &mut hosts {
@@ -96,7 +96,7 @@
         c.visit(&mut store, w, 500);
     }
     let mut gang = job("job-1", 2);
-    gang.shape = Shape::Gang;
+    gang.kind = JobKind::Gang;
     gang.gpus = 3.0;
     c.submit(&mut store, gang, 600);
     c.plan(&mut store, 600);
@@ -108,14 +108,14 @@
     first.give_up_waiting();
     let r = first.report(1500);
     let answer = c.report(&mut store, &r, 1500).unwrap();
-    assert_eq!(answer.orders.len(), 2, "forget and start");
+    assert_eq!(answer.commands.len(), 2, "forget and start");
     // The answer is on its way when the other's machine is deleted.
     let other = c.machine("m2");
-    c.cluster.set_gone(other);
+    c.cluster.mark_deleted(other);
     c.plan(&mut store, 1600);
     let job = c.job("job-1");
     assert!(job.placement(0).is_some(), "its end is not for good");
-    assert!(first.answered(&answer, r.session, 1500, 2500));
+    assert!(first.answered(&answer, r.agent_epoch, 1500, 2500));
     assert!(first.has("job-1/0"));
     // It is stopped there, and then the gang begins anew.
     support::controller::play(&mut c, &mut store, &mut [first], 3000, 6000);
@@ -129,14 +129,14 @@
     let mut worker = support::worker::Worker::new("m1", "north", 0);
     worker.run_ms = 60_000;
     let mut two = job("job-1", 1);
-    two.shape = Shape::Gang;
+    two.kind = JobKind::Gang;
     c.submit(&mut store, two, 0);
     support::controller::play(&mut c, &mut store, &mut [&mut worker], 0, 3000);
     assert!(worker.has("job-1/0"));
     // Its owner reads of its end, cut off from the state service.
     let mut r = worker.report(3000);
     r.tasks[0].state = pointhook::protocol::workers::TaskState::Exited;
-    r.tasks[0].why = Some(pointhook::protocol::workers::Why::Peers);
+    r.tasks[0].exit_reason = Some(pointhook::protocol::workers::ExitReason::GangMemberLost);
     let _ = c.report_without_store(&r, 3000);
     // Another takes the shard; the session has ended, and the attempt is started once more.
     store.end_lease(c.lease);
@@ -262,10 +262,10 @@
     for h in &mut w.hosts {
         h.worker.run_ms = 20_000;
     }
-    for (id, shape) in [("job-1", Shape::Array), ("job-2", Shape::Gang)] {
+    for (id, shape) in [("job-1", JobKind::Array), ("job-2", JobKind::Gang)] {
         let mut spec = job(id, 3);
         spec.one_zone = true;
-        spec.shape = shape;
+        spec.kind = shape;
         assert!(w.submit(0, spec));
     }
     w.run(5000);
@@ -332,7 +332,7 @@
     for (h, ms) in w.hosts.iter_mut().zip([4000, 12_000, 20_000, 28_000]) {
         h.worker.run_ms = ms;
         // One task each, so that the job's tasks are on different machines.
-        h.worker.fetch_ms = 500;
+        h.worker.image_pull_ms = 500;
     }
     let mut spec = job("job-1", 3);
     spec.gpus = 4.0;
@@ -436,7 +436,7 @@
     let mut w = World::new(8);
     for h in &mut w.hosts {
         h.worker.run_ms = 1500;
-        h.worker.fetch_ms = 500;
+        h.worker.image_pull_ms = 500;
     }
     w.store.writes_per_s = 20.0;
     let (mut sent, mut refused) = (0, 0);
@@ -553,12 +553,12 @@
     }
     for i in 1..=4 {
         let mut spec = job(&format!("job-{i}"), 4);
-        spec.priority = pointhook::protocol::users::Rank::Low;
+        spec.priority = pointhook::protocol::users::Priority::Low;
         assert!(w.submit(i % 3, spec));
     }
     w.run(6000);
     let mut urgent = job("job-9", 4);
-    urgent.priority = pointhook::protocol::users::Rank::Production;
+    urgent.priority = pointhook::protocol::users::Priority::Production;
     assert!(w.submit(0, urgent));
     w.run(30_000);
     assert!(w.begun("job-9"), "the urgent job waits behind the rest");
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -2,21 +2,21 @@
 
 mod support;
 
-use pointhook::coordination::kv::Outcome;
-use pointhook::coordination::membership::begin_second_form;
+use pointhook::coordination::kv::CommitOutcome;
+use pointhook::coordination::membership::begin_record_format_v2;
 use pointhook::coordination::scheduler::preemption;
 use pointhook::protocol::kv::Limits;
-use pointhook::protocol::users::{parse_job, JobSpec, Rank, Shape, MAX_AWAITS};
+use pointhook::protocol::users::{parse_job, JobKind, JobSpec, Priority, MAX_DEPENDENCIES};
 use pointhook::state::cluster_state::ROOT;
 use pointhook::state::job::JobState;
-use pointhook::state::records::SECOND_FORM;
+use pointhook::state::records::RECORD_FORMAT_V2;
 use support::controller::{one, Controller, CANCEL_MS};
 use support::job;
 use support::world::World;
 
 fn after(id: &str, tasks: u32, awaits: &[&str]) -> JobSpec {
     JobSpec {
-        awaits: awaits.iter().map(|s| s.to_string()).collect(),
+        dependencies: awaits.iter().map(|s| s.to_string()).collect(),
         ..job(id, tasks)
     }
 }
@@ -27,7 +27,7 @@
     for h in &mut w.hosts {
         h.worker.run_ms = run_ms;
     }
-    w.begin_second_form();
+    w.begin_record_format_v2();
     w
 }
 
@@ -47,22 +47,27 @@
     use rmpv::Value;
     let list = |ids: &[&str]| Value::Array(ids.iter().map(|i| Value::from(*i)).collect());
     let read = |v| parse_job(&submission(v));
-    assert_eq!(read(Value::Nil).unwrap().awaits, Vec::<String>::new());
-    assert_eq!(read(list(&[])).unwrap().awaits, Vec::<String>::new());
+    assert_eq!(read(Value::Nil).unwrap().dependencies, Vec::<String>::new());
+    assert_eq!(read(list(&[])).unwrap().dependencies, Vec::<String>::new());
     let twice = read(list(&["job-1", "job-2", "job-1"])).unwrap();
-    assert_eq!(twice.awaits, ["job-1", "job-2"]);
+    assert_eq!(twice.dependencies, ["job-1", "job-2"]);
     assert!(parse_job(&rmp_serde::to_vec_named(&job("job-9", 1)).unwrap()).is_some());
     // Not a list, not text, the job itself.
     assert!(read(Value::from("job-1")).is_none());
     assert!(read(Value::Array(vec![Value::from(1)])).is_none());
     assert!(read(list(&["job-1", "job-9"])).is_none());
     // As many as a record holds under limits a fraction of today's.
-    let many: Vec<String> = (0..MAX_AWAITS).map(|i| format!("job-{i:06}")).collect();
+    let many: Vec<String> = (0..MAX_DEPENDENCIES)
+        .map(|i| format!("job-{i:06}"))
+        .collect();
     let mut spec = job("job-9", 1);
-    spec.awaits = many;
+    spec.dependencies = many;
     let (mut store, mut c) = one();
     store.value_bytes = 2048;
-    assert!(matches!(c.submit(&mut store, spec, 0), Outcome::Done(_)));
+    assert!(matches!(
+        c.submit(&mut store, spec, 0),
+        CommitOutcome::Committed(_)
+    ));
 }
 
 #[test]
@@ -89,9 +94,9 @@
     let mut first = job("job-1", 1);
     first.team = "mixers".into();
     assert!(w.submit(0, first));
-    for (id, shape) in [("job-2", Shape::Gang), ("job-3", Shape::Service)] {
+    for (id, shape) in [("job-2", JobKind::Gang), ("job-3", JobKind::Service)] {
         let mut spec = after(id, 2, &["job-1"]);
-        spec.shape = shape;
+        spec.kind = shape;
         spec.team = "mixers".into();
         assert!(w.submit(1, spec));
     }
@@ -141,7 +146,7 @@
     // The records follow, a few at a time.
     w.run(200_000);
     for at in 0..3 {
-        assert!(w.node(at).cluster.graph.unwritten.is_empty());
+        assert!(w.node(at).cluster.dependency_graph.unwritten.is_empty());
     }
     w.keeps_the_rules();
 }
@@ -238,8 +243,11 @@
     assert!(w.submit(0, second));
     w.run(20_000);
     let job = w.node(1).job("job-1").clone();
-    assert!(job.finished > 0);
-    assert_eq!(w.node(1).job("job-2").dependency_state.since, job.finished);
+    assert!(job.finished_at > 0);
+    assert_eq!(
+        w.node(1).job("job-2").dependency_state.eligible_since,
+        job.finished_at
+    );
     let mut wide = after("job-3", 1, &["job-1"]);
     wide.vcpus = 1000.0;
     assert!(w.submit(0, wide));
@@ -251,9 +259,9 @@
         w.start(at);
         // It was submitted after that end, so that counts.
         let node = w.node(at);
-        let own = node.job("job-3").submitted;
-        assert_eq!(node.job("job-3").dependency_state.since, own);
-        assert_eq!(node.job("job-1").finished, job.finished);
+        let own = node.job("job-3").submitted_at;
+        assert_eq!(node.job("job-3").dependency_state.eligible_since, own);
+        assert_eq!(node.job("job-1").finished_at, job.finished_at);
     }
 }
 
@@ -261,61 +269,61 @@
 fn priority_and_deadline_are_lent_to_what_the_last_job_needs_also_when_it_comes_late() {
     let (mut store, mut c) = one();
     let mut first = job("job-1", 1);
-    first.priority = Rank::Low;
+    first.priority = Priority::Low;
     let mut second = after("job-2", 1, &["job-1"]);
-    second.priority = Rank::Normal;
+    second.priority = Priority::Normal;
     c.submit(&mut store, first, 1000);
     c.submit(&mut store, second, 2000);
-    assert_eq!(c.job("job-1").dependency_state.rank, Rank::Normal);
-    assert_eq!(c.job("job-1").dependency_state.due, None);
+    assert_eq!(c.job("job-1").dependency_state.priority, Priority::Normal);
+    assert_eq!(c.job("job-1").dependency_state.deadline, None);
     let mut last = after("job-3", 1, &["job-2"]);
-    last.priority = Rank::High;
+    last.priority = Priority::High;
     last.deadline_s = Some(100.0);
-    last.estimate_s = 20.0;
+    last.estimated_run_s = 20.0;
     c.submit(&mut store, last, 3000);
     for id in ["job-1", "job-2", "job-3"] {
-        assert_eq!(c.job(id).dependency_state.rank, Rank::High);
+        assert_eq!(c.job(id).dependency_state.priority, Priority::High);
     }
-    let due = |c: &Controller, id: &str| c.job(id).dependency_state.due.unwrap();
+    let due = |c: &Controller, id: &str| c.job(id).dependency_state.deadline.unwrap();
     assert_eq!(due(&c, "job-3"), 103_000);
     // The end less what it takes, and a little for each stage.
     assert!((75_000..83_000).contains(&due(&c, "job-2")));
     assert!(due(&c, "job-1") < due(&c, "job-2") - 10_000);
     // Once the last is cancelled nothing of it is lent any more.
     c.cancel(&mut store, "job-3", 4000);
-    assert_eq!(c.job("job-1").dependency_state.rank, Rank::Normal);
-    assert_eq!(c.job("job-1").dependency_state.due, None);
+    assert_eq!(c.job("job-1").dependency_state.priority, Priority::Normal);
+    assert_eq!(c.job("job-1").dependency_state.deadline, None);
 }
 
 #[test]
 fn what_an_urgent_job_needs_is_not_stopped_for_another_urgent_one() {
-    use pointhook::state::names::ShardIx;
-    use pointhook::state::units::Ms;
+    use pointhook::state::names::ShardIndex;
+    use pointhook::state::units::MonotonicMillis;
     for needed in [false, true] {
         let (mut store, mut c) = one();
         let mut w = support::worker::Worker::new("m1", "north", 0);
         w.run_ms = 100_000;
         let mut low = job("job-1", 1);
-        (low.priority, low.gpus, low.checkpoint_s) = (Rank::Low, 4.0, 10.0);
+        (low.priority, low.gpus, low.checkpoint_s) = (Priority::Low, 4.0, 10.0);
         c.submit(&mut store, low, 0);
         support::controller::play(&mut c, &mut store, &mut [&mut w], 0, 4000);
         assert!(w.has("job-1/0"));
         if needed {
             let mut last = after("job-2", 1, &["job-1"]);
-            last.priority = Rank::High;
+            last.priority = Priority::High;
             c.submit(&mut store, last, 4000);
         }
         let mut other = job("job-3", 1);
-        (other.priority, other.gpus) = (Rank::High, 4.0);
+        (other.priority, other.gpus) = (Priority::High, 4.0);
         c.submit(&mut store, other, 4000);
         support::controller::play(&mut c, &mut store, &mut [&mut w], 4000, 12_000);
-        let turn = ShardIx(0);
+        let turn = ShardIndex(0);
         let stops = preemption::preempt(
             &c.cluster,
             &c.config,
             c.takeovers.permits(),
             turn,
-            Ms(12_000),
+            MonotonicMillis(12_000),
             12_000,
         );
         assert_eq!(stops.len(), usize::from(!needed));
@@ -326,19 +334,19 @@
 fn the_second_form_begins_when_all_nodes_live_and_know_it() {
     let (mut store, mut c) = one();
     assert!(
-        begin_second_form(&c.cluster, &["n1", "s1"]).is_none(),
+        begin_record_format_v2(&c.cluster, &["n1", "s1"]).is_none(),
         "one is away"
     );
     let s1 = Controller::start("s1", 2, &mut store, 0);
     c.sync(&store);
-    let txn = begin_second_form(&c.cluster, &["n1", "s1"]).unwrap();
+    let txn = begin_record_format_v2(&c.cluster, &["n1", "s1"]).unwrap();
     // One of them comes back with the old version before that is carried out.
     store.end_lease(s1.lease);
     let key = format!("{ROOT}node/s1");
-    let old = pointhook::state::records::NodeRecord {
+    let old = pointhook::state::records::ControllerRecord {
         incarnation: 3,
-        forms: 0,
-        standby: 0,
+        record_format: 0,
+        standby_version: 0,
     };
     let write = pointhook::protocol::kv::Transaction {
         conditions: Vec::new(),
@@ -349,20 +357,20 @@
     store.commit(&write, 0);
     assert_eq!(store.commit(&txn, 0).0, 409);
     c.sync(&store);
-    assert!(begin_second_form(&c.cluster, &["n1", "s1"]).is_none());
-    assert!(begin_second_form(&c.cluster, &["n1"]).is_some());
-    assert!(!c.cluster.second_form);
-    let txn = begin_second_form(&c.cluster, &["n1"]).unwrap();
+    assert!(begin_record_format_v2(&c.cluster, &["n1", "s1"]).is_none());
+    assert!(begin_record_format_v2(&c.cluster, &["n1"]).is_some());
+    assert!(!c.cluster.record_format_v2);
+    let txn = begin_record_format_v2(&c.cluster, &["n1"]).unwrap();
     assert_eq!(store.commit(&txn, 0).0, 200);
     c.sync(&store);
-    assert!(c.cluster.second_form);
-    assert!(begin_second_form(&c.cluster, &["n1"]).is_none());
-    assert_eq!(SECOND_FORM, 2);
+    assert!(c.cluster.record_format_v2);
+    assert!(begin_record_format_v2(&c.cluster, &["n1"]).is_none());
+    assert_eq!(RECORD_FORMAT_V2, 2);
     // And a node that starts later reads so.
     assert!(
         Controller::start("s1", 9, &mut store, 0)
             .cluster
-            .second_form
+            .record_format_v2
     );
 }
 
@@ -392,10 +400,10 @@
         spec.vcpus = 0.5;
         spec.gpus = 0.01;
         spec.mem_gb = 0.1;
-        spec.shape = shape;
+        spec.kind = shape;
         spec
     };
-    assert!(w.submit(0, slim("job-1", 150, Shape::Array)));
+    assert!(w.submit(0, slim("job-1", 150, JobKind::Array)));
     w.run(20_000);
     let widest = |w: &World| {
         let entries = w.store.list(ROOT, "", 10_000).entries;
@@ -405,15 +413,15 @@
     assert!(widest(&w) > 2048);
     assert!(w.node(0).job("job-1").placements.len() > 100);
     // All know the second form: what is too large is split before it is caught.
-    w.begin_second_form();
+    w.begin_record_format_v2();
     w.run(10_000);
     assert!(widest(&w) <= 2048, "{}", widest(&w));
     w.store.value_bytes = 2048;
     w.store.txn_ops = 5;
     w.store.writes_per_s = 15.0;
-    assert!(w.submit(1, slim("job-2", 200, Shape::Array)));
-    assert!(w.submit(2, slim("job-3", 16, Shape::Gang)));
-    assert!(w.submit(2, slim("job-4", 90, Shape::Gang)));
+    assert!(w.submit(1, slim("job-2", 200, JobKind::Array)));
+    assert!(w.submit(2, slim("job-3", 16, JobKind::Gang)));
+    assert!(w.submit(2, slim("job-4", 90, JobKind::Gang)));
     w.run(30_000);
     let node = w.node(1);
     assert!(node.job("job-2").placements.len() > 150);
@@ -448,7 +456,7 @@
     // What is small anyway was refused for something else.
     assert_eq!(seen.refused(1, 100).value_bytes, 1024);
     let (_, mut c) = one();
-    c.config.limits_seen.set(seen);
+    c.config.limits_observed.set(seen);
     assert_eq!(c.config.limits(&c.cluster).txn_ops, 7);
     c.config.limits_next.txn_ops = 5;
     assert_eq!(
@@ -456,7 +464,7 @@
         7,
         "all may not know it yet"
     );
-    c.cluster.second_form = true;
+    c.cluster.record_format_v2 = true;
     assert_eq!(c.config.limits(&c.cluster).txn_ops, 5);
 }
 
@@ -490,7 +498,7 @@
             let awaits: Vec<&str> = some.into_iter().map(String::as_str).collect();
             let at = rng.usize(..3);
             let mut spec = after(&id, rng.u32(1..4), &awaits);
-            spec.priority = [Rank::High, Rank::Normal, Rank::Low][rng.usize(..3)];
+            spec.priority = [Priority::High, Priority::Normal, Priority::Low][rng.usize(..3)];
             if w.submit(at, spec) {
                 ids.push(id);
             }
--- a/tests/random_days.rs
+++ b/tests/random_days.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use fastrand::Rng;
-use pointhook::protocol::users::{JobSpec, Rank, Shape};
+use pointhook::protocol::users::{JobKind, JobSpec, Priority};
 use support::controller::Standby;
 use support::job;
 use support::liveness::Liveness;
@@ -100,7 +100,7 @@
         }
         // Some days begin in the first form of records, which holds no dependencies.
         if rng.u8(..4) > 0 {
-            world.begin_second_form();
+            world.begin_record_format_v2();
         }
         Day {
             rng,
@@ -115,7 +115,7 @@
     fn play(&mut self) {
         for step in 0..FAULTY_STEPS {
             self.world.run(STEP_MS);
-            self.world.try_second_form();
+            self.world.try_begin_record_format_v2();
             self.end_faults(step);
             self.start_controllers();
             if self.rng.u8(..6) == 0 {
@@ -171,10 +171,10 @@
             spec.tasks = spec.tasks.min(2);
         }
         spec.one_zone = self.rng.bool();
-        spec.shape = match self.rng.u8(..6) {
-            0 | 1 => Shape::Gang,
-            2 => Shape::Service,
-            _ => Shape::Array,
+        spec.kind = match self.rng.u8(..6) {
+            0 | 1 => JobKind::Gang,
+            2 => JobKind::Service,
+            _ => JobKind::Array,
         };
         if self.world.takes_dependencies(at) && self.rng.bool() {
             self.add_dependencies(&mut spec);
@@ -186,8 +186,8 @@
         let mut ids = self.world.accepted_without_services();
         self.rng.shuffle(&mut ids);
         ids.truncate(self.rng.usize(1..3));
-        spec.awaits = ids;
-        spec.priority = [Rank::High, Rank::Normal, Rank::Low][self.rng.usize(..3)];
+        spec.dependencies = ids;
+        spec.priority = [Priority::High, Priority::Normal, Priority::Low][self.rng.usize(..3)];
     }
 
     fn any_job(&mut self) -> Option<String> {
@@ -242,9 +242,9 @@
 
 /// How many days to play: more if asked for, never fewer.
 fn days() -> u64 {
-    let wanted = std::env::var("POINTHOOK_RANDOM_DAYS").ok();
-    let wanted = wanted.and_then(|n| n.parse().ok()).unwrap_or(0);
-    DAYS.max(wanted)
+    let plan_scale_out = std::env::var("POINTHOOK_RANDOM_DAYS").ok();
+    let plan_scale_out = plan_scale_out.and_then(|n| n.parse().ok()).unwrap_or(0);
+    DAYS.max(plan_scale_out)
 }
 
 fn random_troubles_break_no_rule_and_every_job_ends(standby: Standby) {
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -10,12 +10,13 @@
 use pointhook::coordination::scheduler::job_order;
 use pointhook::coordination::scheduler::planner::Changes;
 use pointhook::coordination::{heartbeats, peer_messages};
-use pointhook::protocol::peers::{self, Ask, MachineNews};
-use pointhook::protocol::users::{Rank, Shape};
+use pointhook::protocol::peers::{self, MachineStatus, PeerRequest};
+use pointhook::protocol::users::{JobKind, Priority};
 use pointhook::protocol::workers::TaskState;
 use pointhook::settings::Objective;
 use pointhook::state::job::JobState;
-use pointhook::state::units::{Ms, Resources};
+use pointhook::state::machine::TaskAttempt;
+use pointhook::state::units::{MonotonicMillis, Resources};
 use support::controller::{one, play, Controller};
 use support::job;
 use support::store::Store;
@@ -27,9 +28,9 @@
         let name = format!("m{i:03}");
         let mix = c
             .cluster
-            .learn_machine(&name, "oven", "north", true, Ms(0))
+            .learn_machine(&name, "oven", "north", true, MonotonicMillis(0))
             .unwrap();
-        c.cluster.machine_mut(mix).unwrap().heard = Some(Ms(0));
+        c.cluster.machine_mut(mix).unwrap().last_heartbeat = Some(MonotonicMillis(0));
     }
 }
 
@@ -47,7 +48,7 @@
     let ix = c.job_ix("job-1");
     for _ in 0..20 {
         assert_eq!(
-            claims::bind(&c.cluster, &c.config, ix, Ms(10), 10),
+            claims::bind(&c.cluster, &c.config, ix, MonotonicMillis(10), 10),
             [(0, warm)]
         );
     }
@@ -67,21 +68,24 @@
     c.cancel(&mut store, "job-2", 20);
     let mut placed = 0;
     for (mix, m) in c.cluster.all_machines() {
-        let mut free = c.cluster.machine_types[&m.machine_type].room;
+        let mut free = c.cluster.machine_types[&m.machine_type].capacity;
         for (ix, j) in c.cluster.active_jobs() {
             for p in j.placements.iter().filter(|p| p.machine == mix) {
                 free = free.minus(j.spec.as_ref().unwrap().need);
-                assert!(c.cluster.placed_on(mix).contains(&(ix, p.task, p.attempt)));
+                assert!(c
+                    .cluster
+                    .placed_on(mix)
+                    .contains(&TaskAttempt::new(ix, p.task, p.attempt)));
                 placed += 1;
             }
         }
-        assert_eq!(c.cluster.room()[mix.0 as usize], Some(free));
+        assert_eq!(c.cluster.free_capacity()[mix.0 as usize], Some(free));
     }
     assert!(placed > 10);
     let need = Resources::new(4.0, 1.0, 8.0);
     let team = c.cluster.team_names.find("mixers").unwrap();
     let n = c.job("job-1").placements.len() as i64;
-    assert_eq!(c.cluster.used(team), (n * need.cpu, n * need.gpu));
+    assert_eq!(c.cluster.quota_used(team), (n * need.cpu, n * need.gpu));
     assert_eq!(n, 2);
 }
 
@@ -99,7 +103,7 @@
 
 fn order(c: &Controller, wall: u64) -> Vec<String> {
     let draft = draft::DraftTransaction::default();
-    let jobs = job_order::waiting_jobs(&c.cluster, &c.config, &draft, Ms(wall), wall);
+    let jobs = job_order::waiting_jobs(&c.cluster, &c.config, &draft, MonotonicMillis(wall), wall);
     let names = jobs
         .iter()
         .map(|w| c.cluster.jobs[w.ix.0 as usize].id.to_string());
@@ -156,7 +160,7 @@
         .map(|i| Worker::new(&format!("m{i}"), "north", 0))
         .collect();
     let mut gang = job("job-1000", 3);
-    gang.shape = Shape::Gang;
+    gang.kind = JobKind::Gang;
     gang.vcpus = 16.0;
     let mut begun = None;
     for now in (0..120_000u64).step_by(500) {
@@ -165,9 +169,12 @@
         if now == 10_000 {
             c.submit(&mut store, gang.clone(), now);
         }
-        for (ix, machines) in gangs::gang_holds(&c.cluster, &c.config, Ms(now), now) {
+        for (ix, machines) in
+            gangs::gang_reservations(&c.cluster, &c.config, MonotonicMillis(now), now)
+        {
             for m in machines {
-                c.cluster.machine_mut(m).unwrap().held = Some((ix, Ms(now + 4000)));
+                c.cluster.machine_mut(m).unwrap().reservation =
+                    Some((ix, MonotonicMillis(now + 4000)));
             }
         }
         for (i, w) in workers.iter_mut().enumerate() {
@@ -198,25 +205,25 @@
 
 #[test]
 fn news_of_a_whole_large_fleet_fits_its_frames() {
-    let machine = |i: usize| MachineNews {
+    let machine = |i: usize| MachineStatus {
         name: format!("n-{i:06}"),
         addr: format!("10.11.{}.{}:9000", i / 250, i % 250),
         machine_type: "a-rather-long-machine-type".into(),
         zone: "a-rather-long-zone".into(),
         spot: true,
         silent_ms: 1,
-        heard: true,
-        sure: true,
-        queued: 2,
-        closed: false,
-        sick: false,
+        has_reported: true,
+        fencing_token_confirmed: true,
+        queue_length: 2,
+        cordoned: false,
+        quarantined: false,
     };
-    let all: Vec<MachineNews> = (0..1000).map(machine).collect();
+    let all: Vec<MachineStatus> = (0..1000).map(machine).collect();
     let asks = peer_messages::tell("node", true, true, all);
     let mut told = 0;
     for a in &asks {
         assert!(peers::encode(a).unwrap().len() < peers::MAX_FRAME);
-        let Ask::News { machines, .. } = a else {
+        let PeerRequest::Status { machines, .. } = a else {
             panic!("news")
         };
         told += machines.len();
@@ -244,19 +251,25 @@
     let machines: Vec<_> = c.cluster.occupied().collect();
     assert!(machines.len() >= 180);
     for m in &machines {
-        c.cluster.set_gone(*m);
+        c.cluster.mark_deleted(*m);
     }
     let mut changes = 0;
     loop {
         let mut d = draft::DraftTransaction::default();
-        reconciliation::settle(&c.cluster, &c.config, c.takeovers.permits(), &mut d, Ms(20));
+        reconciliation::reconcile(
+            &c.cluster,
+            &c.config,
+            c.takeovers.permits(),
+            &mut d,
+            MonotonicMillis(20),
+        );
         if d.is_empty() {
             break;
         }
         changes += d.jobs.len();
         let txn = pointhook::coordination::kv::transaction(&c.cluster, &d);
         let out = Controller::send(&mut store, &txn, 20);
-        pointhook::coordination::kv::conclude(&mut c.cluster, &d, &out);
+        pointhook::coordination::kv::apply_outcome(&mut c.cluster, &d, &out);
     }
     assert_eq!((placed(&c), changes), (0, 12));
 }
@@ -270,20 +283,20 @@
     play(&mut c, &mut store, &mut [&mut w], 0, 1500);
     assert_eq!(c.job("job-1").placements.len(), 4);
     let later = |c: &Controller, now| {
-        let mut d = draft::DraftTransaction::deferring(true, 0);
-        reconciliation::settle(
+        let mut d = draft::DraftTransaction::batching(true, 0);
+        reconciliation::reconcile(
             &c.cluster,
             &c.config,
             c.takeovers.permits(),
             &mut d,
-            Ms(now),
+            MonotonicMillis(now),
         );
         claims::claim(
             &c.cluster,
             &c.config,
             c.takeovers.permits(),
             &mut d,
-            Ms(now),
+            MonotonicMillis(now),
             now,
         );
         d
@@ -291,13 +304,14 @@
     // Three of four are done: nothing is written yet, but what is urgent has their room.
     let mut r = w.report(4000);
     r.tasks[3].state = TaskState::Running;
-    r.tasks[3].why = None;
-    let take =
-        |c: &mut Controller, r| heartbeats::receive(&mut c.cluster, &c.config, r, 10_000, Ms(4000));
+    r.tasks[3].exit_reason = None;
+    let take = |c: &mut Controller, r| {
+        heartbeats::receive(&mut c.cluster, &c.config, r, 10_000, MonotonicMillis(4000))
+    };
     take(&mut c, &r);
     assert!(later(&c, 4000).is_empty());
     let mut urgent = job("job-2", 3);
-    urgent.priority = Rank::High;
+    urgent.priority = Priority::High;
     c.submit(&mut store, urgent, 4000);
     c.submit(&mut store, job("job-3", 1), 4000);
     let d = later(&c, 4010);
@@ -316,10 +330,10 @@
         let mut changes = Changes::default();
         let (mut total, mut now, mut whole) = (0, 0, 0);
         while now < 20_000 {
-            whole += u32::from(!changes.defer(Ms(now), total, 70.0));
+            whole += u32::from(!changes.defer(MonotonicMillis(now), total, 70.0));
             now += 100;
             total = a_second * now / 1000;
-            assert!(changes.wait_ms(Ms(now)) <= 700);
+            assert!(changes.wait_ms(MonotonicMillis(now)) <= 700);
         }
         whole
     };
@@ -335,13 +349,13 @@
     fleet(&mut c, 2000);
     for i in 0..1990 {
         let mix = c.machine(&format!("m{i:03}"));
-        c.cluster.set_gone(mix);
+        c.cluster.mark_deleted(mix);
     }
     assert_eq!(c.cluster.all_machines().count(), 10);
     // Late lists and reports bring none back.
     let again = c
         .cluster
-        .learn_machine("m005", "oven", "north", true, Ms(9));
+        .learn_machine("m005", "oven", "north", true, MonotonicMillis(9));
     assert!(again.is_none());
     assert_eq!(c.cluster.all_machines().count(), 10);
 }
@@ -354,8 +368,11 @@
         class: Some("bake".into()),
         within_s: Some(t),
     });
-    c.config.finish_within = finish_times(&times);
-    assert_eq!(c.config.finish_within["bake"], [150_000, 250_000, 350_000]);
+    c.config.completion_targets = finish_times(&times);
+    assert_eq!(
+        c.config.completion_targets["bake"],
+        [150_000, 250_000, 350_000]
+    );
     let mut c = begun_at_once(c, &mut store, "job-1", 40);
     // Younger work keeps coming that can make the first time.
     let back = |c: &Controller, age: u64| {
@@ -370,7 +387,9 @@
     assert_eq!(back(&c, 341), 3);
     assert_eq!(back(&c, 345), 0);
     // With a deadline of its own that it missed early, it is patient for a while.
-    c.config.finish_within.insert("bake".into(), vec![350_000]);
+    c.config
+        .completion_targets
+        .insert("bake".into(), vec![350_000]);
     let mut spec = due("job-2", 40, 60.0);
     spec.class = "bake".into();
     c.submit(&mut store, spec, 1);
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -3,28 +3,29 @@
 mod support;
 
 use pointhook::coordination::heartbeats;
-use pointhook::coordination::kv::{behind_for_long, conclude, transaction, Outcome};
+use pointhook::coordination::kv::{apply_outcome, transaction, watch_is_stale, CommitOutcome};
 use pointhook::coordination::reconciliation;
 use pointhook::coordination::scheduler::draft::DraftTransaction;
 use pointhook::coordination::scheduler::gangs;
 use pointhook::coordination::scheduler::preemption;
 use pointhook::coordination::scheduler::quota;
-use pointhook::protocol::users::{Rank, Shape};
-use pointhook::protocol::workers::Order;
+use pointhook::protocol::users::{JobKind, Priority};
+use pointhook::protocol::workers::Command;
 use pointhook::state::cluster_state::{ClusterState, ROOT};
 use pointhook::state::job::JobState;
-use pointhook::state::names::{Index, ShardIx, TeamIx, ZoneIx};
-use pointhook::state::units::Ms;
+use pointhook::state::machine::TaskAttempt;
+use pointhook::state::names::{Index, ShardIndex, TeamIndex, ZoneIndex};
+use pointhook::state::units::MonotonicMillis;
 use std::collections::HashSet;
 use support::controller::{commands, one, play, Controller};
 use support::job;
 use support::store::Store;
 use support::worker::Worker;
 
-fn starts(orders: &[Order]) -> usize {
+fn starts(orders: &[Command]) -> usize {
     orders
         .iter()
-        .filter(|o| matches!(o, Order::Start { .. }))
+        .filter(|o| matches!(o, Command::Start { .. }))
         .count()
 }
 
@@ -35,7 +36,7 @@
     c.submit(&mut store, job("job-1", 6), 0);
     play(&mut c, &mut store, &mut [&mut w], 0, 20_000);
     assert_eq!(c.job("job-1").state, JobState::Done);
-    assert!(c.job("job-1").settled());
+    assert!(c.job("job-1").is_settled());
     assert_eq!(w.started.len(), 6);
     assert!(w.report(20_000).tasks.is_empty());
 }
@@ -55,7 +56,7 @@
     assert_eq!(new.members(&mut store, 30), 3);
     assert!(matches!(
         Controller::send(&mut store, &late, 40),
-        Outcome::Conflict(_)
+        CommitOutcome::Conflict(_)
     ));
 }
 
@@ -66,7 +67,7 @@
     assert!(!new.owns(0));
     assert_eq!(new.members(&mut store, 100), 3);
     assert!(new.owns(0));
-    assert_eq!(new.cluster.shards[0].rec.token, 2);
+    assert_eq!(new.cluster.shards[0].record.fencing_token, 2);
     old.sync(&store);
     assert!(!old.owns(0));
 }
@@ -78,7 +79,7 @@
     let mut c = c;
     c.sync(&store);
     let m = pointhook::coordination::membership::Move {
-        shard: ShardIx(1),
+        shard: ShardIndex(1),
         to: "s1".into(),
     };
     let (txn, _) = pointhook::coordination::membership::move_transaction(&c.cluster, &m).unwrap();
@@ -86,7 +87,7 @@
     Controller::start("s1", 6, &mut store, 10);
     assert!(matches!(
         Controller::send(&mut store, &txn, 20),
-        Outcome::Conflict(_)
+        CommitOutcome::Conflict(_)
     ));
 }
 
@@ -96,11 +97,11 @@
     let mut b = Controller::start("s1", 2, &mut store, 0);
     assert!(matches!(
         a.submit(&mut store, job("job-1", 1), 1),
-        Outcome::Done(_)
+        CommitOutcome::Committed(_)
     ));
     assert!(matches!(
         b.submit(&mut store, job("job-1", 1), 2),
-        Outcome::Conflict(_)
+        CommitOutcome::Conflict(_)
     ));
     assert_eq!(b.job("job-1").version, a.job("job-1").version);
 }
@@ -117,7 +118,7 @@
     let spec = job("job-1", 1);
     assert!(matches!(
         south.submit(&mut store, spec, 0),
-        Outcome::Done(_)
+        CommitOutcome::Committed(_)
     ));
     south.visit(&mut store, &mut w2, 10);
     north.visit(&mut store, &mut w1, 20);
@@ -132,7 +133,7 @@
     c.visit(&mut store, &mut w, 500);
     c.submit(&mut store, job("job-1", 1), 600);
     c.plan(&mut store, 600);
-    let pushed = c.pushes(600);
+    let pushed = c.direct_starts(600);
     assert_eq!(pushed.len(), 1);
     // No answer comes. The next report's answer starts the task; it runs and ends.
     play(&mut c, &mut store, &mut [&mut w], 1000, 12_000);
@@ -158,21 +159,21 @@
     c.visit(&mut store, &mut w, 500);
     c.submit(&mut store, job("job-1", 1), 600);
     c.plan(&mut store, 600);
-    let pushed = c.pushes(600).remove(0);
+    let pushed = c.direct_starts(600).remove(0);
     assert_eq!(w.command(&commands(&pushed), 700), 200);
     let mix = c.machine("m1");
     let a = pushed.attempts[0];
     c.cluster
         .machine_mut(mix)
         .unwrap()
-        .late_starts
+        .in_flight_starts
         .get_mut(&a)
         .unwrap()
-        .answered = true;
+        .acknowledged = true;
     c.visit(&mut store, &mut w, 1000);
     // It is stopped, and the task moves to another machine.
     c.cluster.machine_mut(mix).unwrap().stopping.insert(a, 0.0);
-    c.cluster.machine_mut(mix).unwrap().closed = true;
+    c.cluster.machine_mut(mix).unwrap().cordoned = true;
     play(&mut c, &mut store, &mut [&mut w], 1500, 4000);
     let mut other = Worker::new("m2", "north", 4000);
     other.run_ms = 60_000;
@@ -195,20 +196,20 @@
     // The start is in the answer to this report, which is still on its way.
     let r = w.report(500);
     let answer = c.report(&mut store, &r, 500).unwrap();
-    assert_eq!(starts(&answer.orders), 1);
+    assert_eq!(starts(&answer.commands), 1);
     c.cancel(&mut store, "job-1", 600);
     // A newer message without the task, sent before the answer arrived.
     let other = w.report(700);
     let mix = c.machine("m1");
-    heartbeats::take(&mut c.cluster, mix, &other, Ms(700), None);
+    heartbeats::take(&mut c.cluster, mix, &other, MonotonicMillis(700), None);
     c.plan(&mut store, 700);
     assert_eq!(c.job("job-1").placements.len(), 1);
-    assert!(w.answered(&answer, r.session, 500, 800));
+    assert!(w.answered(&answer, r.agent_epoch, 500, 800));
     assert!(w.has("job-1/0"));
     // Then a report shows it, and it is stopped.
     play(&mut c, &mut store, &mut [&mut w], 1000, 2500);
     assert!(!w.has("job-1/0"));
-    assert!(c.job("job-1").settled());
+    assert!(c.job("job-1").is_settled());
 }
 
 #[test]
@@ -221,9 +222,9 @@
     let answer = c.report(&mut store, &r, 500).unwrap();
     assert!(matches!(
         c.cancel(&mut store, "job-1", 550),
-        Outcome::Done(_)
+        CommitOutcome::Committed(_)
     ));
-    w.answered(&answer, r.session, 500, 600);
+    w.answered(&answer, r.agent_epoch, 500, 600);
     assert!(w.has("job-1/1"));
     play(&mut c, &mut store, &mut [&mut w], 1000, 3000);
     assert!(!w.has("job-1/0") && !w.has("job-1/1"));
@@ -235,7 +236,7 @@
     let (mut store, mut c) = one();
     let mut w = Worker::new("m1", "north", 0);
     w.run_ms = 100;
-    w.fetch_ms = 0;
+    w.image_pull_ms = 0;
     c.submit(&mut store, job("job-1", 1), 0);
     c.visit(&mut store, &mut w, 0);
     c.cancel(&mut store, "job-1", 50);
@@ -277,14 +278,14 @@
     north.sync(&store);
     // Settled for long: the south shard is handed over.
     let m = pointhook::coordination::membership::Move {
-        shard: ShardIx(1),
+        shard: ShardIndex(1),
         to: "s1".into(),
     };
     let (txn, _) =
         pointhook::coordination::membership::move_transaction(&north.cluster, &m).unwrap();
     assert!(matches!(
         Controller::send(&mut store, &txn, 0),
-        Outcome::Done(_)
+        CommitOutcome::Committed(_)
     ));
     north.sync(&store);
     south.sync(&store);
@@ -293,7 +294,7 @@
     north.submit(&mut store, spec, 0);
     south.sync(&store);
     let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "south", 0));
-    let tokens = (0..2).map(|s| north.cluster.shards[s].rec.token);
+    let tokens = (0..2).map(|s| north.cluster.shards[s].record.fencing_token);
     let tokens: Vec<u64> = tokens.collect();
     (w1.token, w2.token) = (tokens[0], tokens[1]);
     let r1 = w1.report(10);
@@ -301,25 +302,25 @@
     let (m1, m2) = (
         north
             .cluster
-            .learn_machine("m1", "oven", "north", true, Ms(10))
+            .learn_machine("m1", "oven", "north", true, MonotonicMillis(10))
             .unwrap(),
         south
             .cluster
-            .learn_machine("m2", "oven", "south", true, Ms(10))
+            .learn_machine("m2", "oven", "south", true, MonotonicMillis(10))
             .unwrap(),
     );
     heartbeats::take(
         &mut north.cluster,
         m1,
         &r1,
-        Ms(10),
+        MonotonicMillis(10),
         Some((tokens[0], 10_000)),
     );
     heartbeats::take(
         &mut south.cluster,
         m2,
         &r2,
-        Ms(10),
+        MonotonicMillis(10),
         Some((tokens[1], 10_000)),
     );
     // Both decide on the same view; only one of the raises can be applied.
@@ -331,11 +332,11 @@
     );
     assert!(matches!(
         Controller::send(&mut store, &ta, 11),
-        Outcome::Done(_)
+        CommitOutcome::Committed(_)
     ));
     assert!(matches!(
         Controller::send(&mut store, &tb, 11),
-        Outcome::Conflict(_)
+        CommitOutcome::Conflict(_)
     ));
     south.sync(&store);
     assert_eq!(south.draft(12).claims.len(), 0);
@@ -349,17 +350,20 @@
     spec.team = "mixers".into();
     c.submit(&mut store, spec, 0);
     c.visit(&mut store, &mut w, 0);
-    let team = TeamIx(1);
-    assert_eq!(c.cluster.teams[1].rec.share(ShardIx(0)), (8000, 2000));
+    let team = TeamIndex(1);
+    assert_eq!(
+        c.cluster.team_quotas[1].record.share(ShardIndex(0)),
+        (8000, 2000)
+    );
     let mut d = DraftTransaction::default();
-    quota::lower_shares(&c.cluster, &c.config, c.takeovers.permits(), &mut d);
-    assert!(d.teams.is_empty());
+    quota::lower_unused_quota(&c.cluster, &c.config, c.takeovers.permits(), &mut d);
+    assert!(d.team_quotas.is_empty());
     // Another shard's share that nothing uses goes, since a task waits.
-    let mut rec = c.cluster.teams[1].rec.clone();
-    rec.set(ShardIx(0), (8000, 2500));
-    c.cluster.teams[1].rec = rec;
-    quota::lower_shares(&c.cluster, &c.config, c.takeovers.permits(), &mut d);
-    assert_eq!(d.teams[&team].share(ShardIx(0)), (8000, 2000));
+    let mut rec = c.cluster.team_quotas[1].record.clone();
+    rec.set(ShardIndex(0), (8000, 2500));
+    c.cluster.team_quotas[1].record = rec;
+    quota::lower_unused_quota(&c.cluster, &c.config, c.takeovers.permits(), &mut d);
+    assert_eq!(d.team_quotas[&team].share(ShardIndex(0)), (8000, 2000));
 }
 
 #[test]
@@ -373,7 +377,7 @@
     let first = c.draft(10);
     assert_eq!(first.claims.len(), 2);
     let late = transaction(&c.cluster, &first);
-    conclude(&mut c.cluster, &first, &Outcome::Unknown);
+    apply_outcome(&mut c.cluster, &first, &CommitOutcome::Unknown);
     spec.id = "job-2".into();
     c.submit(&mut store, spec, 20);
     let d = c.draft(30);
@@ -383,7 +387,7 @@
     c.plan(&mut store, 30);
     assert!(matches!(
         Controller::send(&mut store, &late, 40),
-        Outcome::Conflict(_)
+        CommitOutcome::Conflict(_)
     ));
     let placed: usize = ["job-1", "job-2"]
         .iter()
@@ -413,7 +417,7 @@
     let (mut store, mut c) = one();
     let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "south", 0));
     let mut spec = job("job-1", 3);
-    spec.shape = Shape::Service;
+    spec.kind = JobKind::Service;
     spec.spread = true;
     c.submit(&mut store, spec, 0);
     c.visit(&mut store, &mut w1, 0);
@@ -459,9 +463,9 @@
     // The cloud's word does.
     let mix = next
         .cluster
-        .learn_machine("m1", "oven", "north", true, Ms(60_000))
+        .learn_machine("m1", "oven", "north", true, MonotonicMillis(60_000))
         .unwrap();
-    next.cluster.set_gone(mix);
+    next.cluster.mark_deleted(mix);
     play(&mut next, &mut store, &mut [&mut w2], 60_000, 62_000);
     assert_eq!(w2.started.len(), 1);
 }
@@ -492,10 +496,10 @@
     assert!(w.has("job-1/0"));
     let before = c.job("job-1").clone();
     let a = c.report(&mut store, &held, 8000).unwrap();
-    assert!(a.orders.is_empty());
+    assert!(a.commands.is_empty());
     assert_eq!(c.job("job-1").placements, before.placements);
-    let heard = c.cluster.machine(c.machine("m1")).unwrap().heard;
-    assert_eq!(heard, Some(Ms(1000)));
+    let heard = c.cluster.machine(c.machine("m1")).unwrap().last_heartbeat;
+    assert_eq!(heard, Some(MonotonicMillis(1000)));
 }
 
 #[test]
@@ -549,7 +553,7 @@
 fn a_gang_starts_with_one_attempt_on_all_machines_or_not_at_all() {
     let (mut store, mut c) = one();
     let mut spec = job("job-1", 2);
-    spec.shape = Shape::Gang;
+    spec.kind = JobKind::Gang;
     spec.vcpus = 16.0;
     c.submit(&mut store, spec, 0);
     let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "south", 0));
@@ -565,7 +569,7 @@
 fn a_gang_that_lost_a_member_is_stopped_and_tried_anew() {
     let (mut store, mut c) = one();
     let mut spec = job("job-1", 2);
-    spec.shape = Shape::Gang;
+    spec.kind = JobKind::Gang;
     spec.vcpus = 16.0;
     c.submit(&mut store, spec, 0);
     let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "north", 0));
@@ -574,7 +578,7 @@
     play(&mut c, &mut store, &mut [&mut w1, &mut w2], 0, 3000);
     assert_eq!(c.job("job-1").placements.len(), 2);
     let mix = c.machine("m1");
-    c.cluster.set_gone(mix);
+    c.cluster.mark_deleted(mix);
     play(&mut c, &mut store, &mut [&mut w2], 3000, 5000);
     assert!(!w2.has("job-1/0") && !w2.has("job-1/1"));
     assert!(c.job("job-1").placements.is_empty());
@@ -589,18 +593,18 @@
     let (mut store, mut c) = one();
     for (id, at) in [("job-1", 0), ("job-2", 1)] {
         let mut spec = job(id, 2);
-        spec.shape = Shape::Gang;
+        spec.kind = JobKind::Gang;
         spec.vcpus = 16.0;
         c.submit(&mut store, spec, at);
     }
     let mut busy = job("job-3", 2);
     busy.vcpus = 16.0;
     busy.gpus = 0.5;
-    busy.priority = Rank::High;
+    busy.priority = Priority::High;
     c.submit(&mut store, busy, 2);
     let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "south", 0));
     play(&mut c, &mut store, &mut [&mut w1, &mut w2], 0, 1000);
-    let holds = gangs::gang_holds(&c.cluster, &c.config, Ms(1000), 10_000);
+    let holds = gangs::gang_reservations(&c.cluster, &c.config, MonotonicMillis(1000), 10_000);
     assert_eq!(holds.len(), 1);
     assert_eq!(holds[0].0, c.job_ix("job-1"));
     assert_eq!(holds[0].1.len(), 2);
@@ -613,7 +617,7 @@
     c.visit(&mut store, &mut w, 0);
     c.submit(&mut store, job("job-1", 1), 100);
     let (ix, mix) = (c.job_ix("job-1"), c.machine("m1"));
-    c.cluster.machine_mut(mix).unwrap().held = Some((ix, Ms(5000)));
+    c.cluster.machine_mut(mix).unwrap().reservation = Some((ix, MonotonicMillis(5000)));
     assert_eq!(c.draft(1000).claims.len(), 0);
     assert_eq!(c.draft(3900).claims.len(), 0);
     c.visit(&mut store, &mut w, 5000);
@@ -626,7 +630,7 @@
     let mut w = Worker::new("m1", "north", 0);
     w.sick = true;
     w.run_ms = 100;
-    w.fetch_ms = 0;
+    w.image_pull_ms = 0;
     for id in ["job-1", "job-2", "job-3"] {
         let mut spec = job(id, 1);
         spec.gpus = 4.0;
@@ -634,7 +638,7 @@
     }
     play(&mut c, &mut store, &mut [&mut w], 0, 6000);
     assert_eq!(w.started.len(), 2);
-    assert!(c.cluster.machine(c.machine("m1")).unwrap().sick);
+    assert!(c.cluster.machine(c.machine("m1")).unwrap().quarantined);
 }
 
 #[test]
@@ -646,14 +650,14 @@
     for w in &mut workers {
         w.sick = true;
         w.run_ms = 100;
-        w.fetch_ms = 0;
+        w.image_pull_ms = 0;
     }
     let mut all: Vec<&mut Worker> = workers.iter_mut().collect();
     c.submit(&mut store, job("job-1", 1), 0);
     play(&mut c, &mut store, &mut all, 0, 5000);
     let tries: usize = workers.iter().map(|w| w.started.len()).sum();
     assert_eq!(tries, 3);
-    assert!(c.cluster.all_machines().all(|(_, m)| !m.sick));
+    assert!(c.cluster.all_machines().all(|(_, m)| !m.quarantined));
 }
 
 #[test]
@@ -663,7 +667,7 @@
     w.run_ms = 100_000;
     let mut saving = job("job-1", 1);
     saving.checkpoint_s = 5.0;
-    saving.save_s = 2.0;
+    saving.checkpoint_grace_s = 2.0;
     saving.vcpus = 8.0;
     let mut losing = job("job-2", 1);
     losing.vcpus = 8.0;
@@ -671,15 +675,15 @@
     c.submit(&mut store, losing, 0);
     play(&mut c, &mut store, &mut [&mut w], 0, 3000);
     let mut prod = job("job-3", 1);
-    prod.priority = Rank::Production;
+    prod.priority = Priority::Production;
     prod.vcpus = 8.0;
     c.submit(&mut store, prod, 3000);
     assert!(preemption::preempt(
         &c.cluster,
         &c.config,
         c.takeovers.permits(),
-        ShardIx(1),
-        Ms(5000),
+        ShardIndex(1),
+        MonotonicMillis(5000),
         5000
     )
     .is_empty());
@@ -687,24 +691,24 @@
         &c.cluster,
         &c.config,
         c.takeovers.permits(),
-        ShardIx(0),
-        Ms(5000),
+        ShardIndex(0),
+        MonotonicMillis(5000),
         5000,
     );
     assert_eq!(stops.len(), 1);
-    assert_eq!(stops[0].1 .0, c.job_ix("job-1"));
+    assert_eq!(stops[0].1.job, c.job_ix("job-1"));
     assert!(stops[0].2 >= 2.0);
     // For two tasks two are stopped, and not one of them twice.
     let mut second = job("job-5", 1);
-    second.priority = Rank::Production;
+    second.priority = Priority::Production;
     second.vcpus = 8.0;
     c.submit(&mut store, second, 3000);
     let stops = preemption::preempt(
         &c.cluster,
         &c.config,
         c.takeovers.permits(),
-        ShardIx(0),
-        Ms(5000),
+        ShardIndex(0),
+        MonotonicMillis(5000),
         5000,
     );
     let stopped: HashSet<_> = stops.iter().map(|s| s.1).collect();
@@ -719,8 +723,8 @@
         &c.cluster,
         &c.config,
         c.takeovers.permits(),
-        ShardIx(0),
-        Ms(6000),
+        ShardIndex(0),
+        MonotonicMillis(6000),
         9000
     )
     .is_empty());
@@ -745,8 +749,8 @@
     worker.spot = false;
     c.submit(&mut store, job("job-1", 1), 0);
     let mut last = job("job-2", 1);
-    last.awaits = vec!["job-1".into()];
-    last.priority = Rank::High;
+    last.dependencies = vec!["job-1".into()];
+    last.priority = Priority::High;
     c.submit(&mut store, last, 0);
     c.visit(&mut store, &mut worker, 500);
     assert_eq!(worker.started.len(), 1);
@@ -776,25 +780,25 @@
     w.run_ms = 100_000;
     let mut spec = job("job-1", 1);
     spec.checkpoint_s = 5.0;
-    spec.save_s = 2.0;
+    spec.checkpoint_grace_s = 2.0;
     c.submit(&mut store, spec, 0);
     play(&mut c, &mut store, &mut [&mut w], 0, 3000);
     c.submit(&mut store, job("job-2", 1), 3000);
     let mut r = w.report(3000);
-    r.notice_s = Some(12.0);
+    r.preemption_notice_s = Some(12.0);
     let a = c.report(&mut store, &r, 3000).unwrap();
-    assert_eq!(starts(&a.orders), 0);
-    assert!(matches!(a.orders[0], Order::Stop { grace_s, .. } if grace_s >= 2.0));
+    assert_eq!(starts(&a.commands), 0);
+    assert!(matches!(a.commands[0], Command::Stop { grace_s, .. } if grace_s >= 2.0));
 }
 
 #[test]
 fn a_task_on_the_machine_without_a_placement_is_stopped() {
     let (mut store, mut c) = one();
     let mut w = Worker::new("m1", "north", 0);
-    let stray = pointhook::protocol::workers::ReportAnswer {
-        token: 0,
-        orders: vec![Order::Start {
-            piece: "job-77/0".into(),
+    let stray = pointhook::protocol::workers::HeartbeatResponse {
+        fencing_token: 0,
+        commands: vec![Command::Start {
+            task: "job-77/0".into(),
             attempt: 4,
         }],
     };
@@ -811,9 +815,9 @@
     let old = old.unwrap();
     store.end_lease(other.lease);
     c.sync(&store);
-    assert!(!c.cluster.nodes.contains_key("s1"));
+    assert!(!c.cluster.controllers.contains_key("s1"));
     c.cluster.take_changes(0, old.revision, &old.events);
-    assert!(!c.cluster.nodes.contains_key("s1"));
+    assert!(!c.cluster.controllers.contains_key("s1"));
 }
 
 #[test]
@@ -834,15 +838,21 @@
     let (mut store, mut c) = one();
     let dead = Controller::start("s1", 2, &mut store, 0);
     c.sync(&store);
-    assert!(c.cluster.nodes.contains_key("s1"));
+    assert!(c.cluster.controllers.contains_key("s1"));
     // It misses hundreds of changes in a cut, one of them the other's end.
     store.end_lease(dead.lease);
     let mut other = Controller::start("s2", 3, &mut store, 0);
     for i in 0..200 {
         other.submit(&mut store, job(&format!("job-{i}"), 1), 0);
     }
-    assert!(!behind_for_long(Some(Ms(1000)), Ms(15_000)));
-    assert!(behind_for_long(Some(Ms(1000)), Ms(50_000)));
+    assert!(!watch_is_stale(
+        Some(MonotonicMillis(1000)),
+        MonotonicMillis(15_000)
+    ));
+    assert!(watch_is_stale(
+        Some(MonotonicMillis(1000)),
+        MonotonicMillis(50_000)
+    ));
     let (mut from, mut fleeting, mut revision) = (String::new(), HashSet::new(), None);
     loop {
         let page = store.list(ROOT, &from, 50);
@@ -864,8 +874,10 @@
         .put(&key, page.entries[0].version, &page.entries[0].v);
     c.cluster.end_read(&fleeting, revision.unwrap());
     assert!((0..200).all(|i| c.cluster.job(&format!("job-{i}")).is_some()));
-    assert!(!c.cluster.nodes.contains_key("s1") && c.cluster.nodes.contains_key("n1"));
-    assert!(newer.cluster.nodes.contains_key("s3") && c.cluster.nodes.contains_key("s3"));
+    assert!(!c.cluster.controllers.contains_key("s1") && c.cluster.controllers.contains_key("n1"));
+    assert!(
+        newer.cluster.controllers.contains_key("s3") && c.cluster.controllers.contains_key("s3")
+    );
 }
 
 #[test]
@@ -888,10 +900,10 @@
     let (mut store, mut north) = one();
     Controller::start("s1", 2, &mut store, 0);
     north.sync(&store);
-    let at = |ms| Ms(ms);
-    let known = pointhook::coordination::membership::Known {
-        seen: std::collections::HashMap::from([(("s1".to_string(), 2), at(0))]),
-        owned: north.owned_for_long(),
+    let at = |ms| MonotonicMillis(ms);
+    let known = pointhook::coordination::membership::MembershipView {
+        first_seen: std::collections::HashMap::from([(("s1".to_string(), 2), at(0))]),
+        owned_since: north.owned_for_long(),
         ..Default::default()
     };
     let moves = |now| {
@@ -907,8 +919,11 @@
     assert!(moves(at(1000)).is_empty());
     let m = moves(at(3000));
     assert_eq!(m.len(), 1);
-    assert_eq!((m[0].shard, m[0].to.as_str()), (ShardIx(1), "s1"));
-    assert_eq!(north.cluster.shard_zone(ShardIx::new(1)), Some(ZoneIx(1)));
+    assert_eq!((m[0].shard, m[0].to.as_str()), (ShardIndex(1), "s1"));
+    assert_eq!(
+        north.cluster.shard_zone(ShardIndex::new(1)),
+        Some(ZoneIndex(1))
+    );
 }
 
 #[test]
@@ -917,12 +932,12 @@
     store.writes_per_s = 1.0;
     let first = c.submit(&mut store, job("job-1", 1), 1000);
     let second = c.submit(&mut store, job("job-2", 1), 1000);
-    assert!(matches!(first, Outcome::Done(_)));
-    assert_eq!(second, Outcome::Refused(429));
+    assert!(matches!(first, CommitOutcome::Committed(_)));
+    assert_eq!(second, CommitOutcome::Refused(429));
     assert!(c.cluster.job("job-2").is_none());
     assert!(matches!(
         c.submit(&mut store, job("job-2", 1), 2500),
-        Outcome::Done(_)
+        CommitOutcome::Committed(_)
     ));
 }
 
@@ -937,7 +952,7 @@
     c.visit(&mut store, &mut w, 0);
     let mut gang = job("job-2", 2);
     gang.team = "mixers".into();
-    gang.shape = Shape::Gang;
+    gang.kind = JobKind::Gang;
     c.submit(&mut store, gang, 100);
     play(&mut c, &mut store, &mut [&mut w], 500, 6000);
     // The limit is two: one runs, the gang needs both.
@@ -955,25 +970,25 @@
 // the machine reported in a new session and was told to start what the record then gave away.
 /// A team's limit of two of which a long job of this shape holds one, with a gang waiting that
 /// needs both.
-fn gang_behind(shape: Shape) -> (Store, Controller, Worker) {
+fn gang_behind(shape: JobKind) -> (Store, Controller, Worker) {
     let (mut store, mut c) = one();
     let mut worker = Worker::new("m1", "north", 0);
     worker.run_ms = 500_000;
     let mut holder = job("job-1", 1);
     holder.team = "mixers".into();
-    holder.shape = shape;
+    holder.kind = shape;
     c.submit(&mut store, holder, 0);
     c.visit(&mut store, &mut worker, 0);
     let mut gang = job("job-2", 2);
     gang.team = "mixers".into();
-    gang.shape = Shape::Gang;
+    gang.kind = JobKind::Gang;
     c.submit(&mut store, gang, 100);
     (store, c, worker)
 }
 
 #[test]
 fn work_does_not_wait_for_a_gang_that_needs_what_services_hold_of_its_teams_limit() {
-    let (mut store, mut c, mut worker) = gang_behind(Shape::Service);
+    let (mut store, mut c, mut worker) = gang_behind(JobKind::Service);
     play(&mut c, &mut store, &mut [&mut worker], 500, 8000);
     let mut younger = job("job-3", 1);
     younger.team = "mixers".into();
@@ -985,7 +1000,7 @@
 
 #[test]
 fn no_machine_is_kept_for_a_gang_that_services_keep_out_of_its_teams_limit() {
-    let (mut store, mut c, mut worker) = gang_behind(Shape::Service);
+    let (mut store, mut c, mut worker) = gang_behind(JobKind::Service);
     let mut other = Worker::new("m2", "north", 0);
     play(
         &mut c,
@@ -994,7 +1009,9 @@
         500,
         8000,
     );
-    let holds = |c: &Controller| gangs::gang_holds(&c.cluster, &c.config, Ms(8000), 8000);
+    let holds = |c: &Controller| {
+        gangs::gang_reservations(&c.cluster, &c.config, MonotonicMillis(8000), 8000)
+    };
     assert!(holds(&c).is_empty());
     // Once the service is cancelled the gang may come about, and machines are kept for it.
     c.cancel(&mut store, "job-1", 8000);
@@ -1003,7 +1020,7 @@
 
 #[test]
 fn work_waits_for_a_gang_of_its_team_for_less_than_ninety_seconds() {
-    let (mut store, mut c, mut worker) = gang_behind(Shape::Array);
+    let (mut store, mut c, mut worker) = gang_behind(JobKind::Array);
     play(&mut c, &mut store, &mut [&mut worker], 500, 8000);
     let mut younger = job("job-3", 1);
     younger.team = "mixers".into();
@@ -1022,18 +1039,24 @@
     c.submit(&mut store, job("job-1", 1), 100);
     let r = w.report(500);
     let lost = c.report(&mut store, &r, 500).unwrap();
-    assert_eq!(starts(&lost.orders), 1, "an answer that never arrives");
+    assert_eq!(starts(&lost.commands), 1, "an answer that never arrives");
     // Nobody answers the machine for longer than a lease: its tasks are proven dead.
-    let now = 500 + c.config.dead_ms + 10;
+    let now = 500 + c.config.lease_expiry_ms + 10;
     let draft = c.draft(now);
     let ix = c.job_ix("job-1");
     assert!(draft.jobs[&ix].placements.is_empty());
-    reconciliation::give_up(&mut c.cluster, &draft);
+    reconciliation::mark_abandoned(&mut c.cluster, &draft);
     let on_its_way = transaction(&c.cluster, &draft);
     let r = w.report(now + 20);
-    assert_eq!(r.session, 2);
-    let got = heartbeats::receive(&mut c.cluster, &c.config, &r, 10_000, Ms(now + 20));
-    let heartbeats::Received::Taken(mix, token, taken) = got else {
+    assert_eq!(r.agent_epoch, 2);
+    let got = heartbeats::receive(
+        &mut c.cluster,
+        &c.config,
+        &r,
+        10_000,
+        MonotonicMillis(now + 20),
+    );
+    let heartbeats::HeartbeatOutcome::HeartbeatChange(mix, token, taken) = got else {
         panic!("not taken");
     };
     let taken = (mix, token, taken);
@@ -1043,14 +1066,14 @@
         c.takeovers.permits(),
         &r,
         taken,
-        Ms(now + 20),
+        MonotonicMillis(now + 20),
     )
     .unwrap();
-    assert_eq!(starts(&answer.orders), 0);
-    assert!(c.pushes(now + 20).is_empty());
+    assert_eq!(starts(&answer.commands), 0);
+    assert!(c.direct_starts(now + 20).is_empty());
     let out = Controller::send(&mut store, &on_its_way, now + 50);
-    assert!(matches!(out, Outcome::Done(_)));
-    conclude(&mut c.cluster, &draft, &out);
+    assert!(matches!(out, CommitOutcome::Committed(_)));
+    apply_outcome(&mut c.cluster, &draft, &out);
     play(&mut c, &mut store, &mut [&mut w], now + 500, now + 20_000);
     assert_eq!(w.started, [("job-1/0".to_string(), 2)]);
     assert_eq!(c.job("job-1").state, JobState::Done);
@@ -1064,43 +1087,53 @@
     c.submit(&mut store, job("job-1", 1), 0);
     play(&mut c, &mut store, &mut [&mut w], 0, 1500);
     let ix = c.job_ix("job-1");
-    let heard = c.cluster.machine(c.machine("m1")).unwrap().heard.unwrap();
+    let heard = c
+        .cluster
+        .machine(c.machine("m1"))
+        .unwrap()
+        .last_heartbeat
+        .unwrap();
     // The report waits in a socket while an answer to a direct command is read.
     let late = w.report(9000);
     let newer = w.report(9100);
     let mix = c.machine("m1");
-    heartbeats::take(&mut c.cluster, mix, &newer, Ms(9100), None);
+    heartbeats::take(&mut c.cluster, mix, &newer, MonotonicMillis(9100), None);
     assert!(c.report(&mut store, &late, 9200).is_some());
-    let over = heard.plus(c.config.dead_ms + 10).0;
+    let over = heard.plus(c.config.lease_expiry_ms + 10).0;
     assert!(!c.draft(over).jobs.contains_key(&ix), "answered since");
-    assert!(c.draft(9200 + c.config.dead_ms + 10).jobs.contains_key(&ix));
+    assert!(c
+        .draft(9200 + c.config.lease_expiry_ms + 10)
+        .jobs
+        .contains_key(&ix));
 }
 
 // A silent machine keeps the direct starts of older tokens until it goes. Counted like open ones
 // they raised their shard's token every few seconds.
 #[test]
 fn only_direct_starts_that_may_still_run_raise_the_token() {
-    use pointhook::state::machine::LateStart;
+    use pointhook::state::machine::InFlightStart;
     let (mut store, mut c) = one();
     let mut w = Worker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
     c.submit(&mut store, job("job-1", 1), 10);
     let (ix, mix) = (c.job_ix("job-1"), c.machine("m1"));
     let shard = c.cluster.machine(mix).unwrap().shard;
-    let token = c.cluster.shards[shard.at()].rec.token;
+    let token = c.cluster.shards[shard.at()].record.fencing_token;
     let kept = |c: &mut Controller, token: u64| {
-        let late = LateStart {
-            token,
-            session: 1,
-            sent: Ms(10),
-            answered: true,
+        let late = InFlightStart {
+            fencing_token: token,
+            agent_epoch: 1,
+            sent_at: MonotonicMillis(10),
+            acknowledged: true,
         };
         let m = c.cluster.machine_mut(mix).unwrap();
-        m.late_starts = (0..250).map(|i| ((ix, 0, i), late)).collect();
+        m.in_flight_starts = (0..250)
+            .map(|i| (TaskAttempt::new(ix, 0, i), late))
+            .collect();
     };
     let raised = |c: &Controller| {
-        let known = pointhook::coordination::membership::Known {
-            owned: c.owned_for_long(),
+        let known = pointhook::coordination::membership::MembershipView {
+            owned_since: c.owned_for_long(),
             ..Default::default()
         };
         let moves = pointhook::coordination::membership::moves(
@@ -1109,7 +1142,7 @@
             &c.zones,
             &known,
             true,
-            Ms(20_000),
+            MonotonicMillis(20_000),
         );
         moves.iter().any(|m| m.shard == shard)
     };
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -3,19 +3,19 @@
 
 mod support;
 
-use pointhook::coordination::kv::Outcome;
-use pointhook::coordination::membership::{moves, Known, Move};
+use pointhook::coordination::kv::CommitOutcome;
+use pointhook::coordination::membership::{moves, MembershipView, Move};
 use pointhook::coordination::reconciliation;
 use pointhook::coordination::replication;
 use pointhook::coordination::scheduler::claims;
 use pointhook::coordination::scheduler::draft::DraftTransaction;
 use pointhook::observe_command;
-use pointhook::protocol::peers::{self, Reply, ShardStanding};
-use pointhook::protocol::users::{JobSpec, Shape};
+use pointhook::protocol::peers::{self, PeerResponse, ShardStatus};
+use pointhook::protocol::users::{JobKind, JobSpec};
 use pointhook::settings::Workers;
 use pointhook::state::cluster_state::ROOT;
-use pointhook::state::names::ShardIx;
-use pointhook::state::units::Ms;
+use pointhook::state::names::ShardIndex;
+use pointhook::state::units::MonotonicMillis;
 use standby::failover::State;
 use standby::follower::Follower;
 use standby::ids::ShardId;
@@ -26,7 +26,7 @@
 use support::worker::Worker;
 use support::world::World;
 
-const NORTH: ShardIx = ShardIx(0);
+const NORTH: ShardIndex = ShardIndex(0);
 
 /// An owner that the state service has given up, though it goes on working, and a standby that
 /// has seen that but nothing since.
@@ -59,16 +59,19 @@
     }
 }
 
-fn take_north(c: &mut Controller, store: &mut Store, now: u64) -> Outcome {
-    let to = c.config.node.clone();
-    let wanted = Move { shard: NORTH, to };
-    c.carry_out(store, &wanted, now)
+fn take_north(c: &mut Controller, store: &mut Store, now: u64) -> CommitOutcome {
+    let to = c.config.controller_name.clone();
+    let plan_scale_out = Move { shard: NORTH, to };
+    c.execute_moves(store, &plan_scale_out, now)
 }
 
 /// Takes the northern shard over, which succeeds.
 fn take_over(c: &mut Controller, store: &mut Store, now: u64) {
     let outcome = take_north(c, store, now);
-    assert!(matches!(outcome, Outcome::Done(_)), "{outcome:?}");
+    assert!(
+        matches!(outcome, CommitOutcome::Committed(_)),
+        "{outcome:?}"
+    );
 }
 
 #[test]
@@ -84,8 +87,8 @@
     take_over(&mut d.standby, &mut d.store, 4000);
     let report = d.worker.report(4500);
     let answer = d.standby.report_without_store(&report, 4500).unwrap();
-    assert!(answer.orders.is_empty(), "{:?}", answer.orders);
-    assert!(d.standby.pushes(4500).is_empty());
+    assert!(answer.commands.is_empty(), "{:?}", answer.commands);
+    assert!(d.standby.direct_starts(4500).is_empty());
     assert!(matches!(
         d.standby.takeovers.state(ShardId(0)),
         State::CatchingUp { .. }
@@ -110,7 +113,7 @@
     for now in (1000..20_000).step_by(1000) {
         assert!(!d.standby.sync(&d.store));
         let draft = d.standby.draft(now);
-        assert!(draft.is_empty() && d.standby.pushes(now).is_empty());
+        assert!(draft.is_empty() && d.standby.direct_starts(now).is_empty());
     }
     d.store.down = false;
     d.standby.sync(&d.store);
@@ -171,7 +174,7 @@
     let before = d.owner.takeovers.permits().get(ShardId(0)).is_some();
     assert!(before);
     for now in [1200, 1300, 1400] {
-        d.owner.refused_by_worker(NORTH, report.token, now);
+        d.owner.refused_by_worker(NORTH, report.fencing_token, now);
     }
     assert_eq!(d.owner.stepped_down, [NORTH]);
     assert!(d.owner.takeovers.permits().get(ShardId(0)).is_none());
@@ -190,7 +193,7 @@
     take_over(&mut d.standby, &mut d.store, 700);
     assert!(matches!(
         take_north(&mut third, &mut d.store, 700),
-        Outcome::Conflict(_)
+        CommitOutcome::Conflict(_)
     ));
     assert_eq!(third.takeovers.state(ShardId(0)), State::Suspecting);
     for c in [&mut d.standby, &mut third] {
@@ -214,11 +217,14 @@
     third.visit(&mut d.store, &mut d.worker, 1000);
     assert_eq!(d.worker.started.len(), 1);
     let permit = third.takeovers.permits().get(ShardId(0)).expect("a permit");
-    assert_eq!(permit.token().0, third.cluster.shards[0].rec.token);
+    assert_eq!(
+        permit.token().0,
+        third.cluster.shards[0].record.fencing_token
+    );
 }
 
 /// Nodes n1 and n2 in the north, s1 in the south, all there for long.
-fn three_nodes(standby: Standby) -> (Store, [Controller; 3], Known) {
+fn three_nodes(standby: Standby) -> (Store, [Controller; 3], MembershipView) {
     const ZONES: [(&str, u32); 3] = [("n1", 0), ("n2", 0), ("s1", 1)];
     let names = ZONES.map(|(name, _)| name);
     let mut store = Store::default();
@@ -231,32 +237,32 @@
         c.sync(&store);
     }
     let seen = names.iter().zip(1..).map(|(name, incarnation)| {
-        let at = Ms(0);
+        let at = MonotonicMillis(0);
         ((name.to_string(), incarnation), at)
     });
-    let known = Known {
-        seen: seen.collect(),
+    let known = MembershipView {
+        first_seen: seen.collect(),
         standby: nodes[0].known.standby.clone(),
-        ..Known::default()
+        ..MembershipView::default()
     };
     (store, nodes, known)
 }
 
-fn takers(nodes: &[Controller], known: &Known, now: u64) -> Vec<String> {
-    let now = Ms(now);
+fn takers(nodes: &[Controller], known: &MembershipView, now: u64) -> Vec<String> {
+    let now = MonotonicMillis(now);
     let takes = |c: &&Controller| {
         let all = moves(&c.cluster, &c.config, &c.zones, known, false, now);
         all.iter().any(|m| m.shard == NORTH)
     };
     let takers = nodes.iter().filter(takes);
-    takers.map(|c| c.config.node.clone()).collect()
+    takers.map(|c| c.config.controller_name.clone()).collect()
 }
 
 /// Lets `n1` own the northern shard and end.
 fn without_n1(store: &mut Store, nodes: &mut [Controller; 3]) {
     assert!(matches!(
         take_north(&mut nodes[0], store, 0),
-        Outcome::Done(_)
+        CommitOutcome::Committed(_)
     ));
     store.end_lease(nodes[0].lease);
     for c in nodes {
@@ -278,8 +284,8 @@
     let (mut store, mut nodes, mut known) = three_nodes(Standby::OtherZone);
     without_n1(&mut store, &mut nodes);
     // Its own view has another standby, for example since its settings differ.
-    let since = Ms(10_000);
-    known.ownerless.insert(NORTH, since);
+    let since = MonotonicMillis(10_000);
+    known.ownerless_since.insert(NORTH, since);
     assert_eq!(takers(&nodes[1..], &known, 12_000), ["s1"]);
     assert_eq!(takers(&nodes[1..], &known, 12_500), ["n2"]);
 }
@@ -335,10 +341,10 @@
         add(w, job(&format!("job-{i}"), 6));
     }
     let mut gang = job("job-10", 4);
-    gang.shape = Shape::Gang;
+    gang.kind = JobKind::Gang;
     add(w, gang);
     let mut last = job("job-11", 2);
-    last.awaits = vec!["job-0".into(), "job-10".into()];
+    last.dependencies = vec!["job-0".into(), "job-10".into()];
     add(w, last);
     ids
 }
@@ -358,7 +364,7 @@
     for standby in [Standby::Off, Standby::SameZone, Standby::OtherZone] {
         for step in 0..24u64 {
             let mut w = World::with(4, standby);
-            w.begin_second_form();
+            w.begin_record_format_v2();
             let ids = submit_batch(&mut w);
             w.run(step * 500);
             let active = w.owner_of_zone("north");
@@ -380,7 +386,7 @@
 fn an_owner_paused_beyond_its_lease_wakes_into_a_takeover_and_steps_down() {
     for pause_ms in (1000..14_000).step_by(1000) {
         let mut w = World::with(4, Standby::SameZone);
-        w.begin_second_form();
+        w.begin_record_format_v2();
         let ids = submit_batch(&mut w);
         w.run(2000);
         let active = w.owner_of_zone("north");
@@ -403,8 +409,15 @@
     assert!(permits.get(ShardId(0)).is_some());
     let mut draft = DraftTransaction::default();
     let (cluster, config) = (&d.owner.cluster, &d.owner.config);
-    reconciliation::settle(cluster, config, permits, &mut draft, Ms(800));
-    claims::claim(cluster, config, permits, &mut draft, Ms(800), 800);
+    reconciliation::reconcile(cluster, config, permits, &mut draft, MonotonicMillis(800));
+    claims::claim(
+        cluster,
+        config,
+        permits,
+        &mut draft,
+        MonotonicMillis(800),
+        800,
+    );
     assert!(draft.is_empty(), "{draft:?}");
 }
 
@@ -415,7 +428,7 @@
         d.owner.submit(&mut d.store, job(id, tasks), 600);
     }
     let mut gang = job("job-4", 8);
-    gang.shape = Shape::Gang;
+    gang.kind = JobKind::Gang;
     d.owner.submit(&mut d.store, gang, 600);
     let (queued, done, held) = (
         d.owner.job_ix("job-2"),
@@ -425,16 +438,16 @@
     let m1 = d.owner.machine("m1");
     let machine = d.owner.cluster.machine_mut(m1).unwrap();
     machine.queue.extend([
-        (queued, 7, Ms(600)),
-        (done, 0, Ms(600)),
-        (queued, 5, Ms(600)),
+        (queued, 7, MonotonicMillis(600)),
+        (done, 0, MonotonicMillis(600)),
+        (queued, 5, MonotonicMillis(600)),
     ]);
-    machine.held = Some((held, Ms(5000)));
+    machine.reservation = Some((held, MonotonicMillis(5000)));
     // It is told in a snapshot, and what changes then in the tail.
     let mut publisher = Publisher::new(0, 1, StreamLimits::default());
     let mut follower = Follower::default();
     let mut tell = |owner: &Controller, publisher: &mut Publisher, now| {
-        replication::publish_changes(&owner.cluster, NORTH, Ms(now), publisher);
+        replication::publish_changes(&owner.cluster, NORTH, MonotonicMillis(now), publisher);
         while let Some(message) = publisher.next_message() {
             publisher.answered(follower.take(&message, 0));
         }
@@ -442,30 +455,44 @@
     };
     tell(&d.owner, &mut publisher, 700);
     let machine = d.owner.cluster.machine_mut(m1).unwrap();
-    machine.queue.push_back((queued, 9, Ms(800)));
+    machine.queue.push_back((queued, 9, MonotonicMillis(800)));
     let follower = tell(&d.owner, &mut publisher, 800);
     // One of the queued tasks is no longer to run, and one is queued with the standby already.
     d.owner.cancel(&mut d.store, "job-3", 850);
     d.standby.sync(&d.store);
     d.standby
         .cluster
-        .learn_machine("m1", "oven", "north", true, Ms(0));
+        .learn_machine("m1", "oven", "north", true, MonotonicMillis(0));
     let (m1, queued) = (d.standby.machine("m1"), d.standby.job_ix("job-2"));
     let machine = d.standby.cluster.machine_mut(m1).unwrap();
-    machine.queue.push_back((queued, 5, Ms(100)));
+    machine.queue.push_back((queued, 5, MonotonicMillis(100)));
     let shadow = follower.shadow().expect("no gap");
-    let restored = replication::restore_shadow(&mut d.standby.cluster, NORTH, shadow, Ms(900));
+    let restored =
+        replication::restore_replica(&mut d.standby.cluster, NORTH, shadow, MonotonicMillis(900));
     assert_eq!((restored.queued, restored.held), (2, 1));
     let machine = d.standby.cluster.machine(m1).unwrap();
     let tasks: Vec<u32> = machine.queue.iter().map(|(_, task, _)| *task).collect();
     assert_eq!(tasks, [5, 7, 9]);
-    assert_eq!(machine.held.map(|h| h.0), Some(d.standby.job_ix("job-4")));
+    assert_eq!(
+        machine.reservation.map(|h| h.0),
+        Some(d.standby.job_ix("job-4"))
+    );
     // What is unchanged is not told again, and a machine that goes is.
-    replication::publish_changes(&d.owner.cluster, NORTH, Ms(900), &mut publisher);
+    replication::publish_changes(
+        &d.owner.cluster,
+        NORTH,
+        MonotonicMillis(900),
+        &mut publisher,
+    );
     assert_eq!(publisher.lag(), Some(0));
     let m1 = d.owner.machine("m1");
-    d.owner.cluster.set_gone(m1);
-    replication::publish_changes(&d.owner.cluster, NORTH, Ms(900), &mut publisher);
+    d.owner.cluster.mark_deleted(m1);
+    replication::publish_changes(
+        &d.owner.cluster,
+        NORTH,
+        MonotonicMillis(900),
+        &mut publisher,
+    );
     assert_eq!(publisher.lag(), Some(1));
     assert_eq!(publisher.shadow().len(), 0);
 }
@@ -474,7 +501,7 @@
 fn switching_it_on_node_by_node_and_going_back_at_any_step_loses_nothing() {
     for back_after in 0..=3 {
         let mut w = World::with(4, Standby::Off);
-        w.begin_second_form();
+        w.begin_record_format_v2();
         let mut ids = submit_batch(&mut w);
         let on = (0..back_after).map(|at| (at, Standby::OtherZone));
         let off = (0..back_after).rev().map(|at| (at, Standby::Off));
@@ -495,14 +522,14 @@
 
 #[test]
 fn operators_see_how_far_each_standby_is() {
-    let standing = |behind, follows| ShardStanding {
+    let standing = |replication_lag, follows| ShardStatus {
         shard: 3,
         owner: "stoker-1".into(),
-        token: 41,
+        fencing_token: 41,
         state: "active".into(),
         standby: Some("stoker-2".into()),
-        behind,
-        follows,
+        replication_lag,
+        replica_of_token: follows,
     };
     let shards = [
         standing(Some(0), None),
@@ -510,11 +537,11 @@
         standing(None, Some(40)),
         standing(None, None),
     ];
-    let reply = Reply::Standbys {
+    let reply = PeerResponse::ShardStatuses {
         shards: shards.to_vec(),
     };
     let sent = peers::encode(&reply).unwrap();
-    assert_eq!(peers::decode_reply(&sent), Some(reply));
+    assert_eq!(peers::decode_response(&sent), Some(reply));
     let table = observe_command::table(&shards);
     let lines: Vec<&str> = table.lines().collect();
     assert!(lines[0].starts_with("shard  owner"));
@@ -534,6 +561,6 @@
     let (mut store, mut nodes, mut known) = three_nodes(Standby::OtherZone);
     without_n1(&mut store, &mut nodes);
     // Nobody has been there for long: no standby has followed anyone.
-    known.seen.clear();
+    known.first_seen.clear();
     assert_eq!(takers(&nodes[1..], &known, 10_000), ["n2"]);
 }
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -5,11 +5,11 @@
 use async_executor::LocalExecutor;
 use futures_lite::future::{block_on, or};
 use http_types::Method;
-use pointhook::coordination::controller::Node;
+use pointhook::coordination::controller::Controller;
 use pointhook::coordination::job_api::handle;
 use pointhook::features::Features;
-use pointhook::protocol::cloud::Flavors;
-use pointhook::protocol::users::{JobSpec, MAX_AWAITS};
+use pointhook::protocol::cloud::MachineTypeCatalog;
+use pointhook::protocol::users::{JobSpec, MAX_DEPENDENCIES};
 use pointhook::settings::{Operator, Platform};
 use pointhook::state::job::JobRecord;
 use pointhook::transport::http::{Answer, Incoming};
@@ -28,11 +28,11 @@
 }
 
 /// A controller that knows the records and the machine types; nothing listens at its state service.
-fn controller(second_form: bool) -> Rc<Node> {
+fn controller(second_form: bool) -> Rc<Controller> {
     let settings = include_str!("../examples/rehearsal.toml").replace("7483", "1");
     let platform: Platform = toml::from_str(&settings).expect("settings");
     let executor = Rc::new(LocalExecutor::new());
-    let node = Rc::new(Node::new(
+    let node = Rc::new(Controller::new(
         platform,
         Operator::default(),
         Features::default(),
@@ -40,8 +40,8 @@
     ));
     let mut cluster = node.cluster.borrow_mut();
     cluster.loaded = true;
-    cluster.second_form = second_form;
-    cluster.set_flavors(&Flavors {
+    cluster.record_format_v2 = second_form;
+    cluster.set_machine_types(&MachineTypeCatalog {
         types: vec![cloud::flavor()],
     });
     drop(cluster);
@@ -49,20 +49,20 @@
 }
 
 /// Serves fresh reads as scripted, for as long as it is polled.
-async fn serve_reads(node: &Node, read: FreshRead) -> Answer {
+async fn serve_reads(node: &Controller, read: FreshRead) -> Answer {
     loop {
-        node.fresh.notified(60_000).await;
+        node.fresh_reads.notified(60_000).await;
         if let FreshRead::Job(id) = read {
             let record = JobRecord::submitted(job(id, 1), 0);
             node.cluster.borrow_mut().put_job(id, 1, &record);
         }
-        for waiter in node.fresh.take_waiters() {
+        for waiter in node.fresh_reads.take_waiters() {
             let _ = waiter.try_send(read != FreshRead::Fails);
         }
     }
 }
 
-fn submit(node: &Rc<Node>, spec: &JobSpec, read: FreshRead) -> Answer {
+fn submit(node: &Rc<Controller>, spec: &JobSpec, read: FreshRead) -> Answer {
     let request = Incoming {
         method: Method::Post,
         path: "/v1/jobs".into(),
@@ -74,7 +74,7 @@
 
 fn awaiting(ids: &[&str]) -> JobSpec {
     JobSpec {
-        awaits: ids.iter().map(|id| id.to_string()).collect(),
+        dependencies: ids.iter().map(|id| id.to_string()).collect(),
         ..job("job-9", 1)
     }
 }
@@ -103,7 +103,7 @@
         assert!(answer.retry_after.is_some());
     }
     let node = controller(true);
-    let ids: Vec<String> = (1..=MAX_AWAITS + 1)
+    let ids: Vec<String> = (1..=MAX_DEPENDENCIES + 1)
         .map(|n| format!("job-{}", 100 + n))
         .collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
--- a/tests/support/controller.rs
+++ b/tests/support/controller.rs
@@ -3,49 +3,49 @@
 use super::cloud::flavor;
 use super::store::Store;
 use super::worker::Worker;
-use pointhook::coordination::cancellations::{self, Leftovers};
-use pointhook::coordination::kv::{conclude, set, transaction, Outcome};
+use pointhook::coordination::cancellations::{self, CancelledTaskSweeper};
+use pointhook::coordination::kv::{apply_outcome, set, transaction, CommitOutcome};
 use pointhook::coordination::reconciliation;
 use pointhook::coordination::scheduler::claims;
 use pointhook::coordination::scheduler::commands;
-use pointhook::coordination::scheduler::commands::Push;
+use pointhook::coordination::scheduler::commands::DirectStart;
 use pointhook::coordination::scheduler::config::SchedulerConfig;
 use pointhook::coordination::scheduler::draft::DraftTransaction;
 use pointhook::coordination::scheduler::quota;
 use pointhook::coordination::{failover, heartbeats, membership};
-use pointhook::protocol::cloud::Flavors;
+use pointhook::protocol::cloud::MachineTypeCatalog;
 use pointhook::protocol::kv::Limits;
 use pointhook::protocol::kv::{Condition, Transaction};
 use pointhook::protocol::users::JobSpec;
-use pointhook::protocol::workers::{Commands, Report, ReportAnswer};
+use pointhook::protocol::workers::{DirectCommands, Heartbeat, HeartbeatResponse};
 use pointhook::settings::Team;
-use pointhook::state::cancellation_watermark::Knowledge;
-use pointhook::state::cluster_state::{ClusterState, NodeRecord, ROOT};
+use pointhook::state::cancellation_watermark::CancellationWatermark;
+use pointhook::state::cluster_state::{ClusterState, ControllerRecord, ROOT};
 use pointhook::state::job::{JobRecord, JobState};
-use pointhook::state::names::{Index, JobIx, MachineIx, ShardIx, ZoneIx};
-use pointhook::state::records::{SECOND_FORM, STANDBY_VERSION};
-use pointhook::state::units::Ms;
-use standby::failover::{Refusal, State, Takeovers};
-use standby::ids::{Revision, ShardId, Token};
+use pointhook::state::names::{Index, JobIndex, MachineIndex, ShardIndex, ZoneIndex};
+use pointhook::state::records::{RECORD_FORMAT_V2, STANDBY_VERSION};
+use pointhook::state::units::MonotonicMillis;
+use standby::failover::{Failovers, Refusal, State};
+use standby::ids::{FencingToken, Revision, ShardId};
 use std::collections::{BTreeMap, HashMap};
 
 pub struct Controller {
     pub cluster: ClusterState,
     pub config: SchedulerConfig,
     pub lease: u64,
-    pub zones: BTreeMap<String, ZoneIx>,
+    pub zones: BTreeMap<String, ZoneIndex>,
     /// Names of the others, by the index of what they vouch for.
     pub peers: Vec<String>,
     pub began: u64,
-    pub left: Leftovers,
+    pub left: CancelledTaskSweeper,
     /// Since when its shards and other nodes are there, as membership keeps it.
-    pub known: membership::Known,
+    pub known: membership::MembershipView,
     /// Whether it has the warm standby.
     pub standby: Standby,
     /// Takeovers of its shards, and the permits that they issue.
-    pub takeovers: Takeovers,
+    pub takeovers: Failovers,
     /// Shards that it has stepped down from, as it said.
-    pub stepped_down: Vec<ShardIx>,
+    pub stepped_down: Vec<ShardIndex>,
     raised: u64,
     cascaded: bool,
 }
@@ -127,43 +127,46 @@
         let zones = ["north".to_string(), "south".to_string()];
         let cluster = ClusterState::new(&zones, &[team("ovens", 0.0), team("mixers", 2.0)], 1);
         let config = SchedulerConfig {
-            node: name.into(),
+            controller_name: name.into(),
             incarnation,
-            silent_ms: 4000,
+            unresponsive_ms: 4000,
             queue_cap: 2,
-            steal_ms: 2000,
-            gang_hold_ms: 5000,
+            steal_after_ms: 2000,
+            gang_reservation_after_ms: 5000,
             spot_patience_ms: 10_000,
-            headroom: 0.0,
-            headroom_ordinary: 0.0,
-            dead_ms: 12_020,
-            renew_ms: RENEW_MS,
+            capacity_buffer_spot: 0.0,
+            capacity_buffer_on_demand: 0.0,
+            lease_expiry_ms: 12_020,
+            max_watermark_age_ms: RENEW_MS,
             cancel_ms: CANCEL_MS,
-            finish_within: HashMap::new(),
+            completion_targets: HashMap::new(),
             limits_now: Limits {
                 txn_ops: store.txn_ops,
                 value_bytes: store.value_bytes * 9 / 10,
                 write_rps: f64::MAX,
             },
             limits_next: Limits::NONE,
-            limits_seen: std::cell::Cell::new(Limits::NONE),
+            limits_observed: std::cell::Cell::new(Limits::NONE),
         };
         let mut c = Controller {
-            zones: BTreeMap::from([("n1".to_string(), ZoneIx(0)), ("s1".to_string(), ZoneIx(1))]),
+            zones: BTreeMap::from([
+                ("n1".to_string(), ZoneIndex(0)),
+                ("s1".to_string(), ZoneIndex(1)),
+            ]),
             cluster,
             config,
             lease: store.grant(4000, now),
             peers: Vec::new(),
             began: now,
-            left: Leftovers::default(),
-            known: membership::Known::default(),
-            takeovers: Takeovers::new(3),
+            left: CancelledTaskSweeper::default(),
+            known: membership::MembershipView::default(),
+            takeovers: Failovers::new(3),
             standby,
             stepped_down: Vec::new(),
             raised: 0,
             cascaded: false,
         };
-        c.cluster.set_flavors(&Flavors {
+        c.cluster.set_machine_types(&MachineTypeCatalog {
             types: vec![flavor()],
         });
         let page = store.list(ROOT, "", 1000);
@@ -176,10 +179,10 @@
             }],
             writes: set(
                 key,
-                &NodeRecord {
+                &ControllerRecord {
                     incarnation,
-                    forms: SECOND_FORM,
-                    standby: standby.version(),
+                    record_format: RECORD_FORMAT_V2,
+                    standby_version: standby.version(),
                 },
                 Some(c.lease),
             )
@@ -208,12 +211,12 @@
         }
     }
 
-    pub fn send(store: &mut Store, txn: &Transaction, now: u64) -> Outcome {
+    pub fn send(store: &mut Store, txn: &Transaction, now: u64) -> CommitOutcome {
         match store.commit(txn, now) {
-            (200, Some(c)) => Outcome::Done(c.revision),
-            (409, Some(c)) => Outcome::Conflict(c.failed),
-            (0, _) => Outcome::Unknown,
-            (s, _) => Outcome::Refused(s),
+            (200, Some(c)) => CommitOutcome::Committed(c.revision),
+            (409, Some(c)) => CommitOutcome::Conflict(c.failed),
+            (0, _) => CommitOutcome::Unknown,
+            (s, _) => CommitOutcome::Refused(s),
         }
     }
 
@@ -223,17 +226,17 @@
             &self.cluster,
             &self.config,
             &self.zones,
-            &membership::Known {
-                owned: self.owned_for_long(),
+            &membership::MembershipView {
+                owned_since: self.owned_for_long(),
                 ..Default::default()
             },
             true,
-            Ms(now),
+            MonotonicMillis(now),
         );
         let mut done = 0;
         for m in moves {
             let (txn, _) = membership::move_transaction(&self.cluster, &m).expect("a live target");
-            if matches!(Self::send(store, &txn, now), Outcome::Done(_)) {
+            if matches!(Self::send(store, &txn, now), CommitOutcome::Committed(_)) {
                 done += 1;
             }
         }
@@ -242,16 +245,16 @@
     }
 
     /// All shards, as if they had been here for long.
-    pub fn owned_for_long(&self) -> HashMap<ShardIx, Ms> {
-        let shards = (0..self.cluster.shards.len()).map(ShardIx::new);
-        shards.map(|s| (s, Ms(0))).collect()
+    pub fn owned_for_long(&self) -> HashMap<ShardIndex, MonotonicMillis> {
+        let shards = (0..self.cluster.shards.len()).map(ShardIndex::new);
+        shards.map(|s| (s, MonotonicMillis(0))).collect()
     }
 
     pub fn owns(&self, shard: usize) -> bool {
-        self.config.owns(&self.cluster, ShardIx::new(shard))
+        self.config.owns(&self.cluster, ShardIndex::new(shard))
     }
 
-    pub fn submit(&mut self, store: &mut Store, spec: JobSpec, now: u64) -> Outcome {
+    pub fn submit(&mut self, store: &mut Store, spec: JobSpec, now: u64) -> CommitOutcome {
         let key = ClusterState::job_key(&spec.id);
         let rec = JobRecord::submitted(spec, now);
         let txn = Transaction {
@@ -266,7 +269,7 @@
         out
     }
 
-    pub fn cancel(&mut self, store: &mut Store, id: &str, now: u64) -> Outcome {
+    pub fn cancel(&mut self, store: &mut Store, id: &str, now: u64) -> CommitOutcome {
         let (ix, job) = self
             .cluster
             .job(id)
@@ -281,21 +284,26 @@
             },
         );
         let out = Self::send(store, &transaction(&self.cluster, &draft), now);
-        conclude(&mut self.cluster, &draft, &out);
+        apply_outcome(&mut self.cluster, &draft, &out);
         out
     }
 
     /// Brings takeovers up to date with the view.
     pub fn observe(&mut self, now: u64) {
         for at in 0..self.cluster.shards.len() {
-            let shard = ShardIx::new(at);
-            let standby = membership::standby_of(&self.cluster, &self.known, shard, Ms(now));
-            let standby = standby == Some(self.config.node.as_str());
-            let heard = |_: &str| Some(Ms(now));
+            let shard = ShardIndex::new(at);
+            let standby =
+                membership::standby_of(&self.cluster, &self.known, shard, MonotonicMillis(now));
+            let standby = standby == Some(self.config.controller_name.as_str());
+            let heard = |_: &str| Some(MonotonicMillis(now));
             let (cluster, config) = (&self.cluster, &self.config);
-            let seen = failover::observation(cluster, config, shard, standby, heard, Ms(now));
+            let seen =
+                failover::observation(cluster, config, shard, standby, heard, MonotonicMillis(now));
             let id = ShardId(shard.0);
-            for change in self.takeovers.observe(id, seen, failover::millis(Ms(now))) {
+            for change in self
+                .takeovers
+                .observe(id, seen, failover::millis(MonotonicMillis(now)))
+            {
                 if change.to == State::SteppedDown {
                     self.stepped_down.push(shard);
                 }
@@ -304,10 +312,12 @@
     }
 
     /// A worker has shown a higher token than the own one of its shard.
-    pub fn refused_by_worker(&mut self, shard: ShardIx, seen: u64, now: u64) {
-        let refusal = Refusal::Worker { seen: Token(seen) };
+    pub fn refused_by_worker(&mut self, shard: ShardIndex, seen: u64, now: u64) {
+        let refusal = Refusal::Worker {
+            seen: FencingToken(seen),
+        };
         let known = Revision(self.cluster.revision);
-        let now = failover::millis(Ms(now));
+        let now = failover::millis(MonotonicMillis(now));
         let change = self
             .takeovers
             .refused(ShardId(shard.0), refusal, known, now);
@@ -320,13 +330,26 @@
     pub fn draft(&mut self, now: u64) -> DraftTransaction {
         self.observe(now);
         let permits = self.takeovers.permits();
-        let mut d = DraftTransaction::deferring(false, now);
+        let mut d = DraftTransaction::batching(false, now);
         if now.is_multiple_of(1000) && !self.cascaded {
-            d.cascades = 2;
+            d.cascade_budget = 2;
         }
-        reconciliation::settle(&self.cluster, &self.config, permits, &mut d, Ms(now));
-        claims::claim(&self.cluster, &self.config, permits, &mut d, Ms(now), now);
-        quota::lower_shares(&self.cluster, &self.config, permits, &mut d);
+        reconciliation::reconcile(
+            &self.cluster,
+            &self.config,
+            permits,
+            &mut d,
+            MonotonicMillis(now),
+        );
+        claims::claim(
+            &self.cluster,
+            &self.config,
+            permits,
+            &mut d,
+            MonotonicMillis(now),
+            now,
+        );
+        quota::lower_unused_quota(&self.cluster, &self.config, permits, &mut d);
         d
     }
 
@@ -339,15 +362,15 @@
             if draft.is_empty() {
                 return;
             }
-            reconciliation::give_up(&mut self.cluster, &draft);
+            reconciliation::mark_abandoned(&mut self.cluster, &draft);
             let out = Self::send(store, &transaction(&self.cluster, &draft), now);
-            conclude(&mut self.cluster, &draft, &out);
+            apply_outcome(&mut self.cluster, &draft, &out);
             // As the duty does: what was refused is tried again at its next turn.
-            if matches!(out, Outcome::Unknown | Outcome::Refused(_)) {
+            if matches!(out, CommitOutcome::Unknown | CommitOutcome::Refused(_)) {
                 self.sync(store);
                 return;
             }
-            if !matches!(out, Outcome::Done(_)) && !self.sync(store) {
+            if !matches!(out, CommitOutcome::Committed(_)) && !self.sync(store) {
                 return;
             }
         }
@@ -355,15 +378,26 @@
     }
 
     /// The same as [`Controller::report`] while the state service is out of this node's reach.
-    pub fn report_without_store(&mut self, r: &Report, now: u64) -> Option<ReportAnswer> {
+    pub fn report_without_store(&mut self, r: &Heartbeat, now: u64) -> Option<HeartbeatResponse> {
         let mut nothing = Store::unreachable();
         self.report(&mut nothing, r, now)
     }
 
     /// Takes a report and answers it; `None` is 421.
-    pub fn report(&mut self, store: &mut Store, r: &Report, now: u64) -> Option<ReportAnswer> {
-        let received = heartbeats::receive(&mut self.cluster, &self.config, r, 10_000, Ms(now));
-        let heartbeats::Received::Taken(mix, token, taken) = received else {
+    pub fn report(
+        &mut self,
+        store: &mut Store,
+        r: &Heartbeat,
+        now: u64,
+    ) -> Option<HeartbeatResponse> {
+        let received = heartbeats::receive(
+            &mut self.cluster,
+            &self.config,
+            r,
+            10_000,
+            MonotonicMillis(now),
+        );
+        let heartbeats::HeartbeatOutcome::HeartbeatChange(mix, token, taken) = received else {
             return None;
         };
         self.plan(store, now);
@@ -374,7 +408,7 @@
             self.takeovers.permits(),
             r,
             (mix, token, taken),
-            Ms(now),
+            MonotonicMillis(now),
         )
     }
 
@@ -392,19 +426,20 @@
     fn visit_once(&mut self, store: &mut Store, w: &mut Worker, now: u64) -> bool {
         let r = w.report(now);
         match self.report(store, &r, now) {
-            Some(a) => w.answered(&a, r.session, now, now),
+            Some(a) => w.answered(&a, r.agent_epoch, now, now),
             None => false,
         }
     }
 
     /// One of several controllers: it knows of the others.
     pub fn among(mut self, names: &[&str], zones: &[(&str, u32)]) -> Controller {
-        let others = names.iter().filter(|n| **n != self.config.node);
+        let others = names.iter().filter(|n| **n != self.config.controller_name);
         self.peers = others.map(|n| n.to_string()).collect();
-        self.cluster.knowledge = Knowledge::new(self.peers.len(), Ms(self.began));
+        self.cluster.cancellation_watermark =
+            CancellationWatermark::new(self.peers.len(), MonotonicMillis(self.began));
         self.zones = zones
             .iter()
-            .map(|(n, z)| (n.to_string(), ZoneIx(*z)))
+            .map(|(n, z)| (n.to_string(), ZoneIndex(*z)))
             .collect();
         if self.standby != Standby::Off {
             self.known.standby = Some(membership::StandbyRule {
@@ -418,21 +453,25 @@
 
     /// Keeps its key, takes and hands over shards, with the times that the duty keeps.
     pub fn keep_shards(&mut self, store: &mut Store, now: u64) {
-        let me = self.config.node.clone();
+        let me = self.config.controller_name.clone();
         if !store.down && !store.touch(self.lease, now) {
             self.lease = store.grant(4000, now);
         }
-        let mine = self.cluster.nodes.get(&me).map(|r| r.rec.incarnation);
+        let mine = self
+            .cluster
+            .controllers
+            .get(&me)
+            .map(|r| r.record.incarnation);
         if !store.down && mine != Some(self.config.incarnation) {
             let key = format!("{ROOT}node/{me}");
-            let rec = NodeRecord {
+            let rec = ControllerRecord {
                 incarnation: self.config.incarnation,
-                forms: SECOND_FORM,
-                standby: self.standby.version(),
+                record_format: RECORD_FORMAT_V2,
+                standby_version: self.standby.version(),
             };
             let txn = Transaction {
                 conditions: vec![Condition {
-                    version: self.cluster.nodes.get(&me).map_or(0, |n| n.version),
+                    version: self.cluster.controllers.get(&me).map_or(0, |n| n.version),
                     key: key.clone(),
                 }],
                 writes: set(key, &rec, Some(self.lease)).into_iter().collect(),
@@ -442,23 +481,32 @@
             return;
         }
         let cluster = &self.cluster;
-        let nodes = &cluster.nodes;
-        let there = |n: &String, i: u64| nodes.get(n).is_some_and(|r| r.rec.incarnation == i);
-        self.known.seen.retain(|(n, i), _| there(n, *i));
+        let nodes = &cluster.controllers;
+        let there = |n: &String, i: u64| nodes.get(n).is_some_and(|r| r.record.incarnation == i);
+        self.known.first_seen.retain(|(n, i), _| there(n, *i));
         for (n, r) in nodes {
-            let key = (n.clone(), r.rec.incarnation);
-            self.known.seen.entry(key).or_insert(Ms(now));
+            let key = (n.clone(), r.record.incarnation);
+            self.known
+                .first_seen
+                .entry(key)
+                .or_insert(MonotonicMillis(now));
         }
-        for s in (0..cluster.shards.len()).map(ShardIx::new) {
+        for s in (0..cluster.shards.len()).map(ShardIndex::new) {
             if self.config.owns(cluster, s) {
-                self.known.owned.entry(s).or_insert(Ms(now));
+                self.known
+                    .owned_since
+                    .entry(s)
+                    .or_insert(MonotonicMillis(now));
             } else {
-                self.known.owned.remove(&s);
+                self.known.owned_since.remove(&s);
             }
             if cluster.live_owner(s).is_some() {
-                self.known.ownerless.remove(&s);
+                self.known.ownerless_since.remove(&s);
             } else {
-                self.known.ownerless.entry(s).or_insert(Ms(now));
+                self.known
+                    .ownerless_since
+                    .entry(s)
+                    .or_insert(MonotonicMillis(now));
             }
         }
         if mine != Some(self.config.incarnation) {
@@ -474,61 +522,81 @@
             &self.zones,
             &self.known,
             may_raise,
-            Ms(now),
+            MonotonicMillis(now),
         );
         for m in moves {
-            self.carry_out(store, &m, now);
+            self.execute_moves(store, &m, now);
             self.sync(store);
         }
     }
 
     /// Carries a move out as the duty does: what it recorded is known before any newer change.
-    pub fn carry_out(&mut self, store: &mut Store, m: &membership::Move, now: u64) -> Outcome {
+    pub fn execute_moves(
+        &mut self,
+        store: &mut Store,
+        m: &membership::Move,
+        now: u64,
+    ) -> CommitOutcome {
         let Some((txn, record)) = membership::move_transaction(&self.cluster, m) else {
-            return Outcome::Refused(0);
+            return CommitOutcome::Refused(0);
         };
-        let (id, at) = (ShardId(m.shard.0), failover::millis(Ms(now)));
-        if m.to == self.config.node {
+        let (id, at) = (ShardId(m.shard.0), failover::millis(MonotonicMillis(now)));
+        if m.to == self.config.controller_name {
             self.takeovers.fence_sent(id, at);
         }
         let outcome = Self::send(store, &txn, now);
         match &outcome {
-            Outcome::Done(revision) => {
+            CommitOutcome::Committed(revision) => {
                 let slot = &mut self.cluster.shards[m.shard.at()];
                 slot.version = *revision;
-                slot.rec = record;
+                slot.record = record;
             }
-            Outcome::Conflict(_) | Outcome::Refused(_) => {
+            CommitOutcome::Conflict(_) | CommitOutcome::Refused(_) => {
                 self.takeovers.fence_refused(id, at);
             }
-            Outcome::Unknown => {}
+            CommitOutcome::Unknown => {}
         }
         outcome
     }
 
     /// Asks a peer for the cancellations it knows, telling those known here.
-    pub fn ask(&mut self, peer: &mut Controller, now: u64) {
+    pub fn request(&mut self, peer: &mut Controller, now: u64) {
         cancellations::learn(&mut peer.cluster, &cancellations::names(&self.cluster));
-        let reply = cancellations::tells(&peer.cluster, Ms(now), now - peer.began);
-        let at = self.peers.iter().position(|p| *p == peer.config.node);
+        let reply = cancellations::tells(&peer.cluster, MonotonicMillis(now), now - peer.began);
+        let at = self
+            .peers
+            .iter()
+            .position(|p| *p == peer.config.controller_name);
         let at = at.expect("a peer of its own");
-        cancellations::take(&mut self.cluster, at, Ms(now), Ms(now), &reply);
+        cancellations::take(
+            &mut self.cluster,
+            at,
+            MonotonicMillis(now),
+            MonotonicMillis(now),
+            &reply,
+        );
     }
 
-    pub fn pushes(&mut self, now: u64) -> Vec<Push> {
+    pub fn direct_starts(&mut self, now: u64) -> Vec<DirectStart> {
         self.observe(now);
         let permits = self.takeovers.permits();
-        commands::pushes(&mut self.cluster, &self.config, permits, Ms(now), || true)
+        commands::direct_starts(
+            &mut self.cluster,
+            &self.config,
+            permits,
+            MonotonicMillis(now),
+            || true,
+        )
     }
 
-    pub fn machine(&self, name: &str) -> MachineIx {
+    pub fn machine(&self, name: &str) -> MachineIndex {
         self.cluster
             .machine_names
             .find(name)
             .expect("known machine")
     }
 
-    pub fn job_ix(&self, id: &str) -> JobIx {
+    pub fn job_ix(&self, id: &str) -> JobIndex {
         self.cluster.job(id).expect("known job").0
     }
 
@@ -538,10 +606,10 @@
 }
 
 /// Direct commands of a push.
-pub fn commands(p: &Push) -> Commands {
-    Commands {
-        token: p.token,
-        session: p.session,
-        orders: p.orders.clone(),
+pub fn commands(p: &DirectStart) -> DirectCommands {
+    DirectCommands {
+        fencing_token: p.fencing_token,
+        agent_epoch: p.agent_epoch,
+        commands: p.commands.clone(),
     }
 }
--- a/tests/support/liveness.rs
+++ b/tests/support/liveness.rs
@@ -1,8 +1,8 @@
 //! Checks that ready jobs do not wait while there is room for them.
 
 use super::world::World;
-use pointhook::protocol::users::{JobSpec, Shape};
-use pointhook::state::names::{Index, TeamIx};
+use pointhook::protocol::users::{JobKind, JobSpec};
+use pointhook::state::names::{Index, TeamIndex};
 use std::collections::BTreeMap;
 
 /// Longest time for which a ready job may wait although there is room for it.
@@ -42,13 +42,13 @@
 fn could_run(world: &World, id: &str, spec: &JobSpec) -> bool {
     // A completion whose machine was lost before it told is known to nobody: that job runs anew.
     let known = |needed: &String| world.is_over(needed) || world.shows_completion(needed);
-    let ready = spec.awaits.iter().all(known);
+    let ready = spec.dependencies.iter().all(known);
     if !ready || world.is_over(id) || world.runs(id) {
         return false;
     }
-    let tasks = match spec.shape {
-        Shape::Array => 1,
-        Shape::Gang | Shape::Service => spec.tasks as usize,
+    let tasks = match spec.kind {
+        JobKind::Array => 1,
+        JobKind::Gang | JobKind::Service => spec.tasks as usize,
     };
     let north = free_slots(world, "north");
     let south = free_slots(world, "south");
@@ -69,12 +69,12 @@
 
 fn team_has_room(world: &World, spec: &JobSpec, tasks: usize) -> bool {
     let controller = world.first_controller();
-    let team: TeamIx = controller
+    let team: TeamIndex = controller
         .cluster
         .team_names
         .find(&spec.team)
         .expect("a team");
-    let most = controller.cluster.team_limits[team.at()].most.1 as f64 / 1000.0;
+    let most = controller.cluster.team_limits[team.at()].limit.1 as f64 / 1000.0;
     // Jobs that were accepted without an answer count as well.
     let active = controller.cluster.active_jobs();
     let active = active.filter_map(|(_, job)| Some((job, job.spec.as_ref()?)));
