--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -5,19 +5,19 @@
 use super::store::Store;
 use super::worker::Worker;
 use pointhook::coordination::cancellations;
-use pointhook::coordination::heartbeats::{self, Received};
-use pointhook::coordination::kv::Outcome;
+use pointhook::coordination::heartbeats::{self, HeartbeatOutcome};
+use pointhook::coordination::kv::CommitOutcome;
 use pointhook::coordination::membership;
 use pointhook::coordination::peer_messages;
 use pointhook::coordination::scheduler::commands;
-use pointhook::coordination::scheduler::commands::Pushed;
+use pointhook::coordination::scheduler::commands::DirectStartOutcome;
 use pointhook::coordination::scheduler::preemption;
 use pointhook::coordination::worker_connectivity;
-use pointhook::protocol::users::{JobSpec, Shape};
-use pointhook::protocol::workers::{Commands, Report};
+use pointhook::protocol::users::{JobKind, JobSpec};
+use pointhook::protocol::workers::{DirectCommands, Heartbeat};
 use pointhook::state::cluster_state::ClusterState;
-use pointhook::state::names::{Index, ShardIx, TeamIx};
-use pointhook::state::units::Ms;
+use pointhook::state::names::{Index, ShardIndex, TeamIndex};
+use pointhook::state::units::MonotonicMillis;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 pub const NAMES: [&str; 3] = ["n1", "n2", "s1"];
@@ -59,13 +59,13 @@
     to: usize,
     next: u64,
     /// Direct commands on their way, with the time at which they arrive.
-    held: Vec<(u64, Commands)>,
+    held: Vec<(u64, DirectCommands)>,
     /// Reports of the past, to be delivered again.
-    pub sent: Vec<Report>,
+    pub sent: Vec<Heartbeat>,
     /// It reaches only controllers of its own zone.
     pub cut_off: bool,
     /// Reports that a cut holds back, with where they were sent.
-    lost: Vec<(usize, Report)>,
+    lost: Vec<(usize, Heartbeat)>,
 }
 
 /// All of it.
@@ -154,7 +154,9 @@
         let c = self.controller(at);
         (self.store.late_ms, self.store.loses_answers) = late;
         let mut c = c.among(&NAMES, &ZONES);
-        c.cluster.knowledge.read(Ms(self.now));
+        c.cluster
+            .cancellation_watermark
+            .record_read(MonotonicMillis(self.now));
         self.nodes[at] = Some(c);
     }
 
@@ -183,19 +185,19 @@
     }
 
     /// Begins the second form of records, as the members' duty does once all nodes know it.
-    pub fn begin_second_form(&mut self) {
+    pub fn begin_record_format_v2(&mut self) {
         let c = self.nodes[0].as_ref().expect("a controller");
-        let txn = membership::begin_second_form(&c.cluster, &NAMES).expect("all know it");
+        let txn = membership::begin_record_format_v2(&c.cluster, &NAMES).expect("all know it");
         assert_eq!(self.store.commit(&txn, self.now).0, 200);
         self.run(STEP_MS);
     }
 
     /// Begins the second form of records if all controllers live and know it, as the first of
     /// them sees it.
-    pub fn try_second_form(&mut self) {
+    pub fn try_begin_record_format_v2(&mut self) {
         self.door(0);
         let Some(c) = &self.nodes[0] else { return };
-        if let Some(txn) = membership::begin_second_form(&c.cluster, &NAMES) {
+        if let Some(txn) = membership::begin_record_format_v2(&c.cluster, &NAMES) {
             self.store.commit(&txn, self.now);
         }
     }
@@ -204,20 +206,22 @@
     pub fn takes_dependencies(&self, at: usize) -> bool {
         self.nodes[at]
             .as_ref()
-            .is_some_and(|c| c.cluster.second_form)
+            .is_some_and(|c| c.cluster.record_format_v2)
     }
 
     /// Accepted jobs that others may await.
     pub fn accepted_without_services(&self) -> Vec<String> {
         let finite = self
             .accepted_jobs()
-            .filter(|(_, s)| s.shape != Shape::Service);
+            .filter(|(_, s)| s.kind != JobKind::Service);
         finite.map(|(id, _)| id.to_string()).collect()
     }
 
     /// How many jobs that await others have had a task started.
     pub fn begun_dependents(&self) -> usize {
-        let dependents = self.accepted_jobs().filter(|(_, s)| !s.awaits.is_empty());
+        let dependents = self
+            .accepted_jobs()
+            .filter(|(_, s)| !s.dependencies.is_empty());
         dependents.filter(|(id, _)| self.begun(id)).count()
     }
 
@@ -240,7 +244,7 @@
         }
     }
 
-    fn deliver(&mut self, at: usize, r: &Report) {
+    fn deliver(&mut self, at: usize, r: &Heartbeat) {
         self.door(at);
         let now = self.now;
         if let Some(mut c) = self.nodes[at].take() {
@@ -289,7 +293,7 @@
         };
         let taken = matches!(
             c.submit(&mut self.store, spec.clone(), now),
-            Outcome::Done(_)
+            CommitOutcome::Committed(_)
         );
         self.nodes[at] = Some(c);
         if taken {
@@ -306,8 +310,12 @@
             return false;
         };
         self.by_user.insert(id.into());
-        let known = c.sync(&self.store) && c.cluster.job(id).is_some_and(|(_, j)| j.open());
-        let done = known && matches!(c.cancel(&mut self.store, id, now), Outcome::Done(_));
+        let known = c.sync(&self.store) && c.cluster.job(id).is_some_and(|(_, j)| j.is_open());
+        let done = known
+            && matches!(
+                c.cancel(&mut self.store, id, now),
+                CommitOutcome::Committed(_)
+            );
         if done {
             self.note_cancelled(id);
             // Told at once, whoever can be reached; the answer does not wait for it.
@@ -335,13 +343,19 @@
 
     /// True if a user asked to cancel the job or one that it needs.
     fn asked_before(&self, id: &str) -> bool {
-        let awaits = self.told.get(id).map_or(&[] as &[String], |t| &t.0.awaits);
+        let awaits = self
+            .told
+            .get(id)
+            .map_or(&[] as &[String], |t| &t.0.dependencies);
         self.by_user.contains(id) || awaits.iter().any(|a| self.asked_before(a))
     }
 
     /// True if the job is cancelled with one that it needs, by what users were told.
     fn orphan_since(&self, id: &str) -> Option<u64> {
-        let awaits = self.told.get(id).map_or(&[] as &[String], |t| &t.0.awaits);
+        let awaits = self
+            .told
+            .get(id)
+            .map_or(&[] as &[String], |t| &t.0.dependencies);
         let of = |a: &String| match self.by_user.contains(a) {
             true => self.cancelled.get(a).copied(),
             false => self.orphan_since(a),
@@ -364,7 +378,7 @@
     pub fn poll(&mut self, at: usize, id: &str) -> Option<&'static str> {
         self.door(at);
         let c = self.nodes[at].as_mut()?;
-        let settled = c.cluster.job(id).is_some_and(|(_, j)| !j.open());
+        let settled = c.cluster.job(id).is_some_and(|(_, j)| !j.is_open());
         if !settled && !c.sync(&self.store) {
             return None;
         }
@@ -376,7 +390,7 @@
         };
         let word = ClusterState::status(job).0;
         let last = self.told.get_mut(id)?;
-        if word == "done" && last.0.shape == Shape::Array {
+        if word == "done" && last.0.kind == JobKind::Array {
             for task in (0..last.0.tasks).map(|t| format!("{id}/{t}")) {
                 if !self
                     .hosts
@@ -417,10 +431,21 @@
             }
             let now = self.now;
             if let Some(peer) = self.nodes[b].as_mut() {
-                c.ask(peer, now);
-                let owned = |s| c.known.owned.get(&s).copied();
-                let news = peer_messages::own_news(&c.cluster, &c.config, Ms(now), owned);
-                peer_messages::take_news(&mut peer.cluster, &peer.config, NAMES[at], news, Ms(now));
+                c.request(peer, now);
+                let owned = |s| c.known.owned_since.get(&s).copied();
+                let news = peer_messages::own_machine_statuses(
+                    &c.cluster,
+                    &c.config,
+                    MonotonicMillis(now),
+                    owned,
+                );
+                peer_messages::apply_machine_statuses(
+                    &mut peer.cluster,
+                    &peer.config,
+                    NAMES[at],
+                    news,
+                    MonotonicMillis(now),
+                );
             }
         }
     }
@@ -454,7 +479,9 @@
                 continue;
             };
             if c.sync(&self.store) {
-                c.cluster.knowledge.read(Ms(now));
+                c.cluster
+                    .cancellation_watermark
+                    .record_read(MonotonicMillis(now));
             }
             c.keep_shards(&mut self.store, now);
             if now.is_multiple_of(1000) {
@@ -472,26 +499,33 @@
             };
             c.plan(&mut self.store, now);
             if now.is_multiple_of(1000) {
-                let turn = ShardIx((now / 1000 % 2) as u32);
+                let turn = ShardIndex((now / 1000 % 2) as u32);
                 c.observe(now);
                 let permits = c.takeovers.permits();
-                let stops = preemption::preempt(&c.cluster, &c.config, permits, turn, Ms(now), now);
+                let stops = preemption::preempt(
+                    &c.cluster,
+                    &c.config,
+                    permits,
+                    turn,
+                    MonotonicMillis(now),
+                    now,
+                );
                 for (mix, a, grace) in stops {
                     if let Some(m) = c.cluster.machine_mut(mix) {
                         m.stopping.insert(a, grace);
                     }
                 }
             }
-            for p in c.pushes(now) {
+            for p in c.direct_starts(now) {
                 let name = c.cluster.machine_names.name(p.machine).clone();
                 let how = self.command(at, &name, commands(&p));
-                commands::note_pushed(&mut c.cluster, &p, how);
+                commands::record_direct_start_outcome(&mut c.cluster, &p, how);
             }
-            self.poke(at, &c);
+            self.announce_ownership(at, &c);
             if now.is_multiple_of(1000) {
                 self.probe(at, &mut c);
             }
-            for left in c.left.due(&c.cluster, &c.config, Ms(now)) {
+            for left in c.left.due(&c.cluster, &c.config, MonotonicMillis(now)) {
                 self.stop_directly(at, &left);
             }
             self.nodes[at] = Some(c);
@@ -536,19 +570,31 @@
             self.next_node(h);
             return;
         };
-        let received = heartbeats::receive(&mut c.cluster, &c.config, &report, 10_000, Ms(now));
+        let received = heartbeats::receive(
+            &mut c.cluster,
+            &c.config,
+            &report,
+            10_000,
+            MonotonicMillis(now),
+        );
         let answer = match received {
-            Received::Taken(mix, token, taken) => {
+            HeartbeatOutcome::HeartbeatChange(mix, token, taken) => {
                 c.plan(&mut self.store, now);
                 c.observe(now);
                 let got = (mix, token, taken);
                 let permits = c.takeovers.permits();
-                let answer =
-                    heartbeats::reply(&mut c.cluster, &c.config, permits, &report, got, Ms(now));
+                let answer = heartbeats::reply(
+                    &mut c.cluster,
+                    &c.config,
+                    permits,
+                    &report,
+                    got,
+                    MonotonicMillis(now),
+                );
                 answer.ok_or(None)
             }
-            Received::Elsewhere(owner) => Err(owner),
-            Received::Outranked(shard, seen) => {
+            HeartbeatOutcome::NotOwner(owner) => Err(owner),
+            HeartbeatOutcome::StaleFencingToken(shard, seen) => {
                 c.refused_by_worker(shard, seen, now);
                 Err(None)
             }
@@ -561,7 +607,7 @@
         match answer {
             Ok(a) => {
                 let before = host.worker.token;
-                host.worker.answered(&a, report.session, now, now);
+                host.worker.answered(&a, report.agent_epoch, now, now);
                 if host.worker.token > before {
                     host.next = now + STEP_MS;
                 }
@@ -580,47 +626,47 @@
         host.next = self.now + 1000;
     }
 
-    fn command(&mut self, at: usize, name: &str, c: Commands) -> Pushed {
+    fn command(&mut self, at: usize, name: &str, c: DirectCommands) -> DirectStartOutcome {
         let now = self.now;
         let Some(host) = self.hosts.iter_mut().find(|h| h.worker.name == name) else {
-            return Pushed::Unknown;
+            return DirectStartOutcome::Unknown;
         };
         if host.cut_off && (host.worker.zone == "south") != (at == 2) {
             // Held by the cut, and delivered when it ends.
             host.held.push((u64::MAX, c));
-            return Pushed::Unknown;
+            return DirectStartOutcome::Unknown;
         }
         if host.ill.hangs || host.ill.slow {
             let late_ms = if host.ill.slow { SLOW_MS } else { 0 };
             host.held.push((now + late_ms, c));
-            return Pushed::Unknown;
+            return DirectStartOutcome::Unknown;
         }
         if host.ill.deaf {
-            return Pushed::Unknown;
+            return DirectStartOutcome::Unknown;
         }
         match host.worker.command(&c, now) {
-            _ if host.ill.loses_answers => Pushed::Unknown,
-            200 => Pushed::Executed,
-            _ => Pushed::Refused,
+            _ if host.ill.loses_answers => DirectStartOutcome::Unknown,
+            200 => DirectStartOutcome::Executed,
+            _ => DirectStartOutcome::Refused,
         }
     }
 
     /// Shows the owner's token to machines that still have an older one.
-    fn poke(&mut self, at: usize, c: &Controller) {
+    fn announce_ownership(&mut self, at: usize, c: &Controller) {
         let now = self.now;
         for host in &mut self.hosts {
             let m = c.cluster.machine_names.find(&host.worker.name);
             let Some(m) = m.and_then(|m| c.cluster.machine(m)) else {
                 continue;
             };
-            let token = c.cluster.shards[m.shard.at()].rec.token;
+            let token = c.cluster.shards[m.shard.at()].record.fencing_token;
             let due = c.config.owns(&c.cluster, m.shard) && host.worker.token < token;
             let cut = host.cut_off && (host.worker.zone == "south") != (at == 2);
             if due && !cut && !host.ill.deaf && !host.ill.hangs {
-                let show = Commands {
-                    token,
-                    session: host.worker.session,
-                    orders: Vec::new(),
+                let show = DirectCommands {
+                    fencing_token: token,
+                    agent_epoch: host.worker.session,
+                    commands: Vec::new(),
                 };
                 host.worker.command(&show, now);
                 host.next = now;
@@ -631,9 +677,12 @@
     /// Asks machines that seem to hear nothing whether they do after all.
     fn probe(&mut self, at: usize, c: &mut Controller) {
         let now = self.now;
-        for (machine, _) in
-            worker_connectivity::unheard(&mut c.cluster, &c.config, LEASE_MS, Ms(now))
-        {
+        for (machine, _) in worker_connectivity::unreachable_machines(
+            &mut c.cluster,
+            &c.config,
+            LEASE_MS,
+            MonotonicMillis(now),
+        ) {
             let name = c.cluster.machine_names.name(machine).clone();
             let host = self.hosts.iter().find(|h| *h.worker.name == *name);
             let reached = host.is_some_and(|h| {
@@ -641,7 +690,7 @@
                 !cut && !h.ill.deaf && !h.ill.hangs
             });
             if let Some(m) = c.cluster.machine_mut(machine).filter(|_| reached) {
-                m.reached(Ms(now));
+                m.mark_reachable(MonotonicMillis(now));
             }
         }
     }
@@ -651,11 +700,11 @@
         self.nodes.iter().flatten().any(|c| {
             let machine = c.cluster.machine_names.find(&host.worker.name);
             let machine = machine.and_then(|m| c.cluster.machine(m));
-            machine.is_some_and(|m| m.sick || m.closed)
+            machine.is_some_and(|m| m.quarantined || m.cordoned)
         })
     }
 
-    fn stop_directly(&mut self, at: usize, left: &cancellations::Leftover) {
+    fn stop_directly(&mut self, at: usize, left: &cancellations::CancelledTasks) {
         let now = self.now;
         // All stand-ins have the same address; the tasks tell whose it is.
         for host in &mut self.hosts {
@@ -701,7 +750,10 @@
             }
             for task in host.worker.on_machine().0 {
                 let id = task.split('/').next().unwrap_or_default();
-                let awaits = self.told.get(id).map_or(&[] as &[String], |t| &t.0.awaits);
+                let awaits = self
+                    .told
+                    .get(id)
+                    .map_or(&[] as &[String], |t| &t.0.dependencies);
                 for needed in awaits {
                     if !self.completed(needed) {
                         self.broken
@@ -722,8 +774,8 @@
         for (team, used) in gpus {
             let c = self.nodes.iter().flatten().next();
             let most = c.and_then(|c| {
-                let t: TeamIx = c.cluster.team_names.find(&team)?;
-                Some(c.cluster.team_limits[t.at()].most.1 as f64 / 1000.0)
+                let t: TeamIndex = c.cluster.team_names.find(&team)?;
+                Some(c.cluster.team_limits[t.at()].limit.1 as f64 / 1000.0)
             });
             if most.is_some_and(|m| m > 0.0 && used > m) {
                 self.broken.push(format!("{now}: {team} uses {used}"));
@@ -742,9 +794,9 @@
             let on = |h: &Host| h.worker.completed.contains(&task);
             self.hosts.iter().any(on)
         };
-        match spec.shape {
-            Shape::Gang => tasks.any(done),
-            Shape::Array | Shape::Service => tasks.all(done),
+        match spec.kind {
+            JobKind::Gang => tasks.any(done),
+            JobKind::Array | JobKind::Service => tasks.all(done),
         }
     }
 
@@ -782,7 +834,7 @@
     /// True if the job is over, as the first live controller knows it.
     pub fn is_over(&self, id: &str) -> bool {
         let known = self.first_controller().cluster.job(id);
-        known.is_some_and(|(_, j)| !j.open())
+        known.is_some_and(|(_, j)| !j.is_open())
     }
 
     /// All rules held; once troubles are over each accepted job is over or known everywhere.
@@ -799,8 +851,8 @@
     /// Services that are open, those accepted by a transaction without an answer included.
     pub fn services(&self) -> Vec<String> {
         let c = self.first_controller();
-        let service = |s: &JobSpec| s.shape == Shape::Service;
-        let open = c.cluster.active_jobs().filter(|(_, j)| j.open());
+        let service = |s: &JobSpec| s.kind == JobKind::Service;
+        let open = c.cluster.active_jobs().filter(|(_, j)| j.is_open());
         let open = open.filter(|(_, j)| j.spec.as_ref().is_some_and(|s| service(&s.wire)));
         open.map(|(_, j)| j.id.to_string()).collect()
     }
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -1,11 +1,11 @@
 //! Both versions serve side by side: what either writes, the other reads.
 
-use pointhook::protocol::peers::{self, Ask, MachineNews, Reply, TaskRef};
-use pointhook::protocol::users::{JobSpec, Rank, Shape};
+use pointhook::protocol::peers::{self, MachineStatus, PeerRequest, PeerResponse, TaskRef};
+use pointhook::protocol::users::{JobKind, JobSpec, Priority};
 use pointhook::state::job::{JobRecord, JobState, Ranges};
-use pointhook::state::names::ShardIx;
+use pointhook::state::names::ShardIndex;
 use pointhook::state::records::{
-    BookingRecord, NodeRecord, PartRecord, ShardRecord, TeamRecord, SECOND_FORM,
+    ControllerRecord, OverflowRecord, ProvisioningRecord, ShardRecord, TeamRecord, RECORD_FORMAT_V2,
 };
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -56,8 +56,8 @@
         id: "job-000412".into(),
         class: "train".into(),
         team: "vision".into(),
-        shape: Shape::Gang,
-        priority: Rank::High,
+        kind: JobKind::Gang,
+        priority: Priority::High,
         tasks: 4,
         vcpus: 8.0,
         gpus: 1.0,
@@ -69,11 +69,11 @@
         one_zone: true,
         spread: false,
         spot: true,
-        estimate_s: 240.0,
+        estimated_run_s: 240.0,
         checkpoint_s: 30.0,
-        save_s: 4.0,
+        checkpoint_grace_s: 4.0,
         deadline_s: Some(900.0),
-        awaits: Vec::new(),
+        dependencies: Vec::new(),
     };
     let mut done = Ranges::default();
     for t in [0, 1, 3] {
@@ -82,50 +82,50 @@
     let open = JobRecord {
         spec: Some(spec),
         state: JobState::Open,
-        submitted: 1_764_650_000_123,
+        submitted_at: 1_764_650_000_123,
         done,
         placements: vec![
             (2, 7, "n-000231".into(), 1, 0),
             (4, 8, "n-000007".into(), 3, 3),
         ],
         next_attempt: 9,
-        finished: 0,
+        finished_at: 0,
     };
     same_record("record/job/open", &open);
     let over = JobRecord {
         spec: None,
         state: JobState::Cancelled,
-        submitted: 1_764_650_000_123,
+        submitted_at: 1_764_650_000_123,
         done: Ranges::default(),
         placements: Vec::new(),
         next_attempt: 2,
-        finished: 0,
+        finished_at: 0,
     };
     same_record("record/job/over", &over);
     let incarnation = 1_234_567;
     same_record(
         "record/node",
-        &NodeRecord {
+        &ControllerRecord {
             incarnation,
-            forms: 0,
-            standby: 0,
+            record_format: 0,
+            standby_version: 0,
         },
     );
     let shard = ShardRecord {
         owner: "stoker-1".into(),
         incarnation,
-        token: 41,
+        fencing_token: 41,
     };
     same_record("record/shard", &shard);
     let mut team = TeamRecord::default();
-    team.set(ShardIx(1), (8000, 2000));
+    team.set(ShardIndex(1), (8000, 2000));
     same_record("record/team", &team);
-    let booking = BookingRecord {
+    let booking = ProvisioningRecord {
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         count: 12,
-        hosts: vec!["n-000231".into()],
+        machines: vec!["n-000231".into()],
     };
     same_record("record/book", &booking);
 }
@@ -133,18 +133,18 @@
 #[test]
 fn frames_of_all_kinds_that_the_old_version_knows_have_one_form() {
     assert_eq!(peers::VERSION, 3);
-    let machine = MachineNews {
+    let machine = MachineStatus {
         name: "n-000231".into(),
         addr: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         silent_ms: 1500,
-        heard: true,
-        sure: false,
-        queued: 2,
-        closed: false,
-        sick: true,
+        has_reported: true,
+        fencing_token_confirmed: false,
+        queue_length: 2,
+        cordoned: false,
+        quarantined: true,
     };
     let task = TaskRef {
         job: "job-000412".into(),
@@ -154,59 +154,67 @@
     let asks = [
         (
             "news",
-            Ask::News {
-                node: "stoker-1".into(),
-                store_ok: true,
-                hears_workers: false,
+            PeerRequest::Status {
+                sender: "stoker-1".into(),
+                kv_reachable: true,
+                workers_reachable: false,
                 machines: vec![machine],
             },
         ),
         (
             "bind",
-            Ask::Bind {
+            PeerRequest::Bind {
                 tasks: vec![("n-000231".into(), task.clone())],
             },
         ),
         (
             "poll",
-            Ask::Poll {
-                idle: "n-000231".into(),
+            PeerRequest::StealWork {
+                idle_machine: "n-000231".into(),
                 machines: names(),
             },
         ),
         (
             "hold",
-            Ask::Hold {
+            PeerRequest::ReserveMachines {
                 job: job(),
                 machines: names(),
             },
         ),
-        ("close", Ask::Close { machines: names() }),
-        ("gone", Ask::Gone { machines: names() }),
+        ("close", PeerRequest::Cordon { machines: names() }),
+        ("gone", PeerRequest::MachinesDeleted { machines: names() }),
     ];
     for (name, ask) in asks {
         let bytes = sample(&format!("ask/{name}"));
-        assert_eq!(peers::decode_ask(&bytes), Some(ask.clone()), "{name}");
+        assert_eq!(peers::decode_request(&bytes), Some(ask.clone()), "{name}");
         // Padding within a frame has no set value, so what this version makes is compared by
         // its length and by what it says.
         let made = peers::encode(&ask).expect(name);
         assert_eq!(made.len(), bytes.len(), "{name}");
-        assert_eq!(old::decode_ask(&made), old::decode_ask(&bytes), "{name}");
-        assert!(old::decode_ask(&made).is_some(), "{name}");
+        assert_eq!(
+            old::decode_request(&made),
+            old::decode_request(&bytes),
+            "{name}"
+        );
+        assert!(old::decode_request(&made).is_some(), "{name}");
     }
     let replies = [
-        ("noted", Reply::Noted),
-        ("task", Reply::Task(Some(task))),
-        ("none", Reply::Task(None)),
-        ("closed", Reply::Closed(names())),
+        ("noted", PeerResponse::Acknowledged),
+        ("task", PeerResponse::StolenTask(Some(task))),
+        ("none", PeerResponse::StolenTask(None)),
+        ("closed", PeerResponse::Cordoned(names())),
     ];
     for (name, reply) in replies {
         let bytes = sample(&format!("reply/{name}"));
-        assert_eq!(peers::decode_reply(&bytes), Some(reply.clone()), "{name}");
+        assert_eq!(
+            peers::decode_response(&bytes),
+            Some(reply.clone()),
+            "{name}"
+        );
         let made = peers::encode(&reply).expect(name);
         assert_eq!(made.len(), bytes.len(), "{name}");
-        let read = old::decode_reply(&made);
-        assert_eq!(read, old::decode_reply(&bytes), "{name}");
+        let read = old::decode_response(&made);
+        assert_eq!(read, old::decode_response(&bytes), "{name}");
         assert!(read.is_some(), "{name}");
     }
 }
@@ -217,8 +225,8 @@
         id: "job-000412".into(),
         class: "train".into(),
         team: "vision".into(),
-        shape: Shape::Array,
-        priority: Rank::Low,
+        kind: JobKind::Array,
+        priority: Priority::Low,
         tasks: 300,
         vcpus: 1.0,
         gpus: 0.0,
@@ -230,11 +238,11 @@
         one_zone: false,
         spread: true,
         spot: true,
-        estimate_s: 25.0,
+        estimated_run_s: 25.0,
         checkpoint_s: 0.0,
-        save_s: 0.0,
+        checkpoint_grace_s: 0.0,
         deadline_s: None,
-        awaits: vec!["job-000398".into(), "job-000405".into()],
+        dependencies: vec!["job-000398".into(), "job-000405".into()],
     }
 }
 
@@ -259,21 +267,21 @@
         state: JobState::Done,
         done: Ranges::all(300),
         next_attempt: 301,
-        finished: 1_764_650_090_456,
+        finished_at: 1_764_650_090_456,
         ..waiting
     };
     same("record/job/done", &over);
-    let part = PartRecord {
+    let part = OverflowRecord {
         placements: vec![
             (40, 41, "n-000007".into(), 3, 3),
             (41, 42, "n-000231".into(), 1, 0),
         ],
     };
     same_record_as(VERSION_0_2, "record/part", &part);
-    let node = NodeRecord {
+    let node = ControllerRecord {
         incarnation: 1_234_567,
-        forms: SECOND_FORM,
-        standby: 0,
+        record_format: RECORD_FORMAT_V2,
+        standby_version: 0,
     };
     same_record_as(VERSION_0_2, "record/node", &node);
     same_record_as(VERSION_0_2, "record/form", &true);
@@ -282,54 +290,54 @@
 #[test]
 fn frames_of_cancellations_are_those_of_the_production_version() {
     let jobs = vec!["job-000412".to_string(), "job-000398".to_string()];
-    let ask = Ask::Cancelled { jobs: jobs.clone() };
-    let reply = Reply::Cancelled {
+    let ask = PeerRequest::Cancelled { jobs: jobs.clone() };
+    let reply = PeerResponse::Cancelled {
         up_ms: 90_000,
         age_ms: 250,
         jobs,
     };
     let bytes = sample_of(VERSION_0_2, "ask/cancelled");
-    assert_eq!(peers::decode_ask(&bytes), Some(ask.clone()));
+    assert_eq!(peers::decode_request(&bytes), Some(ask.clone()));
     assert_eq!(
         peers::encode(&ask).map(|made| made.len()),
         Some(bytes.len())
     );
     let bytes = sample_of(VERSION_0_2, "reply/cancelled");
-    assert_eq!(peers::decode_reply(&bytes), Some(reply.clone()));
+    assert_eq!(peers::decode_response(&bytes), Some(reply.clone()));
     let made = peers::encode(&reply).expect("a frame");
     assert_eq!(made.len(), bytes.len());
     // Padding has no set value, so what this version makes is compared by what it says.
-    assert_eq!(peers::decode_reply(&made), Some(reply));
+    assert_eq!(peers::decode_response(&made), Some(reply));
 }
 
 #[test]
 fn the_old_version_refuses_frames_that_it_does_not_know() {
     let jobs = vec!["job-1".to_string()];
-    let ask = peers::encode(&Ask::Cancelled { jobs: jobs.clone() }).unwrap();
-    assert!(peers::decode_ask(&ask).is_some());
-    assert_eq!(old::decode_ask(&ask), None);
-    let told = peers::encode(&Reply::Cancelled {
+    let ask = peers::encode(&PeerRequest::Cancelled { jobs: jobs.clone() }).unwrap();
+    assert!(peers::decode_request(&ask).is_some());
+    assert_eq!(old::decode_request(&ask), None);
+    let told = peers::encode(&PeerResponse::Cancelled {
         up_ms: 1,
         age_ms: 2,
         jobs,
     })
     .unwrap();
-    assert!(peers::decode_reply(&told).is_some());
-    assert_eq!(old::decode_reply(&told), None);
+    assert!(peers::decode_response(&told).is_some());
+    assert_eq!(old::decode_response(&told), None);
 }
 
 /// The frames as version 0.1 declares them.
 mod old {
-    use super::{MachineNews, TaskRef};
+    use super::{MachineStatus, TaskRef};
     use rkyv::{rancor::Error, util::AlignedVec, Archive, Deserialize, Serialize};
 
     #[derive(Archive, Serialize, Deserialize, PartialEq, Debug)]
-    pub enum Ask {
+    pub enum PeerRequest {
         News {
             node: String,
             store_ok: bool,
             hears_workers: bool,
-            machines: Vec<MachineNews>,
+            machines: Vec<MachineStatus>,
         },
         Bind {
             tasks: Vec<(String, TaskRef)>,
@@ -351,7 +359,7 @@
     }
 
     #[derive(Archive, Serialize, Deserialize, PartialEq, Debug)]
-    pub enum Reply {
+    pub enum PeerResponse {
         Noted,
         Task(Option<TaskRef>),
         Closed(Vec<String>),
@@ -363,11 +371,11 @@
         out
     }
 
-    pub fn decode_ask(bytes: &[u8]) -> Option<Ask> {
-        rkyv::from_bytes::<Ask, Error>(&aligned(bytes)).ok()
+    pub fn decode_request(bytes: &[u8]) -> Option<PeerRequest> {
+        rkyv::from_bytes::<PeerRequest, Error>(&aligned(bytes)).ok()
     }
 
-    pub fn decode_reply(bytes: &[u8]) -> Option<Reply> {
-        rkyv::from_bytes::<Reply, Error>(&aligned(bytes)).ok()
+    pub fn decode_response(bytes: &[u8]) -> Option<PeerResponse> {
+        rkyv::from_bytes::<PeerResponse, Error>(&aligned(bytes)).ok()
     }
 }
