--- a/crates/standby/src/failover.rs
+++ b/crates/standby/src/failover.rs
@@ -267,12 +267,12 @@
 
     /// The state that what is seen asks for; `None` if it is the present one.
     fn next(&mut self, seen: Observation) -> Option<State> {
-        let plan_scale_out = match seen.owner {
+        let wanted = match seen.owner {
             Owner::Me { token, fence } => self.as_owner(token, fence, seen.known),
             Owner::Nobody => self.as_other(seen.standby, false),
             Owner::Other { alive, silent, .. } => self.as_other(seen.standby, alive && !silent),
         };
-        (plan_scale_out != self.state).then_some(plan_scale_out)
+        (wanted != self.state).then_some(wanted)
     }
 
     fn as_owner(&mut self, token: FencingToken, fence: Revision, known: Revision) -> State {
--- a/crates/standby/src/follower.rs
+++ b/crates/standby/src/follower.rs
@@ -91,10 +91,9 @@
                 machines,
                 ..
             } => {
-                if let Some((_, plan_scale_out)) = self.complete.as_ref().filter(|(_, n)| n >= next)
-                {
+                if let Some((_, wanted)) = self.complete.as_ref().filter(|(_, n)| n >= next) {
                     self.irregularities.repeated += 1;
-                    return Answer::Next(*plan_scale_out);
+                    return Answer::Next(*wanted);
                 }
                 let Some(mut receiving) = self.receiving(*next, *part) else {
                     return self.gap();
@@ -108,9 +107,9 @@
                     return Answer::Next(*next);
                 }
                 receiving.part = part.saturating_add(1);
-                let plan_scale_out = receiving.part;
+                let wanted = receiving.part;
                 self.receiving = Some(receiving);
-                Answer::NextPart(plan_scale_out)
+                Answer::NextPart(wanted)
             }
         }
     }
--- a/crates/standby/src/publisher.rs
+++ b/crates/standby/src/publisher.rs
@@ -183,18 +183,16 @@
                 self.outranked = token > self.token;
                 self.outranked
             }
-            (Answer::Next(plan_scale_out), Progress::Following { next }) => {
+            (Answer::Next(wanted), Progress::Following { next }) => {
                 let known = *next..=end;
-                *next = plan_scale_out;
-                known.contains(&plan_scale_out)
+                *next = wanted;
+                known.contains(&wanted)
             }
-            (Answer::Next(plan_scale_out), Progress::Loading(loading)) => {
+            (Answer::Next(wanted), Progress::Loading(loading)) => {
                 // It may have more than the snapshot, from before its owner began it.
                 let known = loading.next..=end;
-                self.progress = Progress::Following {
-                    next: plan_scale_out,
-                };
-                known.contains(&plan_scale_out)
+                self.progress = Progress::Following { next: wanted };
+                known.contains(&wanted)
             }
             (Answer::NextPart(part), Progress::Loading(loading)) => loading.advance(part),
             (Answer::NextPart(_) | Answer::NeedsSnapshot, _) | (_, Progress::Behind) => false,
@@ -241,14 +239,14 @@
     }
 
     /// The standby has the part that was sent and wants this one; false if that is another.
-    fn advance(&mut self, plan_scale_out: u32) -> bool {
+    fn advance(&mut self, wanted: u32) -> bool {
         let Some((Some(end), false)) = self.sent.take() else {
             return false;
         };
-        if plan_scale_out != self.part + 1 {
+        if wanted != self.part + 1 {
             return false;
         }
-        self.part = plan_scale_out;
+        self.part = wanted;
         self.taken = Some(end);
         true
     }
--- a/crates/standby/src/role.rs
+++ b/crates/standby/src/role.rs
@@ -32,7 +32,7 @@
 impl ZonePreference {
     fn prefers(self, zone: Option<u32>) -> bool {
         match self {
-            ZonePreference::Inside(plan_scale_out) => zone == Some(plan_scale_out),
+            ZonePreference::Inside(wanted) => zone == Some(wanted),
             ZonePreference::Outside(avoided) => zone != Some(avoided),
             ZonePreference::Any => true,
         }
--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -10,7 +10,7 @@
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::{Job, Spec};
 use crate::state::names::{Index, JobIndex, MachineIndex, MachineTypeIndex, TeamIndex, ZoneIndex};
-use crate::state::units::{millis_from_seconds, MonotonicMillis, Resources};
+use crate::state::units::{millis_from_seconds, MonotonicMillis, QuotaUsage, Resources};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
 
@@ -61,11 +61,14 @@
 
 /// How many of each job's waiting tasks its team's limit lets run now.
 fn demands(cluster: &ClusterState, now: MonotonicMillis, wall_ms: u64) -> Vec<Demand> {
-    let mut room: Vec<(i64, i64)> = Vec::new();
+    let mut remaining: Vec<QuotaUsage> = Vec::new();
     for (t, l) in cluster.team_limits.iter().enumerate() {
         let used = quota::used_by_team(cluster, &DraftTransaction::default(), TeamIndex::new(t));
         let left = |most: i64, used: i64| if most == 0 { i64::MAX } else { most - used };
-        room.push((left(l.limit.0, used.0), left(l.limit.1, used.1)));
+        remaining.push(QuotaUsage {
+            cpu_milli: left(l.limit.cpu_milli, used.cpu_milli),
+            gpu_milli: left(l.limit.gpu_milli, used.gpu_milli),
+        });
     }
     let mut jobs: Vec<(JobIndex, &Job)> = cluster
         .active_jobs()
@@ -92,19 +95,16 @@
         if claimed.contains(&s.team) && !quota::reservation_expired(j, wall_ms) {
             continue;
         }
-        let r = &mut room[s.team.at()];
-        let before = *r;
+        let left = &mut remaining[s.team.at()];
+        let before = *left;
         let mut tasks = 0;
-        while tasks < j.waiting_count() && tasks < 200 && s.need.cpu <= r.0 && s.need.gpu <= r.1 {
-            *r = (
-                r.0.saturating_sub(s.need.cpu),
-                r.1.saturating_sub(s.need.gpu),
-            );
+        while tasks < j.waiting_count() && tasks < 200 && s.need.quota().within(*left) {
+            *left = left.minus(s.need.quota());
             tasks += 1;
         }
         if s.is_wide_gang() && tasks < s.tasks() {
             // It waits for its team's limit; younger work of the team does not overtake it.
-            *r = before;
+            *left = before;
             if quota::fits_beside_services(cluster, s) {
                 claimed.insert(s.team);
             }
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -359,8 +359,8 @@
         if may_raise {
             raised = now;
         }
-        let plan_scale_out = plan_moves(&controller, &zones, &mut known, may_raise, now);
-        again |= !execute_moves(&controller, plan_scale_out).await;
+        let wanted = plan_moves(&controller, &zones, &mut known, may_raise, now);
+        again |= !execute_moves(&controller, wanted).await;
         track_owned_shards(&controller);
         controller.observe_shards();
         controller.record_availability(ExternalService::State, controller.kv_reachable());
@@ -443,8 +443,8 @@
 }
 
 /// Carries moves out, one transaction each; false if one failed, and the rest are left.
-async fn execute_moves(controller: &Rc<Controller>, plan_scale_out: Vec<Move>) -> bool {
-    for m in plan_scale_out {
+async fn execute_moves(controller: &Rc<Controller>, wanted: Vec<Move>) -> bool {
+    for m in wanted {
         let transaction = move_transaction(&controller.cluster.borrow(), &m);
         let Some((transaction, record)) = transaction else {
             continue;
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -48,7 +48,7 @@
         };
         let limits = &cluster.team_limits[w.spec.team.at()];
         let used = used_by_team(cluster, &DraftTransaction::default(), w.spec.team);
-        let fits_limit = limits.allows((used.0 + w.spec.need.cpu, used.1 + w.spec.need.gpu));
+        let fits_limit = limits.allows(used.plus(w.spec.need.quota()));
         if wall_ms.saturating_sub(job.dependency_state.eligible_since) < patience
             || !fits_limit
             || out.len() >= 8
--- a/src/coordination/scheduler/quota.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -7,7 +7,7 @@
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::{Job, Spec};
 use crate::state::names::{Index, ShardIndex, TeamIndex};
-use crate::state::units::{MonotonicMillis, Resources};
+use crate::state::units::{MonotonicMillis, QuotaUsage, Resources};
 use standby::permit::Permits;
 
 /// What placements of a team use, whoever pays.
@@ -15,25 +15,25 @@
     cluster: &ClusterState,
     draft: &DraftTransaction,
     team: TeamIndex,
-) -> (i64, i64) {
+) -> QuotaUsage {
     let mut used = cluster.quota_used(team);
     for (ix, job) in &draft.jobs {
         if let Some(s) = job.spec.as_ref().filter(|s| s.team == team) {
             let n = job.placements.len() as i64 - cluster.jobs[ix.at()].placements.len() as i64;
-            used = (used.0 + n * s.need.cpu, used.1 + n * s.need.gpu);
+            used = used.plus(s.need.quota().times(n));
         }
     }
     used
 }
 
 /// What services of a team use of its limit, which comes free only when their users cancel them.
-fn used_by_services(cluster: &ClusterState, team: TeamIndex) -> (i64, i64) {
+fn used_by_services(cluster: &ClusterState, team: TeamIndex) -> QuotaUsage {
     let jobs = cluster.active_jobs().filter_map(|(_, job)| {
         let spec = job.spec.as_ref()?;
         let counts = spec.team == team && spec.wire.kind == JobKind::Service && job.is_open();
         counts.then(|| spec.need.times(job.placements.len() as u32))
     });
-    jobs.fold((0, 0), |sum, used| (sum.0 + used.cpu, sum.1 + used.gpu))
+    jobs.fold(QuotaUsage::default(), |sum, used| sum.plus(used.quota()))
 }
 
 /// True if all of a gang fits into its team's limit once the team's other work but services has
@@ -41,7 +41,7 @@
 pub(crate) fn fits_beside_services(cluster: &ClusterState, gang: &Spec) -> bool {
     let services = used_by_services(cluster, gang.team);
     let all = gang.need.times(gang.tasks());
-    cluster.team_limits[gang.team.at()].allows((services.0 + all.cpu, services.1 + all.gpu))
+    cluster.team_limits[gang.team.at()].allows(services.plus(all.quota()))
 }
 
 /// Wait after which a job leaves none of its team's limit to gangs any more: work that could run
@@ -114,7 +114,7 @@
     }
     let used = used_by_team(cluster, draft, s.team);
     let all = c.demand.plus(s.need);
-    !cluster.team_limits[s.team.at()].allows((used.0 + all.cpu, used.1 + all.gpu))
+    !cluster.team_limits[s.team.at()].allows(used.plus(all.quota()))
 }
 
 /// Makes room in the payer's share of the team's limit, raising the share if the limit allows.
@@ -156,24 +156,20 @@
         };
         // Only what the draft adds counts: what it frees is free once committed.
         let added = (count(j) - count(&cluster.jobs[ix.at()])).max(0);
-        used.0 += added * s.need.cpu;
-        used.1 += added * s.need.gpu;
+        used = used.plus(s.need.quota().times(added));
     }
     let all = need.times(n);
-    let plan_scale_out = (used.0 + all.cpu, used.1 + all.gpu);
+    let wanted = used.plus(all.quota());
     let record = draft
         .team_quotas
         .get(&team)
         .unwrap_or(&cluster.team_quotas[team.at()].record);
     let share = record.share(payer);
-    if plan_scale_out.0 <= share.0 && plan_scale_out.1 <= share.1 {
+    if wanted.within(share) {
         return true;
     }
     let mut raised = record.clone();
-    raised.set(
-        payer,
-        (share.0.max(plan_scale_out.0), share.1.max(plan_scale_out.1)),
-    );
+    raised.set(payer, share.max(wanted));
     let fresh = usize::from(!draft.team_quotas.contains_key(&team));
     if !limits.allows(raised.total()) || !draft.has_room(cluster, config, fresh + 1) {
         // What this draft frees is free for others once it is committed.
--- a/src/state/cluster_state.rs
+++ b/src/state/cluster_state.rs
@@ -13,7 +13,7 @@
     Versioned, ROOT,
 };
 use super::resource_totals::ResourceTotals;
-use super::units::{MonotonicMillis, Resources};
+use super::units::{MonotonicMillis, QuotaUsage, Resources};
 use crate::protocol::cloud::MachineTypeCatalog;
 use crate::protocol::users::{JobKind, JobSpec};
 use crate::protocol::workers::TaskState;
@@ -125,11 +125,15 @@
             v.zone_names.intern(z);
         }
         let milli = |x: f64| (x * 1000.0).round().max(0.0) as i64;
+        let quota = |cpus: f64, gpus: f64| QuotaUsage {
+            cpu_milli: milli(cpus),
+            gpu_milli: milli(gpus),
+        };
         for t in teams {
             v.team_names.intern(&t.name);
             v.team_limits.push(TeamLimits {
-                guaranteed: (milli(t.cpus), milli(t.gpus)),
-                limit: (milli(t.cpus_max), milli(t.gpus_max)),
+                guaranteed: quota(t.cpus, t.gpus),
+                limit: quota(t.cpus_max, t.gpus_max),
             });
             v.team_quotas.push(Versioned::default());
         }
@@ -269,15 +273,15 @@
             JobKind::Gang | JobKind::Service => spec.tasks(),
         };
         let all = spec.need.times(tasks);
-        fits && self.team_limits[spec.team.at()].allows((all.cpu, all.gpu))
+        fits && self.team_limits[spec.team.at()].allows(all.quota())
     }
 
     /// What the placements paid by a shard use of a team's limit.
-    pub fn quota_used_by_shard(&self, team: TeamIndex, payer: ShardIndex) -> (i64, i64) {
-        self.totals.quota_used_by_shard(team, payer)
+    pub fn quota_used_by_shard(&self, team: TeamIndex, charged_shard: ShardIndex) -> QuotaUsage {
+        self.totals.quota_used_by_shard(team, charged_shard)
     }
     /// What a team's placements use, whoever pays.
-    pub fn quota_used(&self, team: TeamIndex) -> (i64, i64) {
+    pub fn quota_used(&self, team: TeamIndex) -> QuotaUsage {
         self.totals.quota_used(team)
     }
     /// Attempts placed on a machine.
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -1,6 +1,7 @@
 //! Records of the state service other than jobs, and their versions.
 
 use super::names::ShardIndex;
+use super::units::QuotaUsage;
 use serde::{Deserialize, Serialize};
 
 /// All keys of the service start with this.
@@ -63,24 +64,29 @@
 
 impl TeamRecord {
     /// A shard's share.
-    pub fn share(&self, shard: ShardIndex) -> (i64, i64) {
-        self.shares
-            .iter()
-            .find(|s| s.0 == shard.0)
-            .map_or((0, 0), |s| (s.1, s.2))
+    pub fn share(&self, shard: ShardIndex) -> QuotaUsage {
+        let stored = self.shares.iter().find(|share| share.0 == shard.0);
+        stored.map_or(QuotaUsage::default(), |(_, cpu_milli, gpu_milli)| {
+            QuotaUsage {
+                cpu_milli: *cpu_milli,
+                gpu_milli: *gpu_milli,
+            }
+        })
     }
     /// Sets a shard's share.
-    pub fn set(&mut self, shard: ShardIndex, share: (i64, i64)) {
-        self.shares.retain(|s| s.0 != shard.0);
-        if share != (0, 0) {
-            self.shares.push((shard.0, share.0, share.1));
+    pub fn set(&mut self, shard: ShardIndex, share: QuotaUsage) {
+        self.shares.retain(|stored| stored.0 != shard.0);
+        if share != QuotaUsage::default() {
+            self.shares
+                .push((shard.0, share.cpu_milli, share.gpu_milli));
         }
     }
     /// Sum of all shares.
-    pub fn total(&self) -> (i64, i64) {
-        self.shares
-            .iter()
-            .fold((0, 0), |a, s| (a.0 + s.1, a.1 + s.2))
+    pub fn total(&self) -> QuotaUsage {
+        let shards = self.shares.iter().map(|stored| ShardIndex(stored.0));
+        shards.fold(QuotaUsage::default(), |sum, shard| {
+            sum.plus(self.share(shard))
+        })
     }
 }
 
@@ -117,19 +123,20 @@
 #[derive(Clone, Debug)]
 pub struct TeamLimits {
     /// Guaranteed processors and graphics processors.
-    pub guaranteed: (i64, i64),
+    pub guaranteed: QuotaUsage,
     /// Limits of both.
-    pub limit: (i64, i64),
+    pub limit: QuotaUsage,
 }
 
 impl TeamLimits {
     /// True if nothing limits the team.
     pub fn unlimited(&self) -> bool {
-        self.limit == (0, 0)
+        self.limit == QuotaUsage::default()
     }
     /// True if this much stays within the limit.
-    pub fn allows(&self, used: (i64, i64)) -> bool {
-        (self.limit.0 == 0 || used.0 <= self.limit.0)
-            && (self.limit.1 == 0 || used.1 <= self.limit.1)
+    pub fn allows(&self, used: QuotaUsage) -> bool {
+        let limit = self.limit;
+        (limit.cpu_milli == 0 || used.cpu_milli <= limit.cpu_milli)
+            && (limit.gpu_milli == 0 || used.gpu_milli <= limit.gpu_milli)
     }
 }
--- a/src/state/units.rs
+++ b/src/state/units.rs
@@ -20,6 +20,50 @@
     (seconds.max(0.0) * 1000.0).min(1e15) as u64
 }
 
+/// Amounts that count against a team's quota, in thousandths.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
+pub struct QuotaUsage {
+    /// Processors.
+    pub cpu_milli: i64,
+    /// Graphics processors.
+    pub gpu_milli: i64,
+}
+
+impl QuotaUsage {
+    /// Sum.
+    pub fn plus(self, other: QuotaUsage) -> QuotaUsage {
+        QuotaUsage {
+            cpu_milli: self.cpu_milli + other.cpu_milli,
+            gpu_milli: self.gpu_milli + other.gpu_milli,
+        }
+    }
+    /// `n` times as much; a negative `n` takes back.
+    pub fn times(self, n: i64) -> QuotaUsage {
+        QuotaUsage {
+            cpu_milli: self.cpu_milli.saturating_mul(n),
+            gpu_milli: self.gpu_milli.saturating_mul(n),
+        }
+    }
+    /// The greater of each part.
+    pub fn max(self, other: QuotaUsage) -> QuotaUsage {
+        QuotaUsage {
+            cpu_milli: self.cpu_milli.max(other.cpu_milli),
+            gpu_milli: self.gpu_milli.max(other.gpu_milli),
+        }
+    }
+    /// What is left of it; parts may become negative.
+    pub fn minus(self, other: QuotaUsage) -> QuotaUsage {
+        QuotaUsage {
+            cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
+            gpu_milli: self.gpu_milli.saturating_sub(other.gpu_milli),
+        }
+    }
+    /// True if no part exceeds that of `other`.
+    pub fn within(self, other: QuotaUsage) -> bool {
+        self.cpu_milli <= other.cpu_milli && self.gpu_milli <= other.gpu_milli
+    }
+}
+
 /// What a task takes or a machine has, in thousandths.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Resources {
@@ -44,6 +88,13 @@
             mem: milli(mem_gb),
         }
     }
+    /// The part that counts against a team's quota.
+    pub fn quota(self) -> QuotaUsage {
+        QuotaUsage {
+            cpu_milli: self.cpu,
+            gpu_milli: self.gpu,
+        }
+    }
     /// True if `self` fits into `room`.
     pub fn fits(self, room: Resources) -> bool {
         self.cpu <= room.cpu && self.gpu <= room.gpu && self.mem <= room.mem
--- a/src/transport/http.rs
+++ b/src/transport/http.rs
@@ -119,7 +119,7 @@
 async fn exchange<F, Fut>(
     stream: &Stream,
     handler: &F,
-    plan_scale_out: fn(&str) -> bool,
+    wanted: fn(&str) -> bool,
 ) -> Result<Next, http_types::Error>
 where
     F: Fn(Incoming) -> Fut,
@@ -137,7 +137,7 @@
         }
     };
     let method = incoming.method;
-    let found = plan_scale_out(&incoming.path);
+    let found = wanted(&incoming.path);
     let response = to_response(handler(incoming).await, close);
     send(stream, Encoder::new(response, method)).await?;
     Ok(match (close, found) {
@@ -241,17 +241,17 @@
     }
 }
 
-/// Answers requests until the connection ends, or until one is `plan_scale_out`: then true.
+/// Answers requests until the connection ends, or until one is `wanted`: then true.
 ///
 /// A connection at rest, as nearly all are, holds a socket and a deadline only: what a request
 /// needs is set up when there is one. Half-open and slow peers end by these deadlines.
-async fn converse<F, Fut>(stream: &Stream, handler: &F, plan_scale_out: fn(&str) -> bool) -> bool
+async fn converse<F, Fut>(stream: &Stream, handler: &F, wanted: fn(&str) -> bool) -> bool
 where
     F: Fn(Incoming) -> Fut,
     Fut: Future<Output = Answer>,
 {
     while let Some(Ok(())) = within(REST_MS, stream.readable()).await {
-        let turn = Box::pin(exchange(stream, handler, plan_scale_out));
+        let turn = Box::pin(exchange(stream, handler, wanted));
         match within(REQUEST_MS, turn).await {
             Some(Ok(Next::Wait)) => {}
             Some(Ok(Next::HandOver)) => return true,
--- a/tests/random_days.rs
+++ b/tests/random_days.rs
@@ -242,9 +242,9 @@
 
 /// How many days to play: more if asked for, never fewer.
 fn days() -> u64 {
-    let plan_scale_out = std::env::var("POINTHOOK_RANDOM_DAYS").ok();
-    let plan_scale_out = plan_scale_out.and_then(|n| n.parse().ok()).unwrap_or(0);
-    DAYS.max(plan_scale_out)
+    let wanted = std::env::var("POINTHOOK_RANDOM_DAYS").ok();
+    let wanted = wanted.and_then(|n| n.parse().ok()).unwrap_or(0);
+    DAYS.max(wanted)
 }
 
 fn random_troubles_break_no_rule_and_every_job_ends(standby: Standby) {
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -85,7 +85,7 @@
     let need = Resources::new(4.0, 1.0, 8.0);
     let team = c.cluster.team_names.find("mixers").unwrap();
     let n = c.job("job-1").placements.len() as i64;
-    assert_eq!(c.cluster.quota_used(team), (n * need.cpu, n * need.gpu));
+    assert_eq!(c.cluster.quota_used(team), need.quota().times(n));
     assert_eq!(n, 2);
 }
 
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -15,7 +15,7 @@
 use pointhook::state::job::JobState;
 use pointhook::state::machine::TaskAttempt;
 use pointhook::state::names::{Index, ShardIndex, TeamIndex, ZoneIndex};
-use pointhook::state::units::MonotonicMillis;
+use pointhook::state::units::{MonotonicMillis, QuotaUsage};
 use std::collections::HashSet;
 use support::controller::{commands, one, play, Controller};
 use support::job;
@@ -29,6 +29,13 @@
         .count()
 }
 
+fn quota_usage(cpu_milli: i64, gpu_milli: i64) -> QuotaUsage {
+    QuotaUsage {
+        cpu_milli,
+        gpu_milli,
+    }
+}
+
 #[test]
 fn an_array_runs_to_its_end_and_leaves_nothing_behind() {
     let (mut store, mut c) = one();
@@ -353,17 +360,20 @@
     let team = TeamIndex(1);
     assert_eq!(
         c.cluster.team_quotas[1].record.share(ShardIndex(0)),
-        (8000, 2000)
+        quota_usage(8000, 2000)
     );
     let mut d = DraftTransaction::default();
     quota::lower_unused_quota(&c.cluster, &c.config, c.takeovers.permits(), &mut d);
     assert!(d.team_quotas.is_empty());
     // Another shard's share that nothing uses goes, since a task waits.
     let mut rec = c.cluster.team_quotas[1].record.clone();
-    rec.set(ShardIndex(0), (8000, 2500));
+    rec.set(ShardIndex(0), quota_usage(8000, 2500));
     c.cluster.team_quotas[1].record = rec;
     quota::lower_unused_quota(&c.cluster, &c.config, c.takeovers.permits(), &mut d);
-    assert_eq!(d.team_quotas[&team].share(ShardIndex(0)), (8000, 2000));
+    assert_eq!(
+        d.team_quotas[&team].share(ShardIndex(0)),
+        quota_usage(8000, 2000)
+    );
 }
 
 #[test]
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -61,8 +61,8 @@
 
 fn take_north(c: &mut Controller, store: &mut Store, now: u64) -> CommitOutcome {
     let to = c.config.controller_name.clone();
-    let plan_scale_out = Move { shard: NORTH, to };
-    c.execute_moves(store, &plan_scale_out, now)
+    let wanted = Move { shard: NORTH, to };
+    c.execute_moves(store, &wanted, now)
 }
 
 /// Takes the northern shard over, which succeeds.
--- a/tests/support/liveness.rs
+++ b/tests/support/liveness.rs
@@ -74,7 +74,7 @@
         .team_names
         .find(&spec.team)
         .expect("a team");
-    let most = controller.cluster.team_limits[team.at()].limit.1 as f64 / 1000.0;
+    let most = controller.cluster.team_limits[team.at()].limit.gpu_milli as f64 / 1000.0;
     // Jobs that were accepted without an answer count as well.
     let active = controller.cluster.active_jobs();
     let active = active.filter_map(|(_, job)| Some((job, job.spec.as_ref()?)));
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -775,7 +775,7 @@
             let c = self.nodes.iter().flatten().next();
             let most = c.and_then(|c| {
                 let t: TeamIndex = c.cluster.team_names.find(&team)?;
-                Some(c.cluster.team_limits[t.at()].limit.1 as f64 / 1000.0)
+                Some(c.cluster.team_limits[t.at()].limit.gpu_milli as f64 / 1000.0)
             });
             if most.is_some_and(|m| m > 0.0 && used > m) {
                 self.broken.push(format!("{now}: {team} uses {used}"));
