--- /dev/null
+++ b/tests/support/golden.rs
@@ -0,0 +1,232 @@
+//! Golden files: what is written now, a name and a value per line, compared to the letter.
+//!
+//! A line of a file is a name, a tab and a value. Values are serialized bytes in hexadecimal, JSON
+//! or exit codes, never names of the program's own types, so that renaming these changes no line.
+
+use serde::de::DeserializeOwned;
+use serde::Serialize;
+use serde_json::{json, Value};
+use std::collections::HashSet;
+use std::path::{Path, PathBuf};
+
+/// With this variable set to 1 the files are written anew, and the tests fail for that.
+const WRITE: &str = "POINTHOOK_WRITE_GOLDEN";
+/// Value of what the program refuses to read.
+const REFUSED: &str = "refused";
+
+/// Bytes as hexadecimal digits.
+pub fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|b| format!("{b:02x}")).collect()
+}
+
+/// The MessagePack form of a JSON value, with named fields, as any other program would write it.
+pub fn packed(value: &Value) -> Vec<u8> {
+    rmp_serde::to_vec_named(value).expect("JSON has a MessagePack form")
+}
+
+/// What is written of what was read from these bytes; `None` if they are refused.
+pub fn rewritten<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> Option<Vec<u8>> {
+    let read: T = rmp_serde::from_slice(bytes).ok()?;
+    Some(rmp_serde::to_vec_named(&read).expect("what was read can be written"))
+}
+
+/// The lines of one golden file.
+pub struct Group {
+    file: &'static str,
+    names: HashSet<String>,
+    lines: Vec<String>,
+}
+
+impl Group {
+    /// An empty group that is compared with this file.
+    pub fn new(file: &'static str) -> Group {
+        Group {
+            file,
+            names: HashSet::new(),
+            lines: Vec::new(),
+        }
+    }
+
+    /// Adds a line.
+    pub fn line(&mut self, name: &str, value: &str) {
+        assert!(!name.contains(['\t', '\n']) && !value.contains('\n'));
+        assert!(self.names.insert(name.to_string()), "{name} comes twice");
+        self.lines.push(format!("{name}\t{value}"));
+    }
+
+    /// Adds what is written of a body, or that it is refused. What is written must read back and
+    /// be written again as the same bytes.
+    pub fn read_by(&mut self, name: &str, body: &Value, read: fn(&[u8]) -> Option<Vec<u8>>) {
+        match read(&packed(body)) {
+            None => self.line(name, REFUSED),
+            Some(bytes) => {
+                assert_eq!(read(&bytes).as_ref(), Some(&bytes), "{name} reads back");
+                self.line(name, &hex(&bytes));
+            }
+        }
+    }
+
+    /// Adds a body of this type, which must be one.
+    pub fn form<T: Serialize + DeserializeOwned>(&mut self, name: &str, body: &Value) {
+        assert!(rewritten::<T>(&packed(body)).is_some(), "{name} is refused");
+        self.read_by(name, body, rewritten::<T>);
+    }
+
+    /// Adds a body of this type and what becomes of it without each of its keys, with null for
+    /// each, and with a key more.
+    pub fn all_keys<T: Serialize + DeserializeOwned>(&mut self, name: &str, body: &Value) {
+        self.form::<T>(name, body);
+        self.keys_read_by(name, body, rewritten::<T>);
+    }
+
+    /// The same variations of a body that is read in a way of its own.
+    pub fn keys_read_by(&mut self, name: &str, body: &Value, read: fn(&[u8]) -> Option<Vec<u8>>) {
+        let keys = body.as_object().expect("a map").keys();
+        for key in keys {
+            let mut less = body.clone();
+            less.as_object_mut().expect("a map").remove(key);
+            self.read_by(&format!("{name} without {key}"), &less, read);
+            let mut null = body.clone();
+            null[key] = Value::Null;
+            self.read_by(&format!("{name} null {key}"), &null, read);
+        }
+        let mut more = body.clone();
+        more["no_such_key"] = json!(1);
+        self.read_by(&format!("{name} with another key"), &more, read);
+    }
+
+    /// Adds an archive, which must be made again of what is read from it.
+    pub fn archive<T>(
+        &mut self,
+        name: &str,
+        value: &T,
+        encode: impl Fn(&T) -> Option<Vec<u8>>,
+        decode: impl Fn(&[u8]) -> Option<T>,
+    ) where
+        T: PartialEq,
+    {
+        let bytes = encode(value).expect(name);
+        let read = decode(&bytes).expect(name);
+        assert!(&read == value, "{name} reads back as another value");
+        assert_eq!(encode(&read).as_ref(), Some(&bytes), "{name}");
+        assert!(decode(&bytes[..bytes.len() - 1]).is_none(), "{name} cut");
+        self.line(name, &hex(&bytes));
+    }
+
+    /// Compares the lines with the file. Where the file is to be written anew the test fails too.
+    pub fn compare(self) {
+        let path = Path::new(env!("CARGO_MANIFEST_DIR"))
+            .join("tests/data/golden")
+            .join(self.file);
+        let made = self.lines.join("\n") + "\n";
+        if std::env::var(WRITE).is_ok_and(|v| v == "1") {
+            std::fs::write(&path, made).expect("the golden file can be written");
+            panic!("{} is written anew; run without {WRITE}", self.file);
+        }
+        let golden = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{path:?}: {e}"));
+        let (was, is): (Vec<&str>, Vec<&str>) = (golden.lines().collect(), made.lines().collect());
+        for (was, is) in was.iter().zip(&is) {
+            assert_eq!(was, is, "{}", self.file);
+        }
+        assert_eq!(was.len(), is.len(), "lines of {}", self.file);
+        assert!(golden == made, "{} differs in its line ends", self.file);
+    }
+}
+
+/// A new file of a test's own, with this text.
+pub fn file(name: &str, text: &str) -> PathBuf {
+    let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden");
+    std::fs::create_dir_all(&dir).expect("a directory");
+    let path = dir.join(name);
+    std::fs::write(&path, text).expect("a file");
+    path
+}
+
+/// Where a key stands in a TOML document: names of tables and positions in lists.
+type At = Vec<String>;
+
+/// All tables of a document with the names of their keys.
+fn tables(value: &toml::Value, at: &At, out: &mut Vec<(At, Vec<String>)>) {
+    let below = |name: String| at.iter().cloned().chain([name]).collect::<At>();
+    match value {
+        toml::Value::Table(table) => {
+            out.push((at.clone(), table.keys().cloned().collect()));
+            for (key, inner) in table {
+                tables(inner, &below(key.clone()), out);
+            }
+        }
+        toml::Value::Array(list) => {
+            for (i, inner) in list.iter().enumerate() {
+                tables(inner, &below(i.to_string()), out);
+            }
+        }
+        _ => {}
+    }
+}
+
+/// The table at a place.
+fn table_at<'a>(mut value: &'a mut toml::Value, at: &At) -> &'a mut toml::Table {
+    for step in at {
+        value = match value {
+            toml::Value::Array(list) => &mut list[step.parse::<usize>().expect("a position")],
+            other => other.get_mut(step).expect("a key"),
+        };
+    }
+    value.as_table_mut().expect("a table")
+}
+
+/// Adds for each key of a settings file what becomes of the file if the key is misspelt, and for
+/// each table what becomes of it with a key more: `refused`, naming the key, `changed` or `ignored`.
+pub fn settings_keys<T: std::fmt::Debug, E: std::fmt::Display>(
+    group: &mut Group,
+    name: &str,
+    full: &str,
+    load: fn(&Path) -> Result<T, E>,
+) {
+    let document: toml::Value = toml::from_str(full).expect("TOML");
+    let read = |document: &toml::Value| {
+        let text = toml::to_string(document).expect("TOML");
+        load(&file(&format!("{name}.toml"), &text))
+    };
+    // Compared with each other only, within a run: names of fields don't matter.
+    let told = |value: &T| format!("{value:?}");
+    let whole = read(&document).map_err(|e| e.to_string()).expect("good");
+    let mut all = Vec::new();
+    tables(&document, &At::new(), &mut all);
+    for (at, keys) in all {
+        let mut more = document.clone();
+        table_at(&mut more, &at).insert("no_such_key".into(), 1.into());
+        let fate = fate(read(&more), &whole, "no_such_key", &told);
+        let place: String = at.iter().map(|step| format!("{step}.")).collect();
+        group.line(&format!("{name} another key {place}"), fate);
+        for key in keys {
+            let mut misspelt = document.clone();
+            let table = table_at(&mut misspelt, &at);
+            let value = table.remove(&key).expect("the key");
+            table.insert(format!("{key}x"), value);
+            let fate = self::fate(read(&misspelt), &whole, &key, &told);
+            assert_ne!(fate, "ignored", "{place}{key} has no effect");
+            group.line(&format!("{name} misspelt {place}{key}"), fate);
+        }
+    }
+}
+
+/// What became of a file that was changed at a key.
+fn fate<T, E: std::fmt::Display>(
+    read: Result<T, E>,
+    whole: &T,
+    key: &str,
+    told: &dyn Fn(&T) -> String,
+) -> &'static str {
+    match read {
+        Err(e) => {
+            let line = e.to_string();
+            // The name of the file comes first, and may hold the key by chance.
+            let (_, cause) = line.split_once(".toml: ").expect("the name of the file");
+            assert!(cause.contains(key), "{line} names {key}");
+            REFUSED
+        }
+        Ok(now) if told(&now) == told(whole) => "ignored",
+        Ok(_) => "changed",
+    }
+}
