--- a/tests/golden_formats.rs
+++ b/tests/golden_formats.rs
@@ -8,22 +8,28 @@
 //! Bodies are given as JSON with the names of the protocol, so that these tests too name few
 //! fields; [`wire_names_reach_their_fields`] says once which name belongs to which field.
 
-use pointhook::bookkeeping::cluster_state::ClusterState;
-use pointhook::bookkeeping::job::JobRecord;
-use pointhook::bookkeeping::names::{ShardIx, TeamIx};
-use pointhook::bookkeeping::records::{
-    BookingRecord, NodeRecord, PartRecord, ShardRecord, TeamRecord, Versioned, SECOND_FORM,
-    STANDBY_VERSION,
-};
-use pointhook::coordination::membership::{begin_second_form, move_transaction, Move};
-use pointhook::coordination::store;
+use pointhook::coordination::kv;
+use pointhook::coordination::membership::{begin_record_format_v2, move_transaction, Move};
 use pointhook::features::Features;
-use pointhook::protocol::peers::{self, Ask, MachineNews, Reply, ShardStanding, TaskRef};
-use pointhook::protocol::{cloud, state, users, workers};
+use pointhook::protocol::kv as kv_protocol;
+use pointhook::protocol::peers::{
+    self, MachineStatus, PeerRequest, PeerResponse, ShardStatus, TaskRef,
+};
+use pointhook::protocol::{cloud, users, workers};
 use pointhook::settings::{Operator, Platform, Team};
+use pointhook::state::cluster_state::ClusterState;
+use pointhook::state::job::JobRecord;
+use pointhook::state::names::{ShardIndex, TeamIndex};
+use pointhook::state::records::{
+    ControllerRecord, OverflowRecord, ProvisioningRecord, ShardRecord, TeamRecord, Versioned,
+    RECORD_FORMAT_V2, STANDBY_VERSION,
+};
+use pointhook::state::units::QuotaUsage;
 use pointhook::transport::http::{self, Answer};
 use serde_json::{json, Value};
-use standby::message::{Answer as Taken, Decision, MachineState, Message, QueuedTask, MAX_MESSAGE};
+use standby::message::{
+    Answer as FollowerAnswer, Decision, MachineState, Message, QueuedTask, MAX_MESSAGE,
+};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::{Command, Output};
@@ -97,17 +103,18 @@
         rewritten::<JobRecord>,
     );
     let part = json!({"p": [[40, 41, "n-000007", 3, 3], [41, 42, "n-000231", 1, 0]]});
-    g.all_keys::<PartRecord>("more", &part);
-    g.form::<PartRecord>("more none", &json!({"p": []}));
-    g.all_keys::<NodeRecord>("node", &json!({"i": u64::MAX, "v": 2, "w": 1}));
-    g.form::<NodeRecord>("node zeros", &json!({"i": 7, "v": 0, "w": 0}));
+    g.all_keys::<OverflowRecord>("more", &part);
+    g.form::<OverflowRecord>("more none", &json!({"p": []}));
+    g.all_keys::<ControllerRecord>("node", &json!({"i": u64::MAX, "v": 2, "w": 1}));
+    g.form::<ControllerRecord>("node zeros", &json!({"i": 7, "v": 0, "w": 0}));
     g.all_keys::<ShardRecord>("shard", &json!({"o": "stoker-1", "i": 1_234_567, "t": 41}));
     g.all_keys::<TeamRecord>("team", &json!({"s": [[1, 8000, 2000], [3, -5, 0]]}));
-    let book = json!({"r": "g8", "z": "a", "s": true, "n": 12, "h": ["n-000231"]});
-    g.all_keys::<BookingRecord>("book", &book);
-    g.form::<cloud::Flavors>("flavors", &offered());
+    let send_provisioning_request =
+        json!({"r": "g8", "z": "a", "s": true, "n": 12, "h": ["n-000231"]});
+    g.all_keys::<ProvisioningRecord>("book", &send_provisioning_request);
+    g.form::<cloud::MachineTypeCatalog>("flavors", &offered());
     g.form::<bool>("form", &json!(true));
-    g.line("second form", &SECOND_FORM.to_string());
+    g.line("second form", &RECORD_FORMAT_V2.to_string());
     g.line("standby version", &STANDBY_VERSION.to_string());
     g.compare();
 }
@@ -129,28 +136,28 @@
     let mut c = cluster();
     let record = JobRecord::submitted(read(described()), 1);
     let token = ShardRecord {
-        token: 5,
+        fencing_token: 5,
         ..ShardRecord::default()
     };
-    let node = read::<NodeRecord>(json!({"i": 7, "v": 2}));
+    let node = read::<ControllerRecord>(json!({"i": 7, "v": 2}));
     let writes = [
-        store::set(ClusterState::job_key("job-000412"), &record, None),
-        store::set(
-            ClusterState::part_key("job-000412", 12),
-            &PartRecord::default(),
+        kv::set(ClusterState::job_key("job-000412"), &record, None),
+        kv::set(
+            ClusterState::overflow_key("job-000412", 12),
+            &OverflowRecord::default(),
             None,
         ),
-        store::set(c.shard_key(ShardIx(3)), &token, None),
-        store::set(c.team_key(TeamIx(0)), &TeamRecord::default(), None),
-        store::set("ph/node/stoker-1".into(), &node, Some(99)),
+        kv::set(c.shard_key(ShardIndex(3)), &token, None),
+        kv::set(c.team_key(TeamIndex(0)), &TeamRecord::default(), None),
+        kv::set("ph/node/stoker-1".into(), &node, Some(99)),
     ];
     for write in writes.into_iter().flatten() {
-        let txn = state::Transaction {
+        let txn = kv_protocol::Transaction {
             conditions: Vec::new(),
             writes: vec![write],
         };
         let bytes = rmp_serde::to_vec_named(&txn).expect("a transaction");
-        let state::Write::Set { set: key, .. } = &txn.writes[0] else {
+        let kv_protocol::Write::Set { set: key, .. } = &txn.writes[0] else {
             panic!("not a put");
         };
         g.line(key, &hex(&bytes));
@@ -169,25 +176,34 @@
     );
     put("ph/flavors/all", offered());
     put("ph/job/job-1", json!({"s": "c", "t": 1, "n": 1}));
-    assert_eq!(c.nodes["stoker-1"].version, 9);
-    assert_eq!((c.shards[3].version, c.shards[3].rec.token), (9, 41));
-    assert_eq!(c.teams[0].rec.share(ShardIx(1)), (8000, 2000));
-    assert_eq!(c.bookings["b-1"].rec.count, 12);
-    assert_eq!(c.flavors_version, 9);
-    assert!(c.job("job-1").is_some() && !c.second_form);
+    assert_eq!(c.controllers["stoker-1"].version, 9);
+    assert_eq!(
+        (c.shards[3].version, c.shards[3].record.fencing_token),
+        (9, 41)
+    );
+    assert_eq!(
+        c.team_quotas[0].record.share(ShardIndex(1)),
+        QuotaUsage {
+            cpu_milli: 8000,
+            gpu_milli: 2000
+        }
+    );
+    assert_eq!(c.provisioning_requests["b-1"].record.count, 12);
+    assert_eq!(c.machine_types_version, 9);
+    assert!(c.job("job-1").is_some() && !c.record_format_v2);
     c.loaded = true;
-    let begins = begin_second_form(&c, &["stoker-1"]).expect("all know it");
+    let begins = begin_record_format_v2(&c, &["stoker-1"]).expect("all know it");
     let bytes = rmp_serde::to_vec_named(&begins).expect("a transaction");
     g.line("second form begins", &hex(&bytes));
     c.put("ph/form/2", 10, &rmpv::Value::Boolean(true));
-    assert!(c.second_form);
+    assert!(c.record_format_v2);
     let target = Versioned {
         version: 3,
-        rec: node,
+        record: node,
     };
-    c.nodes.insert("stoker-2".into(), target);
+    c.controllers.insert("stoker-2".into(), target);
     let moved = Move {
-        shard: ShardIx(3),
+        shard: ShardIndex(3),
         to: "stoker-2".into(),
     };
     let (txn, _) = move_transaction(&c, &moved).expect("a move");
@@ -201,19 +217,19 @@
     vec!["n-000231".into(), "n-7".into(), "n-000000000007".into()]
 }
 
-fn asks() -> Vec<(&'static str, Ask)> {
-    let news = |name: &str, flip: bool| MachineNews {
+fn asks() -> Vec<(&'static str, PeerRequest)> {
+    let news = |name: &str, flip: bool| MachineStatus {
         name: name.into(),
         addr: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: flip,
         silent_ms: 1500,
-        heard: !flip,
-        sure: flip,
-        queued: 2,
-        closed: !flip,
-        sick: flip,
+        has_reported: !flip,
+        fencing_token_confirmed: flip,
+        queue_length: 2,
+        cordoned: !flip,
+        quarantined: flip,
     };
     let task = |job: &str, task| TaskRef {
         job: job.into(),
@@ -222,25 +238,25 @@
     vec![
         (
             "news",
-            Ask::News {
-                node: "stoker-north-1".into(),
-                store_ok: true,
-                hears_workers: false,
+            PeerRequest::Status {
+                sender: "stoker-north-1".into(),
+                kv_reachable: true,
+                workers_reachable: false,
                 machines: vec![news("n-000231", true), news("n-000000000007", false)],
             },
         ),
         (
             "news none",
-            Ask::News {
-                node: "a".into(),
-                store_ok: false,
-                hears_workers: true,
+            PeerRequest::Status {
+                sender: "a".into(),
+                kv_reachable: false,
+                workers_reachable: true,
                 machines: Vec::new(),
             },
         ),
         (
             "bind",
-            Ask::Bind {
+            PeerRequest::Bind {
                 tasks: vec![
                     ("n-000231".into(), task("job-000412", 3)),
                     ("n-000000000007".into(), task("job-1", 70_000)),
@@ -249,41 +265,41 @@
         ),
         (
             "poll",
-            Ask::Poll {
-                idle: "n-000231".into(),
+            PeerRequest::StealWork {
+                idle_machine: "n-000231".into(),
                 machines: names(),
             },
         ),
         (
             "hold",
-            Ask::Hold {
+            PeerRequest::ReserveMachines {
                 job: "job-000412".into(),
                 machines: names(),
             },
         ),
-        ("close", Ask::Close { machines: names() }),
-        ("gone", Ask::Gone { machines: names() }),
-        ("cancelled", Ask::Cancelled { jobs: names() }),
+        ("close", PeerRequest::Cordon { machines: names() }),
+        ("gone", PeerRequest::MachinesDeleted { machines: names() }),
+        ("cancelled", PeerRequest::Cancelled { jobs: names() }),
         (
             "follow",
-            Ask::Follow {
-                node: "stoker-1".into(),
+            PeerRequest::Replicate {
+                sender: "stoker-1".into(),
                 message: vec![1, 2, 255],
             },
         ),
-        ("standbys", Ask::Standbys),
+        ("standbys", PeerRequest::ShardStatuses),
     ]
 }
 
-fn standings() -> Vec<ShardStanding> {
-    let standing = |shard, standby: Option<&str>, behind, follows| ShardStanding {
+fn standings() -> Vec<ShardStatus> {
+    let standing = |shard, standby: Option<&str>, replication_lag, follows| ShardStatus {
         shard,
         owner: "stoker-north-1".into(),
-        token: 41,
+        fencing_token: 41,
         state: "owner".into(),
         standby: standby.map(String::from),
-        behind,
-        follows,
+        replication_lag,
+        replica_of_token: follows,
     };
     vec![
         standing(0, Some("stoker-2"), Some(17), None),
@@ -302,7 +318,7 @@
             &format!("ask {name}"),
             &ask,
             peers::encode,
-            peers::decode_ask,
+            peers::decode_request,
         );
     }
     let task = TaskRef {
@@ -310,13 +326,13 @@
         task: 3,
     };
     let replies = [
-        ("noted", Reply::Noted),
-        ("task", Reply::Task(Some(task))),
-        ("no task", Reply::Task(None)),
-        ("closed", Reply::Closed(names())),
+        ("noted", PeerResponse::Acknowledged),
+        ("task", PeerResponse::StolenTask(Some(task))),
+        ("no task", PeerResponse::StolenTask(None)),
+        ("closed", PeerResponse::Cordoned(names())),
         (
             "cancelled",
-            Reply::Cancelled {
+            PeerResponse::Cancelled {
                 up_ms: 90_000,
                 age_ms: u32::MAX,
                 jobs: names(),
@@ -324,20 +340,20 @@
         ),
         (
             "followed",
-            Reply::Followed {
+            PeerResponse::ReplicationAnswer {
                 answer: vec![3, 0, 255],
             },
         ),
         (
             "standbys",
-            Reply::Standbys {
+            PeerResponse::ShardStatuses {
                 shards: standings(),
             },
         ),
     ];
     for (name, reply) in replies {
         let name = format!("reply {name}");
-        g.archive(&name, &reply, peers::encode, peers::decode_reply);
+        g.archive(&name, &reply, peers::encode, peers::decode_response);
     }
     g.compare();
 }
@@ -411,13 +427,18 @@
         g.archive(name, &message, Message::encode, Message::decode);
     }
     let answers = [
-        ("next", Taken::Next(19)),
-        ("next part", Taken::NextPart(4)),
-        ("needs snapshot", Taken::NeedsSnapshot),
-        ("outranked", Taken::Outranked(42)),
+        ("next", FollowerAnswer::Next(19)),
+        ("next part", FollowerAnswer::NextPart(4)),
+        ("needs snapshot", FollowerAnswer::NeedsSnapshot),
+        ("outranked", FollowerAnswer::Outranked(42)),
     ];
     for (name, answer) in answers {
-        g.archive(name, &answer, Taken::encode, Taken::decode);
+        g.archive(
+            name,
+            &answer,
+            FollowerAnswer::encode,
+            FollowerAnswer::decode,
+        );
     }
     g.compare();
 }
@@ -489,14 +510,14 @@
         "loaners": true, "shift": 3, "tally": 70_000, "baton": 41, "warning_s": 30.5,
         "pieces": [task, {"piece": "job-1/0", "try": 1, "status": "running"}],
     });
-    g.all_keys::<workers::Report>("report", &report);
-    g.all_keys::<workers::TaskReport>("task", &task);
+    g.all_keys::<workers::Heartbeat>("report", &report);
+    g.all_keys::<workers::TaskStatus>("task", &task);
     for word in ["pulling", "gathering", "running", "flushing", "exited", "x"] {
         let task = with(task.clone(), json!({"status": word}));
         g.read_by(
             &format!("task status {word}"),
             &task,
-            rewritten::<workers::TaskReport>,
+            rewritten::<workers::TaskStatus>,
         );
     }
     let causes = [
@@ -512,7 +533,7 @@
     for word in causes.into_iter().chain(["some new cause"]) {
         // An unknown cause is read, but never written.
         let task = with(task.clone(), json!({"cause": word}));
-        let bytes = rewritten::<workers::TaskReport>(&packed(&task)).expect(word);
+        let bytes = rewritten::<workers::TaskStatus>(&packed(&task)).expect(word);
         g.line(&format!("task cause {word}"), &hex(&bytes));
     }
     let orders = [
@@ -522,50 +543,50 @@
     ];
     for order in &orders {
         let verb = order["verb"].as_str().expect("a word");
-        g.all_keys::<workers::Order>(verb, order);
+        g.all_keys::<workers::Command>(verb, order);
     }
     let other = json!({"verb": "forget", "piece": "job-1/0", "try": 1});
-    g.read_by("another verb", &other, rewritten::<workers::Order>);
-    g.all_keys::<workers::ReportAnswer>("answer", &json!({"baton": 41, "orders": orders}));
+    g.read_by("another verb", &other, rewritten::<workers::Command>);
+    g.all_keys::<workers::HeartbeatResponse>("answer", &json!({"baton": 41, "orders": orders}));
     let commands = json!({"baton": 41, "shift": 3, "orders": orders});
-    g.all_keys::<workers::Commands>("commands", &commands);
-    g.all_keys::<workers::Elsewhere>("elsewhere", &json!({"foreman": "stoker-2"}));
+    g.all_keys::<workers::DirectCommands>("commands", &commands);
+    g.all_keys::<workers::NotOwner>("elsewhere", &json!({"foreman": "stoker-2"}));
     g.compare();
 }
 
 #[test]
 fn bodies_of_the_cloud_and_the_state_service() {
     let mut g = Group::new("outside.txt");
-    g.all_keys::<cloud::Flavors>("flavors", &offered());
-    g.all_keys::<cloud::Flavor>("flavor", &offered()["rigs"][0]);
+    g.all_keys::<cloud::MachineTypeCatalog>("flavors", &offered());
+    g.all_keys::<cloud::CloudMachineType>("flavor", &offered()["rigs"][0]);
     let rent = json!({"booking": "b-1", "rig": "g8", "yard": "a", "loaners": true, "count": 12});
-    g.all_keys::<cloud::Booking>("rent", &rent);
-    g.all_keys::<cloud::Hosts>("hosts", &json!({"hosts": ["n-1", "n-2"]}));
+    g.all_keys::<cloud::ProvisioningRequest>("rent", &rent);
+    g.all_keys::<cloud::MachineNames>("hosts", &json!({"hosts": ["n-1", "n-2"]}));
     let host = json!({"uid": "n-1", "endpoint": "10.1.0.2:9000", "rig": "g8", "yard": "a",
         "loaners": false, "status": "booting", "held_s": 12.5});
-    g.all_keys::<cloud::Listed>("listed", &host);
-    g.all_keys::<cloud::HostList>("list", &json!({"hosts": [host], "more": true}));
+    g.all_keys::<cloud::ListedMachine>("listed", &host);
+    g.all_keys::<cloud::MachineListPage>("list", &json!({"hosts": [host], "more": true}));
     let txn = json!({
         "when": [{"key": "ph/a", "stamp": 0}, {"key": "ph/b", "stamp": 7}],
         "writes": [{"set": "ph/a", "v": {"x": [1, 2.5, "y", null, true]}},
             {"set": "ph/c", "v": 1, "hold": 99}, {"remove": "ph/b"}],
     });
-    g.all_keys::<state::Transaction>("commit", &txn);
-    g.all_keys::<state::Condition>("condition", &txn["when"][1]);
+    g.all_keys::<kv_protocol::Transaction>("commit", &txn);
+    g.all_keys::<kv_protocol::Condition>("condition", &txn["when"][1]);
     for (i, name) in ["set", "set with a lease", "remove"].iter().enumerate() {
-        g.all_keys::<state::Write>(name, &txn["writes"][i]);
+        g.all_keys::<kv_protocol::Write>(name, &txn["writes"][i]);
     }
-    g.all_keys::<state::Committed>("committed", &json!({"epoch": 8, "failed": ["ph/a"]}));
+    g.all_keys::<kv_protocol::Committed>("committed", &json!({"epoch": 8, "failed": ["ph/a"]}));
     let entry = json!({"key": "ph/a", "v": {"x": 1}, "stamp": 7});
-    g.all_keys::<state::Entry>("entry", &entry);
+    g.all_keys::<kv_protocol::Entry>("entry", &entry);
     let page = json!({"entries": [entry], "more": true, "epoch": 8});
-    g.all_keys::<state::Page>("page", &page);
+    g.all_keys::<kv_protocol::Page>("page", &page);
     let put = json!({"set": "ph/a", "v": {"x": 1}, "stamp": 7});
-    g.all_keys::<state::Event>("put", &put);
-    g.all_keys::<state::Event>("deletion", &json!({"remove": "ph/a", "stamp": 8}));
-    g.all_keys::<state::Changes>("changes", &json!({"epoch": 8, "log": [put]}));
-    g.all_keys::<state::Lease>("lease", &json!({"hold": 99}));
-    g.all_keys::<state::LeaseRequest>("lease request", &json!({"life_ms": 4000}));
+    g.all_keys::<kv_protocol::Event>("put", &put);
+    g.all_keys::<kv_protocol::Event>("deletion", &json!({"remove": "ph/a", "stamp": 8}));
+    g.all_keys::<kv_protocol::Changes>("changes", &json!({"epoch": 8, "log": [put]}));
+    g.all_keys::<kv_protocol::Lease>("lease", &json!({"hold": 99}));
+    g.all_keys::<kv_protocol::LeaseRequest>("lease request", &json!({"life_ms": 4000}));
     g.compare();
 }
 
@@ -578,7 +599,10 @@
         (s.vcpus, s.gpus, s.mem_gb, s.image_gb),
         (8.0, 1.5, 64.25, 6.2)
     );
-    assert_eq!((s.estimate_s, s.checkpoint_s, s.save_s), (240.0, 30.0, 4.0));
+    assert_eq!(
+        (s.estimated_run_s, s.checkpoint_s, s.checkpoint_grace_s),
+        (240.0, 30.0, 4.0)
+    );
     assert_eq!(
         (s.one_zone, s.spread, s.spot, s.tasks),
         (true, false, true, 4)
@@ -589,8 +613,8 @@
     );
     assert_eq!((s.image.as_str(), s.zone.as_deref()), ("img-07", Some("a")));
     assert_eq!(s.types, Some(vec!["g8".to_string(), "g4".to_string()]));
-    assert_eq!((s.deadline_s, s.awaits.len()), (Some(900.0), 2));
-    let r: workers::Report = read(json!({
+    assert_eq!((s.deadline_s, s.dependencies.len()), (Some(900.0), 2));
+    let r: workers::Heartbeat = read(json!({
         "host": "n-1", "endpoint": "e", "rig": "g8", "yard": "a", "loaners": true, "shift": 3,
         "tally": 4, "baton": 41, "warning_s": 30.5,
         "pieces": [{"piece": "job-1/0", "try": 7, "status": "exited", "cause": "mates_gone", "stored": true}],
@@ -601,32 +625,40 @@
         ("g8", "a", true)
     );
     assert_eq!(
-        (r.session, r.seq, r.token, r.notice_s),
+        (
+            r.agent_epoch,
+            r.sequence,
+            r.fencing_token,
+            r.preemption_notice_s
+        ),
         (3, 4, 41, Some(30.5))
     );
     let t = &r.tasks[0];
     assert_eq!(
-        (t.task.as_str(), t.attempt, t.saved),
+        (t.task.as_str(), t.attempt, t.checkpointed),
         ("job-1/0", 7, Some(true))
     );
-    assert!(t.state == workers::TaskState::Exited && t.why == Some(workers::Why::Peers));
-    let c: workers::Commands = read(json!({"baton": 41, "shift": 3, "orders": [
+    assert!(
+        t.state == workers::TaskState::Exited
+            && t.exit_reason == Some(workers::ExitReason::GangMemberLost)
+    );
+    let c: workers::DirectCommands = read(json!({"baton": 41, "shift": 3, "orders": [
         {"verb": "reap", "piece": "job-1/0", "try": 1}]}));
-    assert_eq!((c.token, c.session), (41, 3));
+    assert_eq!((c.fencing_token, c.agent_epoch), (41, 3));
     assert!(matches!(
-        c.orders[0],
-        workers::Order::Forget { attempt: 1, .. }
+        c.commands[0],
+        workers::Command::AcknowledgeExit { attempt: 1, .. }
     ));
-    let o: workers::Order = read(json!({"verb": "start", "piece": "job-1/0", "try": 1}));
-    assert!(matches!(o, workers::Order::Start { attempt: 1, .. }));
-    let e: workers::Elsewhere = read(json!({"foreman": "x"}));
-    assert_eq!(e.report_to.as_deref(), Some("x"));
+    let o: workers::Command = read(json!({"verb": "start", "piece": "job-1/0", "try": 1}));
+    assert!(matches!(o, workers::Command::Start { attempt: 1, .. }));
+    let e: workers::NotOwner = read(json!({"foreman": "x"}));
+    assert_eq!(e.owner.as_deref(), Some("x"));
 }
 
 /// The same for the bodies of the cloud and the state service.
 #[test]
 fn wire_names_of_outside_services_reach_their_fields() {
-    let f = &read::<cloud::Flavors>(offered()).types[0];
+    let f = &read::<cloud::MachineTypeCatalog>(offered()).types[0];
     assert_eq!(
         (f.name.as_str(), f.cache_gb, f.fetch_gb_per_s),
         ("g8", 400.5, 0.5)
@@ -636,7 +668,8 @@
         (f.price, f.spot_price, f.boot_s, f.zones.len()),
         (21.5, 7.25, 95.0, 2)
     );
-    let l: cloud::Listed = read(json!({"uid": "n", "endpoint": "e", "rig": "r", "yard": "y",
+    let l: cloud::ListedMachine =
+        read(json!({"uid": "n", "endpoint": "e", "rig": "r", "yard": "y",
         "loaners": true, "status": "s", "held_s": 2.5}));
     assert_eq!(
         (l.name.as_str(), l.addr.as_str(), l.machine_type.as_str()),
@@ -646,46 +679,68 @@
         (l.zone.as_str(), l.spot, l.status.as_str(), l.age_s),
         ("y", true, "s", 2.5)
     );
-    let b: cloud::Booking =
+    let b: cloud::ProvisioningRequest =
         read(json!({"booking": "b", "rig": "r", "yard": "y", "loaners": true, "count": 12}));
-    assert_eq!((b.request.as_str(), b.machine_type.as_str()), ("b", "r"));
+    assert_eq!((b.request_id.as_str(), b.machine_type.as_str()), ("b", "r"));
     assert_eq!((b.zone.as_str(), b.spot, b.count), ("y", true, 12));
-    let p: state::Page =
+    let p: kv_protocol::Page =
         read(json!({"entries": [{"key": "k", "v": 1, "stamp": 7}], "more": true, "epoch": 8}));
     assert_eq!((p.revision, p.more, p.entries[0].version), (8, true, 7));
-    let w: state::Changes = read(json!({"epoch": 8, "log": [{"remove": "k", "stamp": 7}]}));
+    let w: kv_protocol::Changes = read(json!({"epoch": 8, "log": [{"remove": "k", "stamp": 7}]}));
     assert_eq!((w.revision, w.events[0].version), (8, 7));
     assert!(w.events[0].remove.as_deref() == Some("k") && w.events[0].set.is_none());
-    assert_eq!(read::<state::Lease>(json!({"hold": 9})).lease, 9);
-    let n: NodeRecord = read(json!({"i": 7, "v": 2, "w": 1}));
-    assert_eq!((n.incarnation, n.forms, n.standby), (7, 2, 1));
+    assert_eq!(read::<kv_protocol::Lease>(json!({"hold": 9})).lease, 9);
+    let n: ControllerRecord = read(json!({"i": 7, "v": 2, "w": 1}));
+    assert_eq!(
+        (n.incarnation, n.record_format, n.standby_version),
+        (7, 2, 1)
+    );
 }
 
 /// Words read back whichever value they stand for, so their order says which it is.
 #[test]
 fn words_of_values() {
-    use pointhook::bookkeeping::job::JobState;
-    use standby::ids::{Revision, Token};
-    use standby::takeover::State;
-    use users::{Rank, Shape};
-    use workers::{TaskState, Why};
+    use pointhook::state::job::JobState;
+    use standby::failover::State;
+    use standby::ids::{FencingToken, Revision};
+    use users::{JobKind, Priority};
+    use workers::{ExitReason, TaskState};
     let mut g = Group::new("words.txt");
-    let shapes = [Shape::Array, Shape::Gang, Shape::Service];
+    let shapes = [JobKind::Array, JobKind::Gang, JobKind::Service];
     g.line("shape", &json!(shapes).to_string());
-    let ranks = [Rank::Production, Rank::High, Rank::Normal, Rank::Low];
+    let ranks = [
+        Priority::Production,
+        Priority::High,
+        Priority::Normal,
+        Priority::Low,
+    ];
     assert!(ranks.is_sorted());
     g.line("rank", &json!(ranks).to_string());
     let states = [JobState::Open, JobState::Done, JobState::Cancelled];
     g.line("job", &json!(states).to_string());
-    let (fetching, waiting) = (TaskState::Fetching, TaskState::Waiting);
-    let rest = [TaskState::Running, TaskState::Saving, TaskState::Exited];
+    let (fetching, waiting) = (TaskState::PullingImage, TaskState::AwaitingGang);
+    let rest = [
+        TaskState::Running,
+        TaskState::Checkpointing,
+        TaskState::Exited,
+    ];
     g.line("task", &json!([fetching, waiting, rest]).to_string());
-    let ends = [Why::Done, Why::Stopped, Why::Peers, Why::Alone, Why::Error];
-    let refusals = [Why::NoRoom, Why::Busy, Why::Unknown];
+    let ends = [
+        ExitReason::Done,
+        ExitReason::Stopped,
+        ExitReason::GangMemberLost,
+        ExitReason::GangTimeout,
+        ExitReason::Error,
+    ];
+    let refusals = [
+        ExitReason::InsufficientResources,
+        ExitReason::OtherAttemptPresent,
+        ExitReason::UnknownTask,
+    ];
     g.line("end", &json!([ends, refusals]).to_string());
-    assert!(read::<Why>(json!("some new cause")) == Why::Other);
+    assert!(read::<ExitReason>(json!("some new cause")) == ExitReason::Other);
     let calm = [State::Idle, State::Following, State::Suspecting];
-    let (token, fence) = (Token(41), Revision(5));
+    let (token, fence) = (FencingToken(41), Revision(5));
     let owning = [State::CatchingUp { token, fence }, State::Active { token }];
     let moving = [State::Fencing, owning[0], owning[1], State::SteppedDown];
     let names = [
@@ -768,7 +823,7 @@
         stream.read_exact(&mut head).expect("a head");
         let mut rest = vec![0; u32::from_be_bytes(head) as usize];
         stream.read_exact(&mut rest).expect("a frame");
-        let body = peers::encode(&Reply::Standbys {
+        let body = peers::encode(&PeerResponse::ShardStatuses {
             shards: standings(),
         });
         let body = body.expect("a reply");
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -7,6 +7,7 @@
 use pointhook::state::records::{
     ControllerRecord, OverflowRecord, ProvisioningRecord, ShardRecord, TeamRecord, RECORD_FORMAT_V2,
 };
+use pointhook::state::units::QuotaUsage;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
@@ -118,7 +119,13 @@
     };
     same_record("record/shard", &shard);
     let mut team = TeamRecord::default();
-    team.set(ShardIndex(1), (8000, 2000));
+    team.set(
+        ShardIndex(1),
+        QuotaUsage {
+            cpu_milli: 8000,
+            gpu_milli: 2000,
+        },
+    );
     same_record("record/team", &team);
     let booking = ProvisioningRecord {
         machine_type: "g8".into(),
