--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -203,106 +203,41 @@
 }
 
 #[test]
-fn knowledge_is_complete_up_to_reads_and_to_what_all_have_told() {
-    let mut k = CancellationWatermark::new(2, MonotonicMillis(100));
-    assert_eq!(k.complete_until(MonotonicMillis(5)), None);
-    k.record_read(MonotonicMillis(1000));
-    assert_eq!(
-        k.complete_until(MonotonicMillis(2000)),
-        Some(MonotonicMillis(1000))
-    );
+fn watermark_advances_to_reads_and_to_what_all_peers_have_attested() {
+    let at = MonotonicMillis;
+    let mut k = CancellationWatermark::new(2, at(100));
+    assert_eq!(k.complete_until(at(5)), None);
+    k.record_read(at(1000));
+    assert_eq!(k.complete_until(at(2000)), Some(at(1000)));
     // One peer alone vouches for nothing but its own read.
-    k.record_attestation(
-        0,
-        MonotonicMillis(3000),
-        MonotonicMillis(3010),
-        60_000,
-        None,
-    );
-    assert_eq!(
-        k.complete_until(MonotonicMillis(4000)),
-        Some(MonotonicMillis(1000))
-    );
-    k.record_attestation(
-        0,
-        MonotonicMillis(3000),
-        MonotonicMillis(3010),
-        60_000,
-        Some(1500),
-    );
-    assert_eq!(
-        k.complete_until(MonotonicMillis(4000)),
-        Some(MonotonicMillis(1498))
-    );
+    k.record_attestation(0, at(3000), at(3010), 60_000, None);
+    assert_eq!(k.complete_until(at(4000)), Some(at(1000)));
+    k.record_attestation(0, at(3000), at(3010), 60_000, Some(1500));
+    assert_eq!(k.complete_until(at(4000)), Some(at(1498)));
     // Both have told: complete up to when the first of them was asked.
-    k.record_attestation(
-        1,
-        MonotonicMillis(3500),
-        MonotonicMillis(3510),
-        60_000,
-        None,
-    );
-    assert_eq!(
-        k.complete_until(MonotonicMillis(4000)),
-        Some(MonotonicMillis(3000))
-    );
+    k.record_attestation(1, at(3500), at(3510), 60_000, None);
+    assert_eq!(k.complete_until(at(4000)), Some(at(3000)));
     // One restarts after that and can't vouch for what it confirmed before.
-    k.record_attestation(0, MonotonicMillis(6000), MonotonicMillis(6010), 500, None);
-    k.record_attestation(
-        1,
-        MonotonicMillis(6000),
-        MonotonicMillis(6010),
-        60_000,
-        None,
-    );
-    assert_eq!(
-        k.complete_until(MonotonicMillis(7000)),
-        Some(MonotonicMillis(3000))
-    );
+    k.record_attestation(0, at(6000), at(6010), 500, None);
+    k.record_attestation(1, at(6000), at(6010), 60_000, None);
+    assert_eq!(k.complete_until(at(7000)), Some(at(3000)));
     // A read later than its start makes up for that.
-    k.record_read(MonotonicMillis(5600));
-    assert_eq!(
-        k.complete_until(MonotonicMillis(7000)),
-        Some(MonotonicMillis(6000))
-    );
+    k.record_read(at(5600));
+    assert_eq!(k.complete_until(at(7000)), Some(at(6000)));
     // Answers that cross take nothing back.
-    k.record_attestation(
-        0,
-        MonotonicMillis(5000),
-        MonotonicMillis(7000),
-        90_000,
-        None,
-    );
-    assert_eq!(
-        k.complete_until(MonotonicMillis(7000)),
-        Some(MonotonicMillis(6000))
-    );
+    k.record_attestation(0, at(5000), at(7000), 90_000, None);
+    assert_eq!(k.complete_until(at(7000)), Some(at(6000)));
     // What another knows of the time before this process began says nothing of what this node
     // confirmed itself before it restarted.
-    let mut k = CancellationWatermark::new(1, MonotonicMillis(5000));
-    k.record_attestation(
-        0,
-        MonotonicMillis(6000),
-        MonotonicMillis(6001),
-        60_000,
-        Some(2000),
-    );
-    assert_eq!(k.complete_until(MonotonicMillis(7000)), None);
-    k.record_attestation(
-        0,
-        MonotonicMillis(8000),
-        MonotonicMillis(8001),
-        60_000,
-        Some(2000),
-    );
-    assert_eq!(
-        k.complete_until(MonotonicMillis(9000)),
-        Some(MonotonicMillis(8000))
-    );
+    let mut k = CancellationWatermark::new(1, at(5000));
+    k.record_attestation(0, at(6000), at(6001), 60_000, Some(2000));
+    assert_eq!(k.complete_until(at(7000)), None);
+    k.record_attestation(0, at(8000), at(8001), 60_000, Some(2000));
+    assert_eq!(k.complete_until(at(9000)), Some(at(8000)));
     // A node without peers confirms everything itself.
     assert_eq!(
-        CancellationWatermark::new(0, MonotonicMillis(0)).complete_until(MonotonicMillis(9)),
-        Some(MonotonicMillis(9))
+        CancellationWatermark::new(0, at(0)).complete_until(at(9)),
+        Some(at(9))
     );
 }
 
