--- a/crates/rehearsal/src/history.rs
+++ b/crates/rehearsal/src/history.rs
@@ -157,7 +157,7 @@
         let fence = |c: &pointhook::protocol::kv::Condition| {
             let shard: u32 = shard_of(&c.key)?;
             let (version, record) = self.shards.get(&shard)?;
-            (*version == c.version).then_some((shard, record.fencing_token))
+            (*version == c.version).then_some((shard, record.fencing_token.0))
         };
         transaction.conditions.iter().filter_map(fence).collect()
     }
@@ -169,7 +169,7 @@
         let event = Event::Owned {
             shard,
             owner: record.owner.clone(),
-            token: record.fencing_token,
+            token: record.fencing_token.0,
         };
         self.shards.insert(shard, (revision, record));
         self.record(at_ms, event);
--- a/crates/rehearsal/src/network.rs
+++ b/crates/rehearsal/src/network.rs
@@ -296,7 +296,7 @@
                     let now = w.now();
                     worker
                         .borrow_mut()
-                        .answered(&a, report.agent_epoch, sent, now);
+                        .answered(&a, report.agent_epoch.0, sent, now);
                 }
             }
             Ok(f) if f.status == 421 => {
--- a/crates/rehearsal/src/takeover.rs
+++ b/crates/rehearsal/src/takeover.rs
@@ -240,7 +240,7 @@
     let owner = controllers.iter().position(|c| c.name() == record.owner)?;
     Some(Target {
         shard,
-        token: record.fencing_token,
+        token: record.fencing_token.0,
         owner,
     })
 }
--- a/crates/rehearsal/src/worker.rs
+++ b/crates/rehearsal/src/worker.rs
@@ -1,7 +1,8 @@
 //! A worker: tasks, token, session and lease.
 
 use pointhook::protocol::workers::{
-    Command, DirectCommands, ExitReason, Heartbeat, HeartbeatResponse, TaskState, TaskStatus,
+    AgentEpoch, Command, DirectCommands, ExitReason, FencingToken, Heartbeat, HeartbeatResponse,
+    TaskState, TaskStatus,
 };
 
 struct Task {
@@ -116,9 +117,9 @@
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            agent_epoch: self.session,
+            agent_epoch: AgentEpoch(self.session),
             sequence: self.seq,
-            fencing_token: self.token,
+            fencing_token: FencingToken(self.token),
             preemption_notice_s: None,
             tasks: tasks.collect(),
         }
@@ -127,10 +128,10 @@
     /// Takes the answer to a report sent at `sent`; false if it had to be dropped.
     pub fn answered(&mut self, a: &HeartbeatResponse, session: u64, sent: u64, now: u64) -> bool {
         self.advance(now);
-        if a.fencing_token < self.token || session != self.session || now > sent + 4000 {
+        if a.fencing_token.0 < self.token || session != self.session || now > sent + 4000 {
             return false;
         }
-        self.token = a.fencing_token;
+        self.token = a.fencing_token.0;
         self.renewed = sent;
         self.execute(&a.commands, now);
         true
@@ -139,10 +140,10 @@
     /// Takes direct commands; the status.
     pub fn command(&mut self, c: &DirectCommands, now: u64) -> u16 {
         self.advance(now);
-        if c.fencing_token < self.token || c.agent_epoch != self.session {
+        if c.fencing_token.0 < self.token || c.agent_epoch.0 != self.session {
             return 409;
         }
-        self.token = c.fencing_token;
+        self.token = c.fencing_token.0;
         self.execute(&c.commands, now);
         200
     }
--- a/crates/rehearsal/tests/checker.rs
+++ b/crates/rehearsal/tests/checker.rs
@@ -2,8 +2,10 @@
 
 use pointhook::coordination::kv::set;
 use pointhook::protocol::kv::{Condition, Transaction};
+use pointhook::protocol::workers::FencingToken;
 use pointhook::state::job::JobRecord;
 use pointhook::state::records::{ShardRecord, ROOT};
+use pointhook::state::units::Incarnation;
 use rehearsal::checker::{check, Kind};
 use rehearsal::history::{Entry, Event, Recorder};
 
@@ -150,8 +152,8 @@
     let mut recorder = Recorder::default();
     let shard = ShardRecord {
         owner: "n0".into(),
-        incarnation: 1,
-        fencing_token: 7,
+        incarnation: Incarnation(1),
+        fencing_token: FencingToken(7),
     };
     recorder.committed(&written(shard_key(), &shard), 5, 0);
     let record = |attempt: u64| {
--- a/crates/standby/src/follower.rs
+++ b/crates/standby/src/follower.rs
@@ -1,5 +1,6 @@
 //! The standby's end of the stream: notices what is lost, doubled, reordered or of another token.
 
+use crate::ids::FencingToken;
 use crate::message::{Answer, Message};
 use crate::replica_state::ReplicaState;
 
@@ -25,7 +26,7 @@
 /// The standby's end of a stream.
 #[derive(Clone, Debug, Default)]
 pub struct Follower {
-    token: u64,
+    token: FencingToken,
     /// Complete state, and the next decision that is wanted.
     complete: Option<(ReplicaState, u64)>,
     receiving: Option<Receiving>,
@@ -34,7 +35,7 @@
 
 impl Follower {
     /// Token of the owner that is followed.
-    pub fn token(&self) -> u64 {
+    pub fn token(&self) -> FencingToken {
         self.token
     }
 
@@ -49,12 +50,12 @@
     }
 
     /// Takes a message of an owner; `recorded` is the highest token that is known otherwise.
-    pub fn take(&mut self, message: &Message, recorded: u64) -> Answer {
+    pub fn take(&mut self, message: &Message, recorded: FencingToken) -> Answer {
         let (_, token) = message.origin();
         let highest = self.token.max(recorded);
         if token < highest {
             self.irregularities.outdated += 1;
-            return Answer::Outranked(highest);
+            return Answer::Outranked(highest.0);
         }
         if token > self.token {
             // Another owner starts from its own state.
--- a/crates/standby/src/ids.rs
+++ b/crates/standby/src/ids.rs
@@ -1,13 +1,36 @@
 //! Identifiers and times that the other modules share.
 
+use serde::{Deserialize, Serialize};
+
 /// Number of a shard.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct ShardId(pub u32);
 
 /// Fencing token of a shard; every change of owner raises it.
-#[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default)]
+#[derive(
+    Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default,
+)]
+#[serde(transparent)]
 pub struct FencingToken(pub u64);
 
+impl FencingToken {
+    /// The token that the next owner gets.
+    pub fn next(self) -> FencingToken {
+        FencingToken(self.0 + 1)
+    }
+
+    /// True if an owner has been recorded: tokens begin at 1.
+    pub fn is_issued(self) -> bool {
+        self.0 > 0
+    }
+}
+
+impl std::fmt::Display for FencingToken {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        self.0.fmt(f)
+    }
+}
+
 /// Revision of the state service.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default)]
 pub struct Revision(pub u64);
--- a/crates/standby/src/message.rs
+++ b/crates/standby/src/message.rs
@@ -4,6 +4,7 @@
 // rkyv's derive makes archived twins whose fields carry no docs of their own.
 #![allow(missing_docs)]
 
+use crate::ids::FencingToken;
 use rkyv::rancor::Error;
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -115,10 +116,10 @@
 
 impl Message {
     /// Shard and token that it is about.
-    pub fn origin(&self) -> (u32, u64) {
+    pub fn origin(&self) -> (u32, FencingToken) {
         match self {
             Message::Tail { shard, token, .. } | Message::Snapshot { shard, token, .. } => {
-                (*shard, *token)
+                (*shard, FencingToken(*token))
             }
         }
     }
--- a/crates/standby/src/publisher.rs
+++ b/crates/standby/src/publisher.rs
@@ -4,6 +4,7 @@
 //! falls behind the tail gets a snapshot: it never slows the owner. At most one message is on its
 //! way, so nothing accumulates between the two.
 
+use crate::ids::FencingToken;
 use crate::message::{Answer, Decision, MachineState, Message};
 use crate::replica_state::ReplicaState;
 use std::collections::VecDeque;
@@ -53,7 +54,7 @@
 #[derive(Debug)]
 pub struct Publisher {
     shard: u32,
-    token: u64,
+    token: FencingToken,
     limits: StreamLimits,
     shadow: ReplicaState,
     tail: VecDeque<Decision>,
@@ -66,7 +67,7 @@
 
 impl Publisher {
     /// A stream to a standby that has nothing yet.
-    pub fn new(shard: u32, token: u64, limits: StreamLimits) -> Publisher {
+    pub fn new(shard: u32, token: FencingToken, limits: StreamLimits) -> Publisher {
         Publisher {
             shard,
             token,
@@ -81,7 +82,7 @@
     }
 
     /// Token under which decisions are made.
-    pub fn token(&self) -> u64 {
+    pub fn token(&self) -> FencingToken {
         self.token
     }
 
@@ -144,7 +145,7 @@
             return None;
         };
         self.waiting = true;
-        Some(loading.part(self.shard, self.token, self.limits.message_bytes))
+        Some(loading.part(self.shard, self.token.0, self.limits.message_bytes))
     }
 
     fn tail_from(&self, next: u64) -> Option<Message> {
@@ -161,7 +162,7 @@
         }
         (!decisions.is_empty()).then_some(Message::Tail {
             shard: self.shard,
-            token: self.token,
+            token: self.token.0,
             first: next,
             decisions,
         })
@@ -180,7 +181,7 @@
         let end = self.next();
         let accepted = match (answer, &mut self.progress) {
             (Answer::Outranked(token), _) => {
-                self.outranked = token > self.token;
+                self.outranked = FencingToken(token) > self.token;
                 self.outranked
             }
             (Answer::Next(wanted), Progress::Following { next }) => {
--- a/crates/standby/tests/stream.rs
+++ b/crates/standby/tests/stream.rs
@@ -2,6 +2,7 @@
 //! standby that is behind, and messages that are no messages.
 
 use standby::follower::Follower;
+use standby::ids::FencingToken;
 use standby::message::{Answer, Decision, MachineState, Message, QueuedTask, MAX_MESSAGE};
 use standby::publisher::{Publisher, StreamLimits};
 
@@ -55,14 +56,14 @@
         let Some(message) = publisher.next_message() else {
             return;
         };
-        publisher.answered(follower.take(&message, 0));
+        publisher.answered(follower.take(&message, FencingToken(0)));
     }
     panic!("the stream never settles");
 }
 
 #[test]
 fn a_new_standby_gets_a_snapshot_in_parts_and_then_the_tail() {
-    let mut publisher = Publisher::new(0, 1, SMALL);
+    let mut publisher = Publisher::new(0, FencingToken(1), SMALL);
     let mut follower = Follower::default();
     for i in 0..50 {
         publisher.publish(machine(i, i % 4));
@@ -79,7 +80,7 @@
     ));
     // The owner goes on deciding while the parts are on their way.
     publisher.publish(machine(3, 2));
-    publisher.answered(follower.take(&first, 0));
+    publisher.answered(follower.take(&first, FencingToken(0)));
     reconcile(&mut publisher, &mut follower);
     assert_eq!(publisher.lag(), Some(0));
     assert_eq!(follower.shadow(), Some(publisher.shadow()));
@@ -92,7 +93,7 @@
 #[test]
 fn a_standby_that_is_behind_by_more_than_the_tail_gets_a_snapshot() {
     for lag in [1, SMALL.tail, SMALL.tail + 1, 20 * SMALL.tail] {
-        let mut publisher = Publisher::new(0, 1, SMALL);
+        let mut publisher = Publisher::new(0, FencingToken(1), SMALL);
         let mut follower = Follower::default();
         reconcile(&mut publisher, &mut follower);
         for i in 0..lag {
@@ -101,7 +102,7 @@
         let message = publisher.next_message().unwrap();
         let snapshot = matches!(message, Message::Snapshot { .. });
         assert_eq!(snapshot, lag > SMALL.tail, "{lag}");
-        publisher.answered(follower.take(&message, 0));
+        publisher.answered(follower.take(&message, FencingToken(0)));
         reconcile(&mut publisher, &mut follower);
         assert_eq!(follower.shadow(), Some(publisher.shadow()));
     }
@@ -109,7 +110,7 @@
 
 #[test]
 fn nothing_accumulates_for_a_standby_that_does_not_answer() {
-    let mut publisher = Publisher::new(0, 1, SMALL);
+    let mut publisher = Publisher::new(0, FencingToken(1), SMALL);
     assert!(publisher.next_message().is_some());
     for i in 0..10_000 {
         publisher.publish(machine(i % 30, i % 4));
@@ -123,7 +124,10 @@
 
 #[test]
 fn messages_of_an_older_owner_are_refused_and_stop_its_stream() {
-    let (mut old, mut new) = (Publisher::new(0, 4, SMALL), Publisher::new(0, 5, SMALL));
+    let (mut old, mut new) = (
+        Publisher::new(0, FencingToken(4), SMALL),
+        Publisher::new(0, FencingToken(5), SMALL),
+    );
     let mut follower = Follower::default();
     old.publish(machine(1, 1));
     reconcile(&mut old, &mut follower);
@@ -135,7 +139,7 @@
     assert!(old.is_outranked());
     assert_eq!(
         (follower.token(), follower.irregularities().outdated),
-        (5, 1)
+        (FencingToken(5), 1)
     );
     assert_eq!(follower.shadow(), Some(new.shadow()));
     // The records may know of a takeover before the new owner's first message.
@@ -147,7 +151,7 @@
                 first: 0,
                 decisions: Vec::new()
             },
-            6
+            FencingToken(6)
         ),
         Answer::Outranked(6)
     );
@@ -155,14 +159,14 @@
 
 #[test]
 fn gaps_are_noticed_and_a_late_snapshot_takes_nothing_back() {
-    let mut publisher = Publisher::new(0, 1, SMALL);
+    let mut publisher = Publisher::new(0, FencingToken(1), SMALL);
     let mut follower = Follower::default();
     publisher.publish(machine(1, 1));
     let late = publisher.next_message().unwrap();
-    publisher.answered(follower.take(&late, 0));
+    publisher.answered(follower.take(&late, FencingToken(0)));
     publisher.publish(machine(1, 2));
     reconcile(&mut publisher, &mut follower);
-    assert_eq!(follower.take(&late, 0), Answer::Next(2));
+    assert_eq!(follower.take(&late, FencingToken(0)), Answer::Next(2));
     assert_eq!(follower.shadow(), Some(publisher.shadow()));
     let ahead = Message::Tail {
         shard: 0,
@@ -170,7 +174,10 @@
         first: 3,
         decisions: vec![machine(9, 1)],
     };
-    assert_eq!(follower.take(&ahead, 0), Answer::NeedsSnapshot);
+    assert_eq!(
+        follower.take(&ahead, FencingToken(0)),
+        Answer::NeedsSnapshot
+    );
     assert_eq!(follower.irregularities().gaps, 1);
     assert_eq!(follower.shadow(), Some(publisher.shadow()));
 }
@@ -179,7 +186,7 @@
 fn a_lossy_stream_ends_in_the_owners_state() {
     for seed in 0..CASES {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut publisher = Publisher::new(0, 1, SMALL);
+        let mut publisher = Publisher::new(0, FencingToken(1), SMALL);
         let mut follower = Follower::default();
         let mut kept: Vec<Message> = Vec::new();
         for _ in 0..200 {
@@ -190,17 +197,17 @@
                     // Lost, or its answer is.
                     0 => publisher.unanswered(),
                     1 => {
-                        follower.take(&message, 0);
+                        follower.take(&message, FencingToken(0));
                         publisher.unanswered();
                     }
-                    _ => publisher.answered(follower.take(&message, 0)),
+                    _ => publisher.answered(follower.take(&message, FencingToken(0))),
                 }
             }
             // An earlier message comes again, after newer ones.
             if rng.u8(..4) == 0 {
                 let at = rng.usize(..kept.len().max(1));
                 if let Some(again) = kept.get(at) {
-                    follower.take(again, 0);
+                    follower.take(again, FencingToken(0));
                 }
             }
         }
@@ -215,7 +222,7 @@
         arbtest::arbtest(|u| {
             let bytes: Vec<u8> = u.arbitrary()?;
             if let Some(message) = Message::decode(&bytes) {
-                Follower::default().take(&message, 0);
+                Follower::default().take(&message, FencingToken(0));
             }
             let _ = Answer::decode(&bytes);
             Ok(())
@@ -253,7 +260,7 @@
             if let Some(message) = Message::decode(&bytes) {
                 read += 1;
                 let mut follower = Follower::default();
-                follower.take(&message, 0);
+                follower.take(&message, FencingToken(0));
             }
             Ok(())
         })
@@ -269,7 +276,7 @@
 #[test]
 fn a_message_of_a_full_part_stays_below_its_bound() {
     let limits = StreamLimits::default();
-    let mut publisher = Publisher::new(0, 1, limits);
+    let mut publisher = Publisher::new(0, FencingToken(1), limits);
     for i in 0..4000 {
         publisher.publish(machine(i, 8));
     }
@@ -278,7 +285,7 @@
     while let Some(message) = publisher.next_message() {
         let size = message.encode().unwrap().len();
         assert!(size <= MAX_MESSAGE, "{size}");
-        publisher.answered(follower.take(&message, 0));
+        publisher.answered(follower.take(&message, FencingToken(0)));
         parts += 1;
     }
     assert!(parts > 10);
@@ -287,14 +294,14 @@
 
 /// All parts of a snapshot of so many machines.
 fn parts(machines: usize) -> Vec<Message> {
-    let mut publisher = Publisher::new(0, 1, SMALL);
+    let mut publisher = Publisher::new(0, FencingToken(1), SMALL);
     for i in 0..machines {
         publisher.publish(machine(i, i % 4));
     }
     let mut follower = Follower::default();
     let mut out = Vec::new();
     while let Some(message) = publisher.next_message() {
-        publisher.answered(follower.take(&message, 0));
+        publisher.answered(follower.take(&message, FencingToken(0)));
         out.push(message);
     }
     out
@@ -307,8 +314,11 @@
     assert!(of_50.len() > 3);
     for odd in [&of_50[2], &of_50[0].clone(), &of_60[1]] {
         let mut follower = Follower::default();
-        assert_eq!(follower.take(&of_50[0], 0), Answer::NextPart(1));
-        let answer = follower.take(odd, 0);
+        assert_eq!(
+            follower.take(&of_50[0], FencingToken(0)),
+            Answer::NextPart(1)
+        );
+        let answer = follower.take(odd, FencingToken(0));
         // A first part begins anew; any other is of no use.
         match odd {
             Message::Snapshot { part: 0, .. } => assert_eq!(answer, Answer::NextPart(1)),
@@ -317,9 +327,12 @@
         assert_eq!(follower.shadow(), None);
     }
     let mut follower = Follower::default();
-    assert_eq!(follower.take(&of_50[1], 0), Answer::NeedsSnapshot);
+    assert_eq!(
+        follower.take(&of_50[1], FencingToken(0)),
+        Answer::NeedsSnapshot
+    );
     for part in &of_50 {
-        follower.take(part, 0);
+        follower.take(part, FencingToken(0));
     }
     assert_eq!(follower.shadow().map(|s| s.machines().count()), Some(50));
 }
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -9,6 +9,7 @@
 use crate::state::names::MachineIndex;
 use crate::state::units::{millis_from_seconds, MonotonicMillis};
 use http_types::Method;
+use standby::ids::FencingToken;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
@@ -48,12 +49,12 @@
     /// The last turn had machines to return.
     scale_in_pending: bool,
     owner_since: Option<MonotonicMillis>,
-    fencing_token: u64,
+    fencing_token: FencingToken,
     needed: HashSet<MachineIndex>,
 }
 
 impl AutoscalerState {
-    fn new(rps: f64, token: u64, owner_since: Option<MonotonicMillis>) -> AutoscalerState {
+    fn new(rps: f64, token: FencingToken, owner_since: Option<MonotonicMillis>) -> AutoscalerState {
         AutoscalerState {
             rate_limiter: RateLimiter::new(rps),
             pages: Pages::default(),
@@ -75,7 +76,7 @@
 /// Duty: rents and returns machines while this node owns the renting shard.
 pub async fn run(controller: Rc<Controller>) {
     let rps = controller.platform.settings.cloud.rps;
-    let mut duty = AutoscalerState::new(rps, 0, None);
+    let mut duty = AutoscalerState::new(rps, FencingToken::default(), None);
     loop {
         let idle = duty.owner_since.is_none() && {
             let cluster = controller.cluster.borrow();
@@ -99,7 +100,7 @@
             let permit = controller
                 .config
                 .permit(&cluster, &permits, cluster.autoscaler_shard());
-            permit.map(|permit| permit.token().0)
+            permit.map(|permit| permit.token())
         };
         let Some(token) = token else {
             duty.owner_since = None;
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -10,7 +10,7 @@
 use crate::state::cluster_state::ClusterState;
 use crate::state::machine::Machine;
 use crate::state::names::{Index, ShardIndex};
-use crate::state::units::{millis_from_seconds, MonotonicMillis};
+use crate::state::units::{millis_from_seconds, Incarnation, MonotonicMillis};
 use crate::transport::frames::PeerClient;
 use crate::transport::http::Client;
 use crate::transport::{within, within_beat};
@@ -313,7 +313,7 @@
         let config = SchedulerConfig {
             controller_name: platform.node.clone(),
             // Grows from start to start of the same node, and stays a whole number below 2^53.
-            incarnation: wall_ms() * 2048 + fastrand::u64(0..2048),
+            incarnation: Incarnation(wall_ms() * 2048 + fastrand::u64(0..2048)),
             unresponsive_ms: millis_from_seconds(s.workers.report_s * 2.5) + 500,
             queue_cap: operator.queue_cap,
             steal_after_ms: millis_from_seconds(operator.steal_after_s),
--- a/src/coordination/failover.rs
+++ b/src/coordination/failover.rs
@@ -10,7 +10,7 @@
 use crate::state::units::{millis_from_seconds, MonotonicMillis};
 use standby::bound::FailoverBound;
 use standby::failover::{Observation, Owner, Refusal, State, Transition};
-use standby::ids::{FencingToken, Millis, Revision, ShardId};
+use standby::ids::{Millis, Revision, ShardId};
 use std::cell::Ref;
 use std::collections::HashMap;
 
@@ -55,7 +55,7 @@
     let slot = &cluster.shards[shard.at()];
     let owner = if config.owns(cluster, shard) {
         Owner::Me {
-            token: FencingToken(slot.record.fencing_token),
+            token: slot.record.fencing_token,
             fence: Revision(slot.version),
         }
     } else if slot.record.owner.is_empty() {
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -55,12 +55,7 @@
     let (machine_index, token, taken) = match received {
         HeartbeatOutcome::NotOwner(owner) => return elsewhere(owner),
         HeartbeatOutcome::StaleFencingToken(shard, seen) => {
-            controller.token_refused(
-                shard,
-                Refusal::Worker {
-                    seen: FencingToken(seen),
-                },
-            );
+            controller.token_refused(shard, Refusal::Worker { seen });
             return elsewhere(None);
         }
         HeartbeatOutcome::HeartbeatChange(machine_index, token, taken) => {
@@ -112,9 +107,9 @@
     /// It is for another node, which is named if it is known.
     NotOwner(Option<String>),
     /// Its worker has seen a higher token than the own one: someone else commands its shard.
-    StaleFencingToken(ShardIndex, u64),
+    StaleFencingToken(ShardIndex, FencingToken),
     /// It was taken: machine, own token, and what it brought.
-    HeartbeatChange(MachineIndex, u64, HeartbeatChange),
+    HeartbeatChange(MachineIndex, FencingToken, HeartbeatChange),
 }
 
 /// Takes a report if its machine is this node's.
@@ -162,7 +157,7 @@
     config: &SchedulerConfig,
     permits: &Permits,
     report: &Heartbeat,
-    (machine_index, token, taken): (MachineIndex, u64, HeartbeatChange),
+    (machine_index, token, taken): (MachineIndex, FencingToken, HeartbeatChange),
     now: MonotonicMillis,
 ) -> Option<HeartbeatResponse> {
     let m = cluster.machine(machine_index)?;
@@ -261,7 +256,7 @@
     r: &Heartbeat,
     tasks: Vec<ObservedTask>,
     now: MonotonicMillis,
-    token: Option<u64>,
+    token: Option<FencingToken>,
 ) {
     m.addr.clone_from(&r.addr);
     m.message_version = r.version();
@@ -343,7 +338,7 @@
     machine_index: MachineIndex,
     r: &Heartbeat,
     now: MonotonicMillis,
-    under: Option<(u64, u64)>,
+    under: Option<(FencingToken, u64)>,
 ) -> HeartbeatChange {
     let tasks = seen_tasks(cluster, r);
     let placed = cluster.placed_on(machine_index).to_vec();
@@ -392,14 +387,14 @@
     tasks: &[ObservedTask],
     placed: &[TaskAttempt],
     now: MonotonicMillis,
-    token: u64,
+    token: FencingToken,
     lease_ms: u64,
 ) {
     let answered = m.fencing_token == token
         && m.last_heartbeat
             .is_some_and(|h| now.since(h) < lease_ms / 2);
     let stamp = r.version();
-    if r.agent_epoch > m.message_version.agent_epoch && m.message_version.agent_epoch > 0 {
+    if r.agent_epoch > m.message_version.agent_epoch && m.message_version.agent_epoch.is_known() {
         m.unobserved_starts = 0;
         if answered && m.responding_since.is_some_and(|s| now.since(s) > lease_ms) {
             log::warn!(
--- a/src/coordination/membership.rs
+++ b/src/coordination/membership.rs
@@ -9,7 +9,7 @@
 use crate::state::machine::InFlightStart;
 use crate::state::names::{Index, ShardIndex, ZoneIndex};
 use crate::state::records::{RECORD_FORMAT_V2, STANDBY_VERSION};
-use crate::state::units::{millis_from_seconds, MonotonicMillis};
+use crate::state::units::{millis_from_seconds, Incarnation, MonotonicMillis};
 use http_types::Method;
 use standby::failover::{Failovers, Transition};
 use standby::ids::{Millis, ShardId};
@@ -71,7 +71,7 @@
 #[derive(Default)]
 pub struct MembershipView {
     /// Since when each incarnation has been seen.
-    pub first_seen: HashMap<(String, u64), MonotonicMillis>,
+    pub first_seen: HashMap<(String, Incarnation), MonotonicMillis>,
     /// Nodes that no worker reaches.
     pub unreachable_from_workers: HashSet<String>,
     /// Since when this node has each of its shards.
@@ -267,7 +267,7 @@
     let rec = ShardRecord {
         owner: m.to.clone(),
         incarnation: target.record.incarnation,
-        fencing_token: old.record.fencing_token + 1,
+        fencing_token: old.record.fencing_token.next(),
     };
     let node_key = |n: &str| format!("{ROOT}node/{n}");
     let mut conditions = vec![
--- a/src/coordination/reconciliation.rs
+++ b/src/coordination/reconciliation.rs
@@ -9,6 +9,7 @@
 use crate::state::machine::{Machine, ObservedTask, TaskAttempt};
 use crate::state::names::{Index, JobIndex, MachineIndex};
 use crate::state::units::MonotonicMillis;
+use standby::ids::FencingToken;
 use standby::permit::Permits;
 
 /// True if a gang has lost some of its tasks and the rest has to go.
@@ -32,10 +33,10 @@
 /// an answer may still be on its way to the worker. A direct start without an answer may
 /// run at any time until the token is raised or the session ends. A report under the
 /// owner's own token shuts out every older owner's orders.
-pub fn proven_absent(m: &Machine, token: u64, a: TaskAttempt) -> bool {
+pub fn proven_absent(m: &Machine, token: FencingToken, a: TaskAttempt) -> bool {
     m.last_heartbeat.is_some()
         && m.fencing_token == token
-        && token > 0
+        && token.is_issued()
         && m.observed(a).is_none()
         && m.start_sent
             .get(&a)
@@ -92,7 +93,7 @@
 ///
 /// Its owner may start it again under its number. The order for that may be in the answer to the
 /// very report that shows its end, on its way still when the rest of the gang is lost.
-pub fn ended_by_gang_timeout(m: &Machine, token: u64, a: TaskAttempt) -> bool {
+pub fn ended_by_gang_timeout(m: &Machine, token: FencingToken, a: TaskAttempt) -> bool {
     let again = m
         .start_sent
         .get(&a)
@@ -105,25 +106,25 @@
 /// It has accepted this owner's token, so no older owner's answer renews its lease, and a
 /// younger owner would make the transaction fail that rests on this. Its tasks are dead and
 /// whatever was sent to its session runs no more. For a new owner time alone proves nothing.
-pub fn lease_expired(m: &Machine, token: u64, dead_ms: u64, now: MonotonicMillis) -> bool {
+pub fn lease_expired(m: &Machine, token: FencingToken, dead_ms: u64, now: MonotonicMillis) -> bool {
     // A report that an answer to a direct command has overtaken shows nothing new, but its
     // answer renews the lease all the same.
     let renewed = m.last_heartbeat.max(m.last_response);
-    token > 0 && m.fencing_token == token && renewed.is_some_and(|h| now.since(h) > dead_ms)
+    token.is_issued() && m.fencing_token == token && renewed.is_some_and(|h| now.since(h) > dead_ms)
 }
 
 /// True if a direct start may still take effect, late or once more.
 ///
 /// One that was answered may be repeated on its way. As long as the worker still shows the
 /// attempt that changes nothing, and so such an exit is kept until the token has risen.
-pub fn start_in_flight(m: &Machine, token: u64, a: TaskAttempt) -> bool {
+pub fn start_in_flight(m: &Machine, token: FencingToken, a: TaskAttempt) -> bool {
     m.in_flight_starts
         .get(&a)
         .is_some_and(|l| l.fencing_token >= token && l.agent_epoch == m.message_version.agent_epoch)
 }
 
 /// True if a direct start that was not answered may still take effect.
-pub fn unacknowledged_start(m: &Machine, token: u64, a: TaskAttempt) -> bool {
+pub fn unacknowledged_start(m: &Machine, token: FencingToken, a: TaskAttempt) -> bool {
     let open = m.in_flight_starts.get(&a).is_some_and(|l| !l.acknowledged);
     open && start_in_flight(m, token, a)
 }
--- a/src/coordination/replication.rs
+++ b/src/coordination/replication.rs
@@ -14,6 +14,7 @@
 use crate::state::names::{Index, ShardIndex};
 use crate::state::units::MonotonicMillis;
 use standby::follower::Follower;
+use standby::ids::FencingToken;
 use standby::ids::ShardId;
 use standby::message::{Answer, Decision, MachineState, Message, QueuedTask};
 use standby::permit::Permits;
@@ -60,7 +61,7 @@
     fn retain_owned(&mut self, cluster: &ClusterState, config: &SchedulerConfig, held: &Permits) {
         self.published.retain(|shard, stream| {
             let permit = config.permit(cluster, held, *shard);
-            permit.is_some_and(|p| p.token().0 == stream.publisher.token())
+            permit.is_some_and(|p| p.token() == stream.publisher.token())
         });
     }
 
@@ -78,7 +79,7 @@
     }
 
     /// The stream of a shard to a standby; one that has changed begins with a snapshot.
-    fn stream(&mut self, shard: ShardIndex, token: u64, to: &str) -> &mut Stream {
+    fn stream(&mut self, shard: ShardIndex, token: FencingToken, to: &str) -> &mut Stream {
         let stream = self.published.entry(shard).or_insert_with(|| Stream {
             publisher: Publisher::new(shard.0, token, StreamLimits::default()),
             to: to.to_string(),
@@ -127,7 +128,7 @@
         let Some(permit) = controller.config.permit(&cluster, &permits, *shard) else {
             continue;
         };
-        let stream = replication.stream(*shard, permit.token().0, name);
+        let stream = replication.stream(*shard, permit.token(), name);
         publish_changes(&cluster, *shard, now, &mut stream.publisher);
         let lags = stream.publisher.lag() != Some(0);
         let may_send = !stream.busy && now >= stream.not_before;
@@ -309,11 +310,11 @@
         ShardStatus {
             shard: shard.0,
             owner: record.owner.clone(),
-            fencing_token: record.fencing_token,
+            fencing_token: record.fencing_token.0,
             state: takeovers.state(ShardId(shard.0)).name().to_string(),
             standby: standby_of.get(&shard).cloned(),
             replication_lag: stream.and_then(|s| s.publisher.lag()),
-            replica_of_token: complete.map(Follower::token),
+            replica_of_token: complete.map(|follower| follower.token().0),
         }
     };
     let shards = (0..cluster.shards.len()).map(ShardIndex::new);
@@ -384,7 +385,10 @@
     let mut cluster = controller.cluster.borrow_mut();
     // Only the state of the owner just before: an older one's queues have long been served.
     let token = cluster.shards[shard.at()].record.fencing_token;
-    let Some(shadow) = follower.shadow().filter(|_| follower.token() + 1 == token) else {
+    let Some(shadow) = follower
+        .shadow()
+        .filter(|_| follower.token().next() == token)
+    else {
         return;
     };
     let restored = restore_replica(&mut cluster, shard, shadow, controller.now());
--- a/src/coordination/scheduler/commands.rs
+++ b/src/coordination/scheduler/commands.rs
@@ -5,11 +5,12 @@
 };
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::protocol::users::JobKind;
-use crate::protocol::workers::{Command, ExitReason, TaskState};
+use crate::protocol::workers::{AgentEpoch, Command, ExitReason, TaskState};
 use crate::state::cluster_state::ClusterState;
 use crate::state::machine::{InFlightStart, Machine, TaskAttempt};
 use crate::state::names::{Index, MachineIndex};
 use crate::state::units::MonotonicMillis;
+use standby::ids::FencingToken;
 use standby::permit::Permits;
 
 /// Orders for a machine in answer to its newest report. Notes the starts it sends.
@@ -26,7 +27,7 @@
     let Some(permit) = config.permit(cluster, permits, m.shard) else {
         return Vec::new();
     };
-    let token = permit.token().0;
+    let token = permit.token();
     let starts = config.may_start(cluster, now);
     let mut out = Vec::new();
     let mut again = Vec::new();
@@ -133,9 +134,9 @@
     /// Its worker.
     pub addr: String,
     /// Token and session that the orders are bound to.
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// Session.
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// Attempts to start.
     pub attempts: Vec<TaskAttempt>,
     /// The orders.
@@ -165,11 +166,11 @@
         let Some(permit) = permitted[m.shard.at()] else {
             continue;
         };
-        let token = permit.token().0;
+        let token = permit.token();
         let ready = m.is_schedulable(now, config.unresponsive_ms)
             && m.responses_in_progress == 0
             && m.fencing_token == token
-            && m.message_version.agent_epoch > 0
+            && m.message_version.agent_epoch.is_known()
             && !m.addr.is_empty();
         if !ready {
             continue;
--- a/src/coordination/scheduler/config.rs
+++ b/src/coordination/scheduler/config.rs
@@ -3,8 +3,8 @@
 use crate::protocol::kv::Limits;
 use crate::state::cluster_state::ClusterState;
 use crate::state::names::{Index, ShardIndex};
-use crate::state::units::MonotonicMillis;
-use standby::ids::{FencingToken, ShardId};
+use crate::state::units::{Incarnation, MonotonicMillis};
+use standby::ids::ShardId;
 use standby::permit::{Permit, Permits};
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -15,7 +15,7 @@
     /// This node.
     pub controller_name: String,
     /// Its incarnation.
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     /// Silence after which a machine gets nothing new, ms.
     pub unresponsive_ms: u64,
     /// Queue cap.
@@ -75,7 +75,7 @@
         permits: &'p Permits,
         shard: ShardIndex,
     ) -> Option<&'p Permit> {
-        let token = FencingToken(cluster.shards[shard.at()].record.fencing_token);
+        let token = cluster.shards[shard.at()].record.fencing_token;
         let permit = permits.get(ShardId(shard.0))?;
         (self.owns(cluster, shard) && permit.token() == token).then_some(permit)
     }
--- a/src/coordination/worker_connectivity.rs
+++ b/src/coordination/worker_connectivity.rs
@@ -9,6 +9,7 @@
 use crate::state::units::{millis_from_seconds, MonotonicMillis};
 use crate::transport::http::{Client, Fetched};
 use http_types::Method;
+use standby::ids::FencingToken;
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -103,7 +104,7 @@
     tried: &mut HashMap<MachineIndex, MonotonicMillis>,
     now: MonotonicMillis,
     own: impl Fn(ShardIndex) -> Option<()>,
-) -> Vec<(MachineIndex, String, u64)> {
+) -> Vec<(MachineIndex, String, FencingToken)> {
     let due: Vec<bool> = config
         .owned(cluster)
         .into_iter()
@@ -178,7 +179,7 @@
 
 /// Raises the token a worker has seen. What it answers is no evidence: an answer to an
 /// earlier report may still be on its way.
-async fn raise_token(addr: String, token: u64) {
+async fn raise_token(addr: String, token: FencingToken) {
     let Some((f, client)) = status(&addr).await else {
         return;
     };
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,6 +1,21 @@
 //! What workers report and are told.
 
 use serde::{Deserialize, Serialize};
+pub use standby::ids::FencingToken;
+
+/// Incarnation of a worker's agent: it rises each time the worker's lease expires.
+#[derive(
+    Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default,
+)]
+#[serde(transparent)]
+pub struct AgentEpoch(pub u64);
+
+impl AgentEpoch {
+    /// True once a message of the worker has told it: epochs begin at 1.
+    pub fn is_known(self) -> bool {
+        self.0 > 0
+    }
+}
 
 /// State of a task on a machine.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
@@ -94,13 +109,13 @@
     pub spot: bool,
     /// Session.
     #[serde(rename = "shift")]
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// Number of the message.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// Highest token seen.
     #[serde(rename = "baton")]
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// Seconds until the cloud takes the machine.
     #[serde(rename = "warning_s", default)]
     pub preemption_notice_s: Option<f64>,
@@ -113,7 +128,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct HeartbeatVersion {
     /// Epoch of the worker's agent; it rises whenever the worker's lease expires.
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// Number of the message within its epoch.
     pub sequence: u64,
 }
@@ -172,7 +187,7 @@
 pub struct HeartbeatResponse {
     /// Token of the commander.
     #[serde(rename = "baton")]
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// What to do, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
@@ -183,10 +198,10 @@
 pub struct DirectCommands {
     /// Token of the commander.
     #[serde(rename = "baton")]
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// Session that they are for.
     #[serde(rename = "shift")]
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// What to do, in order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
--- a/src/state/machine.rs
+++ b/src/state/machine.rs
@@ -2,7 +2,8 @@
 
 use super::names::{ImageIndex, JobIndex, MachineTypeIndex, ShardIndex, ZoneIndex};
 use super::units::{MonotonicMillis, Resources};
-use crate::protocol::workers::{ExitReason, HeartbeatVersion, TaskState};
+use crate::protocol::workers::{AgentEpoch, ExitReason, HeartbeatVersion, TaskState};
+use standby::ids::FencingToken;
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
@@ -75,9 +76,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightStart {
     /// Token.
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// Session.
-    pub agent_epoch: u64,
+    pub agent_epoch: AgentEpoch,
     /// When it was sent.
     pub sent_at: MonotonicMillis,
     /// The worker has answered it.
@@ -116,7 +117,7 @@
     /// Reports being answered right now.
     pub responses_in_progress: u32,
     /// Token in that report.
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
     /// When the cloud takes it away.
     pub preemption_deadline: Option<MonotonicMillis>,
     /// Tasks in the newest report.
@@ -182,7 +183,7 @@
             message_version: HeartbeatVersion::default(),
             heartbeat_version: HeartbeatVersion::default(),
             responses_in_progress: 0,
-            fencing_token: 0,
+            fencing_token: FencingToken::default(),
             preemption_deadline: None,
             tasks: Vec::new(),
             start_sent: HashMap::new(),
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -1,8 +1,9 @@
 //! Records of the state service other than jobs, and their versions.
 
 use super::names::ShardIndex;
-use super::units::QuotaUsage;
+use super::units::{Incarnation, QuotaUsage};
 use serde::{Deserialize, Serialize};
+use standby::ids::FencingToken;
 
 /// All keys of the service start with this.
 pub const ROOT: &str = "ph/";
@@ -12,7 +13,7 @@
 pub struct ControllerRecord {
     /// Number drawn at the start of the process.
     #[serde(rename = "i")]
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     /// Forms of records that its process knows; 0: only the first, of version 0.1.
     #[serde(rename = "v", default, skip_serializing_if = "is_zero")]
     pub record_format: u32,
@@ -48,10 +49,10 @@
     pub owner: String,
     /// Its incarnation.
     #[serde(rename = "i")]
-    pub incarnation: u64,
+    pub incarnation: Incarnation,
     /// Token; every change of owner raises it.
     #[serde(rename = "t")]
-    pub fencing_token: u64,
+    pub fencing_token: FencingToken,
 }
 
 /// Shares of a team's limit: shard, processors and graphics processors in thousandths.
--- a/src/state/units.rs
+++ b/src/state/units.rs
@@ -1,5 +1,7 @@
 //! Amounts and times.
 
+use serde::{Deserialize, Serialize};
+
 /// Milliseconds of this process' steady clock.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct MonotonicMillis(pub u64);
@@ -15,6 +17,13 @@
     }
 }
 
+/// Number drawn by a controller process at its start; it grows from start to start.
+#[derive(
+    Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default,
+)]
+#[serde(transparent)]
+pub struct Incarnation(pub u64);
+
 /// Seconds of a settings file or message as whole milliseconds.
 pub fn millis_from_seconds(seconds: f64) -> u64 {
     (seconds.max(0.0) * 1000.0).min(1e15) as u64
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -2,6 +2,8 @@
 
 mod support;
 
+use pointhook::protocol::workers::AgentEpoch;
+use pointhook::protocol::workers::FencingToken;
 use pointhook::state::cancellation_watermark::CancellationWatermark;
 use pointhook::state::job::JobState;
 use pointhook::state::units::MonotonicMillis;
@@ -353,7 +355,7 @@
     use pointhook::protocol::workers::{Command, TaskState};
     let mut w = support::worker::Worker::new("m1", "north", 0);
     let mut status = w.report(0);
-    (status.fencing_token, status.agent_epoch) = (7, 3);
+    (status.fencing_token, status.agent_epoch) = (FencingToken(7), AgentEpoch(3));
     let shown = |task: &str, state| pointhook::protocol::workers::TaskStatus {
         task: task.into(),
         attempt: 2,
@@ -371,7 +373,7 @@
     // Under the worker's own token: nobody's right to command it changes.
     assert_eq!(
         (c.fencing_token, c.agent_epoch, c.commands.len()),
-        (7, 3, 1)
+        (FencingToken(7), AgentEpoch(3), 1)
     );
     assert!(
         matches!(&c.commands[0], Command::Stop { task, grace_s, .. } if task == "job-1/0" && *grace_s == 0.0)
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -12,8 +12,10 @@
 use pointhook::protocol::peers::MachineStatus;
 use pointhook::protocol::users::JobKind;
 use pointhook::protocol::workers::Command;
+use pointhook::protocol::workers::FencingToken;
 use pointhook::state::job::JobState;
 use pointhook::state::names::{ShardIndex, ZoneIndex};
+use pointhook::state::units::Incarnation;
 use pointhook::state::units::MonotonicMillis;
 use std::collections::HashMap;
 use support::controller::{one, play, Controller};
@@ -249,9 +251,9 @@
         .commands
         .iter()
         .any(|o| matches!(o, Command::Start { .. })));
-    assert!(w.answered(&a, r.agent_epoch, 6000, 6000));
+    assert!(w.answered(&a, r.agent_epoch.0, 6000, 6000));
     // The new owner shows its token; the worker reports it, and the old one stands down.
-    w.token = new.cluster.shards[0].record.fencing_token;
+    w.token = new.cluster.shards[0].record.fencing_token.0;
     let r = w.report(7000);
     assert!(old.report_without_store(&r, 7000).is_none());
     // The task stays where it is, once: its placement is as good as before.
@@ -417,7 +419,7 @@
     let mut back = Controller::start("s1", 3, &mut store, 200);
     assert!(!back.owns(1));
     back.members(&mut store, 300);
-    assert!(back.owns(1) && back.cluster.shards[1].record.fencing_token >= 3);
+    assert!(back.owns(1) && back.cluster.shards[1].record.fencing_token >= FencingToken(3));
     old.sync(&store);
     assert!(!old.owns(1));
     // The old incarnation's key ends later: that must not take the new one's along.
@@ -635,7 +637,7 @@
     Controller::start("s1", 2, &mut store, 0);
     c.sync(&store);
     let seen = HashMap::from(
-        [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), i), MonotonicMillis(0))),
+        [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), Incarnation(i)), MonotonicMillis(0))),
     );
     let moves = |c: &Controller, deaf: &[&str]| {
         let known = membership::MembershipView {
@@ -712,7 +714,7 @@
     Controller::start("s1", 2, &mut store, 0);
     c.sync(&store);
     let seen = HashMap::from(
-        [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), i), MonotonicMillis(0))),
+        [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), Incarnation(i)), MonotonicMillis(0))),
     );
     // This node has just got the shard, and does not know yet that the other is deaf.
     let south = ZoneIndex(1);
--- a/tests/golden_formats.rs
+++ b/tests/golden_formats.rs
@@ -15,6 +15,8 @@
 use pointhook::protocol::peers::{
     self, MachineStatus, PeerRequest, PeerResponse, ShardStatus, TaskRef,
 };
+use pointhook::protocol::workers::AgentEpoch;
+use pointhook::protocol::workers::FencingToken;
 use pointhook::protocol::{cloud, users, workers};
 use pointhook::settings::{Operator, Platform, Team};
 use pointhook::state::cluster_state::ClusterState;
@@ -24,6 +26,7 @@
     ControllerRecord, OverflowRecord, ProvisioningRecord, ShardRecord, TeamRecord, Versioned,
     RECORD_FORMAT_V2, STANDBY_VERSION,
 };
+use pointhook::state::units::Incarnation;
 use pointhook::state::units::QuotaUsage;
 use pointhook::transport::http::{self, Answer};
 use serde_json::{json, Value};
@@ -136,7 +139,7 @@
     let mut c = cluster();
     let record = JobRecord::submitted(read(described()), 1);
     let token = ShardRecord {
-        fencing_token: 5,
+        fencing_token: FencingToken(5),
         ..ShardRecord::default()
     };
     let node = read::<ControllerRecord>(json!({"i": 7, "v": 2}));
@@ -179,7 +182,7 @@
     assert_eq!(c.controllers["stoker-1"].version, 9);
     assert_eq!(
         (c.shards[3].version, c.shards[3].record.fencing_token),
-        (9, 41)
+        (9, FencingToken(41))
     );
     assert_eq!(
         c.team_quotas[0].record.share(ShardIndex(1)),
@@ -631,7 +634,7 @@
             r.fencing_token,
             r.preemption_notice_s
         ),
-        (3, 4, 41, Some(30.5))
+        (AgentEpoch(3), 4, FencingToken(41), Some(30.5))
     );
     let t = &r.tasks[0];
     assert_eq!(
@@ -644,7 +647,10 @@
     );
     let c: workers::DirectCommands = read(json!({"baton": 41, "shift": 3, "orders": [
         {"verb": "reap", "piece": "job-1/0", "try": 1}]}));
-    assert_eq!((c.fencing_token, c.agent_epoch), (41, 3));
+    assert_eq!(
+        (c.fencing_token, c.agent_epoch),
+        (FencingToken(41), AgentEpoch(3))
+    );
     assert!(matches!(
         c.commands[0],
         workers::Command::AcknowledgeExit { attempt: 1, .. }
@@ -693,7 +699,7 @@
     let n: ControllerRecord = read(json!({"i": 7, "v": 2, "w": 1}));
     assert_eq!(
         (n.incarnation, n.record_format, n.standby_version),
-        (7, 2, 1)
+        (Incarnation(7), 2, 1)
     );
 }
 
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -6,6 +6,7 @@
 use pointhook::coordination::scheduler::planner;
 use pointhook::coordination::{heartbeats, peer_messages};
 use pointhook::protocol::peers::{self, PeerRequest, TaskRef};
+use pointhook::protocol::workers::AgentEpoch;
 use pointhook::state::names::Index;
 use pointhook::state::units::MonotonicMillis;
 use std::collections::BTreeSet;
@@ -141,7 +142,7 @@
     let reported = c
         .cluster
         .all_machines()
-        .filter(|(_, m)| m.message_version.agent_epoch > 0);
+        .filter(|(_, m)| m.message_version.agent_epoch > AgentEpoch(0));
     assert_eq!(reported.count(), MACHINES);
     let shards: BTreeSet<usize> = c
         .cluster
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -115,7 +115,7 @@
     c.plan(&mut store, 1600);
     let job = c.job("job-1");
     assert!(job.placement(0).is_some(), "its end is not for good");
-    assert!(first.answered(&answer, r.agent_epoch, 1500, 2500));
+    assert!(first.answered(&answer, r.agent_epoch.0, 1500, 2500));
     assert!(first.has("job-1/0"));
     // It is stopped there, and then the gang begins anew.
     support::controller::play(&mut c, &mut store, &mut [first], 3000, 6000);
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -10,6 +10,7 @@
 use pointhook::state::cluster_state::ROOT;
 use pointhook::state::job::JobState;
 use pointhook::state::records::RECORD_FORMAT_V2;
+use pointhook::state::units::Incarnation;
 use support::controller::{one, Controller, CANCEL_MS};
 use support::job;
 use support::world::World;
@@ -344,7 +345,7 @@
     store.end_lease(s1.lease);
     let key = format!("{ROOT}node/s1");
     let old = pointhook::state::records::ControllerRecord {
-        incarnation: 3,
+        incarnation: Incarnation(3),
         record_format: 0,
         standby_version: 0,
     };
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -10,11 +10,14 @@
 use pointhook::coordination::scheduler::preemption;
 use pointhook::coordination::scheduler::quota;
 use pointhook::protocol::users::{JobKind, Priority};
+use pointhook::protocol::workers::AgentEpoch;
 use pointhook::protocol::workers::Command;
+use pointhook::protocol::workers::FencingToken;
 use pointhook::state::cluster_state::{ClusterState, ROOT};
 use pointhook::state::job::JobState;
 use pointhook::state::machine::TaskAttempt;
 use pointhook::state::names::{Index, ShardIndex, TeamIndex, ZoneIndex};
+use pointhook::state::units::Incarnation;
 use pointhook::state::units::{MonotonicMillis, QuotaUsage};
 use std::collections::HashSet;
 use support::controller::{commands, one, play, Controller};
@@ -74,7 +77,7 @@
     assert!(!new.owns(0));
     assert_eq!(new.members(&mut store, 100), 3);
     assert!(new.owns(0));
-    assert_eq!(new.cluster.shards[0].record.fencing_token, 2);
+    assert_eq!(new.cluster.shards[0].record.fencing_token, FencingToken(2));
     old.sync(&store);
     assert!(!old.owns(0));
 }
@@ -211,7 +214,7 @@
     heartbeats::take(&mut c.cluster, mix, &other, MonotonicMillis(700), None);
     c.plan(&mut store, 700);
     assert_eq!(c.job("job-1").placements.len(), 1);
-    assert!(w.answered(&answer, r.agent_epoch, 500, 800));
+    assert!(w.answered(&answer, r.agent_epoch.0, 500, 800));
     assert!(w.has("job-1/0"));
     // Then a report shows it, and it is stopped.
     play(&mut c, &mut store, &mut [&mut w], 1000, 2500);
@@ -231,7 +234,7 @@
         c.cancel(&mut store, "job-1", 550),
         CommitOutcome::Committed(_)
     ));
-    w.answered(&answer, r.agent_epoch, 500, 600);
+    w.answered(&answer, r.agent_epoch.0, 500, 600);
     assert!(w.has("job-1/1"));
     play(&mut c, &mut store, &mut [&mut w], 1000, 3000);
     assert!(!w.has("job-1/0") && !w.has("job-1/1"));
@@ -301,7 +304,7 @@
     north.submit(&mut store, spec, 0);
     south.sync(&store);
     let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "south", 0));
-    let tokens = (0..2).map(|s| north.cluster.shards[s].record.fencing_token);
+    let tokens = (0..2).map(|s| north.cluster.shards[s].record.fencing_token.0);
     let tokens: Vec<u64> = tokens.collect();
     (w1.token, w2.token) = (tokens[0], tokens[1]);
     let r1 = w1.report(10);
@@ -321,14 +324,14 @@
         m1,
         &r1,
         MonotonicMillis(10),
-        Some((tokens[0], 10_000)),
+        Some((FencingToken(tokens[0]), 10_000)),
     );
     heartbeats::take(
         &mut south.cluster,
         m2,
         &r2,
         MonotonicMillis(10),
-        Some((tokens[1], 10_000)),
+        Some((FencingToken(tokens[1]), 10_000)),
     );
     // Both decide on the same view; only one of the raises can be applied.
     let (a, b) = (north.draft(10), south.draft(10));
@@ -806,7 +809,7 @@
     let (mut store, mut c) = one();
     let mut w = Worker::new("m1", "north", 0);
     let stray = pointhook::protocol::workers::HeartbeatResponse {
-        fencing_token: 0,
+        fencing_token: FencingToken(0),
         commands: vec![Command::Start {
             task: "job-77/0".into(),
             attempt: 4,
@@ -912,7 +915,7 @@
     north.sync(&store);
     let at = |ms| MonotonicMillis(ms);
     let known = pointhook::coordination::membership::MembershipView {
-        first_seen: std::collections::HashMap::from([(("s1".to_string(), 2), at(0))]),
+        first_seen: std::collections::HashMap::from([(("s1".to_string(), Incarnation(2)), at(0))]),
         owned_since: north.owned_for_long(),
         ..Default::default()
     };
@@ -1058,7 +1061,7 @@
     reconciliation::mark_abandoned(&mut c.cluster, &draft);
     let on_its_way = transaction(&c.cluster, &draft);
     let r = w.report(now + 20);
-    assert_eq!(r.agent_epoch, 2);
+    assert_eq!(r.agent_epoch, AgentEpoch(2));
     let got = heartbeats::receive(
         &mut c.cluster,
         &c.config,
@@ -1131,8 +1134,8 @@
     let token = c.cluster.shards[shard.at()].record.fencing_token;
     let kept = |c: &mut Controller, token: u64| {
         let late = InFlightStart {
-            fencing_token: token,
-            agent_epoch: 1,
+            fencing_token: FencingToken(token),
+            agent_epoch: AgentEpoch(1),
             sent_at: MonotonicMillis(10),
             acknowledged: true,
         };
@@ -1156,8 +1159,8 @@
         );
         moves.iter().any(|m| m.shard == shard)
     };
-    kept(&mut c, token);
+    kept(&mut c, token.0);
     assert!(raised(&c), "too many exits are kept with the worker");
-    kept(&mut c, token - 1);
+    kept(&mut c, token.0 - 1);
     assert!(!raised(&c), "none of them can run any more");
 }
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -12,9 +12,11 @@
 use pointhook::observe_command;
 use pointhook::protocol::peers::{self, PeerResponse, ShardStatus};
 use pointhook::protocol::users::{JobKind, JobSpec};
+use pointhook::protocol::workers::FencingToken;
 use pointhook::settings::Workers;
 use pointhook::state::cluster_state::ROOT;
 use pointhook::state::names::ShardIndex;
+use pointhook::state::units::Incarnation;
 use pointhook::state::units::MonotonicMillis;
 use standby::failover::State;
 use standby::follower::Follower;
@@ -174,7 +176,8 @@
     let before = d.owner.takeovers.permits().get(ShardId(0)).is_some();
     assert!(before);
     for now in [1200, 1300, 1400] {
-        d.owner.refused_by_worker(NORTH, report.fencing_token, now);
+        d.owner
+            .refused_by_worker(NORTH, report.fencing_token.0, now);
     }
     assert_eq!(d.owner.stepped_down, [NORTH]);
     assert!(d.owner.takeovers.permits().get(ShardId(0)).is_none());
@@ -217,10 +220,7 @@
     third.visit(&mut d.store, &mut d.worker, 1000);
     assert_eq!(d.worker.started.len(), 1);
     let permit = third.takeovers.permits().get(ShardId(0)).expect("a permit");
-    assert_eq!(
-        permit.token().0,
-        third.cluster.shards[0].record.fencing_token
-    );
+    assert_eq!(permit.token(), third.cluster.shards[0].record.fencing_token);
 }
 
 /// Nodes n1 and n2 in the north, s1 in the south, all there for long.
@@ -238,7 +238,7 @@
     }
     let seen = names.iter().zip(1..).map(|(name, incarnation)| {
         let at = MonotonicMillis(0);
-        ((name.to_string(), incarnation), at)
+        ((name.to_string(), Incarnation(incarnation)), at)
     });
     let known = MembershipView {
         first_seen: seen.collect(),
@@ -444,12 +444,12 @@
     ]);
     machine.reservation = Some((held, MonotonicMillis(5000)));
     // It is told in a snapshot, and what changes then in the tail.
-    let mut publisher = Publisher::new(0, 1, StreamLimits::default());
+    let mut publisher = Publisher::new(0, FencingToken(1), StreamLimits::default());
     let mut follower = Follower::default();
     let mut tell = |owner: &Controller, publisher: &mut Publisher, now| {
         replication::publish_changes(&owner.cluster, NORTH, MonotonicMillis(now), publisher);
         while let Some(message) = publisher.next_message() {
-            publisher.answered(follower.take(&message, 0));
+            publisher.answered(follower.take(&message, FencingToken(0)));
         }
         follower.clone()
     };
--- a/tests/support/controller.rs
+++ b/tests/support/controller.rs
@@ -24,6 +24,7 @@
 use pointhook::state::job::{JobRecord, JobState};
 use pointhook::state::names::{Index, JobIndex, MachineIndex, ShardIndex, ZoneIndex};
 use pointhook::state::records::{RECORD_FORMAT_V2, STANDBY_VERSION};
+use pointhook::state::units::Incarnation;
 use pointhook::state::units::MonotonicMillis;
 use standby::failover::{Failovers, Refusal, State};
 use standby::ids::{FencingToken, Revision, ShardId};
@@ -128,7 +129,7 @@
         let cluster = ClusterState::new(&zones, &[team("ovens", 0.0), team("mixers", 2.0)], 1);
         let config = SchedulerConfig {
             controller_name: name.into(),
-            incarnation,
+            incarnation: Incarnation(incarnation),
             unresponsive_ms: 4000,
             queue_cap: 2,
             steal_after_ms: 2000,
@@ -180,7 +181,7 @@
             writes: set(
                 key,
                 &ControllerRecord {
-                    incarnation,
+                    incarnation: Incarnation(incarnation),
                     record_format: RECORD_FORMAT_V2,
                     standby_version: standby.version(),
                 },
@@ -426,7 +427,7 @@
     fn visit_once(&mut self, store: &mut Store, w: &mut Worker, now: u64) -> bool {
         let r = w.report(now);
         match self.report(store, &r, now) {
-            Some(a) => w.answered(&a, r.agent_epoch, now, now),
+            Some(a) => w.answered(&a, r.agent_epoch.0, now, now),
             None => false,
         }
     }
@@ -482,7 +483,8 @@
         }
         let cluster = &self.cluster;
         let nodes = &cluster.controllers;
-        let there = |n: &String, i: u64| nodes.get(n).is_some_and(|r| r.record.incarnation == i);
+        let there =
+            |n: &String, i: Incarnation| nodes.get(n).is_some_and(|r| r.record.incarnation == i);
         self.known.first_seen.retain(|(n, i), _| there(n, *i));
         for (n, r) in nodes {
             let key = (n.clone(), r.record.incarnation);
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -14,6 +14,7 @@
 use pointhook::coordination::scheduler::preemption;
 use pointhook::coordination::worker_connectivity;
 use pointhook::protocol::users::{JobKind, JobSpec};
+use pointhook::protocol::workers::AgentEpoch;
 use pointhook::protocol::workers::{DirectCommands, Heartbeat};
 use pointhook::state::cluster_state::ClusterState;
 use pointhook::state::names::{Index, ShardIndex, TeamIndex};
@@ -595,7 +596,7 @@
             }
             HeartbeatOutcome::NotOwner(owner) => Err(owner),
             HeartbeatOutcome::StaleFencingToken(shard, seen) => {
-                c.refused_by_worker(shard, seen, now);
+                c.refused_by_worker(shard, seen.0, now);
                 Err(None)
             }
         };
@@ -607,7 +608,7 @@
         match answer {
             Ok(a) => {
                 let before = host.worker.token;
-                host.worker.answered(&a, report.agent_epoch, now, now);
+                host.worker.answered(&a, report.agent_epoch.0, now, now);
                 if host.worker.token > before {
                     host.next = now + STEP_MS;
                 }
@@ -660,12 +661,12 @@
                 continue;
             };
             let token = c.cluster.shards[m.shard.at()].record.fencing_token;
-            let due = c.config.owns(&c.cluster, m.shard) && host.worker.token < token;
+            let due = c.config.owns(&c.cluster, m.shard) && host.worker.token < token.0;
             let cut = host.cut_off && (host.worker.zone == "south") != (at == 2);
             if due && !cut && !host.ill.deaf && !host.ill.hangs {
                 let show = DirectCommands {
                     fencing_token: token,
-                    agent_epoch: host.worker.session,
+                    agent_epoch: AgentEpoch(host.worker.session),
                     commands: Vec::new(),
                 };
                 host.worker.command(&show, now);
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -2,11 +2,13 @@
 
 use pointhook::protocol::peers::{self, MachineStatus, PeerRequest, PeerResponse, TaskRef};
 use pointhook::protocol::users::{JobKind, JobSpec, Priority};
+use pointhook::protocol::workers::FencingToken;
 use pointhook::state::job::{JobRecord, JobState, Ranges};
 use pointhook::state::names::ShardIndex;
 use pointhook::state::records::{
     ControllerRecord, OverflowRecord, ProvisioningRecord, ShardRecord, TeamRecord, RECORD_FORMAT_V2,
 };
+use pointhook::state::units::Incarnation;
 use pointhook::state::units::QuotaUsage;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
@@ -107,15 +109,15 @@
     same_record(
         "record/node",
         &ControllerRecord {
-            incarnation,
+            incarnation: Incarnation(incarnation),
             record_format: 0,
             standby_version: 0,
         },
     );
     let shard = ShardRecord {
         owner: "stoker-1".into(),
-        incarnation,
-        fencing_token: 41,
+        incarnation: Incarnation(incarnation),
+        fencing_token: FencingToken(41),
     };
     same_record("record/shard", &shard);
     let mut team = TeamRecord::default();
@@ -286,7 +288,7 @@
     };
     same_record_as(VERSION_0_2, "record/part", &part);
     let node = ControllerRecord {
-        incarnation: 1_234_567,
+        incarnation: Incarnation(1_234_567),
         record_format: RECORD_FORMAT_V2,
         standby_version: 0,
     };
