--- /dev/null
+++ b/tests/decision_digest.rs
@@ -0,0 +1,401 @@
+//! A digest of decisions: fixed scenarios of the simulated world are played, and all that is sent
+//! to the state service and to workers and answered to users goes into one hash a scenario, in
+//! order. Changes that keep the behaviour keep `data/decision_digest.txt` to the letter.
+//!
+//! What goes in, with its time: each transaction with its conditions and writes as the bytes of
+//! the protocol, in the order in which it lists them, and its answer; answers to reports, direct
+//! commands and stops, tokens shown to workers; answers to submissions, cancellations and polls;
+//! machines that are rented, needed and returned; machines held for gangs; the order of
+//! waiting jobs and the machines that their tasks would queue at; what each machine
+//! started and each job's state at the end.
+//!
+//! What is left out: messages between controllers, logs, metrics and all that has sockets. What
+//! they carry shows in what follows only. Names of needed machines are sorted, as they are a set;
+//! nothing else is reordered. Random numbers are seeded, times and incarnations are the world's.
+//!
+//! `POINTHOOK_WRITE_GOLDEN=1` writes the file anew, and the test fails then.
+//! `POINTHOOK_DIGEST_TRACE` names a directory for the events of each scenario as lines, which
+//! tell where two runs part.
+
+mod support;
+
+use fastrand::Rng;
+use pointhook::bookkeeping::names::{Index, MachineIx};
+use pointhook::bookkeeping::units::Ms;
+use pointhook::coordination::node::finish_times;
+use pointhook::coordination::plan;
+use pointhook::coordination::renting::{requests, supply, wanted};
+use pointhook::protocol::cloud::{Booking, Listed};
+use pointhook::protocol::users::{JobSpec, Rank, Shape};
+use pointhook::settings::Objective;
+use std::collections::{HashMap, HashSet};
+use std::fmt::Write;
+use support::cloud::Cloud;
+use support::controller::{one, Standby, CANCEL_MS};
+use support::days::Day;
+use support::digest;
+use support::job;
+use support::scenarios::{recover, refuse_leader_then_all, two_long_jobs};
+use support::worker::Worker;
+use support::world::World;
+
+const GOLDEN: &str = "tests/data/decision_digest.txt";
+/// Days that differ with the warm standby's place.
+const DAYS: [u64; 5] = [3, 4, 5, 6, 8];
+/// Scenarios side by side.
+const AT_ONCE: usize = 4;
+const STANDBYS: [(&str, Standby); 3] = [
+    ("no-standby", Standby::Off),
+    ("standby-in-same-zone", Standby::SameZone),
+    ("standby-in-other-zone", Standby::OtherZone),
+];
+
+/// Faults of every kind, pipelines and cancellations.
+fn random_day(seed: u64, standby: Standby) {
+    let mut day = Day::new(seed, standby);
+    day.play();
+    end(day.world);
+}
+
+/// Takes the end of a world into the digest: each job's state at each controller, and what each
+/// machine started and completed.
+fn end(mut w: World) {
+    let ids: Vec<String> = w.accepted_jobs().map(|(id, _)| id.to_string()).collect();
+    for (at, id) in ids.iter().flat_map(|id| (0..3).map(move |at| (at, id))) {
+        w.poll(at, id);
+    }
+    for h in &w.hosts {
+        let of_host = (&h.worker.name, &h.worker.started, &h.worker.completed);
+        digest::note("machine", w.now, &of_host);
+    }
+}
+
+/// A job of any shape, priority, size and demand.
+fn any_job(rng: &mut Rng, n: u32, done_first: &[String]) -> JobSpec {
+    let mut spec = job(&format!("job-{n}"), rng.u32(1..7));
+    spec.shape = match rng.u8(..8) {
+        0 | 1 => Shape::Gang,
+        2 => Shape::Service,
+        _ => Shape::Array,
+    };
+    let ranks = [Rank::Production, Rank::High, Rank::Normal, Rank::Low];
+    spec.priority = ranks[rng.usize(..4)];
+    spec.class = ["bake", "proof"][rng.usize(..2)].into();
+    spec.image = ["bread", "cake", "pie"][rng.usize(..3)].into();
+    spec.vcpus = [1.0, 4.0, 8.0, 16.0][rng.usize(..4)];
+    spec.gpus = f64::from(rng.u8(..3));
+    spec.save_s = f64::from(rng.u8(..3));
+    spec.checkpoint_s = f64::from(rng.u8(..2) * 5);
+    spec.estimate_s = f64::from(rng.u8(5..60));
+    spec.deadline_s = rng.bool().then(|| f64::from(rng.u32(20..300)));
+    spec.zone = (rng.u8(..5) == 0).then(|| ["north", "south"][rng.usize(..2)].into());
+    spec.one_zone = rng.u8(..4) == 0;
+    spec.spread = !spec.one_zone && spec.zone.is_none() && rng.u8(..4) == 0;
+    if rng.u8(..3) == 0 {
+        spec.team = "mixers".into();
+    }
+    if rng.u8(..4) == 0 && !done_first.is_empty() {
+        spec.awaits = vec![done_first[rng.usize(..done_first.len())].clone()];
+    }
+    spec
+}
+
+/// More work of all kinds than there is room for: the order of jobs, limits of teams, preemption,
+/// gangs that machines are held for, expected times to finish.
+fn crowded(seed: u64) {
+    let mut rng = Rng::with_seed(seed);
+    let mut w = World::new(5);
+    w.begin_second_form();
+    w.hosts[4].worker.spot = false;
+    let objective = Objective {
+        kind: "finished".into(),
+        class: Some("proof".into()),
+        within_s: Some(60.0),
+    };
+    for c in w.nodes.iter_mut().flatten() {
+        c.config.finish_within = finish_times(std::slice::from_ref(&objective));
+    }
+    for step in 0..150 {
+        if rng.u8(..3) == 0 {
+            let earlier = w.accepted_without_services();
+            let spec = any_job(&mut rng, step, &earlier);
+            w.submit(rng.usize(..3), spec);
+        }
+        if rng.u8(..12) == 0 {
+            let id = format!("job-{}", rng.u32(..=step));
+            w.cancel(rng.usize(..3), &id);
+        }
+        w.poll(rng.usize(..3), &format!("job-{}", rng.u32(..=step)));
+        hold_for_gangs(&mut w);
+        note_order_and_queues(&w);
+        w.run(1000);
+    }
+    end(w);
+}
+
+/// Keeps machines for gangs that have waited for long, as the duty does.
+fn hold_for_gangs(w: &mut World) {
+    let now = w.now;
+    for c in w.nodes.iter_mut().flatten() {
+        for (ix, machines) in plan::gang_holds(&c.cluster, &c.config, Ms(now), now) {
+            for mix in machines {
+                let id = c.cluster.jobs[ix.at()].id.to_string();
+                let name = c.cluster.machine_names.name(mix).to_string();
+                digest::note("held for a gang", now, &(&c.config.node, id, name));
+                if let Some(m) = c.cluster.machine_mut(mix) {
+                    m.held = Some((ix, Ms(now + 4000)));
+                }
+            }
+        }
+    }
+}
+
+/// The order in which each controller would serve the jobs that wait, and the machines at which
+/// it would queue their tasks.
+fn note_order_and_queues(w: &World) {
+    let draft = plan::DraftTransaction::default();
+    for c in w.nodes.iter().flatten() {
+        for job in plan::waiting_jobs(&c.cluster, &c.config, &draft, Ms(w.now), w.now) {
+            let id = c.cluster.jobs[job.ix.at()].id.to_string();
+            let queues = plan::bind(&c.cluster, &c.config, job.ix, Ms(w.now), w.now);
+            let name = |m: MachineIx| c.cluster.machine_names.name(m).to_string();
+            let queues: Vec<_> = queues.into_iter().map(|(t, m)| (t, name(m))).collect();
+            digest::note("queued", w.now, &(&c.config.node, id, queues));
+        }
+    }
+}
+
+/// Urgent work finds all machines taken by work that can save.
+fn preemption() {
+    let mut w = World::new(3);
+    for h in &mut w.hosts {
+        h.worker.run_ms = 30_000;
+    }
+    for (n, rank) in [(1, Rank::Low), (2, Rank::Normal), (3, Rank::Low)] {
+        let mut spec = job(&format!("job-{n}"), 4);
+        (spec.priority, spec.checkpoint_s, spec.save_s) = (rank, 5.0, f64::from(n));
+        assert!(w.submit(n as usize % 3, spec));
+        w.run(1500);
+    }
+    w.run(3000);
+    for (n, rank) in [(4, Rank::Production), (5, Rank::High)] {
+        let mut spec = job(&format!("job-{n}"), 2);
+        (spec.priority, spec.gpus) = (rank, 2.0);
+        assert!(w.submit(n as usize % 3, spec));
+        w.run(8000);
+    }
+    w.run(90_000);
+    end(w);
+}
+
+/// Teams at their limit in both zones, with a service that takes a part of it.
+fn quotas() {
+    let mut w = World::new(4);
+    let shapes = [Shape::Service, Shape::Array, Shape::Gang, Shape::Array];
+    for (n, shape) in (1..).zip(shapes) {
+        let mut spec = job(&format!("job-{n}"), 1 + n as u32 % 2 * 3);
+        (spec.team, spec.shape) = ("mixers".into(), shape);
+        if shape != Shape::Array {
+            spec.tasks = 1;
+        }
+        assert!(w.submit(n % 3, spec));
+        w.run(4000);
+    }
+    w.run(40_000);
+    assert!(w.cancel(1, "job-1"));
+    w.run(60_000);
+    end(w);
+}
+
+/// Each controller ends in its turn while arrays, gangs and services run; then a zone is cut off.
+fn failovers(standby: Standby) {
+    let mut w = World::with(6, standby);
+    for (n, shape) in (1..).zip([Shape::Array, Shape::Gang, Shape::Service]) {
+        let mut spec = job(&format!("job-{n}"), 3);
+        spec.shape = shape;
+        assert!(w.submit(n % 3, spec));
+    }
+    for at in 0..3 {
+        w.run(3000);
+        w.end(at);
+        w.run(9000);
+        assert!(w.submit((at + 1) % 3, job(&format!("job-{}", 10 + at), 9)));
+        w.run(2000);
+        w.start(at);
+    }
+    w.run(6000);
+    w.cut_zone(true);
+    w.run(12_000);
+    w.cut_zone(false);
+    w.run(30_000);
+    assert!(w.cancel(0, "job-3"));
+    w.run(30_000);
+    end(w);
+}
+
+/// A cancellation is confirmed, then the state service is out and a machine or a node with it.
+fn cancelled_in_outage(trouble: usize) {
+    let (mut w, leader, other) = two_long_jobs();
+    refuse_leader_then_all(&mut w, leader, other, "job-1");
+    match trouble {
+        0 => w.trouble[leader].alone = true,
+        1 => w.hosts[0].ill.deaf = true,
+        2 => w.hosts[1].ill.loses_answers = true,
+        _ => w.end(other),
+    }
+    w.run(CANCEL_MS);
+    w.hosts[0].ill.deaf = false;
+    w.hosts[1].ill.loses_answers = false;
+    recover(&mut w);
+    w.start(other);
+    assert!(w.cancel(leader, "job-2"));
+    w.run(CANCEL_MS);
+    end(w);
+}
+
+/// Machines are rented for what waits, serve it and go back when nothing needs them.
+fn renting(seed: u64) {
+    let mut rng = Rng::with_seed(seed);
+    let (mut store, mut c) = one();
+    let mut cloud = Cloud::default();
+    let mut workers: Vec<Worker> = Vec::new();
+    for now in (0..150_000).step_by(1000) {
+        if now < 80_000 && rng.u8(..5) == 0 {
+            let mut spec = any_job(&mut rng, now as u32 / 1000, &[]);
+            spec.spot = rng.bool();
+            c.submit(&mut store, spec, now);
+        }
+        let listed = cloud.list(now).hosts;
+        let list: HashMap<String, Listed> =
+            listed.into_iter().map(|h| (h.name.clone(), h)).collect();
+        let mut have = supply(&c.cluster, &list, c.config.silent_ms, Ms(now));
+        let blocked = HashSet::new();
+        let plan = wanted(&c.cluster, &c.config, &mut have, &blocked, Ms(now), now);
+        let name = |m: &MachineIx| c.cluster.machine_names.name(*m).to_string();
+        let mut needed: Vec<String> = plan.needed.iter().map(name).collect();
+        needed.sort_unstable();
+        digest::note("needed", now, &needed);
+        for (n, (pool, count)) in requests(plan.rent).into_iter().enumerate() {
+            let names = &c.cluster.machine_type_names;
+            let booking = Booking {
+                request: format!("b-{now}-{n}"),
+                machine_type: names.name(pool.machine_type).to_string(),
+                zone: ["north", "south"][pool.zone.at()].into(),
+                spot: pool.spot,
+                count,
+            };
+            digest::note("booking", now, &booking);
+            for name in cloud.book(&booking, now).unwrap_or_default() {
+                let (zone, spot) = (&booking.zone, booking.spot);
+                let kind = &booking.machine_type;
+                c.cluster.learn_machine(&name, kind, zone, spot, Ms(now));
+                let mut worker = Worker::new(&name, zone, now);
+                worker.spot = spot;
+                workers.push(worker);
+            }
+        }
+        for w in &mut workers {
+            c.visit(&mut store, w, now);
+        }
+        // A rule of this test: what is empty and not needed goes back every four seconds.
+        let idle = |w: &Worker| {
+            let empty = c.cluster.placed_on(c.machine(&w.name)).is_empty();
+            empty && now % 4000 == 0 && !needed.contains(&w.name)
+        };
+        let idle: Vec<String> = workers
+            .iter()
+            .filter(|w| idle(w))
+            .map(|w| w.name.clone())
+            .collect();
+        digest::note("returned", now, &idle);
+        cloud.release(&idle);
+        workers.retain(|w| !idle.contains(&w.name));
+        for name in &idle {
+            let mix = c.machine(name);
+            c.cluster.set_gone(mix);
+        }
+    }
+    for (_, j) in c.cluster.active_jobs().filter(|(_, j)| j.open()) {
+        digest::note("open job", 150_000, &j.id.to_string());
+    }
+}
+
+/// Plays a scenario; its line of the file.
+fn line(name: &str, seed: u64, play: impl FnOnce()) -> String {
+    fastrand::seed(seed);
+    let name = format!("{name}-{seed}");
+    digest::begin(&name);
+    play();
+    let digest = digest::end();
+    assert!(digest.events > 0, "{name} decided nothing");
+    format!("{name} {:016x} {}", digest.hash, digest.events)
+}
+
+/// A scenario: its name, its seed and how it is played.
+type Scenario = (String, u64, Box<dyn FnOnce() + Send>);
+
+fn scenarios() -> Vec<Scenario> {
+    let mut all: Vec<Scenario> = Vec::new();
+    for (name, standby) in STANDBYS {
+        for seed in DAYS {
+            let name = format!("random-day-{name}");
+            all.push((name, seed, Box::new(move || random_day(seed, standby))));
+        }
+        let name = format!("failovers-{name}");
+        all.push((name, 1, Box::new(move || failovers(standby))));
+    }
+    for seed in 1..=8 {
+        all.push(("crowded".into(), seed, Box::new(move || crowded(seed))));
+        all.push(("renting".into(), seed, Box::new(move || renting(seed))));
+    }
+    all.push(("preemption".into(), 1, Box::new(preemption)));
+    all.push(("quotas".into(), 1, Box::new(quotas)));
+    for trouble in 0..4 {
+        let play = move || cancelled_in_outage(trouble);
+        let name = "cancelled-in-outage".to_string();
+        all.push((name, trouble as u64, Box::new(play)));
+    }
+    all
+}
+
+/// All lines, in order. Each scenario has a thread of its own, as random numbers and the digest
+/// belong to the thread; a few are played side by side.
+fn all_lines() -> Vec<String> {
+    let mut left = scenarios().into_iter().peekable();
+    let mut lines = Vec::new();
+    while left.peek().is_some() {
+        let some: Vec<Scenario> = left.by_ref().take(AT_ONCE).collect();
+        let begin =
+            |(name, seed, play): Scenario| std::thread::spawn(move || line(&name, seed, play));
+        let running: Vec<_> = some.into_iter().map(begin).collect();
+        lines.extend(
+            running
+                .into_iter()
+                .map(|t| t.join().expect("a scenario without a panic")),
+        );
+    }
+    lines
+}
+
+#[test]
+fn decisions_are_those_on_record() {
+    let lines = all_lines();
+    if std::env::var("POINTHOOK_WRITE_GOLDEN").as_deref() == Ok("1") {
+        std::fs::write(GOLDEN, lines.join("\n") + "\n").expect("a file that can be written");
+        panic!("{GOLDEN} is written anew: run again without POINTHOOK_WRITE_GOLDEN");
+    }
+    let golden = std::fs::read_to_string(GOLDEN).expect("the digests on record");
+    let golden: Vec<&str> = golden.lines().collect();
+    let mut differ = String::new();
+    for at in 0..golden.len().max(lines.len()) {
+        let (old, new) = (golden.get(at).copied(), lines.get(at).map(String::as_str));
+        if old != new {
+            let [old, new] = [old, new].map(|line| line.unwrap_or("nothing"));
+            writeln!(differ, "  on record: {old}\n  decided:   {new}").expect("text");
+        }
+    }
+    assert!(
+        differ.is_empty(),
+        "other decisions than on record:\n{differ}"
+    );
+}
--- a/tests/support/controller.rs
+++ b/tests/support/controller.rs
@@ -1,6 +1,7 @@
 //! A controller without sockets: the same decisions, committed to the store stand-in.
 
 use super::cloud::flavor;
+use super::digest;
 use super::store::Store;
 use super::worker::Worker;
 use pointhook::bookkeeping::cluster_state::{ClusterState, NodeRecord, ROOT};
@@ -180,7 +181,7 @@
             .into_iter()
             .collect(),
         };
-        assert_eq!(store.commit(&txn, now).0, 200);
+        assert_eq!(digest::commit(store, &txn, now).0, 200);
         c.sync(store);
         c
     }
@@ -203,7 +204,7 @@
     }
 
     pub fn send(store: &mut Store, txn: &Transaction, now: u64) -> Outcome {
-        match store.commit(txn, now) {
+        match digest::commit(store, txn, now) {
             (200, Some(c)) => Outcome::Done(c.revision),
             (409, Some(c)) => Outcome::Conflict(c.failed),
             (0, _) => Outcome::Unknown,
@@ -358,18 +359,21 @@
     pub fn report(&mut self, store: &mut Store, r: &Report, now: u64) -> Option<ReportAnswer> {
         let received = reports::receive(&mut self.cluster, &self.config, r, 10_000, Ms(now));
         let reports::Received::Taken(mix, token, taken) = received else {
+            digest::note("report not taken", now, &r.machine);
             return None;
         };
         self.plan(store, now);
         self.observe(now);
-        reports::reply(
+        let answer = reports::reply(
             &mut self.cluster,
             &self.config,
             self.takeovers.permits(),
             r,
             (mix, token, taken),
             Ms(now),
-        )
+        );
+        digest::note("answer to a report", now, &(&r.machine, &answer));
+        answer
     }
 
     /// One report of a worker, answered and executed at once; false for 421. A worker that
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -3,6 +3,8 @@
 #![allow(dead_code)]
 
 pub mod controller;
+pub mod days;
+pub mod digest;
 pub mod liveness;
 pub mod scenarios;
 pub mod world;
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -2,6 +2,7 @@
 //! that days bring, and one checker of the rules on what really ran where.
 
 use super::controller::{commands, Controller, Standby, CANCEL_MS, LEASE_MS};
+use super::digest;
 use super::store::Store;
 use super::worker::Worker;
 use pointhook::bookkeeping::cluster_state::ClusterState;
@@ -184,7 +185,7 @@
     pub fn begin_second_form(&mut self) {
         let c = self.nodes[0].as_ref().expect("a controller");
         let txn = membership::begin_second_form(&c.cluster, &NAMES).expect("all know it");
-        assert_eq!(self.store.commit(&txn, self.now).0, 200);
+        assert_eq!(digest::commit(&mut self.store, &txn, self.now).0, 200);
         self.run(STEP_MS);
     }
 
@@ -194,7 +195,7 @@
         self.door(0);
         let Some(c) = &self.nodes[0] else { return };
         if let Some(txn) = membership::begin_second_form(&c.cluster, &NAMES) {
-            self.store.commit(&txn, self.now);
+            digest::commit(&mut self.store, &txn, self.now);
         }
     }
 
@@ -290,6 +291,7 @@
             Outcome::Done(_)
         );
         self.nodes[at] = Some(c);
+        digest::note("answer to a submission", now, &(NAMES[at], &spec.id, taken));
         if taken {
             self.told.insert(spec.id.clone(), (spec, "pending"));
         }
@@ -306,6 +308,11 @@
         self.by_user.insert(id.into());
         let known = c.sync(&self.store) && c.cluster.job(id).is_some_and(|(_, j)| j.open());
         let done = known && matches!(c.cancel(&mut self.store, id, now), Outcome::Done(_));
+        digest::note(
+            "answer to a cancellation",
+            now,
+            &(NAMES[at], id, known, done),
+        );
         if done {
             self.note_cancelled(id);
             // Told at once, whoever can be reached; the answer does not wait for it.
@@ -372,7 +379,9 @@
             }
             return None;
         };
-        let word = ClusterState::status(job).0;
+        let status = ClusterState::status(job);
+        digest::note("answer to a poll", self.now, &(NAMES[at], id, status));
+        let word = status.0;
         let last = self.told.get_mut(id)?;
         if word == "done" && last.0.shape == Shape::Array {
             for task in (0..last.0.tasks).map(|t| format!("{id}/{t}")) {
@@ -552,6 +561,9 @@
             }
         };
         self.nodes[at] = Some(c);
+        let told = (NAMES[at], &report.machine, answer.as_ref().ok());
+        digest::note("answer to a report", now, &told);
+        digest::note("who is in charge", now, &answer.as_ref().err());
         let host = &mut self.hosts[h];
         if deaf {
             return;
@@ -580,6 +592,7 @@
 
     fn command(&mut self, at: usize, name: &str, c: Commands) -> Pushed {
         let now = self.now;
+        digest::note("commands", now, &(NAMES[at], name, &c));
         let Some(host) = self.hosts.iter_mut().find(|h| h.worker.name == name) else {
             return Pushed::Unknown;
         };
@@ -620,6 +633,7 @@
                     session: host.worker.session,
                     orders: Vec::new(),
                 };
+                digest::note("token", now, &(NAMES[at], &host.worker.name, &show));
                 host.worker.command(&show, now);
                 host.next = now;
             }
@@ -664,6 +678,7 @@
             }
             let status = host.worker.report(now);
             if let Some(c) = cancellations::stops(&status, &left.tasks) {
+                digest::note("direct stop", now, &(NAMES[at], &host.worker.name, &c));
                 host.worker.command(&c, now);
             }
         }
