--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -58,9 +58,7 @@
             controller.token_refused(shard, Refusal::Worker { seen });
             return elsewhere(None);
         }
-        HeartbeatOutcome::HeartbeatChange(machine_index, token, taken) => {
-            (machine_index, token, taken)
-        }
+        HeartbeatOutcome::Accepted(machine_index, token, taken) => (machine_index, token, taken),
     };
     if taken == HeartbeatChange::Changed {
         let answering = |by: i32| {
@@ -109,7 +107,7 @@
     /// Its worker has seen a higher token than the own one: someone else commands its shard.
     StaleFencingToken(ShardIndex, FencingToken),
     /// It was taken: machine, own token, and what it brought.
-    HeartbeatChange(MachineIndex, FencingToken, HeartbeatChange),
+    Accepted(MachineIndex, FencingToken, HeartbeatChange),
 }
 
 /// Takes a report if its machine is this node's.
@@ -147,7 +145,7 @@
         return HeartbeatOutcome::StaleFencingToken(shard, report.fencing_token);
     }
     let taken = take(cluster, machine_index, report, now, Some((token, lease_ms)));
-    HeartbeatOutcome::HeartbeatChange(machine_index, token, taken)
+    HeartbeatOutcome::Accepted(machine_index, token, taken)
 }
 
 /// The answer to a taken report; `None` if ownership went while the planner was waited for, or
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -136,7 +136,7 @@
         );
         assert!(matches!(
             received,
-            heartbeats::HeartbeatOutcome::HeartbeatChange(..)
+            heartbeats::HeartbeatOutcome::Accepted(..)
         ));
     }
     let reported = c
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -1069,7 +1069,7 @@
         10_000,
         MonotonicMillis(now + 20),
     );
-    let heartbeats::HeartbeatOutcome::HeartbeatChange(mix, token, taken) = got else {
+    let heartbeats::HeartbeatOutcome::Accepted(mix, token, taken) = got else {
         panic!("not taken");
     };
     let taken = (mix, token, taken);
--- a/tests/support/controller.rs
+++ b/tests/support/controller.rs
@@ -1,6 +1,7 @@
 //! A controller without sockets: the same decisions, committed to the store stand-in.
 
 use super::cloud::flavor;
+use super::digest;
 use super::store::Store;
 use super::worker::Worker;
 use pointhook::coordination::cancellations::{self, CancelledTaskSweeper};
@@ -190,7 +191,7 @@
             .into_iter()
             .collect(),
         };
-        assert_eq!(store.commit(&txn, now).0, 200);
+        assert_eq!(digest::commit(store, &txn, now).0, 200);
         c.sync(store);
         c
     }
@@ -213,7 +214,7 @@
     }
 
     pub fn send(store: &mut Store, txn: &Transaction, now: u64) -> CommitOutcome {
-        match store.commit(txn, now) {
+        match digest::commit(store, txn, now) {
             (200, Some(c)) => CommitOutcome::Committed(c.revision),
             (409, Some(c)) => CommitOutcome::Conflict(c.failed),
             (0, _) => CommitOutcome::Unknown,
@@ -398,19 +399,22 @@
             10_000,
             MonotonicMillis(now),
         );
-        let heartbeats::HeartbeatOutcome::HeartbeatChange(mix, token, taken) = received else {
+        let heartbeats::HeartbeatOutcome::Accepted(mix, token, taken) = received else {
+            digest::note("report not taken", now, &r.machine);
             return None;
         };
         self.plan(store, now);
         self.observe(now);
-        heartbeats::reply(
+        let answer = heartbeats::reply(
             &mut self.cluster,
             &self.config,
             self.takeovers.permits(),
             r,
             (mix, token, taken),
             MonotonicMillis(now),
-        )
+        );
+        digest::note("answer to a report", now, &(&r.machine, &answer));
+        answer
     }
 
     /// One report of a worker, answered and executed at once; false for 421. A worker that
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -2,6 +2,7 @@
 //! that days bring, and one checker of the rules on what really ran where.
 
 use super::controller::{commands, Controller, Standby, CANCEL_MS, LEASE_MS};
+use super::digest;
 use super::store::Store;
 use super::worker::Worker;
 use pointhook::coordination::cancellations;
@@ -189,7 +190,7 @@
     pub fn begin_record_format_v2(&mut self) {
         let c = self.nodes[0].as_ref().expect("a controller");
         let txn = membership::begin_record_format_v2(&c.cluster, &NAMES).expect("all know it");
-        assert_eq!(self.store.commit(&txn, self.now).0, 200);
+        assert_eq!(digest::commit(&mut self.store, &txn, self.now).0, 200);
         self.run(STEP_MS);
     }
 
@@ -199,7 +200,7 @@
         self.door(0);
         let Some(c) = &self.nodes[0] else { return };
         if let Some(txn) = membership::begin_record_format_v2(&c.cluster, &NAMES) {
-            self.store.commit(&txn, self.now);
+            digest::commit(&mut self.store, &txn, self.now);
         }
     }
 
@@ -297,6 +298,7 @@
             CommitOutcome::Committed(_)
         );
         self.nodes[at] = Some(c);
+        digest::note("answer to a submission", now, &(NAMES[at], &spec.id, taken));
         if taken {
             self.told.insert(spec.id.clone(), (spec, "pending"));
         }
@@ -317,6 +319,11 @@
                 c.cancel(&mut self.store, id, now),
                 CommitOutcome::Committed(_)
             );
+        digest::note(
+            "answer to a cancellation",
+            now,
+            &(NAMES[at], id, known, done),
+        );
         if done {
             self.note_cancelled(id);
             // Told at once, whoever can be reached; the answer does not wait for it.
@@ -389,7 +396,9 @@
             }
             return None;
         };
-        let word = ClusterState::status(job).0;
+        let status = ClusterState::status(job);
+        digest::note("answer to a poll", self.now, &(NAMES[at], id, status));
+        let word = status.0;
         let last = self.told.get_mut(id)?;
         if word == "done" && last.0.kind == JobKind::Array {
             for task in (0..last.0.tasks).map(|t| format!("{id}/{t}")) {
@@ -579,7 +588,7 @@
             MonotonicMillis(now),
         );
         let answer = match received {
-            HeartbeatOutcome::HeartbeatChange(mix, token, taken) => {
+            HeartbeatOutcome::Accepted(mix, token, taken) => {
                 c.plan(&mut self.store, now);
                 c.observe(now);
                 let got = (mix, token, taken);
@@ -601,6 +610,9 @@
             }
         };
         self.nodes[at] = Some(c);
+        let told = (NAMES[at], &report.machine, answer.as_ref().ok());
+        digest::note("answer to a report", now, &told);
+        digest::note("who is in charge", now, &answer.as_ref().err());
         let host = &mut self.hosts[h];
         if deaf {
             return;
@@ -629,6 +641,7 @@
 
     fn command(&mut self, at: usize, name: &str, c: DirectCommands) -> DirectStartOutcome {
         let now = self.now;
+        digest::note("commands", now, &(NAMES[at], name, &c));
         let Some(host) = self.hosts.iter_mut().find(|h| h.worker.name == name) else {
             return DirectStartOutcome::Unknown;
         };
@@ -669,6 +682,7 @@
                     agent_epoch: AgentEpoch(host.worker.session),
                     commands: Vec::new(),
                 };
+                digest::note("token", now, &(NAMES[at], &host.worker.name, &show));
                 host.worker.command(&show, now);
                 host.next = now;
             }
@@ -716,6 +730,7 @@
             }
             let status = host.worker.report(now);
             if let Some(c) = cancellations::stops(&status, &left.tasks) {
+                digest::note("direct stop", now, &(NAMES[at], &host.worker.name, &c));
                 host.worker.command(&c, now);
             }
         }
