--- a/crates/rehearsal/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -1,7 +1,7 @@
 //! Plays takeovers on loopback and prints their distribution: see docs/standby.md, "Measurement".
 
 use clap::Parser;
-use rehearsal::takeover::{rehearse, CommitOutcome, Interruption, Options};
+use testkit::takeover::{rehearse, CommitOutcome, Interruption, Options};
 use std::path::PathBuf;
 use std::process::ExitCode;
 
@@ -50,7 +50,7 @@
             }
         }
         Err(error) => {
-            eprintln!("rehearse-takeover: {error}");
+            eprintln!("measure-failover: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/rehearsal/tests/checker.rs
+++ b/crates/testkit/tests/checker.rs
@@ -4,8 +4,8 @@
 use pointhook::protocol::kv::{Condition, Transaction};
 use pointhook::state::job::JobRecord;
 use pointhook::state::records::{ShardRecord, ROOT};
-use rehearsal::checker::{check, Kind};
-use rehearsal::history::{Entry, Event, Recorder};
+use testkit::checker::{check, Kind};
+use testkit::history::{Entry, Event, Recorder};
 
 fn accepted(job: &str, tasks: u32) -> Event {
     Event::Accepted {
--- a/examples/load.rs
+++ b/examples/load.rs
@@ -12,8 +12,8 @@
 use pointhook::protocol::users::{JobKind, JobSpec, Priority};
 use pointhook::transport::http::{listen, Client};
 use pointhook::transport::pause;
-use rehearsal::network::{self, Habits, World};
-use rehearsal::process::{own_folder, Addresses, Controller, Deployment};
+use testkit::network::{self, Habits, World};
+use testkit::process::{own_folder, Addresses, Controller, Deployment};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
--- a/examples/rehearsal.rs
+++ b/examples/local_cluster.rs
@@ -3,7 +3,7 @@
 
 use async_executor::LocalExecutor;
 use pointhook::transport::http::listen;
-use rehearsal::network::{self, Habits, World};
+use testkit::network::{self, Habits, World};
 use std::rc::Rc;
 
 const CONTROLLER: &str = "127.0.0.1:7480";
--- a/tests/failover_processes.rs
+++ b/tests/failover_processes.rs
@@ -1,7 +1,7 @@
 //! Real controllers on loopback: the one that decides is killed, and one is paused beyond its
 //! lease, while a batch runs. The full measurement is in docs/standby.md.
 
-use rehearsal::takeover::{rehearse, CommitOutcome, Interruption, Options};
+use testkit::takeover::{rehearse, CommitOutcome, Interruption, Options};
 use std::path::PathBuf;
 
 fn play(interruptions: Vec<Interruption>, seed: u64) -> CommitOutcome {
--- a/tests/http_api.rs
+++ b/tests/http_api.rs
@@ -207,7 +207,7 @@
     path
 }
 
-const PLATFORM: &str = include_str!("../examples/rehearsal.toml");
+const PLATFORM: &str = include_str!("../examples/local_cluster.toml");
 
 #[test]
 fn the_platforms_file_may_have_unknown_fields_but_lack_none() {
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -29,7 +29,7 @@
 
 /// A controller that knows the records and the machine types; nothing listens at its state service.
 fn controller(second_form: bool) -> Rc<Controller> {
-    let settings = include_str!("../examples/rehearsal.toml").replace("7483", "1");
+    let settings = include_str!("../examples/local_cluster.toml").replace("7483", "1");
     let platform: Platform = toml::from_str(&settings).expect("settings");
     let executor = Rc::new(LocalExecutor::new());
     let node = Rc::new(Controller::new(
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -7,5 +7,5 @@
 pub mod scenarios;
 pub mod world;
 
-pub use rehearsal::jobs::job;
-pub use rehearsal::{cloud, store, worker};
+pub use testkit::jobs::job;
+pub use testkit::{cloud, store, worker};
