--- a/crates/rehearsal/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -1,9 +1,9 @@
 //! Plays takeovers on loopback and prints their distribution: see docs/standby.md, "Measurement".
 
 use clap::Parser;
-use rehearsal::takeover::{rehearse, CommitOutcome, Interruption, Options};
 use std::path::PathBuf;
 use std::process::ExitCode;
+use testkit::takeover::{rehearse, CommitOutcome, Interruption, Options};
 
 /// Kills or pauses the controller that decides while a batch runs, and checks what happened.
 #[derive(Parser)]
@@ -50,7 +50,7 @@
             }
         }
         Err(error) => {
-            eprintln!("rehearse-takeover: {error}");
+            eprintln!("measure-failover: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/rehearsal/tests/checker.rs
+++ b/crates/testkit/tests/checker.rs
@@ -6,8 +6,8 @@
 use pointhook::state::job::JobRecord;
 use pointhook::state::records::{ShardRecord, ROOT};
 use pointhook::state::units::Incarnation;
-use rehearsal::checker::{check, Kind};
-use rehearsal::history::{Entry, Event, Recorder};
+use testkit::checker::{check, Kind};
+use testkit::history::{Entry, Event, Recorder};
 
 fn accepted(job: &str, tasks: u32) -> Event {
     Event::Accepted {
--- a/examples/rehearsal.rs
+++ b/examples/local_cluster.rs
@@ -3,8 +3,8 @@
 
 use async_executor::LocalExecutor;
 use pointhook::transport::http::listen;
-use rehearsal::network::{self, Habits, World};
 use std::rc::Rc;
+use testkit::network::{self, Habits, World};
 
 const CONTROLLER: &str = "127.0.0.1:7480";
 const CLOUD: &str = "127.0.0.1:7482";
