--- a/src/cli.rs
+++ b/src/cli.rs
@@ -143,7 +143,7 @@
         .format_target(false)
         .init();
     let lanes = ExecutorPriorities::default();
-    let ex = lanes.duties.clone();
+    let ex = lanes.background.clone();
     let door = |addr| http::listen(addr).map_err(|source| CliError::Listen { addr, source });
     async_io::block_on(async {
         let users = door(platform.bind)?;
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/cancellations.rs
@@ -84,7 +84,7 @@
         Err(e) => {
             // One that closes the connection may be of a version that does not know the question,
             // and complains of it in its log.
-            let closed = matches!(e, TransportError::Broken(_));
+            let closed = matches!(e, TransportError::Broken { .. });
             let wait = peer.retry_cancellations_after.get().1;
             let wait = if closed {
                 (wait * 2).clamp(1000, LONGEST_MS)
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -13,7 +13,7 @@
 use crate::state::units::{millis_from_seconds, MonotonicMillis};
 use crate::transport::frames::PeerClient;
 use crate::transport::http::Client;
-use crate::transport::{within, within_beat};
+use crate::transport::{within, within_tick};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use standby::failover::Failovers;
@@ -112,7 +112,7 @@
     }
     /// Waits for a ring, until the next beat of `ms` at most.
     pub async fn notified_by_tick(&self, ms: u64) {
-        let _ = within_beat(ms, self.rx.recv()).await;
+        let _ = within_tick(ms, self.rx.recv()).await;
     }
     /// Rings and waits for the outcome of a turn that began afterwards; `None` after `ms`.
     pub async fn request_round(&self, ms: u64) -> Option<bool> {
@@ -449,7 +449,7 @@
             Some(ring) => ring.notified_by_tick(ms).await,
             None => {
                 let never = futures_lite::future::pending::<()>();
-                let _ = within_beat(ms, never).await;
+                let _ = within_tick(ms, never).await;
             }
         }
         self.detect_pause(before, ms);
--- a/src/coordination/kv.rs
+++ b/src/coordination/kv.rs
@@ -75,7 +75,7 @@
                 (s @ (400 | 429 | 503), _) => CommitOutcome::Refused(s),
                 _ => CommitOutcome::Unknown,
             },
-            Err(TransportError::Connect(_)) => CommitOutcome::Refused(0),
+            Err(TransportError::Connect { .. }) => CommitOutcome::Refused(0),
             Err(_) => CommitOutcome::Unknown,
         }
     }
--- a/src/coordination/peer_messages.rs
+++ b/src/coordination/peer_messages.rs
@@ -11,7 +11,6 @@
 use crate::state::units::{MonotonicMillis, Resources};
 use crate::transport::TransportError;
 use std::collections::BTreeMap;
-use std::io::ErrorKind;
 use std::rc::Rc;
 
 const STATUS_INTERVAL_MS: u64 = 1000;
@@ -45,14 +44,17 @@
         .into();
         for i in 0..controller.peers.len() {
             let (controller, asks) = (controller.clone(), asks.clone());
-            controller.executor
+            controller
+                .executor
                 .clone()
                 .spawn(async move {
                     let peer = &controller.peers[i];
                     for ask in asks.iter() {
                         let told = peer.client.ask(ask, STATUS_INTERVAL_MS).await;
-                        let refused = |e: &TransportError| matches!(e, TransportError::Connect(e) if e.kind() == ErrorKind::ConnectionRefused);
-                        peer.connection_refused.set(told.as_ref().is_err_and(refused));
+                        let refused = told
+                            .as_ref()
+                            .is_err_and(TransportError::is_connection_refused);
+                        peer.connection_refused.set(refused);
                         if told.is_err() {
                             break;
                         }
--- a/src/coordination/scheduler/planner.rs
+++ b/src/coordination/scheduler/planner.rs
@@ -282,7 +282,7 @@
     let sent = client
         .call(Method::Post, "/commands", body, WORKER_MS)
         .await;
-    let unsent = matches!(sent, Err(TransportError::Connect(_)));
+    let unsent = matches!(sent, Err(TransportError::Connect { .. }));
     let answer = sent.ok().filter(|f| matches!(f.status, 200 | 409));
     let how = match &answer {
         Some(f) if f.status == 200 => DirectStartOutcome::Executed,
--- a/src/transport/deadlines.rs
+++ b/src/transport/deadlines.rs
@@ -1,8 +1,10 @@
-//! Deadlines and pauses of all routines behind one timer of the reactor.
+//! Deadlines and pauses of all tasks behind one timer of the reactor.
 //!
-//! Most deadlines never pass: an answer comes first. Each timer of its own wakes the reactor
-//! when it is set, which costs half a dozen system calls, so they share one that is set only
-//! when an earlier one comes.
+//! Most deadlines never pass: an answer comes first. Setting a timer wakes the reactor, which
+//! costs half a dozen system calls, so all deadlines share one timer. It is set anew only for a
+//! deadline that is earlier than the one it is set to.
+//!
+//! Invariant: while the table holds a deadline, the timer is set to the earliest or an earlier one.
 
 use async_io::Timer;
 use std::collections::BTreeMap;
@@ -12,142 +14,170 @@
 use std::task::{Context, Poll, Wake, Waker};
 use std::time::{Duration, Instant};
 
-/// When something is due, ms, and its number.
-pub type Key = (u64, u64);
+/// Identifies a waiting deadline; ordered by the time at which it is due.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
+pub struct DeadlineKey {
+    due_ms: u64,
+    number: u64,
+}
 
-/// What waits until when. Pure: times come from the caller.
+/// Who waits until when. Pure: times come from the caller, in ms since the process started.
 #[derive(Default)]
-pub struct Table {
-    due: BTreeMap<Key, Waker>,
-    next: u64,
-    armed: Option<u64>,
+pub struct DeadlineTable {
+    waiting: BTreeMap<DeadlineKey, Waker>,
+    last_number: u64,
+    armed_for: Option<u64>,
 }
 
-impl Table {
-    /// When something asked for `ms` from now is due: at most an eighth later, so that what
-    /// is due at about the same time is due together.
+impl DeadlineTable {
+    /// When a deadline in `ms` from now is due: at most an eighth later, so that what is due at
+    /// about the same time is due together.
     pub fn due_at(now: u64, ms: u64) -> u64 {
         let step = 1u64 << (ms / 8).max(1).ilog2();
         (now + ms).div_ceil(step) * step
     }
-    /// The next beat of `ms`: duties that tick at the same rate tick in one turn.
-    pub fn next_beat(now: u64, ms: u64) -> u64 {
+    /// The next tick of `ms`: background tasks of the same interval run in one round.
+    pub fn next_tick(now: u64, ms: u64) -> u64 {
         (now / ms.max(1) + 1) * ms.max(1)
     }
-    /// Adds a waiting routine.
-    pub fn add(&mut self, at: u64, waker: Waker) -> Key {
-        self.next += 1;
-        let key = (at, self.next);
-        self.due.insert(key, waker);
+    /// Adds a waiting task.
+    pub fn add(&mut self, due_ms: u64, waker: Waker) -> DeadlineKey {
+        self.last_number += 1;
+        let key = DeadlineKey {
+            due_ms,
+            number: self.last_number,
+        };
+        self.waiting.insert(key, waker);
         key
     }
-    /// True if it still waits; notes whom to wake.
-    pub fn waits(&mut self, key: Key, waker: &Waker) -> bool {
-        match self.due.get_mut(&key) {
-            Some(w) => {
-                w.clone_from(waker);
+    /// True if the deadline has not passed; `waker` replaces the one to be woken.
+    pub fn is_waiting(&mut self, key: DeadlineKey, waker: &Waker) -> bool {
+        match self.waiting.get_mut(&key) {
+            Some(registered) => {
+                registered.clone_from(waker);
                 true
             }
             None => false,
         }
     }
-    /// Takes one out that is not waited for any more.
-    pub fn remove(&mut self, key: Key) {
-        self.due.remove(&key);
+    /// Removes a deadline that nobody waits for any more.
+    pub fn remove(&mut self, key: DeadlineKey) {
+        self.waiting.remove(&key);
     }
-    /// When the timer has to be set to, if it is not set early enough already.
+    /// The time that the timer has to be set to, if it is not set early enough already.
     pub fn to_arm(&mut self) -> Option<u64> {
-        let (first, _) = *self.due.keys().next()?;
-        if self.armed.is_some_and(|a| a <= first) {
+        let earliest = self.waiting.keys().next()?.due_ms;
+        if self.armed_for.is_some_and(|armed| armed <= earliest) {
             return None;
         }
-        self.armed = Some(first);
-        Some(first)
+        self.armed_for = Some(earliest);
+        Some(earliest)
     }
-    /// Takes out what is due; the timer is no longer set.
+    /// Removes the deadlines that are due; the timer is no longer set.
     pub fn take_due(&mut self, now: u64) -> Vec<Waker> {
-        self.armed = None;
-        let later = self.due.split_off(&(now + 1, 0));
-        std::mem::replace(&mut self.due, later)
+        self.armed_for = None;
+        let first_later = DeadlineKey {
+            due_ms: now + 1,
+            number: 0,
+        };
+        let later = self.waiting.split_off(&first_later);
+        std::mem::replace(&mut self.waiting, later)
             .into_values()
             .collect()
     }
 }
 
-/// The process' table and the one timer that serves it.
-struct Shared {
-    began: Instant,
-    table: Mutex<(Table, Option<Timer>)>,
+/// The table of this process and the timer that serves it.
+#[derive(Default)]
+struct ArmedTable {
+    table: DeadlineTable,
+    /// Kept so that it runs; a new one replaces it.
+    timer: Option<Timer>,
+}
+
+/// The deadlines of this process.
+struct ProcessDeadlines {
+    started: Instant,
+    armed: Mutex<ArmedTable>,
 }
 
-fn shared() -> &'static Shared {
-    static SHARED: OnceLock<Shared> = OnceLock::new();
-    SHARED.get_or_init(|| Shared {
-        began: Instant::now(),
-        table: Mutex::default(),
+fn process_deadlines() -> &'static ProcessDeadlines {
+    static DEADLINES: OnceLock<ProcessDeadlines> = OnceLock::new();
+    DEADLINES.get_or_init(|| ProcessDeadlines {
+        started: Instant::now(),
+        armed: Mutex::default(),
     })
 }
 
-impl Shared {
+impl ProcessDeadlines {
     fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+        self.started.elapsed().as_millis() as u64
     }
-    fn lock(&self) -> MutexGuard<'_, (Table, Option<Timer>)> {
-        self.table.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, ArmedTable> {
+        self.armed.lock().unwrap_or_else(PoisonError::into_inner)
     }
     /// Sets the timer if something is due earlier than it is set to.
     fn arm(&self) {
         loop {
-            let mut held = self.lock();
-            let Some(at) = held.0.to_arm() else { return };
-            let mut timer = Timer::at(self.began + Duration::from_millis(at));
-            let bell = Waker::from(Arc::new(Bell));
-            let set = Pin::new(&mut timer).poll(&mut Context::from_waker(&bell));
-            if set.is_pending() {
-                held.1 = Some(timer);
+            let mut armed = self.lock();
+            let Some(at) = armed.table.to_arm() else {
+                return;
+            };
+            let mut timer = Timer::at(self.started + Duration::from_millis(at));
+            let waker = Waker::from(Arc::new(TimerFired));
+            let fired = Pin::new(&mut timer).poll(&mut Context::from_waker(&waker));
+            if fired.is_pending() {
+                armed.timer = Some(timer);
                 return;
             }
-            // It is due by now.
-            let woken = held.0.take_due(self.now());
-            drop(held);
-            woken.into_iter().for_each(Waker::wake);
+            // It is due by now: wake those who wait and arm for the next.
+            let due = armed.table.take_due(self.now());
+            // A woken task may set a deadline of its own.
+            drop(armed);
+            due.into_iter().for_each(Waker::wake);
         }
     }
 }
 
-/// Rings when the timer has run out, in whichever thread the reactor runs.
-struct Bell;
+/// Wakes what is due when the timer has run out, in whichever thread the reactor runs.
+struct TimerFired;
 
-impl Wake for Bell {
+impl Wake for TimerFired {
     fn wake(self: Arc<Self>) {
-        let s = shared();
-        let woken = s.lock().0.take_due(s.now());
-        woken.into_iter().for_each(Waker::wake);
-        s.arm();
+        let deadlines = process_deadlines();
+        let due = deadlines.lock().table.take_due(deadlines.now());
+        due.into_iter().for_each(Waker::wake);
+        deadlines.arm();
     }
 }
 
-/// Ends after some time; see [`Table::due_at`] for how exactly.
+/// When a [`Deadline`] passes.
+#[derive(Clone, Copy)]
+enum Due {
+    /// So many ms after it is first polled; see [`DeadlineTable::due_at`] for how exactly.
+    After(u64),
+    /// At the next multiple of so many ms since the process started.
+    NextTick(u64),
+}
+
+/// A future that completes after some time.
 pub struct Deadline {
-    ms: u64,
-    beat: bool,
-    key: Option<Key>,
+    due: Due,
+    key: Option<DeadlineKey>,
 }
 
 impl Deadline {
     /// A deadline in `ms` from the moment it is first waited for.
     pub fn after(ms: u64) -> Deadline {
         Deadline {
-            ms,
-            beat: false,
+            due: Due::After(ms),
             key: None,
         }
     }
     /// A deadline at the next multiple of `ms`, counted from the start of the process.
-    pub fn beat(ms: u64) -> Deadline {
+    pub fn next_tick(ms: u64) -> Deadline {
         Deadline {
-            ms,
-            beat: true,
+            due: Due::NextTick(ms),
             key: None,
         }
     }
@@ -156,21 +186,20 @@
 impl Future for Deadline {
     type Output = ();
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        let s = shared();
+        let deadlines = process_deadlines();
         if let Some(key) = self.key {
-            if s.lock().0.waits(key, cx.waker()) {
+            if deadlines.lock().table.is_waiting(key, cx.waker()) {
                 return Poll::Pending;
             }
             self.key = None;
             return Poll::Ready(());
         }
-        let at = if self.beat {
-            Table::next_beat(s.now(), self.ms)
-        } else {
-            Table::due_at(s.now(), self.ms)
+        let due_ms = match self.due {
+            Due::After(ms) => DeadlineTable::due_at(deadlines.now(), ms),
+            Due::NextTick(ms) => DeadlineTable::next_tick(deadlines.now(), ms),
         };
-        self.key = Some(s.lock().0.add(at, cx.waker().clone()));
-        s.arm();
+        self.key = Some(deadlines.lock().table.add(due_ms, cx.waker().clone()));
+        deadlines.arm();
         Poll::Pending
     }
 }
@@ -178,7 +207,7 @@
 impl Drop for Deadline {
     fn drop(&mut self) {
         if let Some(key) = self.key {
-            shared().lock().0.remove(key);
+            process_deadlines().lock().table.remove(key);
         }
     }
 }
--- a/src/transport/frames.rs
+++ b/src/transport/frames.rs
@@ -1,118 +1,167 @@
 //! Length-prefixed frames between controllers.
+//!
+//! A frame is its length (four bytes, big-endian), one byte of version and the body that
+//! [`crate::protocol::peers`] encodes. `cli` starts [`serve`]; each peer has [`PeerClient`]s.
+//!
+//! Invariant: nothing is allocated for a frame before its length has been checked.
 
-use super::{within, Counted, TransportError};
+use super::{disable_nagle, within, ConnectionSlot, ExchangeError, TransportError};
 use crate::protocol::peers::{self, PeerRequest, PeerResponse, MAX_FRAME, VERSION};
 use crate::settings::PEER_CONNECTIONS;
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use std::cell::{Cell, RefCell};
+use std::io::{Error, ErrorKind, Result as IoResult};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
+/// A connection without a request for this long is closed.
 const IDLE_MS: u64 = 60_000;
+/// Time for a response to be written.
+const WRITE_MS: u64 = 2000;
+/// Pause after a failed accept: out of sockets, wait for some to close instead of spinning.
+const ACCEPT_RETRY_MS: u64 = 100;
+/// Length and version.
+const HEADER_BYTES: usize = 5;
 
-async fn write(stream: &mut &Async<TcpStream>, body: &[u8]) -> std::io::Result<()> {
-    let mut frame = Vec::with_capacity(body.len() + 5);
+async fn write_frame(mut stream: &Async<TcpStream>, body: &[u8]) -> IoResult<()> {
+    let mut frame = Vec::with_capacity(body.len() + HEADER_BYTES);
     frame.extend_from_slice(&(body.len() as u32 + 1).to_be_bytes());
     frame.push(VERSION);
     frame.extend_from_slice(body);
     stream.write_all(&frame).await
 }
 
-async fn read(stream: &mut &Async<TcpStream>) -> std::io::Result<Vec<u8>> {
-    let bad = |what| std::io::Error::new(std::io::ErrorKind::InvalidData, what);
-    let mut head = [0u8; 5];
-    stream.read_exact(&mut head).await?;
-    let len = u32::from_be_bytes([head[0], head[1], head[2], head[3]]) as usize;
-    if len == 0 || len > MAX_FRAME {
-        return Err(bad("frame size"));
+async fn read_frame(mut stream: &Async<TcpStream>) -> IoResult<Vec<u8>> {
+    let invalid = |what| Error::new(ErrorKind::InvalidData, what);
+    let mut header = [0u8; HEADER_BYTES];
+    stream.read_exact(&mut header).await?;
+    let [length @ .., version] = header;
+    let length = u32::from_be_bytes(length) as usize;
+    if length == 0 || length > MAX_FRAME {
+        return Err(invalid("frame size"));
     }
-    if head[4] != VERSION {
-        return Err(bad("frame version"));
+    if version != VERSION {
+        return Err(invalid("frame version"));
     }
-    let mut body = vec![0; len - 1];
+    let mut body = vec![0; length - 1];
     stream.read_exact(&mut body).await?;
     Ok(body)
 }
 
-/// Serves peers; one routine a connection.
-pub async fn serve<F>(ex: Rc<LocalExecutor<'static>>, listener: Async<TcpListener>, handler: F)
-where
+/// Accepts connections of peers and answers their requests; one task for each connection.
+pub async fn serve<F>(
+    executor: Rc<LocalExecutor<'static>>,
+    listener: Async<TcpListener>,
+    handler: F,
+) where
     F: Fn(PeerRequest) -> PeerResponse + Clone + 'static,
 {
     let open = Rc::new(Cell::new(0usize));
     loop {
-        let Ok((stream, from)) = listener.accept().await else {
-            super::pause(100).await;
+        let Ok((stream, peer)) = listener.accept().await else {
+            super::pause(ACCEPT_RETRY_MS).await;
             continue;
         };
-        let Some(counted) = Counted::new(&open, PEER_CONNECTIONS) else {
+        let Some(slot) = ConnectionSlot::acquire(&open, PEER_CONNECTIONS) else {
             continue;
         };
-        let _ = stream.get_ref().set_nodelay(true);
+        disable_nagle(&stream);
         let handler = handler.clone();
-        ex.spawn(async move {
-            let mut s = &stream;
-            while let Some(Ok(body)) = within(IDLE_MS, read(&mut s)).await {
-                let Some(ask) = peers::decode_request(&body) else {
-                    log::warn!("peer {from}: malformed frame, connection closed");
-                    break;
-                };
-                let Some(reply) = peers::encode(&handler(ask)) else {
-                    break;
-                };
-                if !matches!(within(2000, write(&mut s, &reply)).await, Some(Ok(()))) {
-                    break;
-                }
-            }
-            drop(counted);
-        })
-        .detach();
+        let connection = async move {
+            answer_requests(&stream, peer, handler).await;
+            drop(slot);
+        };
+        executor.spawn(connection).detach();
     }
 }
 
-/// A peer's address with one kept connection.
+/// Answers requests on one connection until it ends, is idle for too long or breaks the protocol.
+async fn answer_requests<F>(stream: &Async<TcpStream>, peer: SocketAddr, handler: F)
+where
+    F: Fn(PeerRequest) -> PeerResponse,
+{
+    while let Some(Ok(body)) = within(IDLE_MS, read_frame(stream)).await {
+        let Some(request) = peers::decode_request(&body) else {
+            log::warn!("connection closed after malformed frame: peer={peer}");
+            return;
+        };
+        let Some(response) = peers::encode(&handler(request)) else {
+            return;
+        };
+        let written = within(WRITE_MS, write_frame(stream, &response)).await;
+        if !matches!(written, Some(Ok(()))) {
+            return;
+        }
+    }
+}
+
+/// Sends requests to one peer over a connection that is kept between them.
 pub struct PeerClient {
-    addr: SocketAddr,
-    kept: RefCell<Option<Async<TcpStream>>>,
+    address: SocketAddr,
+    idle: RefCell<Option<Async<TcpStream>>>,
 }
 
 impl PeerClient {
-    /// A client of `addr`.
-    pub fn new(addr: SocketAddr) -> PeerClient {
+    /// A client of the peer at `address`; connects with the first request.
+    pub fn new(address: SocketAddr) -> PeerClient {
         PeerClient {
-            addr,
-            kept: RefCell::new(None),
+            address,
+            idle: RefCell::new(None),
         }
     }
 
-    /// One request and its reply within `ms`.
-    pub async fn ask(&self, ask: &PeerRequest, ms: u64) -> Result<PeerResponse, TransportError> {
-        let body = peers::encode(ask).ok_or_else(|| TransportError::Broken("encode".into()))?;
-        let work = async {
-            let kept = self.kept.borrow_mut().take();
-            let stream = match kept {
-                Some(s) => s,
-                None => {
-                    let s = Async::<TcpStream>::connect(self.addr)
-                        .await
-                        .map_err(TransportError::Connect)?;
-                    let _ = s.get_ref().set_nodelay(true);
-                    s
-                }
-            };
-            let broken = |e: std::io::Error| TransportError::Broken(e.to_string());
-            let mut s = &stream;
-            write(&mut s, &body).await.map_err(broken)?;
-            let reply = read(&mut s).await.map_err(broken)?;
-            let reply = peers::decode_response(&reply)
-                .ok_or_else(|| TransportError::Broken("malformed".into()))?;
-            *self.kept.borrow_mut() = Some(stream);
-            Ok(reply)
+    /// Sends a request and waits for the response, `timeout_ms` in all.
+    pub async fn ask(
+        &self,
+        request: &PeerRequest,
+        timeout_ms: u64,
+    ) -> Result<PeerResponse, TransportError> {
+        let address = self.address;
+        let body = peers::encode(request).ok_or(TransportError::Broken {
+            address,
+            source: ExchangeError::EncodeRequest,
+        })?;
+        within(timeout_ms, self.exchange(&body))
+            .await
+            .unwrap_or(Err(TransportError::Deadline {
+                address,
+                timeout_ms,
+            }))
+    }
+
+    /// Sends one request. The connection is kept only after a good response: a response that
+    /// comes late on a kept one would be taken for the next request's.
+    async fn exchange(&self, body: &[u8]) -> Result<PeerResponse, TransportError> {
+        let idle = self.idle.borrow_mut().take();
+        let stream = match idle {
+            Some(stream) => stream,
+            None => self.connect().await?,
         };
-        within(ms, work)
+        let response =
+            round_trip(&stream, body)
+                .await
+                .map_err(|source| TransportError::Broken {
+                    address: self.address,
+                    source,
+                })?;
+        *self.idle.borrow_mut() = Some(stream);
+        Ok(response)
+    }
+
+    async fn connect(&self) -> Result<Async<TcpStream>, TransportError> {
+        let address = self.address;
+        let stream = Async::<TcpStream>::connect(address)
             .await
-            .unwrap_or(Err(TransportError::Deadline))
+            .map_err(|source| TransportError::Connect { address, source })?;
+        disable_nagle(&stream);
+        Ok(stream)
     }
 }
+
+async fn round_trip(stream: &Async<TcpStream>, body: &[u8]) -> Result<PeerResponse, ExchangeError> {
+    write_frame(stream, body).await?;
+    let response = read_frame(stream).await?;
+    peers::decode_response(&response).ok_or(ExchangeError::DecodeResponse)
+}
--- /dev/null
+++ b/src/transport/http/client.rs
@@ -0,0 +1,131 @@
+//! The HTTP client: towards the key-value store, the cloud, workers and, from the command line,
+//! controllers.
+//!
+//! Invariant: a connection is kept only after a complete answer, so that no late answer is taken
+//! for the next one.
+
+use super::{asks_to_close, send, Stream, MESSAGE_PACK};
+use crate::transport::{disable_nagle, within, ExchangeError, TransportError};
+use async_dup::Arc;
+use async_io::Async;
+use http_types::{Body, Method, Request, Url};
+use std::cell::RefCell;
+use std::net::{SocketAddr, TcpStream};
+
+/// Connections that are kept open between requests.
+const MAX_IDLE: usize = 4;
+
+/// A client of one address with kept-alive connections.
+pub struct Client {
+    address: SocketAddr,
+    idle: RefCell<Vec<Stream>>,
+}
+
+/// The answer to a request.
+pub struct Fetched {
+    /// Status.
+    pub status: u16,
+    /// Body.
+    pub body: Vec<u8>,
+}
+
+impl Client {
+    /// A client of `address`; connects with the first request.
+    pub fn new(address: SocketAddr) -> Client {
+        Client {
+            address,
+            idle: RefCell::new(Vec::new()),
+        }
+    }
+
+    /// Sends a request and waits for the answer, `timeout_ms` in all.
+    pub async fn call(
+        &self,
+        method: Method,
+        path: &str,
+        body: Vec<u8>,
+        timeout_ms: u64,
+    ) -> Result<Fetched, TransportError> {
+        // Boxed, so that whoever waits for an answer need not hold it inline.
+        within(timeout_ms, Box::pin(self.exchange(method, path, body)))
+            .await
+            .unwrap_or(Err(TransportError::Deadline {
+                address: self.address,
+                timeout_ms,
+            }))
+    }
+
+    /// Drops kept connections, for example after a failure.
+    pub fn reset(&self) {
+        self.idle.borrow_mut().clear();
+    }
+
+    async fn exchange(
+        &self,
+        method: Method,
+        path: &str,
+        body: Vec<u8>,
+    ) -> Result<Fetched, TransportError> {
+        let idle = self.idle.borrow_mut().pop();
+        let stream = match idle {
+            Some(stream) => stream,
+            None => self.connect().await?,
+        };
+        self.round_trip(stream, method, path, body)
+            .await
+            .map_err(|source| TransportError::Broken {
+                address: self.address,
+                source,
+            })
+    }
+
+    async fn connect(&self) -> Result<Stream, TransportError> {
+        let address = self.address;
+        let stream = Async::<TcpStream>::connect(address)
+            .await
+            .map_err(|source| TransportError::Connect { address, source })?;
+        disable_nagle(&stream);
+        Ok(Arc::new(stream))
+    }
+
+    async fn round_trip(
+        &self,
+        stream: Stream,
+        method: Method,
+        path: &str,
+        body: Vec<u8>,
+    ) -> Result<Fetched, ExchangeError> {
+        let request = self.request(method, path, body)?;
+        send(&stream, async_h1::client::Encoder::new(request)).await?;
+        // The answer is waited for before it is read: a try at once would find nothing.
+        stream.readable().await?;
+        let mut response = async_h1::client::decode(stream.clone()).await?;
+        let closes = asks_to_close(response.header("Connection"));
+        let body = response.body_bytes().await?;
+        if !closes {
+            self.keep(stream);
+        }
+        Ok(Fetched {
+            status: response.status() as u16,
+            body,
+        })
+    }
+
+    fn request(&self, method: Method, path: &str, body: Vec<u8>) -> Result<Request, ExchangeError> {
+        let url = Url::parse(&format!("http://{}{path}", self.address))?;
+        let mut request = Request::new(method, url);
+        if method == Method::Post || !body.is_empty() {
+            let mut content = Body::from_bytes(body);
+            content.set_mime(MESSAGE_PACK);
+            request.set_body(content);
+        }
+        Ok(request)
+    }
+
+    fn keep(&self, stream: Stream) {
+        let mut idle = self.idle.borrow_mut();
+        if idle.len() < MAX_IDLE {
+            idle.push(stream);
+        }
+    }
+}
--- /dev/null
+++ b/src/transport/http/server.rs
@@ -0,0 +1,290 @@
+//! The HTTP server for users, workers and health checks.
+//!
+//! `cli` starts it with `job_api` as handler; the rehearsal crate serves its simulated services
+//! with it.
+//!
+//! Invariant: a connection at rest holds a socket and a deadline only. What a request needs is
+//! set up when there is one, so that hundreds of connections fit into a small machine.
+
+use super::request_reading::OpenedStream;
+use super::{asks_to_close, send, Stream, MESSAGE_PACK};
+use crate::transport::executor_priorities::ExecutorPriorities;
+use crate::transport::{disable_nagle, pause, within, ConnectionSlot};
+use async_dup::Arc;
+use async_executor::LocalExecutor;
+use async_h1::server::Encoder;
+use async_io::Async;
+use futures_lite::AsyncReadExt;
+use http_types::{Body, Method, Request, Response, StatusCode};
+use std::cell::Cell;
+use std::future::Future;
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+
+/// Longest rest of a connection between requests.
+const REST_MS: u64 = 75_000;
+/// Longest time for a request, its answer included.
+const REQUEST_MS: u64 = 15_000;
+/// Longest time for the body of a request.
+const BODY_MS: u64 = 4000;
+/// Pause after a failed accept: out of sockets, wait for some to close instead of spinning.
+const ACCEPT_RETRY_MS: u64 = 100;
+/// Largest request body taken.
+pub const MAX_BODY: usize = 64 * 1024;
+
+const BAD_REQUEST: u16 = 400;
+const INTERNAL_ERROR: u16 = 500;
+const UNAVAILABLE: u16 = 503;
+
+/// A request as handlers see it.
+pub struct Incoming {
+    /// Method.
+    pub method: Method,
+    /// Path.
+    pub path: String,
+    /// Query, without the question mark.
+    pub query: String,
+    /// Body; `None` if it is too large, late or broken.
+    pub body: Option<Vec<u8>>,
+}
+
+/// A handler's answer.
+pub struct Answer {
+    /// Status.
+    pub status: u16,
+    /// MessagePack body.
+    pub body: Vec<u8>,
+    /// Seconds after which to try again.
+    pub retry_after: Option<u32>,
+}
+
+impl Answer {
+    /// An answer without a body.
+    pub fn bare(status: u16) -> Answer {
+        Answer {
+            status,
+            body: Vec::new(),
+            retry_after: None,
+        }
+    }
+    /// An answer with a body.
+    pub fn of<T: serde::Serialize>(status: u16, value: &T) -> Answer {
+        match rmp_serde::to_vec_named(value) {
+            Ok(body) => Answer {
+                status,
+                body,
+                retry_after: None,
+            },
+            Err(e) => {
+                log::error!("answer not encoded: status={status} error={e}");
+                Answer::bare(INTERNAL_ERROR)
+            }
+        }
+    }
+    /// Can't be taken now; try again after `seconds`.
+    pub fn later(seconds: u32) -> Answer {
+        Answer {
+            status: UNAVAILABLE,
+            body: Vec::new(),
+            retry_after: Some(seconds),
+        }
+    }
+}
+
+/// Binds a listener.
+pub fn listen(address: SocketAddr) -> std::io::Result<Async<TcpListener>> {
+    Async::<TcpListener>::bind(address)
+}
+
+/// Accepts connections for good; one task for each, all of one urgency.
+pub async fn serve<F, Fut>(
+    executor: Rc<LocalExecutor<'static>>,
+    listener: Async<TcpListener>,
+    max_connections: usize,
+    handler: F,
+) where
+    F: Fn(Incoming) -> Fut + Clone + 'static,
+    Fut: Future<Output = Answer> + 'static,
+{
+    let executors = ExecutorPriorities {
+        users: executor.clone(),
+        workers: executor,
+        ..ExecutorPriorities::default()
+    };
+    serve_in(executors, |_| false, listener, max_connections, handler).await;
+}
+
+/// Accepts connections for good. A connection begins among the users' tasks and moves to the
+/// workers' once a request on it was a worker's, by its path.
+pub async fn serve_in<F, Fut>(
+    executors: ExecutorPriorities,
+    is_worker_path: fn(&str) -> bool,
+    listener: Async<TcpListener>,
+    max_connections: usize,
+    handler: F,
+) where
+    F: Fn(Incoming) -> Fut + Clone + 'static,
+    Fut: Future<Output = Answer> + 'static,
+{
+    let open = Rc::new(Cell::new(0usize));
+    loop {
+        let (stream, _) = match listener.accept().await {
+            Ok(accepted) => accepted,
+            Err(e) => {
+                log::warn!("accept failed: error={e}");
+                pause(ACCEPT_RETRY_MS).await;
+                continue;
+            }
+        };
+        let Some(slot) = ConnectionSlot::acquire(&open, max_connections) else {
+            continue;
+        };
+        disable_nagle(&stream);
+        let stream: Stream = Arc::new(stream);
+        let (handler, workers) = (handler.clone(), executors.workers.clone());
+        let connection = async move {
+            if answer_requests(&stream, &handler, is_worker_path).await == ConnectionEnd::HandOver {
+                let of_worker = async move {
+                    answer_requests(&stream, &handler, |_| false).await;
+                    drop(slot);
+                };
+                workers.spawn(of_worker).detach();
+            }
+        };
+        executors.users.spawn(connection).detach();
+    }
+}
+
+/// Why a task stops answering requests of a connection.
+#[derive(PartialEq, Eq)]
+enum ConnectionEnd {
+    /// The connection is over.
+    Closed,
+    /// The last request was a worker's.
+    HandOver,
+}
+
+/// Answers requests until the connection ends, or until the path of one is `wanted`.
+///
+/// Half-open and slow peers end by the deadlines.
+async fn answer_requests<F, Fut>(
+    stream: &Stream,
+    handler: &F,
+    wanted: fn(&str) -> bool,
+) -> ConnectionEnd
+where
+    F: Fn(Incoming) -> Fut,
+    Fut: Future<Output = Answer>,
+{
+    while let Some(Ok(())) = within(REST_MS, stream.readable()).await {
+        // Boxed, so that a connection at rest does not hold it inline.
+        let exchange = Box::pin(exchange(stream, handler, wanted));
+        match within(REQUEST_MS, exchange).await {
+            Some(Ok(Next::Wait)) => {}
+            Some(Ok(Next::HandOver)) => return ConnectionEnd::HandOver,
+            _ => return ConnectionEnd::Closed,
+        }
+    }
+    ConnectionEnd::Closed
+}
+
+/// What becomes of a connection after an answer.
+enum Next {
+    Wait,
+    HandOver,
+    Close,
+}
+
+/// Takes one request from a connection and answers it.
+///
+/// The library's parts are put together here instead of by its own server: that one sets a
+/// timer for each request's headers in a second reactor, which has a thread of its own, and
+/// sends head and body of an answer apart. What reading needs, some 40 KB, is freed before the
+/// answer is worked on, so that hundreds of requests that wait fit into a small machine.
+async fn exchange<F, Fut>(
+    stream: &Stream,
+    handler: &F,
+    wanted: fn(&str) -> bool,
+) -> Result<Next, http_types::Error>
+where
+    F: Fn(Incoming) -> Fut,
+    Fut: Future<Output = Answer>,
+{
+    let received = match Box::pin(receive(stream)).await {
+        Ok(Some(received)) => received,
+        Ok(None) => return Ok(Next::Close),
+        Err(e) => {
+            // A broken connection takes no answer; a malformed request deserves one.
+            if e.downcast_ref::<std::io::Error>().is_none() {
+                let refusal = to_response(Answer::bare(BAD_REQUEST), true);
+                send(stream, Encoder::new(refusal, Method::Get)).await?;
+            }
+            return Ok(Next::Close);
+        }
+    };
+    let Received { request, close } = received;
+    let method = request.method;
+    let is_wanted = wanted(&request.path);
+    let response = to_response(handler(request).await, close);
+    send(stream, Encoder::new(response, method)).await?;
+    Ok(match (close, is_wanted) {
+        (true, _) => Next::Close,
+        (false, true) => Next::HandOver,
+        (false, false) => Next::Wait,
+    })
+}
+
+/// A request that was read.
+struct Received {
+    request: Incoming,
+    /// The connection is to be closed after the answer.
+    close: bool,
+}
+
+/// Reads one request; `None` at the end of the stream, or if nobody waits for the answer any
+/// more.
+async fn receive(stream: &Stream) -> Result<Option<Received>, http_types::Error> {
+    let Some(opened) = OpenedStream::read(stream).await? else {
+        return Ok(None);
+    };
+    let Some((mut request, _)) = async_h1::server::decode(opened).await? else {
+        return Ok(None);
+    };
+    let body = within(BODY_MS, read_body(&mut request)).await.flatten();
+    // The rest of a body that was not read is not worth draining.
+    let close = body.is_none() || asks_to_close(request.header("Connection"));
+    let request = Incoming {
+        method: request.method(),
+        path: request.url().path().to_string(),
+        query: request.url().query().unwrap_or("").to_string(),
+        body,
+    };
+    Ok(Some(Received { request, close }))
+}
+
+/// The body; `None` if it is too large or can't be read.
+async fn read_body(request: &mut Request) -> Option<Vec<u8>> {
+    if request.len().is_some_and(|length| length > MAX_BODY) {
+        return None;
+    }
+    let mut bytes = Vec::with_capacity(request.len().unwrap_or(0));
+    // One byte more than allowed tells a body that is too large from one that just fits.
+    let mut body = request.take_body().take(MAX_BODY as u64 + 1);
+    body.read_to_end(&mut bytes).await.ok()?;
+    (bytes.len() <= MAX_BODY).then_some(bytes)
+}
+
+fn to_response(answer: Answer, close: bool) -> Response {
+    let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::InternalServerError);
+    let mut response = Response::new(status);
+    if let Some(seconds) = answer.retry_after {
+        response.insert_header("Retry-After", seconds.to_string());
+    }
+    if close {
+        response.insert_header("Connection", "close");
+    }
+    let mut body = Body::from_bytes(answer.body);
+    body.set_mime(MESSAGE_PACK);
+    response.set_body(body);
+    response
+}
--- a/tests/costs.rs
+++ b/tests/costs.rs
@@ -3,7 +3,7 @@
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use pointhook::transport::deadlines::Table;
+use pointhook::transport::deadlines::DeadlineTable;
 use pointhook::transport::executor_priorities::ExecutorPriorities;
 use pointhook::transport::http::{listen, serve, Answer, Incoming};
 use stats_alloc::{Region, StatsAlloc, INSTRUMENTED_SYSTEM};
@@ -131,27 +131,29 @@
 #[test]
 fn the_timer_is_set_anew_only_for_what_is_due_earlier() {
     let nobody = || std::task::Waker::from(std::sync::Arc::new(Nobody));
-    let mut t = Table::default();
-    let first = t.add(Table::due_at(0, 1000), nobody());
+    let mut t = DeadlineTable::default();
+    let first = t.add(DeadlineTable::due_at(0, 1000), nobody());
     assert_eq!(t.to_arm(), Some(1024), "an eighth later at most");
     let mut answered = Vec::new();
     for i in 0..100 {
-        answered.push(t.add(Table::due_at(i, 1500), nobody()));
+        answered.push(t.add(DeadlineTable::due_at(i, 1500), nobody()));
         assert_eq!(t.to_arm(), None, "request {i}");
     }
     for key in answered {
         t.remove(key);
     }
-    let early = t.add(Table::due_at(5, 60), nobody());
+    let early = t.add(DeadlineTable::due_at(5, 60), nobody());
     assert_eq!(t.to_arm(), Some(68));
-    assert!(t.waits(early, &nobody()));
+    assert!(t.is_waiting(early, &nobody()));
     assert_eq!(t.take_due(67).len(), 0);
     assert_eq!(t.take_due(68).len(), 1);
-    assert!(!t.waits(early, &nobody()) && t.waits(first, &nobody()));
+    assert!(!t.is_waiting(early, &nobody()) && t.is_waiting(first, &nobody()));
     assert_eq!(t.to_arm(), Some(1024), "the next one");
     // Duties of one rate tick together, whenever each of them ended.
-    let beats: Vec<u64> = [7000, 7001, 7999].map(|t| Table::next_beat(t, 1000)).into();
-    assert_eq!(beats, [8000, 8000, 8000]);
+    let ticks: Vec<u64> = [7000, 7001, 7999]
+        .map(|t| DeadlineTable::next_tick(t, 1000))
+        .into();
+    assert_eq!(ticks, [8000, 8000, 8000]);
 }
 
 // A node that fell behind read the answer to its lease's renewal after hundreds of reports, lost
@@ -159,27 +161,27 @@
 #[test]
 fn an_answer_to_a_duty_is_read_amid_hundreds_of_requests() {
     let _alone = alone();
-    let lanes = ExecutorPriorities::default();
+    let executors = ExecutorPriorities::default();
     let door = TcpListener::bind(("127.0.0.1", 0)).unwrap();
     let addr = door.local_addr().unwrap();
-    async_io::block_on(lanes.run(async {
+    async_io::block_on(executors.run(async {
         let ours = Async::<TcpStream>::connect(addr).await.unwrap();
         let (mut theirs, _) = door.accept().unwrap();
         let turns = Rc::new(Cell::new(0));
         let when = turns.clone();
-        let duty = lanes.duties.spawn(async move {
+        let duty = executors.background.spawn(async move {
             (&ours).read_exact(&mut [0; 2]).await.unwrap();
             when.get()
         });
         // The answer comes while requests are worked on, so that only a look at the sockets
         // shows it.
         let answer = async move { std::io::Write::write_all(&mut theirs, b"ok").unwrap() };
-        lanes.users.spawn(answer).detach();
-        for lane in [&lanes.users, &lanes.workers] {
+        executors.users.spawn(answer).detach();
+        for executor in [&executors.users, &executors.workers] {
             for _ in 0..150 {
                 let turns = turns.clone();
                 let work = async move { turns.set(turns.get() + 1) };
-                lane.spawn(work).detach();
+                executor.spawn(work).detach();
             }
         }
         let before = duty.await;
