--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,7 @@
-//! The command line.
+//! The command line: reads the arguments, and starts a controller or runs one command.
+//!
+//! This is the only place that knows all background tasks of a controller. They run until the
+//! process is stopped; all that must survive is in the key-value store.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::planner;
@@ -12,8 +15,10 @@
 use crate::settings::{Operator, Platform, SettingsError};
 use crate::transport::executor_priorities::ExecutorPriorities;
 use crate::transport::{frames, http};
+use async_io::Async;
 use clap::{Args, Parser, Subcommand};
-use std::net::SocketAddr;
+use log::LevelFilter;
+use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::rc::Rc;
@@ -23,13 +28,13 @@
 #[command(name = "pointhook", version, args_conflicts_with_subcommands = true)]
 struct Cli {
     #[command(flatten)]
-    serve: Files,
+    files: SettingsFiles,
     #[command(subcommand)]
     command: Option<CliCommand>,
 }
 
 #[derive(Args)]
-struct Files {
+struct SettingsFiles {
     /// Settings file of the platform (TOML)
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
@@ -44,7 +49,7 @@
 #[derive(Subcommand)]
 enum CliCommand {
     /// Checks settings files without starting
-    Check(Files),
+    Check(SettingsFiles),
     /// Shows what a running controller sees
     Observe {
         #[command(subcommand)]
@@ -59,15 +64,17 @@
     },
 }
 
+/// Why the program ends with a failure.
 #[derive(Debug, thiserror::Error)]
 enum CliError {
     #[error(transparent)]
     Settings(#[from] SettingsError),
     #[error("--config FILE is required")]
     NoConfig,
-    #[error("{addr}: {source}")]
+    #[error("can't listen on {address}: {source}")]
     Listen {
-        addr: SocketAddr,
+        address: SocketAddr,
+        #[source]
         source: std::io::Error,
     },
     #[error(transparent)]
@@ -78,25 +85,7 @@
 
 /// Runs the program.
 pub fn main() -> ExitCode {
-    let cli = Cli::parse();
-    let result = match cli.command {
-        None => load(&cli.serve).and_then(serve),
-        Some(CliCommand::Check(files)) => load(&files).map(|settings| {
-            if let Some(w) = settings.platform.settings.workers.warning() {
-                println!("warning: {w}");
-            }
-            println!("settings are good");
-        }),
-        Some(CliCommand::Observe { subject }) => {
-            observe_command::run(&subject).map_err(CliError::from)
-        }
-        Some(CliCommand::Schema) => {
-            println!("{:#}", Features::schema());
-            Ok(())
-        }
-        Some(CliCommand::Job { action }) => job_command::run(action).map_err(CliError::from),
-    };
-    match result {
+    match run(Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             eprintln!("pointhook: {e}");
@@ -105,6 +94,28 @@
     }
 }
 
+fn run(cli: Cli) -> Result<(), CliError> {
+    match cli.command {
+        None => serve(Settings::load(&cli.files)?),
+        Some(CliCommand::Check(files)) => check(&files),
+        Some(CliCommand::Observe { subject }) => Ok(observe_command::run(&subject)?),
+        Some(CliCommand::Schema) => {
+            println!("{:#}", Features::schema());
+            Ok(())
+        }
+        Some(CliCommand::Job { action }) => Ok(job_command::run(action)?),
+    }
+}
+
+fn check(files: &SettingsFiles) -> Result<(), CliError> {
+    let settings = Settings::load(files)?;
+    if let Some(warning) = settings.platform.settings.workers.warning() {
+        println!("warning: {warning}");
+    }
+    println!("settings are good");
+    Ok(())
+}
+
 /// All that a controller is started with.
 struct Settings {
     platform: Platform,
@@ -112,80 +123,136 @@
     features: Features,
 }
 
-fn load(files: &Files) -> Result<Settings, CliError> {
-    let platform = Platform::load(files.config.as_deref().ok_or(CliError::NoConfig)?)?;
-    let operator = match &files.operator {
-        Some(file) => Operator::load(file)?,
-        None => Operator::default(),
-    };
-    let features = match &files.features {
-        Some(file) => Features::load(file)?,
-        None => Features::default(),
-    };
-    Ok(Settings {
-        platform,
-        operator,
-        features,
-    })
+impl Settings {
+    fn load(files: &SettingsFiles) -> Result<Settings, CliError> {
+        let config = files.config.as_deref().ok_or(CliError::NoConfig)?;
+        let platform = Platform::load(config)?;
+        let operator = match &files.operator {
+            Some(file) => Operator::load(file)?,
+            None => Operator::default(),
+        };
+        let features = match &files.features {
+            Some(file) => Features::load(file)?,
+            None => Features::default(),
+        };
+        Ok(Settings {
+            platform,
+            operator,
+            features,
+        })
+    }
 }
 
-fn serve(settings: Settings) -> Result<(), CliError> {
-    let Settings {
-        platform,
-        operator,
-        features,
-    } = settings;
+/// Logs to standard error, filtered by `LOG_LEVEL`, without the lines of the I/O libraries.
+fn init_logging() {
     let env = env_logger::Env::new().filter("LOG_LEVEL");
     env_logger::Builder::from_env(env)
-        .filter_module("async_io", log::LevelFilter::Off)
-        .filter_module("polling", log::LevelFilter::Off)
-        .filter_module("async_h1", log::LevelFilter::Off)
+        .filter_module("async_io", LevelFilter::Off)
+        .filter_module("polling", LevelFilter::Off)
+        .filter_module("async_h1", LevelFilter::Off)
         .format_target(false)
         .init();
-    let lanes = ExecutorPriorities::default();
-    let ex = lanes.background.clone();
-    let door = |addr| http::listen(addr).map_err(|source| CliError::Listen { addr, source });
+}
+
+/// The sockets of a controller.
+struct Listeners {
+    /// Users, workers and health checks.
+    public: Async<TcpListener>,
+    /// The other controllers.
+    peers: Async<TcpListener>,
+}
+
+impl Listeners {
+    fn bind(platform: &Platform) -> Result<Listeners, CliError> {
+        Ok(Listeners {
+            public: listen(platform.bind)?,
+            peers: listen(platform.cluster_listen)?,
+        })
+    }
+}
+
+fn listen(address: SocketAddr) -> Result<Async<TcpListener>, CliError> {
+    http::listen(address).map_err(|source| CliError::Listen { address, source })
+}
+
+/// Serves as one controller until the process is stopped.
+fn serve(settings: Settings) -> Result<(), CliError> {
+    init_logging();
+    let executors = ExecutorPriorities::default();
     async_io::block_on(async {
-        let users = door(platform.bind)?;
-        let peers = door(platform.cluster_listen)?;
-        let sockets = platform.settings.machine_limits.at_the_door();
-        log::info!(
-            "node {} in {} serves {}",
-            platform.node,
-            platform.domain,
-            platform.bind
-        );
-        if let Some(w) = platform.settings.workers.warning() {
-            log::warn!("{w}");
-        }
-        let controller = Rc::new(Controller::new(platform, operator, features, ex.clone()));
-        controller.spawn_supervised("watch", kv::watch);
-        controller.spawn_supervised("fresh reads", kv::fresh_reads);
-        controller.spawn_supervised("members", membership::run);
-        controller.spawn_supervised("poke", worker_connectivity::announce_ownership);
-        controller.spawn_supervised("planner", planner::run);
-        controller.spawn_supervised("cancellations", cancellations::run);
-        controller.spawn_supervised("news", peer_messages::news);
-        if let Some(standby) = controller.features.standby() {
-            let bound = failover::bound(&controller.platform.settings.workers);
-            log::info!("the warm standby is on: {standby:?}, takeover within {bound}");
-            if !bound.meets_goal() {
-                log::warn!("the times of the deployment allow no takeover within 10 s");
-            }
-            controller.spawn_supervised("replication", replication::run);
-        }
-        controller.spawn_supervised("renting", autoscaler::run);
-        let n = controller.clone();
-        let answering = frames::serve(ex.clone(), peers, move |ask| peer_messages::handle(&n, ask));
-        ex.spawn(answering).detach();
-        let n = controller.clone();
-        let (l, of_worker) = (lanes.clone(), job_api::of_worker);
-        let serving = http::serve_in(l, of_worker, users, sockets, move |req| {
-            job_api::handle(n.clone(), req)
-        });
-        // A routine of its own: what `run` is given is polled at each turn of any routine.
-        let serving = ex.spawn(serving);
-        lanes.run(serving).await;
+        // Bound before anything is started, so that a port in use ends the program at once.
+        let listeners = Listeners::bind(&settings.platform)?;
+        log_start(&settings.platform);
+        let Settings {
+            platform,
+            operator,
+            features,
+        } = settings;
+        let background = executors.background.clone();
+        let controller = Rc::new(Controller::new(platform, operator, features, background));
+        spawn_background_tasks(&controller);
+        serve_requests(&controller, &executors, listeners).await;
         Ok(())
     })
 }
+
+fn log_start(platform: &Platform) {
+    log::info!(
+        "controller started: controller={} zone={} address={}",
+        platform.node,
+        platform.domain,
+        platform.bind
+    );
+    if let Some(warning) = platform.settings.workers.warning() {
+        log::warn!("{warning}");
+    }
+}
+
+/// Starts all that a controller does on its own. Tasks of the same tick run in this order.
+fn spawn_background_tasks(controller: &Rc<Controller>) {
+    controller.spawn_supervised("watch", kv::watch);
+    controller.spawn_supervised("fresh reads", kv::fresh_reads);
+    controller.spawn_supervised("members", membership::run);
+    controller.spawn_supervised("poke", worker_connectivity::announce_ownership);
+    controller.spawn_supervised("planner", planner::run);
+    controller.spawn_supervised("cancellations", cancellations::run);
+    controller.spawn_supervised("news", peer_messages::news);
+    if let Some(standby) = controller.features.standby() {
+        let bound = failover::bound(&controller.platform.settings.workers);
+        log::info!("warm standby enabled: settings={standby:?} failover_bound={bound}");
+        if !bound.meets_goal() {
+            log::warn!("failover may take longer than 10 s with the times of this deployment");
+        }
+        controller.spawn_supervised("replication", replication::run);
+    }
+    controller.spawn_supervised("renting", autoscaler::run);
+}
+
+/// Answers peers, users and workers.
+async fn serve_requests(
+    controller: &Rc<Controller>,
+    executors: &ExecutorPriorities,
+    listeners: Listeners,
+) {
+    let background = &executors.background;
+    let for_peers = controller.clone();
+    let peer_server = frames::serve(background.clone(), listeners.peers, move |request| {
+        peer_messages::handle(&for_peers, request)
+    });
+    background.spawn(peer_server).detach();
+    let for_users = controller.clone();
+    let public_server = http::serve_in(
+        executors.clone(),
+        job_api::of_worker,
+        listeners.public,
+        controller
+            .platform
+            .settings
+            .machine_limits
+            .listener_connections(),
+        move |request| job_api::handle(for_users.clone(), request),
+    );
+    // A task of its own: what `run` is given is polled each time any task is.
+    let public_server = background.spawn(public_server);
+    executors.run(public_server).await;
+}
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -514,7 +514,7 @@
     /// A place for a connection to a worker; `None` while all are taken.
     pub fn acquire_worker_connection(self: &Rc<Self>) -> Option<Direct> {
         let open = self.open_worker_connections.get();
-        (open < self.platform.settings.machine_limits.directs()).then(|| {
+        (open < self.platform.settings.machine_limits.worker_connections()).then(|| {
             self.open_worker_connections.set(open + 1);
             Direct(self.clone())
         })
--- a/src/features.rs
+++ b/src/features.rs
@@ -5,13 +5,34 @@
 //! allowed keys, types and ranges: parsing, validation and the printed JSON schema derive from
 //! them.
 
-use crate::settings::SettingsError;
+use crate::settings::{self, SettingsError};
 use garde::Validate;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use serde_json::Value;
 use std::path::Path;
 
+/// Why the text of a features file is refused; one line that names the key and what is allowed.
+#[derive(Debug, thiserror::Error)]
+pub enum FeaturesError {
+    /// No TOML, an unknown key or a value of the wrong type.
+    #[error("{}", describe(key, &source.message().replace('\n', " ")))]
+    Syntax {
+        /// The key, with those of the tables around it.
+        key: String,
+        /// What the parser said.
+        #[source]
+        source: Box<toml::de::Error>,
+    },
+    /// A value out of its range.
+    #[error("{}", first_violation(source))]
+    Value {
+        /// All violations.
+        #[source]
+        source: garde::Report,
+    },
+}
+
 /// All optional features.
 #[derive(Deserialize, JsonSchema, Validate, Clone, Debug, Default, PartialEq)]
 #[serde(deny_unknown_fields)]
@@ -51,26 +72,24 @@
 impl Features {
     /// Reads and validates a file.
     pub fn load(path: &Path) -> Result<Features, SettingsError> {
-        let file = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
-            file: file.clone(),
+        let text = settings::read_file(path)?;
+        Features::parse(&text).map_err(|source| SettingsError::Features {
+            path: path.into(),
             source,
-        })?;
-        Features::parse(&text).map_err(|what| SettingsError::Content { file, what })
+        })
     }
 
-    /// Parses and validates the text of a file. The error is one line that names the key and what
-    /// is allowed there.
-    pub fn parse(text: &str) -> Result<Features, String> {
+    /// Parses and validates the text of a file.
+    pub fn parse(text: &str) -> Result<Features, FeaturesError> {
         let document = toml::Deserializer::new(text);
-        let features: Features = serde_path_to_error::deserialize(document).map_err(|error| {
-            let key = error.path().to_string();
-            let cause = error.inner().message().replace('\n', " ");
-            described(&key, &cause)
-        })?;
+        let features: Features =
+            serde_path_to_error::deserialize(document).map_err(|error| FeaturesError::Syntax {
+                key: error.path().to_string(),
+                source: Box::new(error.into_inner()),
+            })?;
         match features.validate() {
             Ok(()) => Ok(features),
-            Err(report) => Err(first_violation(&report)),
+            Err(source) => Err(FeaturesError::Value { source }),
         }
     }
 
@@ -87,13 +106,13 @@
 
 fn first_violation(report: &garde::Report) -> String {
     match report.iter().next() {
-        Some((path, error)) => described(&path.to_string(), &error.to_string()),
+        Some((path, error)) => describe(&path.to_string(), &error.to_string()),
         None => "invalid".to_string(),
     }
 }
 
 /// One line for a key: the cause and, where the schema has them, the allowed values.
-fn described(key: &str, cause: &str) -> String {
+fn describe(key: &str, cause: &str) -> String {
     match allowed(key) {
         Some(allowed) => format!("{key}: {cause}; allowed: {allowed}"),
         None => format!("{key}: {cause}"),
@@ -104,21 +123,21 @@
 fn allowed(key: &str) -> Option<String> {
     let schema = Features::schema();
     let mut at = &schema;
-    for part in key.split('.') {
-        at = property(at, part)?;
+    for name in key.split('.') {
+        at = property(at, name)?;
     }
     let bound = |name: &str| at.get(name).and_then(Value::as_u64);
     if let (Some(least), Some(most)) = (bound("minimum"), bound("maximum")) {
         return Some(format!("{least} to {most}"));
     }
-    match at.get("type").and_then(Value::as_str) {
-        Some("boolean") => Some("true or false".to_string()),
-        Some(kind) => Some(kind.to_string()),
-        None => None,
+    match at.get("type").and_then(Value::as_str)? {
+        "boolean" => Some("true or false".to_string()),
+        kind => Some(kind.to_string()),
     }
 }
 
-/// The schema of a property, behind the choice between a table and none if there is one.
+/// The schema of a property. An optional table is a choice (`anyOf`) of a table and null: the
+/// property is looked for behind it.
 fn property<'a>(schema: &'a Value, name: &str) -> Option<&'a Value> {
     let direct = schema.get("properties").and_then(|p| p.get(name));
     direct.or_else(|| {
--- a/src/job_command.rs
+++ b/src/job_command.rs
@@ -1,4 +1,6 @@
-//! The command line for people who submit, show and cancel jobs.
+//! `pointhook job`: submits, shows and cancels jobs through any controller.
+//!
+//! `cli` calls [`run`]; the requests are those of [`crate::protocol::users`].
 
 use crate::protocol::users::{InvalidJob, JobSpec, JobStatus};
 use crate::transport::http::{Client, Fetched};
@@ -9,7 +11,7 @@
 use std::path::{Path, PathBuf};
 
 /// Time that a controller has to answer.
-const ANSWER_MS: u64 = 5000;
+const TIMEOUT_MS: u64 = 5000;
 
 /// What to do with a job.
 #[derive(Subcommand)]
@@ -49,99 +51,176 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// What the operating system said.
+        #[source]
         source: std::io::Error,
     },
     /// The description is no TOML, or lacks a field.
-    #[error("{}: {reason}", path.display())]
+    #[error("{}: {}", path.display(), source.message())]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// Why.
-        reason: String,
+        /// What the parser said.
+        #[source]
+        source: Box<toml::de::Error>,
     },
     /// A field of the description has a value that no job may have.
-    #[error("{}: {reason}", path.display())]
+    #[error("{}: {source}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// Why.
-        reason: InvalidJob,
+        /// The field and what is allowed.
+        #[source]
+        source: InvalidJob,
+    },
+    /// The request can't be encoded.
+    #[error("job {job}: the request can't be encoded: {source}")]
+    Encode {
+        /// The job.
+        job: String,
+        /// Cause.
+        #[source]
+        source: rmp_serde::encode::Error,
+    },
+    /// The answer is not of the protocol.
+    #[error("job {job}: unreadable answer: {source}")]
+    Decode {
+        /// The job.
+        job: String,
+        /// Cause.
+        #[source]
+        source: rmp_serde::decode::Error,
     },
-    /// The request can't be written, or the answer not be read.
-    #[error("unreadable message: {0}")]
-    Message(String),
     /// The controller did not answer.
-    #[error("{0}")]
+    #[error(transparent)]
     Transport(#[from] TransportError),
     /// 400.
-    #[error("the controller takes the job for malformed")]
-    Refused,
+    #[error("job {job}: the controller takes the job for malformed")]
+    Refused {
+        /// The job.
+        job: String,
+    },
     /// 404.
-    #[error("no job has this id")]
-    Unknown,
+    #[error("job {job}: no job has this id")]
+    Unknown {
+        /// The job.
+        job: String,
+    },
     /// 422.
-    #[error("the job can never run here, or a job that it awaits was never accepted")]
-    Impossible,
+    #[error("job {job}: the job can never run here, or a dependency of it was never accepted")]
+    Impossible {
+        /// The job.
+        job: String,
+    },
     /// 429 or 503.
-    #[error("can't be taken now, try again later")]
-    Later,
+    #[error("job {job}: can't be taken now, try again later")]
+    Later {
+        /// The job.
+        job: String,
+    },
     /// Any other status.
-    #[error("answered with status {0}")]
-    Status(u16),
+    #[error("job {job}: answered with status {status}")]
+    Status {
+        /// The job.
+        job: String,
+        /// The status.
+        status: u16,
+    },
+}
+
+/// A request about one job.
+struct JobRequest {
+    server: SocketAddr,
+    job: String,
+    method: Method,
+    path: String,
+    body: Vec<u8>,
 }
 
 /// Carries out a job command and prints what the controller answers.
 pub fn run(action: JobAction) -> Result<(), JobCommandError> {
-    let (server, method, path, body) = match action {
+    let JobRequest {
+        server,
+        job,
+        method,
+        path,
+        body,
+    } = request(action)?;
+    let client = Client::new(server);
+    let answer = async_io::block_on(client.call(method, &path, body, TIMEOUT_MS))?;
+    print_status(&status(job, &answer)?);
+    Ok(())
+}
+
+fn request(action: JobAction) -> Result<JobRequest, JobCommandError> {
+    Ok(match action {
         JobAction::Submit { server, file } => {
-            let body = submission(&file)?;
-            (server, Method::Post, "/v1/jobs".to_string(), body)
-        }
-        JobAction::Show { server, id } => {
-            (server, Method::Get, format!("/v1/jobs/{id}"), Vec::new())
+            let spec = read_spec(&file)?;
+            JobRequest {
+                server,
+                body: encode(&spec)?,
+                job: spec.id,
+                method: Method::Post,
+                path: "/v1/jobs".to_string(),
+            }
         }
-        JobAction::Cancel { server, id } => {
-            let path = format!("/v1/jobs/{id}/withdraw");
-            (server, Method::Post, path, Vec::new())
-        }
-    };
-    let client = Client::new(server);
-    let answer = async_io::block_on(client.call(method, &path, body, ANSWER_MS))?;
-    show(&answer)
+        JobAction::Show { server, id } => JobRequest {
+            server,
+            path: format!("/v1/jobs/{id}"),
+            job: id,
+            method: Method::Get,
+            body: Vec::new(),
+        },
+        JobAction::Cancel { server, id } => JobRequest {
+            server,
+            path: format!("/v1/jobs/{id}/withdraw"),
+            job: id,
+            method: Method::Post,
+            body: Vec::new(),
+        },
+    })
 }
 
-/// The request that submits the job described in a file.
-fn submission(path: &Path) -> Result<Vec<u8>, JobCommandError> {
+/// Reads and checks the description of a job, so that a mistake is named with its file.
+fn read_spec(path: &Path) -> Result<JobSpec, JobCommandError> {
     let text = std::fs::read_to_string(path).map_err(|source| JobCommandError::Unreadable {
         path: path.into(),
         source,
     })?;
-    let spec: JobSpec = toml::from_str(&text).map_err(|e| JobCommandError::Malformed {
+    let spec: JobSpec = toml::from_str(&text).map_err(|source| JobCommandError::Malformed {
         path: path.into(),
-        reason: e.message().into(),
+        source: Box::new(source),
     })?;
-    spec.check().map_err(|reason| JobCommandError::Invalid {
+    spec.check().map_err(|source| JobCommandError::Invalid {
         path: path.into(),
-        reason,
+        source,
     })?;
-    rmp_serde::to_vec_named(&spec).map_err(|e| JobCommandError::Message(e.to_string()))
+    Ok(spec)
 }
 
-fn show(answer: &Fetched) -> Result<(), JobCommandError> {
+fn encode(spec: &JobSpec) -> Result<Vec<u8>, JobCommandError> {
+    rmp_serde::to_vec_named(spec).map_err(|source| JobCommandError::Encode {
+        job: spec.id.clone(),
+        source,
+    })
+}
+
+/// The status of a job from a controller's answer.
+fn status(job: String, answer: &Fetched) -> Result<JobStatus, JobCommandError> {
     match answer.status {
-        200 | 201 => {}
-        400 => return Err(JobCommandError::Refused),
-        404 => return Err(JobCommandError::Unknown),
-        422 => return Err(JobCommandError::Impossible),
-        429 | 503 => return Err(JobCommandError::Later),
-        status => return Err(JobCommandError::Status(status)),
+        200 | 201 => rmp_serde::from_slice(&answer.body)
+            .map_err(|source| JobCommandError::Decode { job, source }),
+        400 => Err(JobCommandError::Refused { job }),
+        404 => Err(JobCommandError::Unknown { job }),
+        422 => Err(JobCommandError::Impossible { job }),
+        429 | 503 => Err(JobCommandError::Later { job }),
+        status => Err(JobCommandError::Status { job, status }),
     }
-    let status: JobStatus =
-        rmp_serde::from_slice(&answer.body).map_err(|e| JobCommandError::Message(e.to_string()))?;
-    println!("{}: {}", status.id, status.status);
-    if let (Some(done), Some(running)) = (status.done, status.running) {
+}
+
+fn print_status(job: &JobStatus) {
+    println!("{}: {}", job.id, job.status);
+    if let (Some(done), Some(running)) = (job.done, job.running) {
         println!("tasks done: {done}, running: {running}");
     }
-    Ok(())
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,8 @@
-//! pointhook: a cluster scheduler. Controllers hold short queues of waiting
-//! tasks, one per machine; a machine with free room pulls.
+//! pointhook: a cluster scheduler.
+//!
+//! Controllers keep a short queue of waiting tasks for each machine; a machine with free capacity
+//! steals work from the others' queues. All durable state is in a consensus-backed key-value
+//! store; see `docs/architecture.md` for a map of the modules.
 
 pub mod cli;
 pub mod coordination;
--- a/src/observe_command.rs
+++ b/src/observe_command.rs
@@ -1,4 +1,7 @@
 //! `pointhook observe`: what a running controller sees, for operators.
+//!
+//! `cli` calls [`run`]. The question goes to the controller's address for peers, as a peer's
+//! would.
 
 use crate::protocol::peers::{PeerRequest, PeerResponse, ShardStatus};
 use crate::transport::frames::PeerClient;
@@ -7,18 +10,18 @@
 use std::net::SocketAddr;
 
 /// Time for an answer.
-const ANSWER_MS: u64 = 3000;
+const TIMEOUT_MS: u64 = 3000;
 
 /// What is observed.
 #[derive(Subcommand)]
 pub enum Subject {
     /// Shards, their owners and their standbys
-    Standby(Asked),
+    Standby(Target),
 }
 
 /// Who is asked, and how the answer is printed.
 #[derive(Args)]
-pub struct Asked {
+pub struct Target {
     /// Address for peers of the controller that is asked (`cluster_listen`)
     #[arg(long, value_name = "ADDR")]
     server: SocketAddr,
@@ -31,16 +34,14 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ObserveError {
     /// No answer.
-    #[error("{server}: {source}")]
-    Transport {
-        /// Controller.
+    #[error(transparent)]
+    Transport(#[from] TransportError),
+    /// Another answer than the one that was asked for.
+    #[error("{server}: no answer to this question; is it an older version?")]
+    Unexpected {
+        /// The controller that was asked.
         server: SocketAddr,
-        /// Cause.
-        source: TransportError,
     },
-    /// Another answer than the one that was asked for.
-    #[error("{0}: no answer to this question; is it an older version?")]
-    Unexpected(SocketAddr),
     /// The answer can't be written as JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
@@ -48,9 +49,9 @@
 
 /// Runs the command.
 pub fn run(subject: &Subject) -> Result<(), ObserveError> {
-    let Subject::Standby(asked) = subject;
-    let shards = ask(asked.server)?;
-    if asked.json {
+    let Subject::Standby(target) = subject;
+    let shards = shard_statuses(target.server)?;
+    if target.json {
         println!("{}", serde_json::to_string_pretty(&shards)?);
     } else {
         print!("{}", table(&shards));
@@ -58,44 +59,44 @@
     Ok(())
 }
 
-fn ask(server: SocketAddr) -> Result<Vec<ShardStatus>, ObserveError> {
+fn shard_statuses(server: SocketAddr) -> Result<Vec<ShardStatus>, ObserveError> {
     let client = PeerClient::new(server);
-    let answer = async_io::block_on(client.ask(&PeerRequest::ShardStatuses, ANSWER_MS));
-    match answer.map_err(|source| ObserveError::Transport { server, source })? {
+    let answer = async_io::block_on(client.ask(&PeerRequest::ShardStatuses, TIMEOUT_MS));
+    match answer? {
         PeerResponse::ShardStatuses { shards } => Ok(shards),
-        _ => Err(ObserveError::Unexpected(server)),
+        _ => Err(ObserveError::Unexpected { server }),
     }
 }
 
-/// One line a shard, for people.
+/// One line for each shard, for people.
 pub fn table(shards: &[ShardStatus]) -> String {
-    let mut out = row([
+    let header = [
         "shard",
         "owner",
         "token",
         "state here",
         "standby",
         "standing",
-    ]
-    .map(String::from));
-    for s in shards {
+    ];
+    let mut out = row(header.map(String::from));
+    for shard in shards {
         out += &row([
-            s.shard.to_string(),
-            s.owner.clone(),
-            s.fencing_token.to_string(),
-            s.state.clone(),
-            s.standby.clone().unwrap_or("-".to_string()),
-            progress(s),
+            shard.shard.to_string(),
+            shard.owner.clone(),
+            shard.fencing_token.to_string(),
+            shard.state.clone(),
+            shard.standby.clone().unwrap_or("-".to_string()),
+            replication_progress(shard),
         ]);
     }
     out
 }
 
 /// How far the standby is, seen from the owner's or from its own end.
-fn progress(s: &ShardStatus) -> String {
-    match (s.replication_lag, s.replica_of_token) {
+fn replication_progress(shard: &ShardStatus) -> String {
+    match (shard.replication_lag, shard.replica_of_token) {
         (Some(0), _) => "up to date".to_string(),
-        (Some(n), _) => format!("{n} decisions behind"),
+        (Some(lag), _) => format!("{lag} decisions behind"),
         (None, Some(token)) => format!("has the state of token {token}"),
         (None, None) => "-".to_string(),
     }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,28 +1,108 @@
 //! The platform's settings file and the operators' own.
+//!
+//! `cli` loads both before anything starts; the controller keeps them unchanged for as long as it
+//! runs. Field names are the keys of the files unless `serde` names another.
+//!
+//! Invariant: settings that were loaded have been checked, so their readers need not.
 
+use crate::features::FeaturesError;
 use crate::protocol::kv::Limits;
+use crate::state::units::millis_from_seconds;
+use serde::de::DeserializeOwned;
 use serde::Deserialize;
+use std::fmt;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 
-/// Why settings can't be used; one line, naming file and field.
+/// Why a settings file can't be used; one line, naming file and field.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
-    #[error("{file}: {source}")]
+    #[error("{}: {source}", path.display())]
     Read {
-        /// File.
-        file: String,
-        /// Cause.
+        /// The file.
+        path: PathBuf,
+        /// What the operating system said.
+        #[source]
         source: std::io::Error,
     },
-    /// The file is not what it should be.
-    #[error("{file}: {what}")]
-    Content {
-        /// File.
-        file: String,
-        /// What is wrong.
-        what: String,
+    /// The file is no TOML, or a field is missing or of the wrong type.
+    #[error("{}: line {line}: {}", path.display(), source.message().replace('\n', " "))]
+    Syntax {
+        /// The file.
+        path: PathBuf,
+        /// The line, counted from 1; 0 if it is not known.
+        line: usize,
+        /// What the parser said.
+        #[source]
+        source: Box<toml::de::Error>,
+    },
+    /// A field has a value that is not allowed.
+    #[error("{}: {source}", path.display())]
+    Value {
+        /// The file.
+        path: PathBuf,
+        /// The field and what is allowed.
+        #[source]
+        source: InvalidSetting,
+    },
+    /// The features file is not what its schema says.
+    #[error("{}: {source}", path.display())]
+    Features {
+        /// The file.
+        path: PathBuf,
+        /// The key and what is allowed.
+        #[source]
+        source: FeaturesError,
+    },
+}
+
+/// A field with a value that is not allowed.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+pub enum InvalidSetting {
+    /// No zone at all.
+    #[error("settings.zones is empty")]
+    NoZones,
+    /// The controller's own zone is not one of the cluster's.
+    #[error("domain is not among settings.zones")]
+    UnknownZone,
+    /// A time or a rate is 0, negative or no number.
+    #[error("{field} must be above 0")]
+    NotPositive {
+        /// The field.
+        field: &'static str,
+    },
+    /// A time or a part is negative or no number.
+    #[error("{field} must not be negative")]
+    Negative {
+        /// The field.
+        field: &'static str,
+    },
+    /// A number is too small for the program to work.
+    #[error("{field} must be at least {least}")]
+    TooSmall {
+        /// The field.
+        field: &'static str,
+        /// The least allowed.
+        least: usize,
+    },
+    /// A number is larger than the program is made for.
+    #[error("{field} must be at most {most}")]
+    TooLarge {
+        /// The field.
+        field: &'static str,
+        /// The most allowed.
+        most: usize,
+    },
+    /// A number is outside its range.
+    #[error("{field} must be {least} to {most}")]
+    OutOfRange {
+        /// The field.
+        field: &'static str,
+        /// The least allowed.
+        least: usize,
+        /// The most allowed.
+        most: usize,
     },
 }
 
@@ -61,47 +141,66 @@
 /// Workers' times.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Workers {
-    /// Between reports.
+    /// Between heartbeats.
     pub report_s: f64,
     /// Lease.
     pub lease_s: f64,
     /// A gang's wait for its tasks.
     pub gang_wait_s: f64,
-    /// Time in which a gang's tasks notice and are told.
+    /// Time in which a gang's tasks notice that one of them has failed.
     pub gang_peer_s: f64,
     /// Time for a cancellation.
     pub cancel_s: f64,
 }
 
-/// What the end of a lease may be late by: timers of workers, delivery.
-const LATE_S: f64 = 1.5;
-/// Least age of the knowledge of cancellations at which leases are still renewed. Less would
-/// take leases away whenever the state service answers slowly.
-const LEAST_RENEW_S: f64 = 6.5;
+/// How late a lease may expire: timers of workers, delivery.
+const LEASE_EXPIRY_DELAY_S: f64 = 1.5;
+/// Clocks drift by up to 0.05%, so two of them by up to 0.1% against each other.
+const CLOCK_DRIFT: f64 = 0.001;
+/// Least watermark age up to which leases are renewed. Less would take leases away whenever the
+/// key-value store answers slowly.
+const MIN_WATERMARK_AGE_S: f64 = 6.5;
 
 impl Workers {
-    /// What is left of the time for cancellations after a lease; clocks drift by up to 0.05%.
-    fn room_s(&self) -> f64 {
-        self.cancel_s * 0.999 - self.lease_s * 1.001 - LATE_S
+    /// What is left of the time for cancellations after a lease.
+    fn watermark_age_s(&self) -> f64 {
+        self.cancel_s * (1.0 - CLOCK_DRIFT)
+            - self.lease_s * (1.0 + CLOCK_DRIFT)
+            - LEASE_EXPIRY_DELAY_S
     }
-    /// Age of the knowledge of cancellations up to which leases are renewed, ms.
+    /// Age of the cancellation watermark up to which leases are renewed, ms.
     pub fn renew_ms(&self) -> u64 {
-        crate::state::units::millis_from_seconds(self.room_s().max(LEAST_RENEW_S))
+        millis_from_seconds(self.watermark_age_s().max(MIN_WATERMARK_AGE_S))
     }
     /// What an operator should know of these times.
-    pub fn warning(&self) -> Option<String> {
-        (self.room_s() < LEAST_RENEW_S).then(|| {
-            format!(
-                "settings.workers: cancel_s ({}) leaves too little beyond lease_s ({}): tasks on \
-                 machines of a controller that is cut off from all others may stay longer than \
-                 cancel_s after their job was cancelled",
-                self.cancel_s, self.lease_s
-            )
+    pub fn warning(&self) -> Option<WorkersWarning> {
+        (self.watermark_age_s() < MIN_WATERMARK_AGE_S).then_some(WorkersWarning {
+            cancel_s: self.cancel_s,
+            lease_s: self.lease_s,
         })
     }
 }
 
-/// Limits of the state service.
+/// Times of workers that are valid but don't keep what `cancel_s` says in each case.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct WorkersWarning {
+    cancel_s: f64,
+    lease_s: f64,
+}
+
+impl fmt::Display for WorkersWarning {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(
+            f,
+            "settings.workers: cancel_s ({}) leaves too little beyond lease_s ({}): tasks on \
+             machines of a controller that is cut off from all others may stay longer than \
+             cancel_s after their job was cancelled",
+            self.cancel_s, self.lease_s
+        )
+    }
+}
+
+/// Limits of the key-value store.
 #[derive(Deserialize, Clone, Debug)]
 pub struct StateLimits {
     /// Requests a second.
@@ -118,17 +217,17 @@
 }
 
 impl StateLimits {
-    /// As plans use them.
+    /// The limits as the scheduler uses them.
     pub fn limits(&self) -> Limits {
         Limits {
             txn_ops: self.txn_ops,
-            value_bytes: stored(self.value_kb),
+            value_bytes: usable_bytes(self.value_kb),
             write_rps: self.write_rps,
         }
     }
 }
 
-/// Limits of the state service to come; what is left out stays.
+/// Limits of the key-value store to come; what is left out stays.
 #[derive(Deserialize, Clone, Debug, Default)]
 pub struct NextLimits {
     /// Puts and deletes a second.
@@ -140,19 +239,21 @@
 }
 
 impl NextLimits {
-    /// As plans use them.
+    /// The limits as the scheduler uses them.
     pub fn limits(&self) -> Limits {
         Limits {
             txn_ops: self.txn_ops.unwrap_or(usize::MAX),
-            value_bytes: self.value_kb.map_or(usize::MAX, stored),
+            value_bytes: self.value_kb.map_or(usize::MAX, usable_bytes),
             write_rps: self.write_rps.unwrap_or(f64::MAX),
         }
     }
 }
 
-/// What is used of the size of a value: sizes are reckoned, not measured.
-fn stored(value_kb: f64) -> usize {
-    (value_kb * 1024.0 * 0.9) as usize
+/// Part of the allowed size of a value that is used: sizes are estimated, not measured.
+const USABLE_PART_OF_VALUE: f64 = 0.9;
+
+fn usable_bytes(value_kb: f64) -> usize {
+    (value_kb * 1024.0 * USABLE_PART_OF_VALUE) as usize
 }
 
 /// Limits of the cloud.
@@ -173,17 +274,23 @@
 
 /// Connections that peers may open here.
 pub const PEER_CONNECTIONS: usize = 64;
+/// Connections to peers, the key-value store and the cloud, and some to spare.
+const OWN_CLIENT_CONNECTIONS: usize = 36;
+/// Connections that users and workers may open at least.
+const MIN_LISTENER_CONNECTIONS: usize = 16;
 
 impl MachineLimits {
     /// Connections to workers that may be open at a time.
-    pub fn directs(&self) -> usize {
+    pub fn worker_connections(&self) -> usize {
         (self.max_connections / 20).clamp(8, 160)
     }
     /// Connections that users and workers may open: the rest is kept for direct commands, the
-    /// peers, the state service and the cloud.
-    pub fn at_the_door(&self) -> usize {
-        let kept = self.directs() + PEER_CONNECTIONS + 36;
-        self.max_connections.saturating_sub(kept).max(16)
+    /// peers, the key-value store and the cloud.
+    pub fn listener_connections(&self) -> usize {
+        let reserved = self.worker_connections() + PEER_CONNECTIONS + OWN_CLIENT_CONNECTIONS;
+        self.max_connections
+            .saturating_sub(reserved)
+            .max(MIN_LISTENER_CONNECTIONS)
     }
 }
 
@@ -200,7 +307,7 @@
     pub objectives: Vec<Objective>,
     /// Workers.
     pub workers: Workers,
-    /// State service.
+    /// Key-value store.
     pub state: StateLimits,
     /// Cloud.
     pub cloud: CloudLimits,
@@ -224,7 +331,7 @@
 pub struct Outside {
     /// Cloud.
     pub cloud: SocketAddr,
-    /// State service.
+    /// Key-value store.
     pub state: SocketAddr,
 }
 
@@ -256,15 +363,15 @@
     pub polls: usize,
     /// Tasks in a machine's queue at most.
     pub queue_cap: usize,
-    /// A gang waiting longer has machines kept free for it.
+    /// A gang waiting longer has machines reserved for it.
     pub gang_hold_s: f64,
     /// A queued task waiting longer may be taken by any idle machine.
     pub steal_after_s: f64,
-    /// An idle machine is returned after this time.
+    /// An idle machine is deleted after this time.
     pub idle_return_s: f64,
-    /// Work for spot machines takes empty ordinary ones after this wait.
+    /// Work for spot machines takes empty on-demand ones after this wait.
     pub spot_patience_s: f64,
-    /// Part of the spot work expected during a boot that has room kept for it.
+    /// Part of the spot work expected during a boot that capacity is kept free for.
     pub headroom: f64,
     /// The same for work that may not use spot machines.
     pub headroom_ordinary: f64,
@@ -288,102 +395,140 @@
     }
 }
 
-fn read<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, SettingsError> {
-    let file = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
-        file: file.clone(),
+fn read_toml<T: DeserializeOwned>(path: &Path) -> Result<T, SettingsError> {
+    let text = read_file(path)?;
+    toml::from_str(&text).map_err(|source| SettingsError::Syntax {
+        path: path.into(),
+        line: line_of(&text, &source),
+        source: Box::new(source),
+    })
+}
+
+/// Reads a settings file.
+pub(crate) fn read_file(path: &Path) -> Result<String, SettingsError> {
+    std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
+        path: path.into(),
         source,
-    })?;
-    toml::from_str(&text).map_err(|e| {
-        let line = e
-            .span()
-            .map_or(0, |s| text[..s.start.min(text.len())].lines().count());
-        SettingsError::Content {
-            file,
-            what: format!("line {line}: {}", e.message().replace('\n', " ")),
-        }
     })
 }
 
-fn check(file: &Path, ok: bool, what: &str) -> Result<(), SettingsError> {
-    if ok {
-        return Ok(());
+fn line_of(text: &str, error: &toml::de::Error) -> usize {
+    error
+        .span()
+        .map_or(0, |span| text[..span.start.min(text.len())].lines().count())
+}
+
+/// A field's name and its value.
+type Field = (&'static str, f64);
+
+fn positive(fields: &[Field]) -> Result<(), InvalidSetting> {
+    match fields.iter().find(|(_, x)| !(x.is_finite() && *x > 0.0)) {
+        Some((field, _)) => Err(InvalidSetting::NotPositive { field }),
+        None => Ok(()),
+    }
+}
+
+fn not_negative(fields: &[Field]) -> Result<(), InvalidSetting> {
+    match fields.iter().find(|(_, x)| !(x.is_finite() && *x >= 0.0)) {
+        Some((field, _)) => Err(InvalidSetting::Negative { field }),
+        None => Ok(()),
     }
-    Err(SettingsError::Content {
-        file: file.display().to_string(),
-        what: what.into(),
-    })
+}
+
+fn at_most(field: &'static str, value: usize, most: usize) -> Result<(), InvalidSetting> {
+    if value > most {
+        return Err(InvalidSetting::TooLarge { field, most });
+    }
+    Ok(())
 }
 
 impl Platform {
     /// Reads and checks the platform's file.
     pub fn load(path: &Path) -> Result<Platform, SettingsError> {
-        let p: Platform = read(path)?;
-        let s = &p.settings;
-        let w = &s.workers;
-        let times = [
-            w.report_s,
-            w.lease_s,
-            w.gang_wait_s,
-            w.gang_peer_s,
-            w.cancel_s,
-        ];
-        let rates = [
-            s.state.rps,
-            s.state.write_rps,
-            s.state.value_kb,
-            s.cloud.rps,
-        ];
-        let positive = |x: &f64| x.is_finite() && *x > 0.0;
-        check(path, !s.zones.is_empty(), "settings.zones is empty")?;
-        check(
-            path,
-            s.zones.contains(&p.domain),
-            "domain is not among settings.zones",
-        )?;
-        check(
-            path,
-            times.iter().all(positive),
-            "settings.workers: times must be above 0",
-        )?;
-        check(
-            path,
-            rates.iter().all(positive),
-            "settings.state, settings.cloud: limits must be above 0",
-        )?;
-        check(
-            path,
-            s.state.txn_ops >= 2,
-            "settings.state.txn_ops must be at least 2",
-        )?;
-        Ok(p)
+        let platform: Platform = read_toml(path)?;
+        match platform.check() {
+            Ok(()) => Ok(platform),
+            Err(source) => Err(SettingsError::Value {
+                path: path.into(),
+                source,
+            }),
+        }
+    }
+
+    fn check(&self) -> Result<(), InvalidSetting> {
+        let Shared {
+            zones,
+            workers,
+            state,
+            cloud,
+            ..
+        } = &self.settings;
+        if zones.is_empty() {
+            return Err(InvalidSetting::NoZones);
+        }
+        if !zones.contains(&self.domain) {
+            return Err(InvalidSetting::UnknownZone);
+        }
+        positive(&[
+            ("settings.workers.report_s", workers.report_s),
+            ("settings.workers.lease_s", workers.lease_s),
+            ("settings.workers.gang_wait_s", workers.gang_wait_s),
+            ("settings.workers.gang_peer_s", workers.gang_peer_s),
+            ("settings.workers.cancel_s", workers.cancel_s),
+            ("settings.state.rps", state.rps),
+            ("settings.state.write_rps", state.write_rps),
+            ("settings.state.value_kb", state.value_kb),
+            ("settings.cloud.rps", cloud.rps),
+        ])?;
+        if state.txn_ops < MIN_TXN_OPS {
+            return Err(InvalidSetting::TooSmall {
+                field: "settings.state.txn_ops",
+                least: MIN_TXN_OPS,
+            });
+        }
+        Ok(())
     }
 }
 
+/// Changes that the smallest transaction of the scheduler makes: a job and its shard.
+const MIN_TXN_OPS: usize = 2;
+/// Most shards of a zone.
+const MAX_SHARDS_PER_ZONE: usize = 64;
+/// Most machines that an idle one polls.
+const MAX_POLLS: usize = 64;
+/// Most tasks in a machine's queue.
+const MAX_QUEUE_CAP: usize = 64;
+
 impl Operator {
     /// Reads and checks the operators' file.
     pub fn load(path: &Path) -> Result<Operator, SettingsError> {
-        let o: Operator = read(path)?;
-        check(
-            path,
-            (1..=64).contains(&o.shards_per_zone),
-            "shards_per_zone must be 1 to 64",
-        )?;
-        check(path, o.polls <= 64, "polls must be at most 64")?;
-        check(path, o.queue_cap <= 64, "queue_cap must be at most 64")?;
-        let times = [
-            o.gang_hold_s,
-            o.steal_after_s,
-            o.idle_return_s,
-            o.spot_patience_s,
-            o.headroom,
-            o.headroom_ordinary,
-        ];
-        check(
-            path,
-            times.iter().all(|t| t.is_finite() && *t >= 0.0),
-            "times and parts must not be negative",
-        )?;
-        Ok(o)
+        let operator: Operator = read_toml(path)?;
+        match operator.check() {
+            Ok(()) => Ok(operator),
+            Err(source) => Err(SettingsError::Value {
+                path: path.into(),
+                source,
+            }),
+        }
+    }
+
+    fn check(&self) -> Result<(), InvalidSetting> {
+        if !(1..=MAX_SHARDS_PER_ZONE).contains(&self.shards_per_zone) {
+            return Err(InvalidSetting::OutOfRange {
+                field: "shards_per_zone",
+                least: 1,
+                most: MAX_SHARDS_PER_ZONE,
+            });
+        }
+        at_most("polls", self.polls, MAX_POLLS)?;
+        at_most("queue_cap", self.queue_cap, MAX_QUEUE_CAP)?;
+        not_negative(&[
+            ("gang_hold_s", self.gang_hold_s),
+            ("steal_after_s", self.steal_after_s),
+            ("idle_return_s", self.idle_return_s),
+            ("spot_patience_s", self.spot_patience_s),
+            ("headroom", self.headroom),
+            ("headroom_ordinary", self.headroom_ordinary),
+        ])
     }
 }
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -255,7 +255,7 @@
     assert!((23_000..24_000).contains(&w.renew_ms()));
     // A lease that leaves no room: told, and work still runs.
     let w = workers(30.0, 30.0);
-    assert!(w.warning().unwrap().contains("cancel_s"));
+    assert!(w.warning().unwrap().to_string().contains("cancel_s"));
     assert!(w.renew_ms() > 6000);
     let (lease_s, cancel_s) = (LEASE_MS as f64 / 1000.0, CANCEL_MS as f64 / 1000.0);
     assert_eq!(workers(lease_s, cancel_s).renew_ms(), RENEW_MS);
--- a/tests/features.rs
+++ b/tests/features.rs
@@ -13,7 +13,7 @@
 fn refused(text: &str) -> String {
     let schema = jsonschema::validator_for(&Features::schema()).expect("a schema");
     assert!(!schema.is_valid(&as_json(text)), "the schema allows {text}");
-    let line = Features::parse(text).expect_err(text);
+    let line = Features::parse(text).expect_err(text).to_string();
     assert!(!line.contains('\n'), "{line}");
     line
 }
