--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -1,18 +1,19 @@
-//! Checks a history against what has to hold whatever fails.
+//! Checks a history against the invariants that hold whatever fails.
 
 use crate::history::{Entry, Event};
+use pointhook::protocol::workers::FencingToken;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// What must not be in a history.
+/// Invariant that a history breaks.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
-pub enum Kind {
-    /// An accepted job was not answered as done in the end.
+pub enum ViolationKind {
+    /// An accepted job was not reported as done in the end.
     #[error("accepted and never done")]
     Unfinished,
-    /// A job was done and then something else.
+    /// A job was reported as done and then as something else.
     #[error("went back from done")]
     WentBack,
-    /// A job was answered as done before all its tasks had completed.
+    /// A job was reported as done before all its tasks had completed.
     #[error("called done before all its tasks were")]
     DoneTooEarly,
     /// A task was started while another machine had it.
@@ -21,73 +22,80 @@
     /// A task was completed more than once.
     #[error("completed more than once")]
     CompletedTwice,
-    /// An attempt was started that no recorded claim has for that machine.
+    /// An attempt was started on a machine for which no claim of it is recorded.
     #[error("started without a recorded claim")]
     StartedWithoutClaim,
-    /// A claim was recorded that did not rest on its shard's present record.
+    /// A claim was recorded that was not conditional on its shard's current record.
     #[error("claimed without its shard's record")]
     ClaimWithoutFence,
-    /// A decision was recorded under another token than the shard's present one.
+    /// A decision was recorded under another fencing token than the shard's current one.
     #[error("decided under an outdated token")]
     OutdatedToken,
-    /// A change of owner did not raise the token.
+    /// A change of owner did not raise the fencing token.
     #[error("owned without a higher token")]
     TokenNotRaised,
 }
 
-/// Something in a history that must not be, with the event that shows it.
+/// A broken invariant with the event that shows it.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("{kind}: {event:?}")]
 pub struct Violation {
-    /// What is wrong.
-    pub kind: Kind,
+    /// The invariant.
+    pub kind: ViolationKind,
     /// The event.
     pub event: Event,
 }
 
 /// All violations in a history, in the order in which they show.
 pub fn check(history: &[Entry]) -> Vec<Violation> {
-    let mut check = Check::default();
+    let mut checker = Checker::default();
     for entry in history {
-        check.take(&entry.event);
+        checker.apply(&entry.event);
     }
-    check.end()
+    checker.finish()
+}
+
+/// A job that a user was told is accepted.
+struct AcceptedJob<'a> {
+    tasks: u32,
+    event: &'a Event,
 }
 
 #[derive(Default)]
-struct Check<'a> {
-    accepted: BTreeMap<&'a str, (u32, &'a Event)>,
-    done: HashSet<&'a str>,
+struct Checker<'a> {
+    accepted: BTreeMap<&'a str, AcceptedJob<'a>>,
+    reported_done: HashSet<&'a str>,
+    /// Task, attempt and machine of each recorded claim.
     claims: HashSet<(&'a str, u64, &'a str)>,
-    completed: HashSet<&'a str>,
-    completed_of_job: HashMap<&'a str, u32>,
-    tokens: HashMap<u32, u64>,
+    completed_tasks: HashSet<&'a str>,
+    completed_count_by_job: HashMap<&'a str, u32>,
+    fencing_token_by_shard: HashMap<u32, FencingToken>,
     violations: Vec<Violation>,
 }
 
-impl<'a> Check<'a> {
-    fn take(&mut self, event: &'a Event) {
+impl<'a> Checker<'a> {
+    fn apply(&mut self, event: &'a Event) {
         match event {
             Event::Accepted { job, tasks } => {
-                self.accepted.insert(job, (*tasks, event));
-            }
-            Event::Answered { job, status } if status == "done" => {
-                let completed = self.completed_of_job.get(job.as_str()).copied();
-                let tasks = self.accepted.get(job.as_str()).map(|(tasks, _)| *tasks);
-                let early = self.done.insert(job) && completed < tasks;
-                self.expect(!early, Kind::DoneTooEarly, event);
+                let tasks = *tasks;
+                self.accepted.insert(job, AcceptedJob { tasks, event });
             }
-            Event::Answered { job, .. } => {
-                let was_done = self.done.contains(job.as_str());
-                self.expect(!was_done, Kind::WentBack, event);
-            }
-            Event::Owned { shard, token, .. } => {
-                let before = self.tokens.insert(*shard, *token);
-                self.expect(before < Some(*token), Kind::TokenNotRaised, event);
+            Event::Answered { job, status } => self.job_answered(job, status, event),
+            Event::Owned {
+                shard,
+                fencing_token,
+                ..
+            } => {
+                let previous = self.fencing_token_by_shard.insert(*shard, *fencing_token);
+                let raised = previous < Some(*fencing_token);
+                self.require(raised, ViolationKind::TokenNotRaised, event);
             }
-            Event::Decided { shard, token } => {
-                let present = self.tokens.get(shard) == Some(token);
-                self.expect(present, Kind::OutdatedToken, event);
+            Event::Decided {
+                shard,
+                fencing_token,
+            } => {
+                let is_current = self.fencing_token_by_shard.get(shard) == Some(fencing_token);
+                self.require(is_current, ViolationKind::OutdatedToken, event);
             }
             Event::Claimed {
                 task,
@@ -96,7 +104,7 @@
                 fenced,
             } => {
                 self.claims.insert((task, *attempt, machine));
-                self.expect(*fenced, Kind::ClaimWithoutFence, event);
+                self.require(*fenced, ViolationKind::ClaimWithoutFence, event);
             }
             Event::Started {
                 task,
@@ -105,29 +113,44 @@
                 also_on,
             } => {
                 let claimed = self.claims.contains(&(task.as_str(), *attempt, machine));
-                self.expect(claimed, Kind::StartedWithoutClaim, event);
-                self.expect(also_on.is_none(), Kind::RunsTwice, event);
-            }
-            Event::Completed { task, .. } => {
-                let first = self.completed.insert(task);
-                self.expect(first, Kind::CompletedTwice, event);
-                let job = task.split('/').next().unwrap_or_default();
-                *self.completed_of_job.entry(job).or_default() += u32::from(first);
+                self.require(claimed, ViolationKind::StartedWithoutClaim, event);
+                self.require(also_on.is_none(), ViolationKind::RunsTwice, event);
             }
+            Event::Completed { task, .. } => self.task_completed(task, event),
+        }
+    }
+
+    fn job_answered(&mut self, job: &'a str, status: &str, event: &'a Event) {
+        if status != "done" {
+            let was_done = self.reported_done.contains(job);
+            self.require(!was_done, ViolationKind::WentBack, event);
+            return;
         }
+        let first_time = self.reported_done.insert(job);
+        let completed = self.completed_count_by_job.get(job).copied();
+        let tasks = self.accepted.get(job).map(|accepted| accepted.tasks);
+        let too_early = first_time && completed < tasks;
+        self.require(!too_early, ViolationKind::DoneTooEarly, event);
+    }
+
+    fn task_completed(&mut self, task: &'a str, event: &'a Event) {
+        let first_time = self.completed_tasks.insert(task);
+        self.require(first_time, ViolationKind::CompletedTwice, event);
+        let job = task.split('/').next().unwrap_or_default();
+        *self.completed_count_by_job.entry(job).or_default() += u32::from(first_time);
     }
 
-    fn expect(&mut self, holds: bool, kind: Kind, event: &Event) {
+    fn require(&mut self, holds: bool, kind: ViolationKind, event: &Event) {
         if !holds {
             let event = event.clone();
             self.violations.push(Violation { kind, event });
         }
     }
 
-    fn end(mut self) -> Vec<Violation> {
-        for (job, (_, event)) in std::mem::take(&mut self.accepted) {
-            let done = self.done.contains(job);
-            self.expect(done, Kind::Unfinished, event);
+    fn finish(mut self) -> Vec<Violation> {
+        for (job, accepted) in std::mem::take(&mut self.accepted) {
+            let done = self.reported_done.contains(job);
+            self.require(done, ViolationKind::Unfinished, accepted.event);
         }
         self.violations
     }
--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -1,24 +1,33 @@
-//! The cloud: machine types, bookings that can be repeated, a list.
+//! A fake cloud: machine types, idempotent provisioning requests and a machine list.
 
 use pointhook::protocol::cloud::{
     CloudMachineType, ListedMachine, MachineListPage, MachineTypeCatalog, ProvisioningRequest,
 };
 use std::collections::BTreeMap;
 
-/// A cloud with as many machines as anyone asks for, up to a limit.
-pub struct Cloud {
-    /// Machine types.
-    pub flavors: MachineTypeCatalog,
-    /// Machines that it has.
+/// Machines that a cloud has unless a test says otherwise.
+const DEFAULT_CAPACITY: u32 = 8;
+
+/// A cloud that provisions every machine asked for, up to its capacity.
+pub struct FakeCloud {
+    /// Machine types on offer.
+    pub machine_types: MachineTypeCatalog,
+    /// Most machines that can exist at once.
     pub capacity: u32,
-    /// Rented machines with the time of their rental.
-    pub machines: BTreeMap<String, (ListedMachine, u64)>,
-    answered: BTreeMap<String, Vec<String>>,
-    next: u32,
+    machines: BTreeMap<String, ProvisionedMachine>,
+    /// Machine names by the request that provisioned them, so that a repeated request gets the
+    /// same machines.
+    provisioned_by_request: BTreeMap<String, Vec<String>>,
+    next_machine_number: u32,
+}
+
+struct ProvisionedMachine {
+    listing: ListedMachine,
+    provisioned_at_ms: u64,
 }
 
-/// The one machine type of the stand-ins.
-pub fn flavor() -> CloudMachineType {
+/// The only machine type of the fake cloud.
+pub fn machine_type() -> CloudMachineType {
     CloudMachineType {
         name: "oven".into(),
         vcpus: 16.0,
@@ -33,71 +42,75 @@
     }
 }
 
-impl Default for Cloud {
+impl Default for FakeCloud {
     fn default() -> Self {
-        Cloud {
-            flavors: MachineTypeCatalog {
-                types: vec![flavor()],
+        FakeCloud {
+            machine_types: MachineTypeCatalog {
+                types: vec![machine_type()],
             },
-            capacity: 8,
+            capacity: DEFAULT_CAPACITY,
             machines: BTreeMap::new(),
-            answered: BTreeMap::new(),
-            next: 0,
+            provisioned_by_request: BTreeMap::new(),
+            next_machine_number: 0,
         }
     }
 }
 
-impl Cloud {
-    /// Machines rented; `None` is 503. A repeated name that got machines gets the same.
-    pub fn send_provisioning_request(
-        &mut self,
-        b: &ProvisioningRequest,
-        now_ms: u64,
-    ) -> Option<Vec<String>> {
-        if let Some(a) = self.answered.get(&b.request_id) {
-            return Some(a.clone());
+impl FakeCloud {
+    /// Names of the machines provisioned for a request, or `None` (status 503) if no capacity is
+    /// left. A request that is repeated under the same id gets the same machines.
+    pub fn provision(&mut self, request: &ProvisioningRequest, now_ms: u64) -> Option<Vec<String>> {
+        if let Some(names) = self.provisioned_by_request.get(&request.request_id) {
+            return Some(names.clone());
         }
-        let left = self.capacity.saturating_sub(self.machines.len() as u32);
-        let count = b.count.min(left);
+        let remaining = self.capacity.saturating_sub(self.machines.len() as u32);
+        let count = request.count.min(remaining);
         if count == 0 {
             return None;
         }
-        let mut names = Vec::new();
-        for _ in 0..count {
-            let name = format!("n-{:06}", self.next);
-            self.next += 1;
-            let listed = ListedMachine {
-                name: name.clone(),
-                addr: "127.0.0.1:1".into(),
-                machine_type: b.machine_type.clone(),
-                zone: b.zone.clone(),
-                spot: b.spot,
-                status: "running".into(),
-                age_s: 0.0,
-            };
-            self.machines.insert(name.clone(), (listed, now_ms));
-            names.push(name);
-        }
-        self.answered.insert(b.request_id.clone(), names.clone());
+        let names: Vec<String> = (0..count)
+            .map(|_| self.provision_machine(request, now_ms))
+            .collect();
+        self.provisioned_by_request
+            .insert(request.request_id.clone(), names.clone());
         Some(names)
     }
 
-    /// Deletes machines.
-    pub fn release(&mut self, names: &[String]) {
-        for n in names {
-            self.machines.remove(n);
+    fn provision_machine(&mut self, request: &ProvisioningRequest, now_ms: u64) -> String {
+        let name = format!("n-{:06}", self.next_machine_number);
+        self.next_machine_number += 1;
+        let listing = ListedMachine {
+            name: name.clone(),
+            addr: "127.0.0.1:1".into(),
+            machine_type: request.machine_type.clone(),
+            zone: request.zone.clone(),
+            spot: request.spot,
+            status: "running".into(),
+            age_s: 0.0,
+        };
+        let machine = ProvisionedMachine {
+            listing,
+            provisioned_at_ms: now_ms,
+        };
+        self.machines.insert(name.clone(), machine);
+        name
+    }
+
+    /// Deletes machines; unknown names are ignored.
+    pub fn delete_machines(&mut self, names: &[String]) {
+        for name in names {
+            self.machines.remove(name);
         }
     }
 
-    /// All rented machines.
-    pub fn list(&self, now_ms: u64) -> MachineListPage {
-        let hosts = self.machines.values().map(|(l, at)| {
-            let mut l = l.clone();
-            l.age_s = (now_ms - at) as f64 / 1000.0;
-            l
+    /// All machines that exist.
+    pub fn list_machines(&self, now_ms: u64) -> MachineListPage {
+        let listed = self.machines.values().map(|machine| ListedMachine {
+            age_s: (now_ms - machine.provisioned_at_ms) as f64 / 1000.0,
+            ..machine.listing.clone()
         });
         MachineListPage {
-            hosts: hosts.collect(),
+            hosts: listed.collect(),
             more: false,
         }
     }
--- /dev/null
+++ b/crates/testkit/src/failover_measurement/batch.rs
@@ -0,0 +1,141 @@
+//! Simulated users: they submit jobs at a steady rate and ask for them until they are done.
+
+use super::{poll_until, TIMEOUT_MS};
+use crate::history::Event;
+use crate::jobs::job;
+use crate::network::LoopbackCluster;
+use crate::process::ControllerProcess;
+use async_executor::LocalExecutor;
+use http_types::Method;
+use pointhook::protocol::users::{JobSpec, JobStatus};
+use pointhook::transport::http::Client;
+use pointhook::transport::pause;
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// Tasks of a job of the batch.
+const TASKS: u32 = 8;
+/// Time between two jobs of the batch.
+const SUBMIT_INTERVAL_MS: u64 = 500;
+const SUBMIT_TIMEOUT_MS: u64 = 5000;
+const SUBMIT_RETRY_MS: u64 = 1000;
+const STATUS_TIMEOUT_MS: u64 = 2000;
+const STATUS_POLL_INTERVAL_MS: u64 = 100;
+
+/// A steady batch of jobs.
+pub(super) struct Batch {
+    cluster: Rc<LoopbackCluster>,
+    controllers: Vec<SocketAddr>,
+    rng: RefCell<fastrand::Rng>,
+    submitted: Cell<u32>,
+    /// Submissions that are not accepted yet.
+    pending: Cell<u32>,
+    accepted: RefCell<Vec<String>>,
+}
+
+impl Batch {
+    /// A batch that is submitted to any of these controllers.
+    pub(super) fn new(
+        cluster: Rc<LoopbackCluster>,
+        controllers: &[ControllerProcess],
+        seed: u64,
+    ) -> Batch {
+        Batch {
+            cluster,
+            controllers: controllers.iter().map(ControllerProcess::addr).collect(),
+            rng: RefCell::new(fastrand::Rng::with_seed(seed)),
+            submitted: Cell::new(0),
+            pending: Cell::new(0),
+            accepted: RefCell::default(),
+        }
+    }
+
+    fn client_of_any_controller(&self) -> Client {
+        let index = self.rng.borrow_mut().usize(..self.controllers.len());
+        Client::new(self.controllers[index])
+    }
+
+    /// Submits jobs until this is cancelled.
+    pub(super) async fn submit_jobs(self: Rc<Self>, executor: Rc<LocalExecutor<'static>>) {
+        loop {
+            let number = self.submitted.get() + 1;
+            self.submitted.set(number);
+            self.pending.set(self.pending.get() + 1);
+            executor.spawn(self.clone().submit(number)).detach();
+            pause(SUBMIT_INTERVAL_MS).await;
+        }
+    }
+
+    /// Submits one job, repeatedly under the same id until it is accepted.
+    async fn submit(self: Rc<Self>, number: u32) {
+        let spec = job_of_batch(number);
+        let body = rmp_serde::to_vec_named(&spec).unwrap_or_default();
+        loop {
+            let client = self.client_of_any_controller();
+            let answer = client.call(Method::Post, "/v1/jobs", body.clone(), SUBMIT_TIMEOUT_MS);
+            let answer = answer.await;
+            if answer.is_ok_and(|answer| matches!(answer.status, 200 | 201)) {
+                break;
+            }
+            pause(SUBMIT_RETRY_MS).await;
+        }
+        self.record(Event::Accepted {
+            job: spec.id.clone(),
+            tasks: spec.tasks,
+        });
+        self.accepted.borrow_mut().push(spec.id);
+        self.pending.set(self.pending.get() - 1);
+    }
+
+    /// Waits until all jobs are reported as done, and asks for each once more; false if that takes
+    /// too long.
+    pub(super) async fn wait_until_done(&self) -> bool {
+        let all_accepted = || (self.pending.get() == 0).then_some(());
+        let accepted = poll_until(&self.cluster, TIMEOUT_MS, all_accepted).await;
+        if accepted.is_none() {
+            return false;
+        }
+        let jobs = self.accepted.borrow().clone();
+        let deadline = self.cluster.now() + 2 * TIMEOUT_MS;
+        for job in &jobs {
+            while self.query_status(job).await.as_deref() != Some("done") {
+                if self.cluster.now() > deadline {
+                    return false;
+                }
+                pause(STATUS_POLL_INTERVAL_MS).await;
+            }
+        }
+        for job in &jobs {
+            self.query_status(job).await;
+        }
+        true
+    }
+
+    async fn query_status(&self, job: &str) -> Option<String> {
+        let path = format!("/v1/jobs/{job}");
+        let client = self.client_of_any_controller();
+        let answer = client.call(Method::Get, &path, Vec::new(), STATUS_TIMEOUT_MS);
+        let answer = answer.await.ok().filter(|answer| answer.status == 200)?;
+        let status: JobStatus = rmp_serde::from_slice(&answer.body).ok()?;
+        self.record(Event::Answered {
+            job: job.to_string(),
+            status: status.status.clone(),
+        });
+        Some(status.status)
+    }
+
+    fn record(&self, event: Event) {
+        let mut recorder = self.cluster.recorder.borrow_mut();
+        recorder.record(self.cluster.now(), event);
+    }
+}
+
+/// Jobs of the batch are bound to the zones in turn.
+fn job_of_batch(number: u32) -> JobSpec {
+    let zone = ["north", "south"][number as usize % 2];
+    JobSpec {
+        zone: Some(zone.into()),
+        ..job(&format!("job-{number:06}"), TASKS)
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/failover_measurement/interruption.rs
@@ -0,0 +1,120 @@
+//! One interruption of the owner of a busy shard, and the time until another controller decides.
+
+use super::{poll_until, Interruption, MeasurementError, TIMEOUT_MS};
+use crate::history::{Entry, Event};
+use crate::network::LoopbackCluster;
+use crate::process::ControllerProcess;
+use pointhook::protocol::workers::FencingToken;
+use pointhook::transport::pause;
+
+/// A shard counts as busy if a decision for it was recorded within this time.
+const BUSY_WINDOW_MS: u64 = 1500;
+/// Time given to a controller that was started again, before the next interruption.
+const RECOVERY_MS: u64 = 1500;
+/// Each interruption comes after a random wait below this.
+const MAX_INITIAL_DELAY_MS: u64 = 1000;
+/// Newest events among which the first decision of a new owner is searched.
+const SEARCHED_EVENTS: usize = 4096;
+
+/// The busy shard whose owner is interrupted.
+struct Target {
+    shard: u32,
+    fencing_token: FencingToken,
+    /// Index of its owner among the controllers.
+    owner: usize,
+}
+
+/// Interrupts the owner of a busy shard; the time to the first decision of the next owner, or
+/// `None` if the owner was paused and kept the shard.
+pub(super) async fn interrupt(
+    cluster: &LoopbackCluster,
+    controllers: &mut [ControllerProcess],
+    interruption: Interruption,
+    rng: &mut fastrand::Rng,
+) -> Result<Option<u64>, MeasurementError> {
+    pause(rng.u64(..MAX_INITIAL_DELAY_MS)).await;
+    let busy = || choose_busy_shard(cluster, controllers, rng);
+    let target = poll_until(cluster, TIMEOUT_MS, busy).await;
+    let target = target.ok_or(MeasurementError::Timeout("a busy shard"))?;
+    let owner = &mut controllers[target.owner];
+    let failover_time = match interruption {
+        Interruption::Kill => Some(kill(cluster, owner, &target).await?),
+        Interruption::Pause { ms } => pause_owner(cluster, owner, &target, ms).await?,
+    };
+    pause(RECOVERY_MS).await;
+    Ok(failover_time)
+}
+
+async fn kill(
+    cluster: &LoopbackCluster,
+    owner: &mut ControllerProcess,
+    target: &Target,
+) -> Result<u64, MeasurementError> {
+    let began = cluster.now();
+    owner.kill()?;
+    let decided = || first_decision_of_next_owner(cluster, target);
+    let decided_at = poll_until(cluster, TIMEOUT_MS, decided).await;
+    let decided_at = decided_at.ok_or(MeasurementError::Timeout("a failover"))?;
+    owner.restart()?;
+    Ok(decided_at - began)
+}
+
+async fn pause_owner(
+    cluster: &LoopbackCluster,
+    owner: &mut ControllerProcess,
+    target: &Target,
+    pause_ms: u64,
+) -> Result<Option<u64>, MeasurementError> {
+    let began = cluster.now();
+    owner.pause()?;
+    let decided = || first_decision_of_next_owner(cluster, target);
+    let decided_at = poll_until(cluster, pause_ms, decided).await;
+    pause(pause_ms.saturating_sub(cluster.now() - began)).await;
+    owner.resume()?;
+    Ok(decided_at.map(|at| at - began))
+}
+
+fn choose_busy_shard(
+    cluster: &LoopbackCluster,
+    controllers: &[ControllerProcess],
+    rng: &mut fastrand::Rng,
+) -> Option<Target> {
+    let recorder = cluster.recorder.borrow();
+    let since = cluster.now().saturating_sub(BUSY_WINDOW_MS);
+    let newest_first = recorder.entries().iter().rev();
+    let recent = newest_first.take_while(|entry| entry.at_ms >= since);
+    let mut busy: Vec<u32> = recent.filter_map(decided_shard).collect();
+    busy.sort_unstable();
+    busy.dedup();
+    let shard = *busy.get(rng.usize(..busy.len().max(1)))?;
+    let record = recorder.owner(shard)?;
+    let owner = controllers.iter().position(|c| c.name() == record.owner)?;
+    Some(Target {
+        shard,
+        fencing_token: record.fencing_token,
+        owner,
+    })
+}
+
+fn decided_shard(entry: &Entry) -> Option<u32> {
+    match entry.event {
+        Event::Decided { shard, .. } => Some(shard),
+        _ => None,
+    }
+}
+
+/// When a decision for the shard was first recorded under a higher fencing token.
+fn first_decision_of_next_owner(cluster: &LoopbackCluster, target: &Target) -> Option<u64> {
+    let recorder = cluster.recorder.borrow();
+    let is_of_next_owner = |entry: &&Entry| match entry.event {
+        Event::Decided {
+            shard,
+            fencing_token,
+        } => shard == target.shard && fencing_token > target.fencing_token,
+        _ => false,
+    };
+    // This is called every few milliseconds: the newest events are enough.
+    let mut newest_first = recorder.entries().iter().rev().take(SEARCHED_EVENTS);
+    let first = newest_first.rfind(is_of_next_owner)?;
+    Some(first.at_ms)
+}
--- a/crates/testkit/src/history.rs
+++ b/crates/testkit/src/history.rs
@@ -1,6 +1,7 @@
-//! What happened in a rehearsal, in order.
+//! Events of a run in their order, and a recorder that derives them from committed transactions.
 
-use pointhook::protocol::kv::{Transaction, Write};
+use pointhook::protocol::kv::{Condition, Transaction, Write};
+use pointhook::protocol::workers::FencingToken;
 use pointhook::state::job::{JobRecord, StoredPlacement};
 use pointhook::state::records::{ShardRecord, ROOT};
 use rmpv::Value;
@@ -14,10 +15,10 @@
     Accepted {
         /// Job.
         job: String,
-        /// Its tasks.
+        /// Number of its tasks.
         tasks: u32,
     },
-    /// A user was told where a job stands.
+    /// A user was told the status of a job.
     Answered {
         /// Job.
         job: String,
@@ -30,15 +31,15 @@
         shard: u32,
         /// Owner.
         owner: String,
-        /// Its token.
-        token: u64,
+        /// Fencing token of the owner.
+        fencing_token: FencingToken,
     },
-    /// A change of jobs was recorded that rests on the ownership of a shard.
+    /// A change of jobs was recorded that is conditional on the ownership of a shard.
     Decided {
         /// Shard.
         shard: u32,
-        /// Token of the shard then.
-        token: u64,
+        /// Fencing token of the shard at that time.
+        fencing_token: FencingToken,
     },
     /// A claim of a task was recorded.
     Claimed {
@@ -48,7 +49,7 @@
         attempt: u64,
         /// Machine.
         machine: String,
-        /// It was conditional on the record of the shard that pays for it.
+        /// The transaction was conditional on the record of the shard whose quota is charged.
         fenced: bool,
     },
     /// A worker started a task.
@@ -59,7 +60,7 @@
         attempt: u64,
         /// Machine.
         machine: String,
-        /// Another machine that had the task then.
+        /// Another machine that had the task at that time.
         also_on: Option<String>,
     },
     /// A worker completed a task.
@@ -74,29 +75,36 @@
 /// An event with its time.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Entry {
-    /// Milliseconds since the beginning.
+    /// Milliseconds since the beginning of the run.
     pub at_ms: u64,
     /// What happened.
     pub event: Event,
 }
 
-/// How much of a worker's own record was taken.
+/// How many entries of a worker's own lists are in the history already.
 #[derive(Clone, Copy, Default)]
-pub struct Progress {
+pub struct WorkerProgress {
     /// Starts.
     pub started: usize,
     /// Completions.
     pub completed: usize,
 }
 
-/// Records events, and reads transactions for what they decide.
+struct RecordedShard {
+    version: u64,
+    record: ShardRecord,
+}
+
+/// Fencing tokens of the shards on whose current records a transaction is conditional.
+type Fences = HashMap<u32, FencingToken>;
+
+/// Records events, and derives events from committed transactions.
 #[derive(Default)]
 pub struct Recorder {
     entries: Vec<Entry>,
-    progress: HashMap<String, Progress>,
-    /// Version and record of each shard.
-    shards: HashMap<u32, (u64, ShardRecord)>,
-    placements: HashMap<String, HashSet<StoredPlacement>>,
+    progress_by_machine: HashMap<String, WorkerProgress>,
+    shards: HashMap<u32, RecordedShard>,
+    placements_by_job: HashMap<String, HashSet<StoredPlacement>>,
 }
 
 impl Recorder {
@@ -110,92 +118,105 @@
         self.entries.push(Entry { at_ms, event });
     }
 
-    /// What was taken of a worker's own record.
-    pub fn progress_of(&self, machine: &str) -> Progress {
-        self.progress.get(machine).copied().unwrap_or_default()
+    /// How much of a worker's own lists was recorded.
+    pub fn progress_of(&self, machine: &str) -> WorkerProgress {
+        let progress = self.progress_by_machine.get(machine);
+        progress.copied().unwrap_or_default()
     }
 
-    /// Notes what was taken of a worker's own record.
-    pub fn note_progress(&mut self, machine: &str, started: usize, completed: usize) {
-        let progress = Progress { started, completed };
-        self.progress.insert(machine.to_string(), progress);
+    /// Notes how much of a worker's own lists was recorded.
+    pub fn set_progress(&mut self, machine: &str, progress: WorkerProgress) {
+        self.progress_by_machine
+            .insert(machine.to_string(), progress);
     }
 
-    /// Owner and token of a shard, as recorded.
+    /// Owner and fencing token of a shard, as recorded.
     pub fn owner(&self, shard: u32) -> Option<&ShardRecord> {
-        self.shards.get(&shard).map(|(_, record)| record)
+        self.shards.get(&shard).map(|recorded| &recorded.record)
     }
 
-    /// Records what an executed transaction decided.
-    pub fn committed(&mut self, transaction: &Transaction, revision: u64, at_ms: u64) {
+    /// Records what a committed transaction decided.
+    pub fn record_commit(&mut self, transaction: &Transaction, revision: u64, at_ms: u64) {
         let fences = self.fences(transaction);
         let mut changes_jobs = false;
         for write in &transaction.writes {
             let Write::Set { set: key, v, .. } = write else {
                 continue;
             };
-            let name = key.strip_prefix(ROOT).and_then(|k| k.split_once('/'));
-            match name {
+            let record_key = key.strip_prefix(ROOT).and_then(|k| k.split_once('/'));
+            match record_key {
                 Some(("job", job)) => {
                     changes_jobs = true;
-                    self.job_written(job, v, &fences, at_ms);
+                    self.record_job_write(job, v, &fences, at_ms);
                 }
-                Some(("shard", shard)) => self.shard_written(shard, v, revision, at_ms),
+                Some(("shard", shard)) => self.record_shard_write(shard, v, revision, at_ms),
                 _ => {}
             }
         }
-        if changes_jobs {
-            for (shard, token) in fences {
-                self.record(at_ms, Event::Decided { shard, token });
-            }
+        if !changes_jobs {
+            return;
+        }
+        for (shard, fencing_token) in fences {
+            let event = Event::Decided {
+                shard,
+                fencing_token,
+            };
+            self.record(at_ms, event);
         }
     }
 
-    /// Shards on whose present records a transaction is conditional, with their tokens.
-    fn fences(&self, transaction: &Transaction) -> HashMap<u32, u64> {
-        let shard_of = |key: &str| key.strip_prefix(ROOT)?.strip_prefix("shard/")?.parse().ok();
-        let fence = |c: &pointhook::protocol::kv::Condition| {
-            let shard: u32 = shard_of(&c.key)?;
-            let (version, record) = self.shards.get(&shard)?;
-            (*version == c.version).then_some((shard, record.fencing_token.0))
+    fn fences(&self, transaction: &Transaction) -> Fences {
+        let fence = |condition: &Condition| {
+            let shard: u32 = shard_of_key(&condition.key)?;
+            let current = self.shards.get(&shard)?;
+            let is_current = current.version == condition.version;
+            is_current.then_some((shard, current.record.fencing_token))
         };
         transaction.conditions.iter().filter_map(fence).collect()
     }
 
-    fn shard_written(&mut self, shard: &str, v: &Value, revision: u64, at_ms: u64) {
-        let (Ok(shard), Some(record)) = (shard.parse(), read::<ShardRecord>(v)) else {
+    fn record_shard_write(&mut self, shard: &str, value: &Value, revision: u64, at_ms: u64) {
+        let (Ok(shard), Some(record)) = (shard.parse(), decode::<ShardRecord>(value)) else {
             return;
         };
         let event = Event::Owned {
             shard,
             owner: record.owner.clone(),
-            token: record.fencing_token.0,
+            fencing_token: record.fencing_token,
         };
-        self.shards.insert(shard, (revision, record));
+        let version = revision;
+        self.shards.insert(shard, RecordedShard { version, record });
         self.record(at_ms, event);
     }
 
-    fn job_written(&mut self, job: &str, v: &Value, fences: &HashMap<u32, u64>, at_ms: u64) {
-        let Some(record) = read::<JobRecord>(v) else {
+    fn record_job_write(&mut self, job: &str, value: &Value, fences: &Fences, at_ms: u64) {
+        let Some(record) = decode::<JobRecord>(value) else {
             return;
         };
-        let now: HashSet<StoredPlacement> = record.placements.into_iter().collect();
-        let before = self.placements.insert(job.to_string(), now.clone());
-        let before = before.unwrap_or_default();
-        for (task, attempt, machine, _, payer) in now.difference(&before) {
+        let placements: HashSet<StoredPlacement> = record.placements.into_iter().collect();
+        let previous = self
+            .placements_by_job
+            .insert(job.to_string(), placements.clone());
+        let previous = previous.unwrap_or_default();
+        for (task, attempt, machine, _, charged_shard) in placements.difference(&previous) {
             let event = Event::Claimed {
                 task: format!("{job}/{task}"),
                 attempt: *attempt,
                 machine: machine.clone(),
-                fenced: fences.contains_key(payer),
+                fenced: fences.contains_key(charged_shard),
             };
             self.entries.push(Entry { at_ms, event });
         }
     }
 }
 
-fn read<T: DeserializeOwned>(v: &Value) -> Option<T> {
-    // By way of bytes: the direct way can't read unit variants.
-    let bytes = rmp_serde::to_vec(v).ok()?;
+/// The shard whose record is stored under a key.
+fn shard_of_key(key: &str) -> Option<u32> {
+    key.strip_prefix(ROOT)?.strip_prefix("shard/")?.parse().ok()
+}
+
+fn decode<T: DeserializeOwned>(value: &Value) -> Option<T> {
+    // By way of bytes: `rmpv` cannot deserialize unit variants directly.
+    let bytes = rmp_serde::to_vec(value).ok()?;
     rmp_serde::from_slice(&bytes).ok()
 }
--- a/crates/testkit/src/jobs.rs
+++ b/crates/testkit/src/jobs.rs
@@ -1,8 +1,8 @@
-//! Jobs that stand-in users submit.
+//! Job specifications that tests and simulated users submit.
 
 use pointhook::protocol::users::{JobKind, JobSpec, Priority};
 
-/// A small job; tests change what matters to them.
+/// A small array job; callers change the fields that matter to them.
 pub fn job(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         id: id.into(),
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -1,12 +1,14 @@
-//! Plays takeovers on loopback and prints their distribution: see docs/standby.md, "Measurement".
+//! Measures failovers on loopback and prints their distribution: see docs/standby.md,
+//! "Measurement".
 
 use clap::Parser;
 use std::path::PathBuf;
 use std::process::ExitCode;
-use testkit::takeover::{rehearse, CommitOutcome, Interruption, Options};
+use testkit::failover_measurement::{measure_failover, Interruption, Measurement, Options};
 
-/// Kills or pauses the controller that decides while a batch runs, and checks what happened.
+/// Kills or pauses the owner of a busy shard while a batch runs, and checks what happened.
 #[derive(Parser)]
+#[command(name = "measure-failover")]
 struct Args {
     /// Program that controllers run.
     #[arg(long, default_value = "target/release/pointhook")]
@@ -14,66 +16,72 @@
     /// File of optional features; without it, all are off.
     #[arg(long)]
     features: Option<PathBuf>,
-    /// Controllers.
+    /// Number of controllers.
     #[arg(long, default_value_t = 3)]
     controllers: usize,
-    /// Interruptions.
+    /// Number of interruptions.
     #[arg(long, default_value_t = 10)]
     times: usize,
     /// Pause for so many milliseconds instead of a kill.
     #[arg(long)]
     pause_ms: Option<u64>,
-    /// Seed of all choices.
+    /// Seed of all random choices.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
 
-fn main() -> ExitCode {
-    let args = Args::parse();
-    let interruption = match args.pause_ms {
-        Some(ms) => Interruption::Pause { ms },
-        None => Interruption::Kill,
-    };
-    let options = Options {
-        program: args.program,
-        features: args.features,
-        controllers: args.controllers,
-        interruptions: vec![interruption; args.times],
-        seed: args.seed,
-    };
-    match rehearse(&options) {
-        Ok(outcome) => {
-            print(&outcome);
-            match outcome.violations.is_empty() {
-                true => ExitCode::SUCCESS,
-                false => ExitCode::FAILURE,
-            }
+impl Args {
+    fn into_options(self) -> Options {
+        let interruption = match self.pause_ms {
+            Some(ms) => Interruption::Pause { ms },
+            None => Interruption::Kill,
+        };
+        Options {
+            program: self.program,
+            features: self.features,
+            controllers: self.controllers,
+            interruptions: vec![interruption; self.times],
+            seed: self.seed,
         }
+    }
+}
+
+fn main() -> ExitCode {
+    let options = Args::parse().into_options();
+    let measurement = match measure_failover(&options) {
+        Ok(measurement) => measurement,
         Err(error) => {
             eprintln!("measure-failover: {error}");
-            ExitCode::FAILURE
+            return ExitCode::FAILURE;
         }
+    };
+    print(&measurement);
+    if measurement.violations.is_empty() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
     }
 }
 
-fn print(outcome: &CommitOutcome) {
-    let times = outcome.histogram();
-    let kept = outcome.takeovers_ms.iter().filter(|t| t.is_none()).count();
+fn print(measurement: &Measurement) {
+    let times = measurement.histogram();
+    let interruptions = &measurement.failover_times_ms;
+    let without_failover = interruptions.iter().filter(|time| time.is_none()).count();
     println!(
-        "{} takeovers, {kept} without one; median {} ms, p99 {} ms, longest {} ms",
+        "{} failovers, {without_failover} interruptions without one; median {} ms, p99 {} ms, longest {} ms",
         times.len(),
         times.value_at_quantile(0.5),
         times.value_at_quantile(0.99),
         times.max()
     );
-    println!("all, ms: {:?}", outcome.takeovers_ms);
+    println!("all, ms: {interruptions:?}");
     println!(
         "{} jobs accepted, {} tasks completed, {} violations",
-        outcome.jobs(),
-        outcome.completions(),
-        outcome.violations.len()
+        measurement.jobs(),
+        measurement.completions(),
+        measurement.violations.len()
     );
-    for violation in &outcome.violations {
+    for violation in &measurement.violations {
         println!("  {violation}");
     }
 }
--- /dev/null
+++ b/crates/testkit/src/network/cloud_service.rs
@@ -0,0 +1,97 @@
+//! HTTP interface of the cloud; provisioned machines start their worker.
+
+use super::{query_field, worker_loop, Executor, LoopbackCluster, SharedWorker};
+use crate::worker::FakeWorker;
+
+use http_types::Method;
+use pointhook::protocol::cloud::{MachineNames, ProvisioningRequest};
+use pointhook::transport::http::{Answer, Incoming};
+use std::cell::RefCell;
+use std::rc::Rc;
+
+const DEFAULT_PAGE_LIMIT: usize = 500;
+
+/// Answers a request to the cloud.
+pub(super) async fn handle(
+    cluster: Rc<LoopbackCluster>,
+    executor: Executor,
+    request: Incoming,
+) -> Answer {
+    match (request.method, request.path.as_str()) {
+        (Method::Get, "/flavors") => Answer::of(200, &cluster.cloud.borrow().machine_types),
+        (Method::Get, "/hosts") => list_machines(&cluster, &request.query),
+        (Method::Post, "/hosts") => provision(&cluster, &executor, request),
+        (Method::Post, "/hosts/release") => delete_machines(&cluster, request),
+        _ => Answer::bare(404),
+    }
+}
+
+fn list_machines(cluster: &LoopbackCluster, query: &str) -> Answer {
+    let mut page = cluster.cloud.borrow().list_machines(cluster.now());
+    let start_after = query_field(query, "from");
+    let limit = query_field(query, "most")
+        .parse()
+        .unwrap_or(DEFAULT_PAGE_LIMIT);
+    page.hosts
+        .retain(|machine| machine.name.as_str() > start_after);
+    page.more = page.hosts.len() > limit;
+    page.hosts.truncate(limit);
+    Answer::of(200, &page)
+}
+
+fn provision(cluster: &Rc<LoopbackCluster>, executor: &Executor, request: Incoming) -> Answer {
+    let body = request.body.unwrap_or_default();
+    let Ok(request) = rmp_serde::from_slice::<ProvisioningRequest>(&body) else {
+        return Answer::bare(400);
+    };
+    let now = cluster.now();
+    let Some(hosts) = cluster.cloud.borrow_mut().provision(&request, now) else {
+        return Answer::bare(503);
+    };
+    for name in &hosts {
+        let is_new = !cluster.workers.borrow().contains_key(name);
+        if is_new {
+            start_worker(cluster, executor, name, &request);
+        }
+    }
+    Answer::of(200, &MachineNames { hosts })
+}
+
+fn start_worker(
+    cluster: &Rc<LoopbackCluster>,
+    executor: &Executor,
+    name: &str,
+    request: &ProvisioningRequest,
+) {
+    let config = &cluster.worker_config;
+    if config.verbose {
+        println!("machine started: machine={name} zone={}", request.zone);
+    }
+    let mut worker = FakeWorker::new(name, &request.zone, cluster.now());
+    worker.spot = request.spot;
+    worker.image_pull_ms = config.image_pull_ms;
+    worker.run_ms = config.run_ms;
+    worker.lease_ms = config.lease_ms;
+    let worker: SharedWorker = Rc::new(RefCell::new(worker));
+    cluster
+        .workers
+        .borrow_mut()
+        .insert(name.to_string(), worker.clone());
+    let running = worker_loop::run(cluster.clone(), executor.clone(), worker);
+    executor.spawn(running).detach();
+}
+
+fn delete_machines(cluster: &LoopbackCluster, request: Incoming) -> Answer {
+    let body = request.body.unwrap_or_default();
+    let Ok(names) = rmp_serde::from_slice::<MachineNames>(&body) else {
+        return Answer::bare(400);
+    };
+    cluster.cloud.borrow_mut().delete_machines(&names.hosts);
+    for name in &names.hosts {
+        let existed = cluster.workers.borrow_mut().remove(name).is_some();
+        if existed && cluster.worker_config.verbose {
+            println!("machine deleted: machine={name}");
+        }
+    }
+    Answer::bare(200)
+}
--- /dev/null
+++ b/crates/testkit/src/network/worker_loop.rs
@@ -0,0 +1,180 @@
+//! A worker's loop: it serves direct commands and sends heartbeats until its machine is deleted.
+
+use super::{Executor, LoopbackCluster, SharedWorker};
+use crate::history::{Event, WorkerProgress};
+use crate::worker::FakeWorker;
+
+use http_types::Method;
+use pointhook::protocol::workers::{DirectCommands, Heartbeat, HeartbeatResponse, NotOwner};
+use pointhook::transport::http::{listen, serve, Answer, Client, Incoming};
+use pointhook::transport::pause;
+use std::cell::RefCell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+const MAX_COMMAND_CONNECTIONS: usize = 16;
+const HEARTBEAT_TIMEOUT_MS: u64 = 4000;
+/// Wait before a heartbeat goes to the owner that another controller named.
+const REDIRECT_DELAY_MS: u64 = 50;
+/// Wait before a heartbeat goes to the next controller in the list.
+const RETRY_DELAY_MS: u64 = 1000;
+
+/// What follows from the answer to a heartbeat.
+enum NextHeartbeat {
+    /// The same controller gets the next one after the usual interval.
+    SameController,
+    /// Another controller is the owner.
+    RedirectedTo(usize),
+    /// The controller did not answer, or knows no owner: the next one in the list is tried.
+    NextController,
+}
+
+/// Runs the worker.
+pub(super) async fn run(cluster: Rc<LoopbackCluster>, executor: Executor, worker: SharedWorker) {
+    let loopback: SocketAddr = ([127, 0, 0, 1], 0).into();
+    let Ok(listener) = listen(loopback) else {
+        return;
+    };
+    let Ok(addr) = listener.get_ref().local_addr() else {
+        return;
+    };
+    worker.borrow_mut().addr = addr.to_string();
+    let (command_cluster, command_worker) = (cluster.clone(), worker.clone());
+    let command_server = executor.spawn(serve(
+        executor.clone(),
+        listener,
+        MAX_COMMAND_CONNECTIONS,
+        move |request| serve_commands(command_cluster.clone(), command_worker.clone(), request),
+    ));
+    send_heartbeats(&cluster, &worker).await;
+    command_server.cancel().await;
+}
+
+async fn serve_commands(
+    cluster: Rc<LoopbackCluster>,
+    worker: SharedWorker,
+    request: Incoming,
+) -> Answer {
+    let now = cluster.now();
+    let mut status = 200;
+    if request.path == "/commands" {
+        let body = request.body.unwrap_or_default();
+        let Ok(commands) = rmp_serde::from_slice::<DirectCommands>(&body) else {
+            return Answer::bare(400);
+        };
+        status = worker.borrow_mut().receive_commands(&commands, now);
+        record_progress(&cluster, &worker);
+    }
+    Answer::of(status, &worker.borrow_mut().heartbeat(now))
+}
+
+async fn send_heartbeats(cluster: &LoopbackCluster, worker: &RefCell<FakeWorker>) {
+    let controllers = &cluster.worker_config.controllers;
+    let interval_ms = cluster.worker_config.heartbeat_interval_ms;
+    let mut current = 0;
+    let mut client = Client::new(controllers[current].addr);
+    let name = worker.borrow().name.clone();
+    while cluster.workers.borrow().contains_key(&name) {
+        let sent = cluster.now();
+        let heartbeat = worker.borrow_mut().heartbeat(sent);
+        record_progress(cluster, worker);
+        let next = send_heartbeat(cluster, worker, &client, &heartbeat, sent).await;
+        record_progress(cluster, worker);
+        let (controller, delay_ms) = match next {
+            NextHeartbeat::SameController => {
+                let jitter_ms = fastrand::u64(0..=interval_ms / 2);
+                pause(interval_ms * 3 / 4 + jitter_ms).await;
+                continue;
+            }
+            NextHeartbeat::RedirectedTo(owner) => (owner, REDIRECT_DELAY_MS),
+            NextHeartbeat::NextController => ((current + 1) % controllers.len(), RETRY_DELAY_MS),
+        };
+        current = controller;
+        client = Client::new(controllers[current].addr);
+        pause(delay_ms).await;
+    }
+}
+
+async fn send_heartbeat(
+    cluster: &LoopbackCluster,
+    worker: &RefCell<FakeWorker>,
+    client: &Client,
+    heartbeat: &Heartbeat,
+    sent: u64,
+) -> NextHeartbeat {
+    let body = rmp_serde::to_vec_named(heartbeat).unwrap_or_default();
+    let answer = client.call(Method::Post, "/v1/report", body, HEARTBEAT_TIMEOUT_MS);
+    match answer.await {
+        Ok(answer) if answer.status == 200 => {
+            if let Ok(response) = rmp_serde::from_slice::<HeartbeatResponse>(&answer.body) {
+                let answered = &cluster.answered_heartbeats;
+                answered.set(answered.get() + 1);
+                let now = cluster.now();
+                let mut worker = worker.borrow_mut();
+                worker.receive_response(&response, heartbeat.agent_epoch, sent, now);
+            }
+            NextHeartbeat::SameController
+        }
+        Ok(answer) if answer.status == 421 => redirect(cluster, &answer.body),
+        _ => NextHeartbeat::NextController,
+    }
+}
+
+/// Where the answer of a controller that is not the owner sends the worker.
+fn redirect(cluster: &LoopbackCluster, body: &[u8]) -> NextHeartbeat {
+    let answer = rmp_serde::from_slice::<NotOwner>(body).ok();
+    let owner = answer.and_then(|answer| answer.owner);
+    let controllers = &cluster.worker_config.controllers;
+    let position = owner.and_then(|owner| controllers.iter().position(|c| c.name == owner));
+    match position {
+        Some(position) => NextHeartbeat::RedirectedTo(position),
+        None => NextHeartbeat::NextController,
+    }
+}
+
+/// Records what a worker has started and completed since this was last called.
+fn record_progress(cluster: &LoopbackCluster, worker: &RefCell<FakeWorker>) {
+    let worker = worker.borrow();
+    let now = cluster.now();
+    let mut recorder = cluster.recorder.borrow_mut();
+    let recorded = recorder.progress_of(&worker.name);
+    for (task, attempt) in worker.started.iter().skip(recorded.started) {
+        if cluster.worker_config.verbose {
+            println!(
+                "task started: task={task} attempt={attempt} machine={}",
+                worker.name
+            );
+        }
+        cluster.started_tasks.set(cluster.started_tasks.get() + 1);
+        let event = Event::Started {
+            task: task.clone(),
+            attempt: *attempt,
+            machine: worker.name.clone(),
+            also_on: other_machine_with(cluster, &worker.name, task),
+        };
+        recorder.record(now, event);
+    }
+    for task in worker.completed.iter().skip(recorded.completed) {
+        let event = Event::Completed {
+            task: task.clone(),
+            machine: worker.name.clone(),
+        };
+        recorder.record(now, event);
+    }
+    let progress = WorkerProgress {
+        started: worker.started.len(),
+        completed: worker.completed.len(),
+    };
+    recorder.set_progress(&worker.name, progress);
+}
+
+/// Another machine that has the task and has not ended it.
+fn other_machine_with(cluster: &LoopbackCluster, machine: &str, task: &str) -> Option<String> {
+    let workers = cluster.workers.borrow();
+    let mut others = workers.iter().filter(|(name, _)| *name != machine);
+    let found = others.find(|(_, other)| {
+        let other = other.try_borrow();
+        other.is_ok_and(|other| other.has_task(task))
+    });
+    found.map(|(name, _)| name.clone())
+}
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -1,101 +1,114 @@
 //! Controllers as processes on loopback, which can be killed, paused and started again.
 
+use crate::network::ControllerEndpoint;
+
 use rustix::process::{kill_process, Pid, Signal};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// What all controllers of a rehearsal share.
+/// Zones of the deployment; controllers are spread over them in turn.
+const ZONES: [&str; 2] = ["north", "south"];
+
+/// What all controllers of a deployment share.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// Program that controllers run.
     pub program: PathBuf,
     /// File of optional features, if any.
     pub features: Option<PathBuf>,
-    /// Folder for settings files.
-    pub folder: PathBuf,
-    /// State service.
-    pub state: SocketAddr,
-    /// Cloud.
-    pub cloud: SocketAddr,
-    /// Command that the program is started under, if any; `{}` is the controller's name.
-    pub under: Option<String>,
+    /// Directory for settings files and logs.
+    pub work_dir: PathBuf,
+    /// Address of the key-value store.
+    pub kv_addr: SocketAddr,
+    /// Address of the cloud.
+    pub cloud_addr: SocketAddr,
+    /// Command that wraps the program, such as a profiler; `{}` is the controller's name.
+    pub wrapper_command: Option<String>,
     /// Workers' lease, seconds.
     pub lease_s: f64,
-    /// Time between a worker's reports, seconds.
-    pub report_s: f64,
-    /// Requests that the state service serves in a second.
-    pub state_rps: f64,
-    /// Changes that it serves in a second.
-    pub state_write_rps: f64,
+    /// Time between a worker's heartbeats, seconds.
+    pub heartbeat_interval_s: f64,
+    /// Requests that the key-value store serves in a second.
+    pub kv_requests_per_s: f64,
+    /// Writes that the key-value store serves in a second.
+    pub kv_writes_per_s: f64,
 }
 
-/// Addresses of a controller.
+/// Name, zone and addresses of a controller.
 #[derive(Clone, Debug)]
-pub struct Addresses {
+pub struct ControllerAddresses {
     /// Name.
     pub name: String,
     /// Zone.
     pub zone: String,
-    /// For users and workers.
+    /// Address for users and workers.
     pub bind: SocketAddr,
-    /// For the other controllers.
+    /// Address for the other controllers.
     pub peers: SocketAddr,
 }
 
-impl Addresses {
-    /// Free addresses for some controllers, in turn of both zones.
-    pub fn allot(controllers: usize) -> std::io::Result<Vec<Addresses>> {
-        // All are held until all are chosen, so that none is given twice.
-        let mut held = Vec::new();
-        let mut out = Vec::new();
-        for i in 0..controllers {
-            let mut free = || {
+impl ControllerAddresses {
+    /// Free addresses for some controllers, spread over the zones.
+    pub fn allocate(controllers: usize) -> std::io::Result<Vec<ControllerAddresses>> {
+        // All listeners stay open until all addresses are chosen, so that none is given twice.
+        let mut open_listeners = Vec::new();
+        let mut allocated = Vec::new();
+        for index in 0..controllers {
+            let mut free_addr = || {
                 let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))?;
                 let addr = listener.local_addr()?;
-                held.push(listener);
+                open_listeners.push(listener);
                 Ok::<SocketAddr, std::io::Error>(addr)
             };
-            out.push(Addresses {
-                name: format!("n{i}"),
-                zone: ["north", "south"][i % 2].to_string(),
-                bind: free()?,
-                peers: free()?,
+            allocated.push(ControllerAddresses {
+                name: format!("n{index}"),
+                zone: ZONES[index % ZONES.len()].to_string(),
+                bind: free_addr()?,
+                peers: free_addr()?,
             });
         }
-        Ok(out)
+        Ok(allocated)
+    }
+
+    /// Where workers reach the controller.
+    pub fn endpoint(&self) -> ControllerEndpoint {
+        ControllerEndpoint {
+            name: self.name.clone(),
+            addr: self.bind,
+        }
     }
 }
 
-/// A controller's process, ended when this is dropped.
-pub struct Controller {
-    addresses: Addresses,
+/// A controller's process; it is killed when this is dropped.
+pub struct ControllerProcess {
+    addresses: ControllerAddresses,
     settings: PathBuf,
     deployment: Deployment,
     child: Option<Child>,
 }
 
-impl Controller {
-    /// Writes its settings and starts it.
+impl ControllerProcess {
+    /// Writes the settings of the controller at this index and starts it.
     pub fn start(
         deployment: &Deployment,
-        all: &[Addresses],
-        at: usize,
-    ) -> std::io::Result<Controller> {
-        let addresses = all[at].clone();
-        let settings = deployment.folder.join(format!("{}.toml", addresses.name));
-        std::fs::write(&settings, settings_text(deployment, all, at))?;
-        let mut controller = Controller {
+        controllers: &[ControllerAddresses],
+        index: usize,
+    ) -> std::io::Result<ControllerProcess> {
+        let addresses = controllers[index].clone();
+        let settings = deployment.work_dir.join(format!("{}.toml", addresses.name));
+        std::fs::write(&settings, settings_text(deployment, controllers, index))?;
+        let mut process = ControllerProcess {
             addresses,
             settings,
             deployment: deployment.clone(),
             child: None,
         };
-        controller.start_again()?;
-        Ok(controller)
+        process.restart()?;
+        Ok(process)
     }
 
-    /// Name.
+    /// Name of the controller.
     pub fn name(&self) -> &str {
         &self.addresses.name
     }
@@ -106,26 +119,19 @@
     }
 
     /// Starts a process if none runs.
-    pub fn start_again(&mut self) -> std::io::Result<()> {
+    pub fn restart(&mut self) -> std::io::Result<()> {
         if self.child.is_some() {
             return Ok(());
         }
-        let log = self.deployment.folder.join(format!("{}.log", self.name()));
+        let log_path = self
+            .deployment
+            .work_dir
+            .join(format!("{}.log", self.name()));
         let log = std::fs::OpenOptions::new()
             .create(true)
             .append(true)
-            .open(log)?;
-        let under = self.deployment.under.clone().unwrap_or_default();
-        let under = under.replace("{}", self.name());
-        let mut words = under.split_whitespace();
-        let mut command = match words.next() {
-            Some(first) => {
-                let mut command = Command::new(first);
-                command.args(words).arg(&self.deployment.program);
-                command
-            }
-            None => Command::new(&self.deployment.program),
-        };
+            .open(log_path)?;
+        let mut command = self.program_command();
         command.arg("--config").arg(&self.settings);
         if let Some(features) = &self.deployment.features {
             command.arg("--features").arg(features);
@@ -136,6 +142,20 @@
         Ok(())
     }
 
+    /// The program, below its wrapper if there is one.
+    fn program_command(&self) -> Command {
+        let program = &self.deployment.program;
+        let wrapper = self.deployment.wrapper_command.clone().unwrap_or_default();
+        let wrapper = wrapper.replace("{}", self.name());
+        let mut words = wrapper.split_whitespace();
+        let Some(wrapper_program) = words.next() else {
+            return Command::new(program);
+        };
+        let mut command = Command::new(wrapper_program);
+        command.args(words).arg(program);
+        command
+    }
+
     /// Kills the process without any notice.
     pub fn kill(&mut self) -> std::io::Result<()> {
         if let Some(mut child) = self.child.take() {
@@ -145,17 +165,18 @@
         Ok(())
     }
 
-    /// The program's own process, below whatever it was started under.
+    /// Process id of the program itself, below its wrapper if there is one.
     pub fn program_pid(&self) -> Option<u32> {
         let pid = self.child.as_ref()?.id();
-        let children = format!("/proc/{pid}/task/{pid}/children");
-        let below = std::fs::read_to_string(children).unwrap_or_default();
-        let below = below.split_whitespace().next().and_then(|p| p.parse().ok());
-        Some(below.unwrap_or(pid))
+        let children_file = format!("/proc/{pid}/task/{pid}/children");
+        let children = std::fs::read_to_string(children_file).unwrap_or_default();
+        let first_child = children.split_whitespace().next();
+        let program = first_child.and_then(|child| child.parse().ok());
+        Some(program.unwrap_or(pid))
     }
 
-    /// Ends the program and waits for what it was started under, which writes its figures then.
-    pub fn end(&mut self) -> std::io::Result<()> {
+    /// Terminates the program and waits for its wrapper, which may write its results then.
+    pub fn terminate(&mut self) -> std::io::Result<()> {
         let program = self.program_pid();
         let Some(mut child) = self.child.take() else {
             return Ok(());
@@ -168,12 +189,12 @@
         Ok(())
     }
 
-    /// Lets the process stand still.
+    /// Pauses the process.
     pub fn pause(&self) -> std::io::Result<()> {
         self.signal(Signal::STOP)
     }
 
-    /// Lets the process go on.
+    /// Resumes a paused process.
     pub fn resume(&self) -> std::io::Result<()> {
         self.signal(Signal::CONT)
     }
@@ -187,23 +208,21 @@
     }
 }
 
-impl Drop for Controller {
+impl Drop for ControllerProcess {
     fn drop(&mut self) {
+        // A process that can't be killed any more has ended.
         let _ = self.kill();
     }
 }
 
-fn settings_text(deployment: &Deployment, all: &[Addresses], at: usize) -> String {
-    let me = &all[at];
-    let others = all.iter().filter(|a| a.name != me.name);
-    let siblings: String = others
-        .map(|a| {
-            format!(
-                "[[siblings]]\nnode = \"{}\"\ndomain = \"{}\"\naddr = \"{}\"\n",
-                a.name, a.zone, a.peers
-            )
-        })
-        .collect();
+/// Settings file of one controller.
+fn settings_text(
+    deployment: &Deployment,
+    controllers: &[ControllerAddresses],
+    index: usize,
+) -> String {
+    let own = &controllers[index];
+    let siblings = siblings_text(controllers, own);
     format!(
         r#"node = "{}"
 domain = "{}"
@@ -236,28 +255,41 @@
 [settings.machine_limits]
 max_connections = 1200
 "#,
-        me.name,
-        me.zone,
-        me.bind,
-        me.peers,
-        deployment.cloud,
-        deployment.state,
-        all.len(),
-        deployment.report_s,
+        own.name,
+        own.zone,
+        own.bind,
+        own.peers,
+        deployment.cloud_addr,
+        deployment.kv_addr,
+        controllers.len(),
+        deployment.heartbeat_interval_s,
         deployment.lease_s,
-        deployment.state_rps,
-        deployment.state_write_rps
+        deployment.kv_requests_per_s,
+        deployment.kv_writes_per_s
     )
 }
 
-/// A folder of its own for a rehearsal.
-pub fn own_folder(name: &str) -> std::io::Result<PathBuf> {
-    let folder = std::env::temp_dir().join(format!("pointhook-{name}-{}", std::process::id()));
-    std::fs::create_dir_all(&folder)?;
-    Ok(folder)
+/// The other controllers, as the settings file names them.
+fn siblings_text(controllers: &[ControllerAddresses], own: &ControllerAddresses) -> String {
+    let others = controllers.iter().filter(|other| other.name != own.name);
+    let tables = others.map(|other| {
+        format!(
+            "[[siblings]]\nnode = \"{}\"\ndomain = \"{}\"\naddr = \"{}\"\n",
+            other.name, other.zone, other.peers
+        )
+    });
+    tables.collect()
+}
+
+/// Creates a directory for one run.
+pub fn create_work_dir(name: &str) -> std::io::Result<PathBuf> {
+    let path = std::env::temp_dir().join(format!("pointhook-{name}-{}", std::process::id()));
+    std::fs::create_dir_all(&path)?;
+    Ok(path)
 }
 
-/// Removes a rehearsal's folder.
-pub fn remove_folder(folder: &Path) {
-    let _ = std::fs::remove_dir_all(folder);
+/// Removes the directory of a run.
+pub fn remove_work_dir(path: &Path) {
+    // What can't be removed stays for the system to clean up.
+    let _ = std::fs::remove_dir_all(path);
 }
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,114 +1,142 @@
-//! A worker: tasks, token, session and lease.
+//! A fake worker: tasks, fencing token, agent epoch and lease.
 
 use pointhook::protocol::workers::{
     AgentEpoch, Command, DirectCommands, ExitReason, FencingToken, Heartbeat, HeartbeatResponse,
     TaskState, TaskStatus,
 };
 
+/// Answers to heartbeats older than this are dropped.
+const RESPONSE_TIMEOUT_MS: u64 = 4000;
+const ACCEPTED: u16 = 200;
+const CONFLICT: u16 = 409;
+
 struct Task {
     name: String,
     attempt: u64,
     state: TaskState,
-    why: Option<ExitReason>,
-    until: u64,
+    exit_reason: Option<ExitReason>,
+    /// End of the present state.
+    state_ends_at: u64,
 }
 
-/// A worker of a machine.
-pub struct Worker {
+impl Task {
+    fn is_attempt(&self, name: &str, attempt: u64) -> bool {
+        self.name == name && self.attempt == attempt
+    }
+
+    fn is_active(&self) -> bool {
+        self.state != TaskState::Exited
+    }
+
+    fn is_running(&self) -> bool {
+        matches!(self.state, TaskState::Running | TaskState::Checkpointing)
+    }
+
+    fn belongs_to(&self, job: &str) -> bool {
+        self.name.split('/').next() == Some(job)
+    }
+
+    fn exit(&mut self, reason: ExitReason) {
+        self.state = TaskState::Exited;
+        self.exit_reason = Some(reason);
+    }
+}
+
+/// The worker of one machine.
+pub struct FakeWorker {
     /// Name of its machine.
     pub name: String,
     /// Type of its machine.
     pub machine_type: String,
     /// Zone of its machine.
     pub zone: String,
-    /// It is a spot machine.
+    /// Its machine is a spot machine.
     pub spot: bool,
     /// Address for direct commands.
     pub addr: String,
-    /// Session; a new one begins when its lease ends.
-    pub session: u64,
-    seq: u64,
-    /// Highest token that it has seen.
-    pub token: u64,
+    /// Agent epoch; a new one begins when the lease expires.
+    pub agent_epoch: AgentEpoch,
+    heartbeat_sequence: u64,
+    /// Highest fencing token that it has seen.
+    pub fencing_token: FencingToken,
     tasks: Vec<Task>,
-    /// Its lease.
+    /// Duration of its lease.
     pub lease_ms: u64,
-    renewed: u64,
-    /// Time that tasks take to fetch and to run.
+    lease_renewed_at: u64,
+    /// Time that a task takes to pull its image.
     pub image_pull_ms: u64,
-    /// Time that tasks run.
+    /// Time that a task runs.
     pub run_ms: u64,
-    /// Every start, in order.
+    /// Every start as task and attempt, in order.
     pub started: Vec<(String, u64)>,
-    /// Every task that completed.
+    /// Every task that completed, in order.
     pub completed: Vec<String>,
-    /// Tasks fail instead of completing.
-    pub sick: bool,
+    /// Fault: tasks fail instead of completing.
+    pub fails_tasks: bool,
 }
 
-impl Worker {
+impl FakeWorker {
     /// A worker without tasks, whose lease begins now.
-    pub fn new(name: &str, zone: &str, now: u64) -> Worker {
-        Worker {
+    pub fn new(name: &str, zone: &str, now: u64) -> FakeWorker {
+        FakeWorker {
             name: name.into(),
             machine_type: "oven".into(),
             zone: zone.into(),
             spot: true,
             addr: "127.0.0.1:1".into(),
-            session: 1,
-            seq: 0,
-            token: 0,
+            agent_epoch: AgentEpoch(1),
+            heartbeat_sequence: 0,
+            fencing_token: FencingToken(0),
             tasks: Vec::new(),
             lease_ms: 10_000,
-            renewed: now,
+            lease_renewed_at: now,
             image_pull_ms: 1000,
             run_ms: 5000,
             started: Vec::new(),
             completed: Vec::new(),
-            sick: false,
+            fails_tasks: false,
         }
     }
 
-    /// Ends the session if its lease is over: a machine that hangs resumes within it or not at all.
-    pub fn lapse(&mut self, now: u64) {
-        if now > self.renewed + self.lease_ms {
+    /// Ends all tasks and begins a new agent epoch if the lease has expired. A machine that hangs
+    /// resumes within its lease or loses its tasks.
+    pub fn expire_lease(&mut self, now: u64) {
+        if now > self.lease_renewed_at + self.lease_ms {
             self.tasks.clear();
-            self.session += 1;
-            self.renewed = now;
+            self.agent_epoch.0 += 1;
+            self.lease_renewed_at = now;
         }
     }
 
     /// Lets time pass.
     pub fn advance(&mut self, now: u64) {
-        self.lapse(now);
-        for t in &mut self.tasks {
-            if t.state == TaskState::PullingImage && now >= t.until {
-                t.state = TaskState::Running;
-                t.until += self.run_ms;
+        self.expire_lease(now);
+        for task in &mut self.tasks {
+            if task.state == TaskState::PullingImage && now >= task.state_ends_at {
+                task.state = TaskState::Running;
+                task.state_ends_at += self.run_ms;
+            }
+            if task.state != TaskState::Running || now < task.state_ends_at {
+                continue;
             }
-            if t.state == TaskState::Running && now >= t.until {
-                t.state = TaskState::Exited;
-                t.why = Some(if self.sick {
-                    ExitReason::Error
-                } else {
-                    ExitReason::Done
-                });
-                if !self.sick {
-                    self.completed.push(t.name.clone());
-                }
+            if self.fails_tasks {
+                task.exit(ExitReason::Error);
+            } else {
+                task.exit(ExitReason::Done);
+                self.completed.push(task.name.clone());
             }
         }
     }
 
-    /// Its next report.
-    pub fn report(&mut self, now: u64) -> Heartbeat {
+    /// Its next heartbeat.
+    pub fn heartbeat(&mut self, now: u64) -> Heartbeat {
         self.advance(now);
-        self.seq += 1;
-        let tasks = self.tasks.iter().map(|t| TaskStatus {
-            task: t.name.clone(),
-            attempt: t.attempt,
-            state: t.state,
-            exit_reason: t.why,
+        self.heartbeat_sequence += 1;
+        let tasks = self.tasks.iter().map(|task| TaskStatus {
+            task: task.name.clone(),
+            attempt: task.attempt,
+            state: task.state,
+            exit_reason: task.exit_reason,
             checkpointed: None,
         });
         Heartbeat {
@@ -117,112 +145,117 @@
             machine_type: self.machine_type.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            agent_epoch: AgentEpoch(self.session),
-            sequence: self.seq,
-            fencing_token: FencingToken(self.token),
+            agent_epoch: self.agent_epoch,
+            sequence: self.heartbeat_sequence,
+            fencing_token: self.fencing_token,
             preemption_notice_s: None,
             tasks: tasks.collect(),
         }
     }
 
-    /// Takes the answer to a report sent at `sent`; false if it had to be dropped.
-    pub fn answered(&mut self, a: &HeartbeatResponse, session: u64, sent: u64, now: u64) -> bool {
+    /// Takes the answer to a heartbeat that was sent at `sent` in `agent_epoch`; false if it had
+    /// to be dropped.
+    pub fn receive_response(
+        &mut self,
+        response: &HeartbeatResponse,
+        agent_epoch: AgentEpoch,
+        sent: u64,
+        now: u64,
+    ) -> bool {
         self.advance(now);
-        if a.fencing_token.0 < self.token || session != self.session || now > sent + 4000 {
+        let is_stale = response.fencing_token < self.fencing_token
+            || agent_epoch != self.agent_epoch
+            || now > sent + RESPONSE_TIMEOUT_MS;
+        if is_stale {
             return false;
         }
-        self.token = a.fencing_token.0;
-        self.renewed = sent;
-        self.execute(&a.commands, now);
+        self.fencing_token = response.fencing_token;
+        self.lease_renewed_at = sent;
+        self.execute(&response.commands, now);
         true
     }
 
-    /// Takes direct commands; the status.
-    pub fn command(&mut self, c: &DirectCommands, now: u64) -> u16 {
+    /// Takes direct commands; the status that answers them.
+    pub fn receive_commands(&mut self, direct: &DirectCommands, now: u64) -> u16 {
         self.advance(now);
-        if c.fencing_token.0 < self.token || c.agent_epoch.0 != self.session {
-            return 409;
+        if direct.fencing_token < self.fencing_token || direct.agent_epoch != self.agent_epoch {
+            return CONFLICT;
         }
-        self.token = c.fencing_token.0;
-        self.execute(&c.commands, now);
-        200
+        self.fencing_token = direct.fencing_token;
+        self.execute(&direct.commands, now);
+        ACCEPTED
     }
 
-    /// Its waiting tasks have waited too long for the others of their gang.
-    pub fn give_up_waiting(&mut self) {
-        for t in self.tasks.iter_mut() {
-            t.state = TaskState::Exited;
-            t.why = Some(ExitReason::GangTimeout);
+    /// Its tasks have waited too long for the others of their gang.
+    pub fn time_out_gang_wait(&mut self) {
+        for task in &mut self.tasks {
+            task.exit(ExitReason::GangTimeout);
         }
     }
 
-    fn execute(&mut self, orders: &[Command], now: u64) {
-        for o in orders {
-            match o {
-                Command::Start { task, attempt } => {
-                    if self
-                        .tasks
-                        .iter()
-                        .any(|t| (&t.name, t.attempt) == (task, *attempt))
-                    {
-                        continue;
-                    }
-                    self.started.push((task.clone(), *attempt));
-                    self.tasks.push(Task {
-                        name: task.clone(),
-                        attempt: *attempt,
-                        state: TaskState::PullingImage,
-                        why: None,
-                        until: now + self.image_pull_ms,
-                    });
-                }
-                Command::Stop { task, attempt, .. } => {
-                    let found = self
-                        .tasks
-                        .iter_mut()
-                        .find(|t| (&t.name, t.attempt) == (task, *attempt));
-                    if let Some(t) = found.filter(|t| t.state != TaskState::Exited) {
-                        t.state = TaskState::Exited;
-                        t.why = Some(ExitReason::Stopped);
-                    }
-                }
-                Command::AcknowledgeExit { task, attempt } => self.tasks.retain(|t| {
-                    (&t.name, t.attempt) != (task, *attempt) || t.state != TaskState::Exited
-                }),
+    fn execute(&mut self, commands: &[Command], now: u64) {
+        for command in commands {
+            match command {
+                Command::Start { task, attempt } => self.start_task(task, *attempt, now),
+                Command::Stop { task, attempt, .. } => self.stop_task(task, *attempt),
+                Command::AcknowledgeExit { task, attempt } => self.forget_exit(task, *attempt),
             }
         }
     }
 
-    /// Tasks that take room here: those on the machine, with their image, and all others that
-    /// have not exited.
-    pub fn on_machine(&self) -> (Vec<&str>, usize) {
-        let on = |t: &&Task| matches!(t.state, TaskState::Running | TaskState::Checkpointing);
-        let names = self.tasks.iter().filter(on).map(|t| t.name.as_str());
-        let all = self.tasks.iter().filter(|t| t.state != TaskState::Exited);
-        (names.collect(), all.count())
+    fn start_task(&mut self, name: &str, attempt: u64, now: u64) {
+        if self.tasks.iter().any(|t| t.is_attempt(name, attempt)) {
+            return;
+        }
+        self.started.push((name.to_string(), attempt));
+        self.tasks.push(Task {
+            name: name.to_string(),
+            attempt,
+            state: TaskState::PullingImage,
+            exit_reason: None,
+            state_ends_at: now + self.image_pull_ms,
+        });
     }
 
-    /// How many tasks of a job are here and have not exited.
-    pub fn tasks_of(&self, id: &str) -> usize {
-        let of_job = |t: &&Task| t.name.split('/').next() == Some(id);
-        let present = self.tasks.iter().filter(|t| t.state != TaskState::Exited);
-        present.filter(of_job).count()
+    fn stop_task(&mut self, name: &str, attempt: u64) {
+        let mut tasks = self.tasks.iter_mut();
+        let found = tasks.find(|t| t.is_attempt(name, attempt));
+        if let Some(task) = found.filter(|t| t.is_active()) {
+            task.exit(ExitReason::Stopped);
+        }
     }
 
-    /// True if its reports show the completion of a task of a job.
-    pub fn shows_completion_of(&self, id: &str) -> bool {
-        let of_job = |t: &Task| t.name.split('/').next() == Some(id);
-        let mut done = self
-            .tasks
-            .iter()
-            .filter(|t| t.why == Some(ExitReason::Done));
-        done.any(of_job)
+    fn forget_exit(&mut self, name: &str, attempt: u64) {
+        self.tasks
+            .retain(|t| !t.is_attempt(name, attempt) || t.is_active());
+    }
+
+    /// Tasks that have their image and have not exited.
+    pub fn running_tasks(&self) -> Vec<&str> {
+        let running = self.tasks.iter().filter(|t| t.is_running());
+        running.map(|t| t.name.as_str()).collect()
+    }
+
+    /// How many tasks have not exited: those take up capacity of the machine.
+    pub fn active_task_count(&self) -> usize {
+        self.tasks.iter().filter(|t| t.is_active()).count()
+    }
+
+    /// How many tasks of a job have not exited.
+    pub fn active_task_count_of(&self, job: &str) -> usize {
+        let of_job = |t: &&Task| t.is_active() && t.belongs_to(job);
+        self.tasks.iter().filter(of_job).count()
+    }
+
+    /// True if its heartbeats show the completion of a task of a job.
+    pub fn reports_completion_of(&self, job: &str) -> bool {
+        let completed = |t: &Task| t.exit_reason == Some(ExitReason::Done);
+        self.tasks.iter().any(|t| completed(t) && t.belongs_to(job))
     }
 
     /// True if the task is here and has not exited.
-    pub fn has(&self, task: &str) -> bool {
-        self.tasks
-            .iter()
-            .any(|t| t.name == task && t.state != TaskState::Exited)
+    pub fn has_task(&self, task: &str) -> bool {
+        let is_active = |t: &Task| t.name == task && t.is_active();
+        self.tasks.iter().any(is_active)
     }
 }
--- a/crates/testkit/tests/checker.rs
+++ b/crates/testkit/tests/checker.rs
@@ -6,7 +6,7 @@
 use pointhook::state::job::JobRecord;
 use pointhook::state::records::{ShardRecord, ROOT};
 use pointhook::state::units::Incarnation;
-use testkit::checker::{check, Kind};
+use testkit::checker::{check, ViolationKind};
 use testkit::history::{Entry, Event, Recorder};
 
 fn accepted(job: &str, tasks: u32) -> Event {
@@ -23,16 +23,19 @@
     }
 }
 
-fn owned(token: u64) -> Event {
+fn owned(fencing_token: u64) -> Event {
     Event::Owned {
         shard: 0,
         owner: "n0".into(),
-        token,
+        fencing_token: FencingToken(fencing_token),
     }
 }
 
-fn decided(token: u64) -> Event {
-    Event::Decided { shard: 0, token }
+fn decided(fencing_token: u64) -> Event {
+    Event::Decided {
+        shard: 0,
+        fencing_token: FencingToken(fencing_token),
+    }
 }
 
 fn claimed(task: &str, attempt: u64, machine: &str) -> Event {
@@ -60,7 +63,7 @@
     }
 }
 
-/// A job of two tasks, one of which is started anew after a takeover.
+/// A job of two tasks, one of which is started again after a failover.
 fn good() -> Vec<Event> {
     vec![
         owned(1),
@@ -82,14 +85,14 @@
     ]
 }
 
-fn kinds(events: Vec<Event>) -> Vec<Kind> {
+fn kinds(events: Vec<Event>) -> Vec<ViolationKind> {
     let entry = |(at_ms, event)| Entry { at_ms, event };
     let history: Vec<Entry> = (0..).zip(events).map(entry).collect();
     check(&history).into_iter().map(|v| v.kind).collect()
 }
 
 /// The good history with one event changed, left out or put in.
-fn with(change: impl FnOnce(&mut Vec<Event>)) -> Vec<Kind> {
+fn with(change: impl FnOnce(&mut Vec<Event>)) -> Vec<ViolationKind> {
     let mut events = good();
     change(&mut events);
     kinds(events)
@@ -102,27 +105,27 @@
 
 #[test]
 fn each_planted_fault_is_found() {
-    assert_eq!(with(|e| e.truncate(14)), [Kind::Unfinished]);
+    assert_eq!(with(|e| e.truncate(14)), [ViolationKind::Unfinished]);
     let back = answered("job-1", "pending");
-    assert_eq!(with(|e| e.push(back)), [Kind::WentBack]);
+    assert_eq!(with(|e| e.push(back)), [ViolationKind::WentBack]);
     let early = answered("job-1", "done");
-    assert_eq!(with(|e| e[12] = early), [Kind::DoneTooEarly]);
+    assert_eq!(with(|e| e[12] = early), [ViolationKind::DoneTooEarly]);
     let elsewhere = Event::Started {
         task: "job-1/1".into(),
         attempt: 3,
         machine: "m2".into(),
         also_on: Some("m1".into()),
     };
-    assert_eq!(with(|e| e[10] = elsewhere), [Kind::RunsTwice]);
+    assert_eq!(with(|e| e[10] = elsewhere), [ViolationKind::RunsTwice]);
     let again = completed("job-1/1");
-    assert_eq!(with(|e| e.push(again)), [Kind::CompletedTwice]);
+    assert_eq!(with(|e| e.push(again)), [ViolationKind::CompletedTwice]);
     for unclaimed in [
         started("job-1/1", 4, "m2"),
         started("job-1/1", 3, "m1"),
         started("job-1/0", 3, "m2"),
     ] {
         let found = with(|e| e.push(unclaimed));
-        assert_eq!(found, [Kind::StartedWithoutClaim]);
+        assert_eq!(found, [ViolationKind::StartedWithoutClaim]);
     }
     let unfenced = Event::Claimed {
         task: "job-1/1".into(),
@@ -130,10 +133,13 @@
         machine: "m2".into(),
         fenced: false,
     };
-    assert_eq!(with(|e| e[9] = unfenced), [Kind::ClaimWithoutFence]);
-    assert_eq!(with(|e| e.push(decided(1))), [Kind::OutdatedToken]);
-    assert_eq!(with(|e| e.push(decided(3))), [Kind::OutdatedToken]);
-    assert_eq!(with(|e| e.push(owned(2))), [Kind::TokenNotRaised]);
+    assert_eq!(
+        with(|e| e[9] = unfenced),
+        [ViolationKind::ClaimWithoutFence]
+    );
+    assert_eq!(with(|e| e.push(decided(1))), [ViolationKind::OutdatedToken]);
+    assert_eq!(with(|e| e.push(decided(3))), [ViolationKind::OutdatedToken]);
+    assert_eq!(with(|e| e.push(owned(2))), [ViolationKind::TokenNotRaised]);
 }
 
 fn shard_key() -> String {
@@ -155,7 +161,7 @@
         incarnation: Incarnation(1),
         fencing_token: FencingToken(7),
     };
-    recorder.committed(&written(shard_key(), &shard), 5, 0);
+    recorder.record_commit(&written(shard_key(), &shard), 5, 0);
     let record = |attempt: u64| {
         let record = JobRecord {
             spec: None,
@@ -174,7 +180,7 @@
         claim
             .conditions
             .extend(version.map(|version| Condition { key, version }));
-        recorder.committed(&claim, 10 + attempt, 0);
+        recorder.record_commit(&claim, 10 + attempt, 0);
         let claims = recorder.entries().iter().rev();
         let last = claims
             .filter_map(|e| match &e.event {
@@ -186,7 +192,10 @@
             .next();
         assert_eq!(last, Some((attempt, fenced)));
     }
-    let decided = Event::Decided { shard: 0, token: 7 };
+    let decided = Event::Decided {
+        shard: 0,
+        fencing_token: FencingToken(7),
+    };
     let decisions = recorder.entries().iter().filter(|e| e.event == decided);
     assert_eq!(decisions.count(), 1);
 }
--- a/examples/load.rs
+++ b/examples/load.rs
@@ -1,116 +1,294 @@
 //! A steady load on real controllers on loopback, and what it costs each of them: see
 //! docs/operations.md, "Where processor time goes".
 //!
-//!     cargo build --release && cargo run --release --example load -- --machines 470 --nodes 3
+//!     cargo build --release && cargo run --release --example load -- --machines 470 --controllers 3
 //!
 //! The controllers are started by this program and ended by it. Costs are read from the
-//! system's own counters, so a profiler may run beside them (`--under "perf record -o {}.data"`).
+//! system's own counters, so a profiler may run beside them (`--wrapper "perf record -o {}.data"`).
 
 use async_executor::LocalExecutor;
 use clap::Parser;
 use http_types::Method;
-use pointhook::protocol::users::{JobKind, JobSpec, Priority};
+use pointhook::protocol::users::{JobKind, JobSpec, JobStatus, Priority};
 use pointhook::transport::http::{listen, Client};
 use pointhook::transport::pause;
 use std::net::SocketAddr;
+use std::path::PathBuf;
 use std::rc::Rc;
-use testkit::network::{self, Habits, World};
-use testkit::process::{own_folder, Addresses, Controller, Deployment};
+use testkit::network::{self, LoopbackCluster, WorkerConfig};
+use testkit::process::{create_work_dir, ControllerAddresses, ControllerProcess, Deployment};
 
-/// Puts a steady load on controllers and tells what it costs them.
+const CLOUD_PORT: u16 = 7482;
+const KV_PORT: u16 = 7483;
+const LEASE_MS: u64 = 30_000;
+const IMAGE_PULL_MS: u64 = 10_000;
+/// Time until the listeners are served.
+const START_UP_MS: u64 = 1000;
+const SUBMIT_TIMEOUT_MS: u64 = 5000;
+const SUBMIT_RETRY_MS: u64 = 1000;
+const STATUS_TIMEOUT_MS: u64 = 2000;
+const STATUS_POLL_INTERVAL_MS: u64 = 5000;
+/// A job that is not done after this many polls is cancelled: services never end by themselves.
+const MAX_STATUS_POLLS: u32 = 60;
+/// Machines that the jobs of one submission keep busy on average: a task takes half of a machine,
+/// and a job has about eight tasks.
+const MACHINES_PER_JOB: f64 = 6.5;
+
+/// Puts a steady load on controllers and prints what it costs them.
 #[derive(Parser)]
 struct Args {
-    /// Controllers.
-    #[arg(long, default_value_t = 3)]
-    nodes: usize,
+    /// Number of controllers.
+    #[arg(long, alias = "nodes", default_value_t = 3)]
+    controllers: usize,
     /// Machines that the cloud has.
     #[arg(long, default_value_t = 470)]
     machines: u32,
-    /// Seconds to measure, after as many to begin.
+    /// Seconds to measure, after as many to warm up.
     #[arg(long, default_value_t = 40)]
     seconds: u64,
-    /// Seconds between a worker's reports.
-    #[arg(long, default_value_t = 4.0)]
-    report_s: f64,
+    /// Seconds between a worker's heartbeats.
+    #[arg(long, alias = "report-s", default_value_t = 4.0)]
+    heartbeat_interval_s: f64,
     /// Seconds that a task runs.
     #[arg(long, default_value_t = 100)]
     run_s: u64,
-    /// Program that controllers are started with.
+    /// Program that controllers run.
     #[arg(long, default_value = "target/release/pointhook")]
-    program: String,
-    /// File of optional features that controllers are started with.
-    #[arg(long)]
-    features: Option<std::path::PathBuf>,
-    /// Command that the program is started under; `{}` is the node's name.
+    program: PathBuf,
+    /// File of optional features.
     #[arg(long)]
-    under: Option<String>,
+    features: Option<PathBuf>,
+    /// Command that wraps the program, such as a profiler; `{}` is the controller's name.
+    #[arg(long, alias = "under")]
+    wrapper: Option<String>,
 }
 
-fn addr(port: u16) -> SocketAddr {
+fn main() -> std::io::Result<()> {
+    let args = Args::parse();
+    let executor = Rc::new(LocalExecutor::new());
+    let addresses = ControllerAddresses::allocate(args.controllers)?;
+    let cluster = Rc::new(LoopbackCluster::new(WorkerConfig {
+        controllers: addresses.iter().map(|a| a.endpoint()).collect(),
+        heartbeat_interval_ms: (args.heartbeat_interval_s * 1000.0) as u64,
+        image_pull_ms: IMAGE_PULL_MS,
+        run_ms: args.run_s * 1000,
+        lease_ms: LEASE_MS,
+        verbose: false,
+    }));
+    cluster.cloud.borrow_mut().capacity = args.machines;
+    let kv_listener = listen(loopback(KV_PORT))?;
+    let cloud_listener = listen(loopback(CLOUD_PORT))?;
+    let deployment = deployment(&args)?;
+    let mut controllers = Vec::new();
+    for index in 0..addresses.len() {
+        controllers.push(ControllerProcess::start(&deployment, &addresses, index)?);
+    }
+    let services = network::run(
+        cluster.clone(),
+        executor.clone(),
+        kv_listener,
+        cloud_listener,
+    );
+    executor.spawn(services).detach();
+    let measured = measure(&args, &cluster, &executor, &controllers);
+    async_io::block_on(executor.run(measured));
+    for controller in &mut controllers {
+        controller.terminate()?;
+    }
+    println!("logs of the controllers: {}", deployment.work_dir.display());
+    Ok(())
+}
+
+fn loopback(port: u16) -> SocketAddr {
     ([127, 0, 0, 1], port).into()
 }
 
+fn deployment(args: &Args) -> std::io::Result<Deployment> {
+    Ok(Deployment {
+        program: args.program.clone(),
+        features: args.features.clone(),
+        work_dir: create_work_dir("load")?,
+        kv_addr: loopback(KV_PORT),
+        cloud_addr: loopback(CLOUD_PORT),
+        wrapper_command: args.wrapper.clone(),
+        lease_s: LEASE_MS as f64 / 1000.0,
+        heartbeat_interval_s: args.heartbeat_interval_s,
+        kv_requests_per_s: 250.0,
+        kv_writes_per_s: 20.0,
+    })
+}
+
+/// Warms up, and prints the load and its costs per second after that.
+async fn measure(
+    args: &Args,
+    cluster: &Rc<LoopbackCluster>,
+    executor: &Rc<LocalExecutor<'static>>,
+    controllers: &[ControllerProcess],
+) {
+    pause(START_UP_MS).await;
+    let users = simulate_users(cluster.clone(), executor.clone(), submit_interval_ms(args));
+    executor.spawn(users).detach();
+    pause(args.seconds * 1000).await;
+    let pids = controllers.iter().filter_map(|c| c.program_pid());
+    let pids: Vec<u32> = pids.collect();
+    let before: Vec<ProcessUsage> = pids.iter().map(|pid| ProcessUsage::read(*pid)).collect();
+    let heartbeats_before = cluster.answered_heartbeats.get();
+    let starts_before = cluster.started_tasks.get();
+    pause(args.seconds * 1000).await;
+    let seconds = args.seconds as f64;
+    println!(
+        "{} machines, {:.1} heartbeats and {:.1} starts a second, key-value store at revision {}",
+        cluster.workers.borrow().len(),
+        (cluster.answered_heartbeats.get() - heartbeats_before) as f64 / seconds,
+        (cluster.started_tasks.get() - starts_before) as f64 / seconds,
+        cluster.kv_store.borrow().revision
+    );
+    for (index, pid) in pids.iter().enumerate() {
+        let (before, after) = (before[index], ProcessUsage::read(*pid));
+        println!(
+            "n{index}: {:.2} ms user and {:.2} ms kernel time a second, {:.0} context switches a second, {:.1} MB at most",
+            (after.user_ms - before.user_ms) / seconds,
+            (after.kernel_ms - before.kernel_ms) / seconds,
+            (after.context_switches - before.context_switches) as f64 / seconds,
+            after.peak_memory_kb as f64 / 1024.0
+        );
+    }
+}
+
+/// Time between two submissions that keeps all machines busy.
+fn submit_interval_ms(args: &Args) -> u64 {
+    let run_ms = args.run_s as f64 * 1000.0;
+    (run_ms * MACHINES_PER_JOB / f64::from(args.machines)) as u64
+}
+
 /// What a process has used, by the system's counters.
 #[derive(Clone, Copy, Default)]
-struct Used {
+struct ProcessUsage {
     user_ms: f64,
     kernel_ms: f64,
-    switches: u64,
-    peak_kb: u64,
+    context_switches: u64,
+    peak_memory_kb: u64,
 }
 
-fn used(pid: u32) -> Used {
-    let mut out = Used::default();
-    let ticks_ms = 10.0;
-    if let Ok(stat) = std::fs::read_to_string(format!("/proc/{pid}/stat")) {
-        let rest = stat.rsplit_once(')').map_or("", |(_, r)| r);
-        let fields: Vec<&str> = rest.split_whitespace().collect();
-        let ms = |i: usize| fields.get(i).and_then(|f| f.parse().ok()).unwrap_or(0.0) * ticks_ms;
-        out.user_ms = ms(11);
-        out.kernel_ms = ms(12);
+impl ProcessUsage {
+    /// Position of the user and kernel times in `/proc/PID/stat`, after the program's name.
+    const USER_TIME_FIELD: usize = 11;
+    const KERNEL_TIME_FIELD: usize = 12;
+    const CLOCK_TICK_MS: f64 = 10.0;
+
+    /// Reads the counters; what can't be read is zero.
+    fn read(pid: u32) -> ProcessUsage {
+        let mut usage = ProcessUsage::default();
+        usage.read_times(pid);
+        let tasks = std::fs::read_dir(format!("/proc/{pid}/task"));
+        for task in tasks.into_iter().flatten().flatten() {
+            let status = std::fs::read_to_string(task.path().join("status")).unwrap_or_default();
+            usage.context_switches += status_field(&status, "voluntary_ctxt_switches:");
+            let peak_memory_kb = status_field(&status, "VmHWM:");
+            usage.peak_memory_kb = usage.peak_memory_kb.max(peak_memory_kb);
+        }
+        usage
+    }
+
+    fn read_times(&mut self, pid: u32) {
+        let Ok(stat) = std::fs::read_to_string(format!("/proc/{pid}/stat")) else {
+            return;
+        };
+        let after_name = stat.rsplit_once(')').map_or("", |(_, rest)| rest);
+        let fields: Vec<&str> = after_name.split_whitespace().collect();
+        let ticks = |index: usize| {
+            let field: Option<f64> = fields.get(index).and_then(|field| field.parse().ok());
+            field.unwrap_or(0.0)
+        };
+        self.user_ms = ticks(Self::USER_TIME_FIELD) * Self::CLOCK_TICK_MS;
+        self.kernel_ms = ticks(Self::KERNEL_TIME_FIELD) * Self::CLOCK_TICK_MS;
     }
-    let field = |text: &str, name: &str| {
-        let line = text.lines().find_map(|l| l.strip_prefix(name))?;
-        line.split_whitespace().next()?.parse::<u64>().ok()
+}
+
+/// A number in `/proc/PID/status`; zero if it is missing.
+fn status_field(status: &str, name: &str) -> u64 {
+    let rest = status.lines().find_map(|line| line.strip_prefix(name));
+    let number = rest.and_then(|rest| rest.split_whitespace().next());
+    number.and_then(|number| number.parse().ok()).unwrap_or(0)
+}
+
+/// Submits jobs at a steady rate to the controllers in turn.
+async fn simulate_users(
+    cluster: Rc<LoopbackCluster>,
+    executor: Rc<LocalExecutor<'static>>,
+    submit_interval_ms: u64,
+) {
+    let controllers = cluster.worker_config.controllers.clone();
+    for number in 1u64.. {
+        let controller = controllers[number as usize % controllers.len()].addr;
+        executor.spawn(run_job(controller, number)).detach();
+        pause(submit_interval_ms).await;
+    }
+}
+
+/// One user: submits a job, polls it until it is done, and cancels it if that takes too long.
+async fn run_job(controller: SocketAddr, number: u64) {
+    let client = Client::new(controller);
+    let spec = job(number);
+    let Ok(body) = rmp_serde::to_vec_named(&spec) else {
+        return;
     };
-    for task in std::fs::read_dir(format!("/proc/{pid}/task"))
-        .into_iter()
-        .flatten()
-        .flatten()
-    {
-        let text = std::fs::read_to_string(task.path().join("status")).unwrap_or_default();
-        out.switches += field(&text, "voluntary_ctxt_switches:").unwrap_or(0);
-        out.peak_kb = out.peak_kb.max(field(&text, "VmHWM:").unwrap_or(0));
+    loop {
+        let submitted = client.call(Method::Post, "/v1/jobs", body.clone(), SUBMIT_TIMEOUT_MS);
+        let submitted = submitted.await;
+        if submitted.is_ok_and(|answer| matches!(answer.status, 200 | 201)) {
+            break;
+        }
+        pause(SUBMIT_RETRY_MS).await;
+    }
+    let path = format!("/v1/jobs/{}", spec.id);
+    for _ in 0..MAX_STATUS_POLLS {
+        pause(STATUS_POLL_INTERVAL_MS).await;
+        if is_done(&client, &path).await {
+            return;
+        }
     }
-    out
+    let path = format!("{path}/withdraw");
+    let cancelled = client.call(Method::Post, &path, Vec::new(), SUBMIT_TIMEOUT_MS);
+    // Without an answer the job goes on; that costs machines and nothing else.
+    let _ = cancelled.await;
 }
 
-/// Jobs of all shapes in the proportions of a busy deployment; about one task in two of a machine.
-fn job(n: u64) -> JobSpec {
-    let (shape, tasks, priority, size) = match n % 16 {
+async fn is_done(client: &Client, path: &str) -> bool {
+    let answer = client.call(Method::Get, path, Vec::new(), STATUS_TIMEOUT_MS);
+    let status = answer
+        .await
+        .ok()
+        .and_then(|answer| rmp_serde::from_slice::<JobStatus>(&answer.body).ok());
+    status.is_some_and(|status| status.status == "done")
+}
+
+/// Jobs of all kinds in the proportions of a busy deployment; a task takes about half a machine.
+fn job(number: u64) -> JobSpec {
+    let (kind, tasks, priority, size) = match number % 16 {
         0 => (JobKind::Service, 6, Priority::Production, 1.0),
-        1..=5 => (JobKind::Gang, 1 << (n % 3), Priority::High, 1.0),
-        6..=9 => (JobKind::Gang, 1 << (n % 5), Priority::Normal, 2.0),
+        1..=5 => (JobKind::Gang, 1 << (number % 3), Priority::High, 1.0),
+        6..=9 => (JobKind::Gang, 1 << (number % 5), Priority::Normal, 2.0),
         _ => (JobKind::Array, 15, Priority::Normal, 1.0),
     };
-    let gang = shape == JobKind::Gang;
+    let is_gang = kind == JobKind::Gang;
     JobSpec {
-        id: format!("job-{n:06}"),
-        class: format!("class-{}", n % 16 / 6),
+        id: format!("job-{number:06}"),
+        class: format!("class-{}", number % 16 / 6),
         team: "ovens".into(),
-        kind: shape,
+        kind,
         priority,
         tasks,
         vcpus: 8.0 * size,
         gpus: 2.0 * size,
         mem_gb: 30.0 * size,
-        image: format!("image-{}", n % 23),
+        image: format!("image-{}", number % 23),
         image_gb: 5.0,
         types: None,
         zone: None,
-        one_zone: gang,
+        one_zone: is_gang,
         spread: false,
-        spot: !gang || size < 2.0,
+        spot: !is_gang || size < 2.0,
         estimated_run_s: 100.0,
         checkpoint_s: 15.0,
         checkpoint_grace_s: 2.0,
@@ -118,112 +296,3 @@
         dependencies: Vec::new(),
     }
 }
-
-/// Users: submits jobs at a steady rate, polls those that are open, and cancels services.
-async fn users(w: Rc<World>, ex: Rc<LocalExecutor<'static>>, every_ms: u64) {
-    let nodes = w.habits.controllers.clone();
-    for n in 1u64.. {
-        let to = nodes[n as usize % nodes.len()].1;
-        ex.spawn(async move {
-            let client = Client::new(to);
-            let spec = job(n);
-            let Ok(body) = rmp_serde::to_vec_named(&spec) else {
-                return;
-            };
-            loop {
-                let sent = client.call(Method::Post, "/v1/jobs", body.clone(), 5000);
-                if sent.await.is_ok_and(|f| matches!(f.status, 200 | 201)) {
-                    break;
-                }
-                pause(1000).await;
-            }
-            let path = format!("/v1/jobs/{}", spec.id);
-            for _ in 0..60 {
-                pause(5000).await;
-                let polled = client.call(Method::Get, &path, Vec::new(), 2000).await;
-                let status = polled.ok().and_then(|f| {
-                    rmp_serde::from_slice::<pointhook::protocol::users::JobStatus>(&f.body).ok()
-                });
-                if status.is_some_and(|s| s.status == "done") {
-                    return;
-                }
-            }
-            let path = format!("{path}/withdraw");
-            let _ = client.call(Method::Post, &path, Vec::new(), 5000).await;
-        })
-        .detach();
-        pause(every_ms).await;
-    }
-}
-
-fn main() -> std::io::Result<()> {
-    let args = Args::parse();
-    let ex = Rc::new(LocalExecutor::new());
-    let all = Addresses::allot(args.nodes)?;
-    let w = Rc::new(World::new(Habits {
-        controllers: all.iter().map(|a| (a.name.clone(), a.bind)).collect(),
-        report_ms: (args.report_s * 1000.0) as u64,
-        image_pull_ms: 10_000,
-        run_ms: args.run_s * 1000,
-        lease_ms: 30_000,
-        tell: false,
-    }));
-    w.cloud.borrow_mut().capacity = args.machines;
-    let (state, cloud) = (listen(addr(7483))?, listen(addr(7482))?);
-    let deployment = Deployment {
-        program: args.program.clone().into(),
-        features: args.features.clone(),
-        folder: own_folder("load")?,
-        state: addr(7483),
-        cloud: addr(7482),
-        under: args.under.clone(),
-        lease_s: 30.0,
-        report_s: args.report_s,
-        state_rps: 250.0,
-        state_write_rps: 20.0,
-    };
-    let mut controllers = Vec::new();
-    for at in 0..all.len() {
-        controllers.push(Controller::start(&deployment, &all, at)?);
-    }
-    // Half of a machine's room for each task, about eight tasks a job, all of them busy.
-    let every_ms = (args.run_s as f64 * 1000.0 * 6.5 / f64::from(args.machines)) as u64;
-    let measured = async {
-        ex.spawn(network::run(w.clone(), ex.clone(), state, cloud))
-            .detach();
-        pause(1000).await;
-        ex.spawn(users(w.clone(), ex.clone(), every_ms)).detach();
-        pause(args.seconds * 1000).await;
-        let pids: Vec<u32> = controllers
-            .iter()
-            .filter_map(Controller::program_pid)
-            .collect();
-        let before: Vec<Used> = pids.iter().map(|p| used(*p)).collect();
-        let (answered, started) = (w.answered.get(), w.started.get());
-        pause(args.seconds * 1000).await;
-        let s = args.seconds as f64;
-        println!(
-            "{} machines, {:.1} reports and {:.1} starts a second, store at revision {}",
-            w.workers.borrow().len(),
-            (w.answered.get() - answered) as f64 / s,
-            (w.started.get() - started) as f64 / s,
-            w.store.borrow().revision
-        );
-        for (i, pid) in pids.iter().enumerate() {
-            let (a, b) = (before[i], used(*pid));
-            println!(
-                "n{i}: {:.2} ms own and {:.2} ms kernel time a second, {:.0} switches a second, {:.1} MB at most",
-                (b.user_ms - a.user_ms) / s,
-                (b.kernel_ms - a.kernel_ms) / s,
-                (b.switches - a.switches) as f64 / s,
-                b.peak_kb as f64 / 1024.0
-            );
-        }
-    };
-    async_io::block_on(ex.run(measured));
-    for controller in &mut controllers {
-        controller.end()?;
-    }
-    println!("logs of the controllers: {}", deployment.folder.display());
-    Ok(())
-}
--- a/examples/local_cluster.rs
+++ b/examples/local_cluster.rs
@@ -1,28 +1,35 @@
-//! Stand-ins of the state service, the cloud and its workers on loopback, so that a
-//! controller can be tried by hand: see README, "Try it".
+//! The key-value store, the cloud and its workers on loopback, so that a controller can be tried by
+//! hand: see README, "Try it".
 
 use async_executor::LocalExecutor;
 use pointhook::transport::http::listen;
 use std::rc::Rc;
-use testkit::network::{self, Habits, World};
+use testkit::network::{self, ControllerEndpoint, LoopbackCluster, WorkerConfig};
 
-const CONTROLLER: &str = "127.0.0.1:7480";
-const CLOUD: &str = "127.0.0.1:7482";
-const STATE: &str = "127.0.0.1:7483";
+const CONTROLLER_NAME: &str = "controller-0";
+const CONTROLLER_ADDR: &str = "127.0.0.1:7480";
+const CLOUD_ADDR: &str = "127.0.0.1:7482";
+const KV_ADDR: &str = "127.0.0.1:7483";
 
 fn main() -> std::io::Result<()> {
-    let ex = Rc::new(LocalExecutor::new());
-    let addr = |a: &str| a.parse().map_err(std::io::Error::other);
-    let w = Rc::new(World::new(Habits {
-        controllers: vec![("mill-0".into(), addr(CONTROLLER)?)],
-        report_ms: 1000,
+    let executor = Rc::new(LocalExecutor::new());
+    let parse = |addr: &str| addr.parse().map_err(std::io::Error::other);
+    let controller = ControllerEndpoint {
+        name: CONTROLLER_NAME.into(),
+        addr: parse(CONTROLLER_ADDR)?,
+    };
+    let cluster = Rc::new(LoopbackCluster::new(WorkerConfig {
+        controllers: vec![controller],
+        heartbeat_interval_ms: 1000,
         image_pull_ms: 1000,
         run_ms: 5000,
         lease_ms: 10_000,
-        tell: true,
+        verbose: true,
     }));
-    let (s, c) = (listen(addr(STATE)?)?, listen(addr(CLOUD)?)?);
-    println!("state service on {STATE}, cloud on {CLOUD}, workers report to {CONTROLLER}");
-    async_io::block_on(ex.run(network::run(w, ex.clone(), s, c)));
+    let kv_listener = listen(parse(KV_ADDR)?)?;
+    let cloud_listener = listen(parse(CLOUD_ADDR)?)?;
+    println!("key-value store on {KV_ADDR}, cloud on {CLOUD_ADDR}, workers call {CONTROLLER_ADDR}");
+    let services = network::run(cluster, executor.clone(), kv_listener, cloud_listener);
+    async_io::block_on(executor.run(services));
     Ok(())
 }
--- a/tests/autoscaling.rs
+++ b/tests/autoscaling.rs
@@ -16,11 +16,11 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use support::controller::Controller;
 use support::job;
-use support::store::Store;
-use support::worker::Worker;
+use support::kv_store::FakeKvStore;
+use support::worker::FakeWorker;
 
-fn ready() -> (Store, Controller) {
-    let mut store = Store::default();
+fn ready() -> (FakeKvStore, Controller) {
+    let mut store = FakeKvStore::default();
     let mut c = Controller::start("n1", 1, &mut store, 0);
     c.members(&mut store, 0);
     (store, c)
@@ -120,7 +120,7 @@
         kind: shape,
         ..job(id, tasks)
     };
-    let mut worker = Worker::new("m1", "north", 0);
+    let mut worker = FakeWorker::new("m1", "north", 0);
     c.submit(&mut store, of_mixers("job-1", 1, JobKind::Service), 0);
     c.visit(&mut store, &mut worker, 0);
     assert_eq!(c.job("job-1").placements.len(), 1);
@@ -162,7 +162,7 @@
         count: 2,
         machines: Vec::new(),
     };
-    let put = |c: &mut Controller, store: &mut Store, rec: &ProvisioningRecord| {
+    let put = |c: &mut Controller, store: &mut FakeKvStore, rec: &ProvisioningRecord| {
         let txn = Transaction {
             conditions: Vec::new(),
             writes: set(format!("{ROOT}book/b-1-1"), rec, None)
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -40,7 +40,7 @@
     w.outage = true;
     w.run(5 * CANCEL_MS);
     for host in &w.hosts {
-        assert_eq!(host.worker.session, 1);
+        assert_eq!(host.worker.agent_epoch, AgentEpoch(1));
     }
     recover(&mut w);
     w.keeps_the_rules();
@@ -107,7 +107,7 @@
 fn a_cancellation_of_what_a_deaf_mute_or_hanging_machine_runs_is_carried_out_in_time() {
     for ill in 0..3 {
         let (mut w, leader, other) = two_long_jobs();
-        let host = w.hosts.iter().position(|h| h.worker.has("job-1/0"));
+        let host = w.hosts.iter().position(|h| h.worker.has_task("job-1/0"));
         let h = &mut w.hosts[host.unwrap()];
         match ill {
             0 => h.ill.deaf = true,
@@ -128,7 +128,7 @@
 #[test]
 fn a_mute_machine_is_stopped_by_whoever_knows() {
     let (mut w, leader, other) = two_long_jobs();
-    let host = w.hosts.iter().position(|h| h.worker.has("job-1/0"));
+    let host = w.hosts.iter().position(|h| h.worker.has_task("job-1/0"));
     let host = host.unwrap();
     // Its lease is far longer than the time for cancellations, so that nothing else ends it.
     w.hosts[host].worker.lease_ms = 10 * CANCEL_MS;
@@ -150,9 +150,9 @@
     w.run(4000);
     // The claims are carried out late, their starts get no answer.
     assert!(w.submit(0, job("job-1", 6)));
-    w.store.late_ms = Some(3000);
+    w.store.execution_delay_ms = Some(3000);
     w.run(1500);
-    w.store.late_ms = None;
+    w.store.execution_delay_ms = None;
     assert!(w.cancel(1, "job-1"));
     w.run(1000);
     w.outage = true;
@@ -353,8 +353,8 @@
 #[test]
 fn a_direct_stop_ends_what_saves_and_leaves_alone_what_has_ended_or_is_not_there() {
     use pointhook::protocol::workers::{Command, TaskState};
-    let mut w = support::worker::Worker::new("m1", "north", 0);
-    let mut status = w.report(0);
+    let mut w = support::worker::FakeWorker::new("m1", "north", 0);
+    let mut status = w.heartbeat(0);
     (status.fencing_token, status.agent_epoch) = (FencingToken(7), AgentEpoch(3));
     let shown = |task: &str, state| pointhook::protocol::workers::TaskStatus {
         task: task.into(),
--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -31,13 +31,13 @@
 use pointhook::state::units::MonotonicMillis;
 use std::collections::{HashMap, HashSet};
 use std::fmt::Write;
-use support::cloud::Cloud;
+use support::cloud::FakeCloud;
 use support::controller::{one, Standby, CANCEL_MS};
 use support::days::Day;
 use support::digest;
 use support::job;
 use support::scenarios::{recover, refuse_leader_then_all, two_long_jobs};
-use support::worker::Worker;
+use support::worker::FakeWorker;
 use support::world::World;
 
 const GOLDEN: &str = "tests/data/decision_digest.txt";
@@ -280,15 +280,15 @@
 fn renting(seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let (mut store, mut c) = one();
-    let mut cloud = Cloud::default();
-    let mut workers: Vec<Worker> = Vec::new();
+    let mut cloud = FakeCloud::default();
+    let mut workers: Vec<FakeWorker> = Vec::new();
     for now in (0..150_000).step_by(1000) {
         if now < 80_000 && rng.u8(..5) == 0 {
             let mut spec = any_job(&mut rng, now as u32 / 1000, &[]);
             spec.spot = rng.bool();
             c.submit(&mut store, spec, now);
         }
-        let listed = cloud.list(now).hosts;
+        let listed = cloud.list_machines(now).hosts;
         let list: HashMap<String, ListedMachine> =
             listed.into_iter().map(|h| (h.name.clone(), h)).collect();
         let mut have = supply(
@@ -320,15 +320,12 @@
                 count,
             };
             digest::note("booking", now, &booking);
-            for name in cloud
-                .send_provisioning_request(&booking, now)
-                .unwrap_or_default()
-            {
+            for name in cloud.provision(&booking, now).unwrap_or_default() {
                 let (zone, spot) = (&booking.zone, booking.spot);
                 let kind = &booking.machine_type;
                 c.cluster
                     .learn_machine(&name, kind, zone, spot, MonotonicMillis(now));
-                let mut worker = Worker::new(&name, zone, now);
+                let mut worker = FakeWorker::new(&name, zone, now);
                 worker.spot = spot;
                 workers.push(worker);
             }
@@ -337,7 +334,7 @@
             c.visit(&mut store, w, now);
         }
         // A rule of this test: what is empty and not needed goes back every four seconds.
-        let idle = |w: &Worker| {
+        let idle = |w: &FakeWorker| {
             let empty = c.cluster.placed_on(c.machine(&w.name)).is_empty();
             empty && now % 4000 == 0 && !needed.contains(&w.name)
         };
@@ -347,7 +344,7 @@
             .map(|w| w.name.clone())
             .collect();
         digest::note("returned", now, &idle);
-        cloud.release(&idle);
+        cloud.delete_machines(&idle);
         workers.retain(|w| !idle.contains(&w.name));
         for name in &idle {
             let mix = c.machine(name);
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -11,8 +11,7 @@
 use pointhook::coordination::{autoscaler, membership, peer_messages, worker_connectivity};
 use pointhook::protocol::peers::MachineStatus;
 use pointhook::protocol::users::JobKind;
-use pointhook::protocol::workers::Command;
-use pointhook::protocol::workers::FencingToken;
+use pointhook::protocol::workers::{AgentEpoch, Command, FencingToken};
 use pointhook::state::job::JobState;
 use pointhook::state::names::{ShardIndex, ZoneIndex};
 use pointhook::state::units::Incarnation;
@@ -20,7 +19,7 @@
 use std::collections::HashMap;
 use support::controller::{one, play, Controller};
 use support::job;
-use support::worker::Worker;
+use support::worker::FakeWorker;
 
 fn gang(id: &str, tasks: u32) -> pointhook::protocol::users::JobSpec {
     let mut spec = job(id, tasks);
@@ -32,15 +31,15 @@
 #[test]
 fn a_late_copy_proves_nothing_and_gets_no_orders() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     w.run_ms = 60_000;
     c.visit(&mut store, &mut w, 0);
-    let empty = w.report(100);
+    let empty = w.heartbeat(100);
     c.report(&mut store, &empty, 100).unwrap();
     c.submit(&mut store, job("job-1", 1), 200);
     c.visit(&mut store, &mut w, 1000);
     c.visit(&mut store, &mut w, 2000);
-    assert!(w.has("job-1/0"));
+    assert!(w.has_task("job-1/0"));
     // A copy of the report from before the start, well over a lease later.
     play(&mut c, &mut store, &mut [&mut w], 2500, 30_000);
     let heard = c.cluster.machine(c.machine("m1")).unwrap().last_heartbeat;
@@ -56,9 +55,9 @@
 #[test]
 fn a_copy_of_the_newest_report_takes_no_start_for_delivered() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
-    let r = w.report(500);
+    let r = w.heartbeat(500);
     c.report(&mut store, &r, 500).unwrap();
     c.submit(&mut store, job("job-1", 1), 600);
     // The copy comes first after the claim: its answer goes nowhere.
@@ -78,10 +77,10 @@
 fn a_late_copy_after_a_take_over_is_no_sign_of_life() {
     let (mut store, old) = one();
     let mut old = old;
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     old.visit(&mut store, &mut w, 0);
-    let copy = w.report(100);
-    store.end_lease(old.lease);
+    let copy = w.heartbeat(100);
+    store.revoke_lease(old.lease);
     let mut new = Controller::start("s1", 2, &mut store, 200);
     new.members(&mut store, 200);
     new.submit(&mut store, job("job-1", 1), 300);
@@ -91,7 +90,7 @@
     assert_eq!(new.cluster.machine(mix).unwrap().last_heartbeat, None);
     assert!(new.draft(40_000).claims.is_empty());
     // The machine itself, once it has the new token, is heard and gets the work.
-    let mut alive = Worker::new("m2", "north", 40_000);
+    let mut alive = FakeWorker::new("m2", "north", 40_000);
     new.visit(&mut store, &mut alive, 40_000);
     assert_eq!(alive.started.len(), 1);
 }
@@ -99,9 +98,9 @@
 #[test]
 fn a_late_copy_brings_no_deleted_machine_back() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
-    let copy = w.report(100);
+    let copy = w.heartbeat(100);
     let mix = c.machine("m1");
     c.cluster.mark_deleted(mix);
     c.submit(&mut store, job("job-1", 1), 200);
@@ -112,12 +111,12 @@
 #[test]
 fn a_machine_that_hears_nothing_gets_no_work_and_its_tasks_go_elsewhere() {
     let (mut store, mut c) = one();
-    let mut deaf = Worker::new("m1", "north", 0);
+    let mut deaf = FakeWorker::new("m1", "north", 0);
     c.visit(&mut store, &mut deaf, 0);
     c.submit(&mut store, job("job-1", 1), 100);
     // Its reports arrive, the answers do not.
     for now in (500..4000).step_by(500) {
-        let r = deaf.report(now);
+        let r = deaf.heartbeat(now);
         c.report(&mut store, &r, now).unwrap();
     }
     assert!(c
@@ -127,7 +126,7 @@
         .unreachable_since
         .is_some());
     assert!(c.job("job-1").placements.is_empty());
-    let mut other = Worker::new("m2", "north", 4000);
+    let mut other = FakeWorker::new("m2", "north", 4000);
     c.visit(&mut store, &mut other, 4000);
     assert_eq!(other.started.len(), 1);
     assert!(deaf.started.is_empty());
@@ -136,7 +135,7 @@
 #[test]
 fn a_machine_that_hears_nothing_is_returned_unless_it_is_reached_again() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
     let mix = c.machine("m1");
     c.cluster.machine_mut(mix).unwrap().unreachable_since = Some(MonotonicMillis(1000));
@@ -163,13 +162,13 @@
 #[test]
 fn a_session_that_ends_under_steady_answers_tells_that_they_do_not_arrive() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
     for now in (500..12_000).step_by(500) {
-        let r = w.report(now);
+        let r = w.heartbeat(now);
         c.report(&mut store, &r, now).unwrap();
     }
-    assert!(w.session > 1);
+    assert!(w.agent_epoch > AgentEpoch(1));
     let m = c.cluster.machine(c.machine("m1")).unwrap();
     assert!(m.unreachable_since.is_some() && !m.is_schedulable(MonotonicMillis(12_000), 4000));
 }
@@ -177,12 +176,12 @@
 #[test]
 fn a_session_that_ends_while_nobody_answers_tells_nothing() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     play(&mut c, &mut store, &mut [&mut w], 0, 12_000);
     // No node answers for longer than its lease; then all is as before.
     w.advance(30_000);
     play(&mut c, &mut store, &mut [&mut w], 30_000, 31_000);
-    assert!(w.session > 1);
+    assert!(w.agent_epoch > AgentEpoch(1));
     assert!(c
         .cluster
         .machine(c.machine("m1"))
@@ -195,12 +194,15 @@
 fn a_gang_task_whose_wait_ran_out_waits_again_under_the_same_attempt() {
     let (mut store, mut c) = one();
     c.submit(&mut store, gang("job-1", 2), 0);
-    let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "north", 0));
+    let (mut w1, mut w2) = (
+        FakeWorker::new("m1", "north", 0),
+        FakeWorker::new("m2", "north", 0),
+    );
     w1.run_ms = 1_000_000;
     // The second machine fetches for longer than the first one waits.
     w2.image_pull_ms = 1_000_000;
     play(&mut c, &mut store, &mut [&mut w1, &mut w2], 0, 2000);
-    w1.give_up_waiting();
+    w1.time_out_gang_wait();
     play(&mut c, &mut store, &mut [&mut w1, &mut w2], 2000, 3000);
     assert!(c.job("job-1").placements.iter().all(|p| p.attempt == 1));
     assert_eq!(w1.started.len(), 2);
@@ -212,12 +214,15 @@
 fn a_gang_that_never_gets_complete_is_tried_anew_after_a_few_waits() {
     let (mut store, mut c) = one();
     c.submit(&mut store, gang("job-1", 2), 0);
-    let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "north", 0));
+    let (mut w1, mut w2) = (
+        FakeWorker::new("m1", "north", 0),
+        FakeWorker::new("m2", "north", 0),
+    );
     w2.image_pull_ms = 1_000_000;
     w1.run_ms = 1_000_000;
     play(&mut c, &mut store, &mut [&mut w1, &mut w2], 0, 2000);
     for i in 0..6 {
-        w1.give_up_waiting();
+        w1.time_out_gang_wait();
         let from = 2000 + i * 2000;
         play(
             &mut c,
@@ -233,28 +238,28 @@
 #[test]
 fn a_node_cut_from_the_store_starts_nothing_and_stands_down_at_the_higher_token() {
     let (mut store, mut old) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     w.run_ms = 60_000;
     old.submit(&mut store, job("job-1", 1), 0);
     old.visit(&mut store, &mut w, 0);
     old.visit(&mut store, &mut w, 1000);
-    assert!(w.has("job-1/0"));
+    assert!(w.has_task("job-1/0"));
     // It loses the store and its peers; its key ends and another takes its shards.
-    store.end_lease(old.lease);
+    store.revoke_lease(old.lease);
     let mut new = Controller::start("s1", 2, &mut store, 5000);
     new.members(&mut store, 5000);
     new.submit(&mut store, job("job-2", 1), 5100);
     // It goes on answering its worker, which keeps its task and gets nothing new.
-    let r = w.report(6000);
+    let r = w.heartbeat(6000);
     let a = old.report_without_store(&r, 6000).unwrap();
     assert!(!a
         .commands
         .iter()
         .any(|o| matches!(o, Command::Start { .. })));
-    assert!(w.answered(&a, r.agent_epoch.0, 6000, 6000));
+    assert!(w.receive_response(&a, r.agent_epoch, 6000, 6000));
     // The new owner shows its token; the worker reports it, and the old one stands down.
-    w.token = new.cluster.shards[0].record.fencing_token.0;
-    let r = w.report(7000);
+    w.fencing_token = new.cluster.shards[0].record.fencing_token;
+    let r = w.heartbeat(7000);
     assert!(old.report_without_store(&r, 7000).is_none());
     // The task stays where it is, once: its placement is as good as before.
     new.visit(&mut store, &mut w, 7500);
@@ -267,12 +272,12 @@
 #[test]
 fn a_machine_that_went_while_all_nodes_were_down_does_not_hold_its_tasks_for_ever() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.submit(&mut store, job("job-1", 1), 0);
     c.visit(&mut store, &mut w, 0);
     assert_eq!(c.job("job-1").placements.len(), 1);
     // All nodes restart, and the cloud takes the machine before any of them hears it.
-    store.end_lease(c.lease);
+    store.revoke_lease(c.lease);
     let mut new = Controller::start("n1", 2, &mut store, 5000);
     new.members(&mut store, 5000);
     new.plan(&mut store, 200_000);
@@ -307,7 +312,7 @@
 #[test]
 fn news_of_machines_counts_only_from_their_owner() {
     let (mut store, old) = one();
-    store.end_lease(old.lease);
+    store.revoke_lease(old.lease);
     let mut new = Controller::start("s1", 2, &mut store, 5000);
     let mut third = Controller::start("s2", 3, &mut store, 5000);
     new.members(&mut store, 5000);
@@ -340,9 +345,9 @@
 #[test]
 fn a_machine_that_an_earlier_owner_closed_is_judged_anew_by_the_next() {
     let (mut store, mut old) = one();
-    let mut worker = Worker::new("m1", "north", 0);
+    let mut worker = FakeWorker::new("m1", "north", 0);
     old.visit(&mut store, &mut worker, 0);
-    store.end_lease(old.lease);
+    store.revoke_lease(old.lease);
     let mut new = Controller::start("s1", 2, &mut store, 5000);
     let closed = MachineStatus {
         cordoned: true,
@@ -364,7 +369,7 @@
     new.members(&mut store, 5000);
     new.submit(&mut store, job("job-1", 1), 5000);
     play(&mut new, &mut store, &mut [&mut worker], 5500, 8000);
-    assert!(worker.has("job-1/0"));
+    assert!(worker.has_task("job-1/0"));
     // What the owner itself has closed, to return it, stays so.
     new.cluster.machine_mut(mix).unwrap().cordoned = true;
     play(&mut new, &mut store, &mut [&mut worker], 8000, 10_000);
@@ -378,7 +383,7 @@
 #[test]
 fn a_new_owner_gives_machines_time_to_learn_its_token() {
     let (mut store, mut old) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     old.visit(&mut store, &mut w, 0);
     let limits = autoscaler::Silence {
         sure_ms: 10_000,
@@ -390,7 +395,7 @@
     };
     assert_eq!(at(&old), 10_000);
     // The new owner knows it from news; the worker still talks to the old one.
-    store.end_lease(old.lease);
+    store.revoke_lease(old.lease);
     let mut new = Controller::start("s1", 2, &mut store, 5000);
     let known = new
         .cluster
@@ -423,7 +428,7 @@
     old.sync(&store);
     assert!(!old.owns(1));
     // The old incarnation's key ends later: that must not take the new one's along.
-    store.end_lease(target.lease);
+    store.revoke_lease(target.lease);
     back.sync(&store);
     assert!(back.cluster.live_owner(ShardIndex(1)).is_some());
 }
@@ -431,7 +436,7 @@
 #[test]
 fn repeats_of_requests_that_were_carried_out_change_nothing() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.submit(&mut store, job("job-1", 1), 0);
     c.visit(&mut store, &mut w, 0);
     let draft = c.draft(10);
@@ -482,12 +487,12 @@
 #[test]
 fn every_controller_knows_every_job_after_an_outage_with_a_restart_of_all() {
     let (mut store, mut a) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     for i in 1..=30 {
         a.submit(&mut store, job(&format!("job-{i}"), 1), 0);
     }
     a.visit(&mut store, &mut w, 0);
-    store.end_lease(a.lease);
+    store.revoke_lease(a.lease);
     let nodes = ["n1", "s1"].map(|n| Controller::start(n, 7, &mut store, 60_000));
     for c in &nodes {
         assert!(c.cluster.loaded);
@@ -569,7 +574,7 @@
 #[test]
 fn a_node_that_stood_still_does_not_count_that_time_as_silence_of_machines() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
     let m = c.cluster.machine(c.machine("m1")).unwrap();
     // It owned the shard from the start, and stood still from 1 s to 40 s.
@@ -594,27 +599,27 @@
 #[test]
 fn what_was_drafted_before_a_stop_is_refused_after_a_take_over() {
     let (mut store, mut old) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     w.run_ms = 600_000;
     old.submit(&mut store, job("job-0", 1), 0);
     play(&mut old, &mut store, &mut [&mut w], 0, 1500);
-    assert!(w.has("job-0/0"));
+    assert!(w.has_task("job-0/0"));
     old.submit(&mut store, job("job-1", 1), 1500);
     let draft = old.draft(1600);
     assert_eq!(draft.claims.len(), 1);
     let late = pointhook::coordination::kv::transaction(&old.cluster, &draft);
     // It stands still past its lease; another takes its shards and gives the task away.
-    store.end_lease(old.lease);
+    store.revoke_lease(old.lease);
     let mut new = Controller::start("s1", 2, &mut store, 20_000);
     new.members(&mut store, 20_000);
-    let mut other = Worker::new("m2", "north", 20_000);
+    let mut other = FakeWorker::new("m2", "north", 20_000);
     new.visit(&mut store, &mut other, 20_000);
     // It goes on where it stood: the commit, an answer held back, a proof by time.
     assert!(!matches!(
         Controller::send(&mut store, &late, 40_000),
         pointhook::coordination::kv::CommitOutcome::Committed(_)
     ));
-    let r = w.report(40_000);
+    let r = w.heartbeat(40_000);
     let held = old.report_without_store(&r, 40_000).unwrap();
     assert!(!held
         .commands
--- a/tests/http_api.rs
+++ b/tests/http_api.rs
@@ -98,7 +98,7 @@
     let zones = ["north".to_string(), "south".to_string()];
     let mut v = ClusterState::new(&zones, &[team("ovens", 0.0), team("mixers", 2.0)], 1);
     v.set_machine_types(&pointhook::protocol::cloud::MachineTypeCatalog {
-        types: vec![cloud::flavor()],
+        types: vec![cloud::machine_type()],
     });
     let mut ok = |f: &dyn Fn(&mut JobSpec)| {
         let mut spec = job("job-1", 3);
@@ -212,7 +212,7 @@
 #[test]
 fn the_platforms_file_may_have_unknown_fields_but_lack_none() {
     let good = file("good.toml", &format!("novelty = 1\n{PLATFORM}"));
-    assert_eq!(Platform::load(&good).unwrap().node, "mill-0");
+    assert_eq!(Platform::load(&good).unwrap().node, "controller-0");
     for lost in ["cluster_listen", "lease_s", "txn_ops"] {
         let text: Vec<&str> = PLATFORM.lines().filter(|l| !l.starts_with(lost)).collect();
         let path = file(&format!("no-{lost}.toml"), &text.join("\n"));
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -12,8 +12,8 @@
 use std::collections::BTreeSet;
 use support::controller::{one, Controller};
 use support::job;
-use support::store::Store;
-use support::worker::Worker;
+use support::kv_store::FakeKvStore;
+use support::worker::FakeWorker;
 
 const MACHINES: usize = 4000;
 
@@ -28,7 +28,7 @@
 }
 
 /// One controller that owns all shards and has heard all machines of both zones.
-fn large_fleet() -> (Store, Controller) {
+fn large_fleet() -> (FakeKvStore, Controller) {
     let (store, mut c) = one();
     for i in 0..MACHINES {
         let zone = ["north", "south"][i % 2];
@@ -126,7 +126,7 @@
     let (_, mut c) = large_fleet();
     for i in 0..MACHINES {
         let zone = ["north", "south"][i % 2];
-        let report = Worker::new(&machine_name(i), zone, 0).report(1000);
+        let report = FakeWorker::new(&machine_name(i), zone, 0).heartbeat(1000);
         let received = heartbeats::receive(
             &mut c.cluster,
             &c.config,
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -63,19 +63,19 @@
 #[test]
 fn an_old_report_of_a_wait_that_ran_out_proves_nothing_to_a_new_owner() {
     let (mut store, mut c) = support::controller::one();
-    let mut worker = support::worker::Worker::new("m1", "north", 0);
+    let mut worker = support::worker::FakeWorker::new("m1", "north", 0);
     let mut gang = job("job-1", 1);
     gang.kind = pointhook::protocol::users::JobKind::Gang;
     c.submit(&mut store, gang, 0);
     support::controller::play(&mut c, &mut store, &mut [&mut worker], 0, 1500);
-    assert!(worker.has("job-1/0"));
-    worker.give_up_waiting();
-    let old = worker.report(1500);
+    assert!(worker.has_task("job-1/0"));
+    worker.time_out_gang_wait();
+    let old = worker.heartbeat(1500);
     // It waits again in its place, under the same attempt.
     c.visit(&mut store, &mut worker, 2000);
-    assert!(worker.has("job-1/0"));
+    assert!(worker.has_task("job-1/0"));
     // A new owner gets a copy of the report from before; the job has been cancelled.
-    store.end_lease(c.lease);
+    store.revoke_lease(c.lease);
     let mut new = support::controller::Controller::start("s1", 2, &mut store, 2500);
     assert_eq!(new.members(&mut store, 2500), 3);
     new.cancel(&mut store, "job-1", 2600);
@@ -87,7 +87,7 @@
 fn a_gang_lost_while_one_of_it_is_told_to_wait_again_leaves_that_in_its_place() {
     let (mut store, mut c) = support::controller::one();
     let mut hosts = [("m1", 0), ("m2", 0)].map(|(n, t)| {
-        let mut w = support::worker::Worker::new(n, "north", t);
+        let mut w = support::worker::FakeWorker::new(n, "north", t);
         w.image_pull_ms = 60_000;
         w
     });
@@ -104,9 +104,9 @@
         c.visit(&mut store, w, 1000);
     }
     let [first, second] = &mut hosts;
-    assert!(first.has("job-1/0") && second.has("job-1/1"));
-    first.give_up_waiting();
-    let r = first.report(1500);
+    assert!(first.has_task("job-1/0") && second.has_task("job-1/1"));
+    first.time_out_gang_wait();
+    let r = first.heartbeat(1500);
     let answer = c.report(&mut store, &r, 1500).unwrap();
     assert_eq!(answer.commands.len(), 2, "forget and start");
     // The answer is on its way when the other's machine is deleted.
@@ -115,38 +115,38 @@
     c.plan(&mut store, 1600);
     let job = c.job("job-1");
     assert!(job.placement(0).is_some(), "its end is not for good");
-    assert!(first.answered(&answer, r.agent_epoch.0, 1500, 2500));
-    assert!(first.has("job-1/0"));
+    assert!(first.receive_response(&answer, r.agent_epoch, 1500, 2500));
+    assert!(first.has_task("job-1/0"));
     // It is stopped there, and then the gang begins anew.
     support::controller::play(&mut c, &mut store, &mut [first], 3000, 6000);
-    assert!(!first.has("job-1/0"));
+    assert!(!first.has_task("job-1/0"));
     assert!(c.job("job-1").placements.is_empty());
 }
 
 #[test]
 fn an_end_of_an_earlier_session_proves_nothing_once_the_shard_is_back() {
     let (mut store, mut c) = support::controller::one();
-    let mut worker = support::worker::Worker::new("m1", "north", 0);
+    let mut worker = support::worker::FakeWorker::new("m1", "north", 0);
     worker.run_ms = 60_000;
     let mut two = job("job-1", 1);
     two.kind = JobKind::Gang;
     c.submit(&mut store, two, 0);
     support::controller::play(&mut c, &mut store, &mut [&mut worker], 0, 3000);
-    assert!(worker.has("job-1/0"));
+    assert!(worker.has_task("job-1/0"));
     // Its owner reads of its end, cut off from the state service.
-    let mut r = worker.report(3000);
+    let mut r = worker.heartbeat(3000);
     r.tasks[0].state = pointhook::protocol::workers::TaskState::Exited;
     r.tasks[0].exit_reason = Some(pointhook::protocol::workers::ExitReason::GangMemberLost);
     let _ = c.report_without_store(&r, 3000);
     // Another takes the shard; the session has ended, and the attempt is started once more.
-    store.end_lease(c.lease);
+    store.revoke_lease(c.lease);
     let mut other = support::controller::Controller::start("s1", 2, &mut store, 9000);
     assert_eq!(other.members(&mut store, 9000), 3);
-    worker.lapse(14_000);
+    worker.expire_lease(14_000);
     support::controller::play(&mut other, &mut store, &mut [&mut worker], 14_000, 16_000);
-    assert!(worker.has("job-1/0"));
+    assert!(worker.has_task("job-1/0"));
     // The first has the shard back, and remembers that end.
-    store.end_lease(other.lease);
+    store.revoke_lease(other.lease);
     let key = format!("{}node/n1", pointhook::state::cluster_state::ROOT);
     assert_eq!(store.version(&key), 0);
     c.sync(&store);
@@ -183,7 +183,7 @@
 fn a_team_at_its_limit_keeps_it_while_cancelled_tasks_are_cut_off_and_the_leader_changes() {
     for ill in 0..3 {
         let mut w = at_the_limit();
-        let host = w.hosts.iter().position(|h| h.worker.has("job-1/0"));
+        let host = w.hosts.iter().position(|h| h.worker.has_task("job-1/0"));
         let host = host.unwrap();
         let leader = w.owner_of(host).unwrap();
         let h = &mut w.hosts[host].ill;
@@ -209,7 +209,7 @@
 #[test]
 fn machines_that_are_up_at_once_get_work_once_while_writes_lag_and_the_leader_ends() {
     let mut w = World::new(2);
-    w.store.late_ms = Some(3000);
+    w.store.execution_delay_ms = Some(3000);
     assert!(!w.submit(0, job("job-1", 4)), "its answer is lost");
     w.run(4000);
     let host = w.boot("north");
@@ -219,7 +219,7 @@
     let leader = w.owner_of(host).unwrap_or(0);
     w.end(leader);
     w.run(3000);
-    w.store.late_ms = None;
+    w.store.execution_delay_ms = None;
     let other = (leader + 1) % 3;
     // The user sends it again, and it is known.
     assert!(!w.submit(other, job("job-1", 4)));
@@ -269,7 +269,7 @@
         assert!(w.submit(0, spec));
     }
     w.run(5000);
-    let on = |w: &World, t: &str| w.hosts.iter().position(|h| h.worker.has(t));
+    let on = |w: &World, t: &str| w.hosts.iter().position(|h| h.worker.has_task(t));
     let lost = on(&w, "job-1/0").unwrap();
     w.hosts[lost].ill.hangs = true;
     w.hosts[lost].ill.mute = true;
@@ -338,7 +338,7 @@
     spec.gpus = 4.0;
     assert!(w.submit(0, spec));
     w.run(6000);
-    let host = w.hosts.iter().position(|h| h.worker.has("job-1/1"));
+    let host = w.hosts.iter().position(|h| h.worker.has_task("job-1/1"));
     let leader = w.owner_of(host.unwrap()).unwrap();
     w.end(leader);
     w.run(8000);
@@ -385,7 +385,7 @@
     for h in &mut w.hosts {
         h.worker.run_ms = 4000;
     }
-    w.store.loses_answers = true;
+    w.store.drops_responses = true;
     for i in 1..=9 {
         let id = format!("job-{i}");
         let at = i % 3;
@@ -404,7 +404,7 @@
             }
         }
     }
-    w.store.loses_answers = false;
+    w.store.drops_responses = false;
     w.run(40_000);
     assert_eq!(w.over(), 9);
     w.keeps_the_rules();
@@ -438,7 +438,7 @@
         h.worker.run_ms = 1500;
         h.worker.image_pull_ms = 500;
     }
-    w.store.writes_per_s = 20.0;
+    w.store.max_writes_per_s = 20.0;
     let (mut sent, mut refused) = (0, 0);
     for _ in 0..120 {
         for _ in 0..2 {
@@ -492,7 +492,7 @@
 fn a_leader_ends_while_machines_with_long_tasks_hear_nobody_or_are_not_heard() {
     for mute in [true, false] {
         let (mut w, leader, other) = two_long_jobs();
-        let host = w.hosts.iter().position(|h| h.worker.has("job-1/0"));
+        let host = w.hosts.iter().position(|h| h.worker.has_task("job-1/0"));
         let ill = &mut w.hosts[host.unwrap()].ill;
         (ill.mute, ill.deaf) = (mute, !mute);
         w.end(leader);
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -64,7 +64,7 @@
     let mut spec = job("job-9", 1);
     spec.dependencies = many;
     let (mut store, mut c) = one();
-    store.value_bytes = 2048;
+    store.max_value_bytes = 2048;
     assert!(matches!(
         c.submit(&mut store, spec, 0),
         CommitOutcome::Committed(_)
@@ -218,9 +218,9 @@
     assert!(w.submit(1, after("job-2", 3, &["job-1"])));
     assert!(w.submit(2, after("job-3", 3, &["job-2"])));
     w.run(3000);
-    w.store.late_ms = Some(3000);
+    w.store.execution_delay_ms = Some(3000);
     w.run(6000);
-    w.store.late_ms = None;
+    w.store.execution_delay_ms = None;
     w.trouble[1].refused = true;
     w.run(4000);
     w.end(0);
@@ -302,13 +302,13 @@
     use pointhook::state::units::MonotonicMillis;
     for needed in [false, true] {
         let (mut store, mut c) = one();
-        let mut w = support::worker::Worker::new("m1", "north", 0);
+        let mut w = support::worker::FakeWorker::new("m1", "north", 0);
         w.run_ms = 100_000;
         let mut low = job("job-1", 1);
         (low.priority, low.gpus, low.checkpoint_s) = (Priority::Low, 4.0, 10.0);
         c.submit(&mut store, low, 0);
         support::controller::play(&mut c, &mut store, &mut [&mut w], 0, 4000);
-        assert!(w.has("job-1/0"));
+        assert!(w.has_task("job-1/0"));
         if needed {
             let mut last = after("job-2", 1, &["job-1"]);
             last.priority = Priority::High;
@@ -342,7 +342,7 @@
     c.sync(&store);
     let txn = begin_record_format_v2(&c.cluster, &["n1", "s1"]).unwrap();
     // One of them comes back with the old version before that is carried out.
-    store.end_lease(s1.lease);
+    store.revoke_lease(s1.lease);
     let key = format!("{ROOT}node/s1");
     let old = pointhook::state::records::ControllerRecord {
         incarnation: Incarnation(3),
@@ -356,13 +356,13 @@
             .collect(),
     };
     store.commit(&write, 0);
-    assert_eq!(store.commit(&txn, 0).0, 409);
+    assert_eq!(store.commit(&txn, 0).status, 409);
     c.sync(&store);
     assert!(begin_record_format_v2(&c.cluster, &["n1", "s1"]).is_none());
     assert!(begin_record_format_v2(&c.cluster, &["n1"]).is_some());
     assert!(!c.cluster.record_format_v2);
     let txn = begin_record_format_v2(&c.cluster, &["n1"]).unwrap();
-    assert_eq!(store.commit(&txn, 0).0, 200);
+    assert_eq!(store.commit(&txn, 0).status, 200);
     c.sync(&store);
     assert!(c.cluster.record_format_v2);
     assert!(begin_record_format_v2(&c.cluster, &["n1"]).is_none());
@@ -390,7 +390,7 @@
         write_rps: 15.0,
     };
     let mut w = World::new(16);
-    w.store.txn_ops = 12;
+    w.store.max_txn_ops = 12;
     expect(&mut w, next);
     for h in &mut w.hosts {
         h.worker.run_ms = 40_000;
@@ -407,7 +407,7 @@
     assert!(w.submit(0, slim("job-1", 150, JobKind::Array)));
     w.run(20_000);
     let widest = |w: &World| {
-        let entries = w.store.list(ROOT, "", 10_000).entries;
+        let entries = w.store.read_page(ROOT, "", 10_000).entries;
         let size = |e: &pointhook::protocol::kv::Entry| e.v.to_string().len();
         entries.iter().map(size).max().unwrap()
     };
@@ -417,9 +417,9 @@
     w.begin_record_format_v2();
     w.run(10_000);
     assert!(widest(&w) <= 2048, "{}", widest(&w));
-    w.store.value_bytes = 2048;
-    w.store.txn_ops = 5;
-    w.store.writes_per_s = 15.0;
+    w.store.max_value_bytes = 2048;
+    w.store.max_txn_ops = 5;
+    w.store.max_writes_per_s = 15.0;
     assert!(w.submit(1, slim("job-2", 200, JobKind::Array)));
     assert!(w.submit(2, slim("job-3", 16, JobKind::Gang)));
     assert!(w.submit(2, slim("job-4", 90, JobKind::Gang)));
@@ -442,7 +442,7 @@
     // Nothing is left of the parts.
     assert!(w
         .store
-        .list(&format!("{ROOT}more/"), "", 10)
+        .read_page(&format!("{ROOT}more/"), "", 10)
         .entries
         .is_empty());
     w.keeps_the_rules();
@@ -514,7 +514,7 @@
                 4 => w.trouble[at].refused = !w.trouble[at].refused,
                 5 => w.end(at),
                 6 | 7 if w.nodes[at].is_none() => w.start(at),
-                8 => w.store.late_ms = rng.bool().then_some(3000),
+                8 => w.store.execution_delay_ms = rng.bool().then_some(3000),
                 _ => {}
             }
             for id in &ids {
@@ -523,7 +523,7 @@
         }
         w.outage = false;
         w.trouble = Default::default();
-        w.store.late_ms = None;
+        w.store.execution_delay_ms = None;
         w.run(6000);
         for at in 0..3 {
             if w.nodes[at].is_none() {
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -19,8 +19,8 @@
 use pointhook::state::units::{MonotonicMillis, Resources};
 use support::controller::{one, play, Controller};
 use support::job;
-use support::store::Store;
-use support::worker::Worker;
+use support::kv_store::FakeKvStore;
+use support::worker::FakeWorker;
 
 /// Adds machines that were just heard.
 fn fleet(c: &mut Controller, n: usize) {
@@ -56,7 +56,7 @@
 
 #[test]
 fn sums_kept_current_are_those_of_the_records() {
-    let mut store = Store::default();
+    let mut store = FakeKvStore::default();
     let mut c = Controller::start("n1", 1, &mut store, 0);
     c.members(&mut store, 0);
     fleet(&mut c, 8);
@@ -156,8 +156,8 @@
 #[test]
 fn a_wide_gang_begins_amid_steady_small_work() {
     let (mut store, mut c) = one();
-    let mut workers: Vec<Worker> = (0..4)
-        .map(|i| Worker::new(&format!("m{i}"), "north", 0))
+    let mut workers: Vec<FakeWorker> = (0..4)
+        .map(|i| FakeWorker::new(&format!("m{i}"), "north", 0))
         .collect();
     let mut gang = job("job-1000", 3);
     gang.kind = JobKind::Gang;
@@ -193,8 +193,8 @@
 
 #[test]
 fn a_job_as_wide_as_the_largest_arrays_runs_whole_within_one_record() {
-    let mut store = Store::default();
-    store.value_bytes = 8 * 1024;
+    let mut store = FakeKvStore::default();
+    store.max_value_bytes = 8 * 1024;
     let mut c = Controller::start("n1", 1, &mut store, 0);
     c.members(&mut store, 0);
     fleet(&mut c, 40);
@@ -277,7 +277,7 @@
 #[test]
 fn ends_of_an_array_are_gathered_but_its_last_is_not_and_its_room_is_free_at_once() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     w.run_ms = 2000;
     c.submit(&mut store, job("job-1", 4), 0);
     play(&mut c, &mut store, &mut [&mut w], 0, 1500);
@@ -302,7 +302,7 @@
         d
     };
     // Three of four are done: nothing is written yet, but what is urgent has their room.
-    let mut r = w.report(4000);
+    let mut r = w.heartbeat(4000);
     r.tasks[3].state = TaskState::Running;
     r.tasks[3].exit_reason = None;
     let take = |c: &mut Controller, r| {
@@ -318,7 +318,7 @@
     assert_eq!(d.claims.len(), 3);
     assert!(d.claims.iter().all(|(ix, _)| *ix == c.job_ix("job-2")));
     // Once the last is done as well, the job's end is written at once, with all of them.
-    let r = w.report(5000);
+    let r = w.heartbeat(5000);
     take(&mut c, &r);
     let d = later(&c, 5000);
     assert_eq!(d.jobs[&c.job_ix("job-1")].state, JobState::Done);
@@ -402,7 +402,7 @@
 }
 
 /// Adds machines and a job of which some tasks have begun.
-fn begun_at_once(mut c: Controller, store: &mut Store, id: &str, tasks: u32) -> Controller {
+fn begun_at_once(mut c: Controller, store: &mut FakeKvStore, id: &str, tasks: u32) -> Controller {
     fleet(&mut c, 15);
     c.submit(store, job(id, tasks), 1);
     c.plan(store, 10);
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -10,9 +10,7 @@
 use pointhook::coordination::scheduler::preemption;
 use pointhook::coordination::scheduler::quota;
 use pointhook::protocol::users::{JobKind, Priority};
-use pointhook::protocol::workers::AgentEpoch;
-use pointhook::protocol::workers::Command;
-use pointhook::protocol::workers::FencingToken;
+use pointhook::protocol::workers::{AgentEpoch, Command, FencingToken};
 use pointhook::state::cluster_state::{ClusterState, ROOT};
 use pointhook::state::job::JobState;
 use pointhook::state::machine::TaskAttempt;
@@ -22,8 +20,8 @@
 use std::collections::HashSet;
 use support::controller::{commands, one, play, Controller};
 use support::job;
-use support::store::Store;
-use support::worker::Worker;
+use support::kv_store::FakeKvStore;
+use support::worker::FakeWorker;
 
 fn starts(orders: &[Command]) -> usize {
     orders
@@ -42,26 +40,26 @@
 #[test]
 fn an_array_runs_to_its_end_and_leaves_nothing_behind() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.submit(&mut store, job("job-1", 6), 0);
     play(&mut c, &mut store, &mut [&mut w], 0, 20_000);
     assert_eq!(c.job("job-1").state, JobState::Done);
     assert!(c.job("job-1").is_settled());
     assert_eq!(w.started.len(), 6);
-    assert!(w.report(20_000).tasks.is_empty());
+    assert!(w.heartbeat(20_000).tasks.is_empty());
 }
 
 #[test]
 fn a_transaction_of_a_deposed_owner_fails_after_the_take_over() {
     let (mut store, mut old) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     old.visit(&mut store, &mut w, 0);
     old.submit(&mut store, job("job-1", 1), 10);
     let draft = old.draft(20);
     assert_eq!(draft.claims.len(), 1);
     let late = transaction(&old.cluster, &draft);
     // Its lease ends; another node takes the shards; then the packet arrives.
-    store.end_lease(old.lease);
+    store.revoke_lease(old.lease);
     let mut new = Controller::start("s1", 2, &mut store, 30);
     assert_eq!(new.members(&mut store, 30), 3);
     assert!(matches!(
@@ -93,7 +91,7 @@
         to: "s1".into(),
     };
     let (txn, _) = pointhook::coordination::membership::move_transaction(&c.cluster, &m).unwrap();
-    store.end_lease(target.lease);
+    store.revoke_lease(target.lease);
     Controller::start("s1", 6, &mut store, 10);
     assert!(matches!(
         Controller::send(&mut store, &txn, 20),
@@ -120,11 +118,14 @@
 fn two_claims_of_one_task_make_one_placement() {
     let (mut store, mut north) = one();
     let mut south = Controller::start("s1", 2, &mut store, 0);
-    store.end_lease(north.lease);
+    store.revoke_lease(north.lease);
     south.sync(&store);
     south.members(&mut store, 0);
     // The old owner has not noticed yet and still claims.
-    let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "south", 0));
+    let (mut w1, mut w2) = (
+        FakeWorker::new("m1", "north", 0),
+        FakeWorker::new("m2", "south", 0),
+    );
     let spec = job("job-1", 1);
     assert!(matches!(
         south.submit(&mut store, spec, 0),
@@ -138,7 +139,7 @@
 #[test]
 fn a_start_without_an_answer_holds_back_the_forget() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
     c.visit(&mut store, &mut w, 500);
     c.submit(&mut store, job("job-1", 1), 600);
@@ -149,28 +150,28 @@
     play(&mut c, &mut store, &mut [&mut w], 1000, 12_000);
     assert_eq!(c.job("job-1").state, JobState::Done);
     // The exited attempt must still be known to the worker when the late start arrives.
-    assert_eq!(w.command(&commands(&pushed[0]), 12_000), 200);
-    assert!(!w.has("job-1/0"));
+    assert_eq!(w.receive_commands(&commands(&pushed[0]), 12_000), 200);
+    assert!(!w.has_task("job-1/0"));
     assert_eq!(w.started.len(), 1);
     // Raising the token shuts the late start out, and then the attempt may be forgotten.
     assert_eq!(c.members(&mut store, 13_000), 1);
     play(&mut c, &mut store, &mut [&mut w], 13_500, 16_000);
-    assert!(w.report(16_000).tasks.is_empty());
-    assert_eq!(w.command(&commands(&pushed[0]), 16_100), 409);
+    assert!(w.heartbeat(16_000).tasks.is_empty());
+    assert_eq!(w.receive_commands(&commands(&pushed[0]), 16_100), 409);
     assert_eq!(w.started.len(), 1);
 }
 
 #[test]
 fn a_direct_start_that_is_repeated_after_its_task_has_moved_starts_nothing() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     w.run_ms = 60_000;
     c.visit(&mut store, &mut w, 0);
     c.visit(&mut store, &mut w, 500);
     c.submit(&mut store, job("job-1", 1), 600);
     c.plan(&mut store, 600);
     let pushed = c.direct_starts(600).remove(0);
-    assert_eq!(w.command(&commands(&pushed), 700), 200);
+    assert_eq!(w.receive_commands(&commands(&pushed), 700), 200);
     let mix = c.machine("m1");
     let a = pushed.attempts[0];
     c.cluster
@@ -185,66 +186,66 @@
     c.cluster.machine_mut(mix).unwrap().stopping.insert(a, 0.0);
     c.cluster.machine_mut(mix).unwrap().cordoned = true;
     play(&mut c, &mut store, &mut [&mut w], 1500, 4000);
-    let mut other = Worker::new("m2", "north", 4000);
+    let mut other = FakeWorker::new("m2", "north", 4000);
     other.run_ms = 60_000;
     play(&mut c, &mut store, &mut [&mut w, &mut other], 4000, 6000);
-    assert!(other.has("job-1/0") && !w.has("job-1/0"));
+    assert!(other.has_task("job-1/0") && !w.has_task("job-1/0"));
     // The command that was carried out long ago arrives once more.
-    assert_eq!(w.command(&commands(&pushed), 6000), 200);
+    assert_eq!(w.receive_commands(&commands(&pushed), 6000), 200);
     assert_eq!(w.started.len(), 1);
     // Once the token has risen the exit need not be kept.
-    w.token += 1;
-    assert_eq!(w.command(&commands(&pushed), 6100), 409);
+    w.fencing_token.0 += 1;
+    assert_eq!(w.receive_commands(&commands(&pushed), 6100), 409);
 }
 
 #[test]
 fn an_answer_to_commands_proves_no_absence() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
     c.submit(&mut store, job("job-1", 1), 100);
     // The start is in the answer to this report, which is still on its way.
-    let r = w.report(500);
+    let r = w.heartbeat(500);
     let answer = c.report(&mut store, &r, 500).unwrap();
     assert_eq!(starts(&answer.commands), 1);
     c.cancel(&mut store, "job-1", 600);
     // A newer message without the task, sent before the answer arrived.
-    let other = w.report(700);
+    let other = w.heartbeat(700);
     let mix = c.machine("m1");
     heartbeats::take(&mut c.cluster, mix, &other, MonotonicMillis(700), None);
     c.plan(&mut store, 700);
     assert_eq!(c.job("job-1").placements.len(), 1);
-    assert!(w.answered(&answer, r.agent_epoch.0, 500, 800));
-    assert!(w.has("job-1/0"));
+    assert!(w.receive_response(&answer, r.agent_epoch, 500, 800));
+    assert!(w.has_task("job-1/0"));
     // Then a report shows it, and it is stopped.
     play(&mut c, &mut store, &mut [&mut w], 1000, 2500);
-    assert!(!w.has("job-1/0"));
+    assert!(!w.has_task("job-1/0"));
     assert!(c.job("job-1").is_settled());
 }
 
 #[test]
 fn a_cancel_against_a_start_in_flight_ends_the_task() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
     c.submit(&mut store, job("job-1", 2), 100);
-    let r = w.report(500);
+    let r = w.heartbeat(500);
     let answer = c.report(&mut store, &r, 500).unwrap();
     assert!(matches!(
         c.cancel(&mut store, "job-1", 550),
         CommitOutcome::Committed(_)
     ));
-    w.answered(&answer, r.agent_epoch.0, 500, 600);
-    assert!(w.has("job-1/1"));
+    w.receive_response(&answer, r.agent_epoch, 500, 600);
+    assert!(w.has_task("job-1/1"));
     play(&mut c, &mut store, &mut [&mut w], 1000, 3000);
-    assert!(!w.has("job-1/0") && !w.has("job-1/1"));
+    assert!(!w.has_task("job-1/0") && !w.has_task("job-1/1"));
     assert_eq!(c.job("job-1").state, JobState::Cancelled);
 }
 
 #[test]
 fn a_cancelled_job_stays_cancelled_when_its_tasks_complete() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     w.run_ms = 100;
     w.image_pull_ms = 0;
     c.submit(&mut store, job("job-1", 1), 0);
@@ -257,7 +258,7 @@
 #[test]
 fn done_is_never_taken_back_after_a_crash_of_all() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.submit(&mut store, job("job-1", 1), 0);
     play(&mut c, &mut store, &mut [&mut w], 0, 9000);
     assert_eq!(c.job("job-1").state, JobState::Done);
@@ -271,7 +272,7 @@
 #[test]
 fn an_unfinished_job_goes_on_after_a_crash_of_all() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.submit(&mut store, job("job-1", 6), 0);
     c.visit(&mut store, &mut w, 0);
     let mut next = Controller::start("n1", 2, &mut store, 1000);
@@ -303,12 +304,15 @@
     spec.team = "mixers".into();
     north.submit(&mut store, spec, 0);
     south.sync(&store);
-    let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "south", 0));
-    let tokens = (0..2).map(|s| north.cluster.shards[s].record.fencing_token.0);
-    let tokens: Vec<u64> = tokens.collect();
-    (w1.token, w2.token) = (tokens[0], tokens[1]);
-    let r1 = w1.report(10);
-    let r2 = w2.report(10);
+    let (mut w1, mut w2) = (
+        FakeWorker::new("m1", "north", 0),
+        FakeWorker::new("m2", "south", 0),
+    );
+    let tokens = (0..2).map(|s| north.cluster.shards[s].record.fencing_token);
+    let tokens: Vec<FencingToken> = tokens.collect();
+    (w1.fencing_token, w2.fencing_token) = (tokens[0], tokens[1]);
+    let r1 = w1.heartbeat(10);
+    let r2 = w2.heartbeat(10);
     let (m1, m2) = (
         north
             .cluster
@@ -324,14 +328,14 @@
         m1,
         &r1,
         MonotonicMillis(10),
-        Some((FencingToken(tokens[0]), 10_000)),
+        Some((tokens[0], 10_000)),
     );
     heartbeats::take(
         &mut south.cluster,
         m2,
         &r2,
         MonotonicMillis(10),
-        Some((FencingToken(tokens[1]), 10_000)),
+        Some((tokens[1], 10_000)),
     );
     // Both decide on the same view; only one of the raises can be applied.
     let (a, b) = (north.draft(10), south.draft(10));
@@ -355,7 +359,7 @@
 #[test]
 fn unused_share_flows_back_and_used_share_does_not() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     let mut spec = job("job-1", 3);
     spec.team = "mixers".into();
     c.submit(&mut store, spec, 0);
@@ -382,7 +386,7 @@
 #[test]
 fn a_claim_of_unknown_outcome_blocks_its_team_until_it_is_shut_out() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
     let mut spec = job("job-1", 2);
     spec.team = "mixers".into();
@@ -412,7 +416,10 @@
 #[test]
 fn same_place_counts_an_old_attempt_until_it_is_gone() {
     let (mut store, mut c) = one();
-    let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "south", 0));
+    let (mut w1, mut w2) = (
+        FakeWorker::new("m1", "north", 0),
+        FakeWorker::new("m2", "south", 0),
+    );
     let mut spec = job("job-1", 5);
     spec.one_zone = true;
     c.submit(&mut store, spec, 0);
@@ -428,7 +435,10 @@
 #[test]
 fn scatter_holds_with_old_attempts_present() {
     let (mut store, mut c) = one();
-    let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "south", 0));
+    let (mut w1, mut w2) = (
+        FakeWorker::new("m1", "north", 0),
+        FakeWorker::new("m2", "south", 0),
+    );
     let mut spec = job("job-1", 3);
     spec.kind = JobKind::Service;
     spec.spread = true;
@@ -442,13 +452,16 @@
 #[test]
 fn a_task_of_a_silent_machine_waits_for_the_lease() {
     let (mut store, mut c) = one();
-    let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "north", 0));
+    let (mut w1, mut w2) = (
+        FakeWorker::new("m1", "north", 0),
+        FakeWorker::new("m2", "north", 0),
+    );
     w1.run_ms = 60_000;
     c.visit(&mut store, &mut w1, 0);
     c.submit(&mut store, job("job-1", 1), 100);
     c.visit(&mut store, &mut w1, 500);
     c.visit(&mut store, &mut w1, 1500);
-    assert!(w1.has("job-1/0"));
+    assert!(w1.has_task("job-1/0"));
     for now in (2000..13_000).step_by(500) {
         c.visit(&mut store, &mut w2, now);
         assert!(w2.started.is_empty(), "started elsewhere at {now}");
@@ -457,20 +470,20 @@
     play(&mut c, &mut store, &mut [&mut w2], 13_500, 16_000);
     assert_eq!(w2.started.len(), 1);
     w1.advance(13_500);
-    assert!(!w1.has("job-1/0"));
+    assert!(!w1.has_task("job-1/0"));
 }
 
 #[test]
 fn time_proves_nothing_to_a_new_owner() {
     let (mut store, mut c) = one();
-    let mut w1 = Worker::new("m1", "north", 0);
+    let mut w1 = FakeWorker::new("m1", "north", 0);
     w1.run_ms = 60_000;
     c.visit(&mut store, &mut w1, 0);
     c.submit(&mut store, job("job-1", 1), 100);
     c.visit(&mut store, &mut w1, 500);
     let mut next = Controller::start("n1", 2, &mut store, 1000);
     next.members(&mut store, 1000);
-    let mut w2 = Worker::new("m2", "north", 0);
+    let mut w2 = FakeWorker::new("m2", "north", 0);
     play(&mut next, &mut store, &mut [&mut w2], 1500, 60_000);
     assert!(w2.started.is_empty());
     // The cloud's word does.
@@ -486,13 +499,13 @@
 #[test]
 fn a_new_session_starts_lost_tasks_again() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     w.run_ms = 3000;
     c.submit(&mut store, job("job-1", 2), 0);
     c.visit(&mut store, &mut w, 0);
     c.visit(&mut store, &mut w, 1500);
     w.advance(12_000);
-    assert_eq!(w.session, 2);
+    assert_eq!(w.agent_epoch, AgentEpoch(2));
     play(&mut c, &mut store, &mut [&mut w], 12_000, 22_000);
     assert_eq!(c.job("job-1").state, JobState::Done);
     assert_eq!(w.started.len(), 4);
@@ -501,12 +514,12 @@
 #[test]
 fn a_late_report_of_before_changes_nothing() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.submit(&mut store, job("job-1", 1), 0);
-    let held = w.report(0);
+    let held = w.heartbeat(0);
     c.visit(&mut store, &mut w, 100);
     c.visit(&mut store, &mut w, 1000);
-    assert!(w.has("job-1/0"));
+    assert!(w.has_task("job-1/0"));
     let before = c.job("job-1").clone();
     let a = c.report(&mut store, &held, 8000).unwrap();
     assert!(a.commands.is_empty());
@@ -518,8 +531,8 @@
 #[test]
 fn a_node_that_sees_a_higher_token_stands_down() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
-    w.token = 9;
+    let mut w = FakeWorker::new("m1", "north", 0);
+    w.fencing_token = FencingToken(9);
     assert!(!c.visit(&mut store, &mut w, 0));
     assert_eq!(w.started.len(), 0);
 }
@@ -527,17 +540,17 @@
 #[test]
 fn in_an_outage_the_owner_answers_and_hands_over_nothing_new() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.submit(&mut store, job("job-1", 1), 0);
     c.visit(&mut store, &mut w, 0);
     c.submit(&mut store, job("job-2", 1), 100);
-    store.down = true;
+    store.unavailable = true;
     for now in (500..20_000).step_by(500) {
         assert!(c.visit(&mut store, &mut w, now), "not answered at {now}");
     }
-    assert_eq!(w.session, 1);
+    assert_eq!(w.agent_epoch, AgentEpoch(1));
     assert_eq!(w.started.len(), 1);
-    store.down = false;
+    store.unavailable = false;
     play(&mut c, &mut store, &mut [&mut w], 20_000, 28_000);
     assert_eq!(c.job("job-1").state, JobState::Done);
     assert_eq!(c.job("job-2").state, JobState::Done);
@@ -546,16 +559,16 @@
 #[test]
 fn an_outage_with_a_restart_of_all_loses_no_job() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.submit(&mut store, job("job-1", 2), 0);
     c.visit(&mut store, &mut w, 0);
-    store.down = true;
+    store.unavailable = true;
     assert!(!c.sync(&store));
     for now in (500..7500).step_by(500) {
         // No process answers while all restart; the worker's lease runs on.
         w.advance(now);
     }
-    store.down = false;
+    store.unavailable = false;
     let mut next = Controller::start("n1", 2, &mut store, 8000);
     next.members(&mut store, 8000);
     play(&mut next, &mut store, &mut [&mut w], 8500, 20_000);
@@ -569,7 +582,10 @@
     spec.kind = JobKind::Gang;
     spec.vcpus = 16.0;
     c.submit(&mut store, spec, 0);
-    let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "south", 0));
+    let (mut w1, mut w2) = (
+        FakeWorker::new("m1", "north", 0),
+        FakeWorker::new("m2", "south", 0),
+    );
     c.visit(&mut store, &mut w1, 0);
     assert!(w1.started.is_empty());
     c.visit(&mut store, &mut w2, 100);
@@ -585,7 +601,10 @@
     spec.kind = JobKind::Gang;
     spec.vcpus = 16.0;
     c.submit(&mut store, spec, 0);
-    let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "north", 0));
+    let (mut w1, mut w2) = (
+        FakeWorker::new("m1", "north", 0),
+        FakeWorker::new("m2", "north", 0),
+    );
     w1.run_ms = 100_000;
     w2.run_ms = 100_000;
     play(&mut c, &mut store, &mut [&mut w1, &mut w2], 0, 3000);
@@ -593,9 +612,9 @@
     let mix = c.machine("m1");
     c.cluster.mark_deleted(mix);
     play(&mut c, &mut store, &mut [&mut w2], 3000, 5000);
-    assert!(!w2.has("job-1/0") && !w2.has("job-1/1"));
+    assert!(!w2.has_task("job-1/0") && !w2.has_task("job-1/1"));
     assert!(c.job("job-1").placements.is_empty());
-    let mut w3 = Worker::new("m3", "north", 0);
+    let mut w3 = FakeWorker::new("m3", "north", 0);
     play(&mut c, &mut store, &mut [&mut w2, &mut w3], 5000, 7000);
     assert_eq!(c.job("job-1").placements.len(), 2);
     assert!(c.job("job-1").placements.iter().all(|p| p.attempt == 2));
@@ -615,7 +634,10 @@
     busy.gpus = 0.5;
     busy.priority = Priority::High;
     c.submit(&mut store, busy, 2);
-    let (mut w1, mut w2) = (Worker::new("m1", "north", 0), Worker::new("m2", "south", 0));
+    let (mut w1, mut w2) = (
+        FakeWorker::new("m1", "north", 0),
+        FakeWorker::new("m2", "south", 0),
+    );
     play(&mut c, &mut store, &mut [&mut w1, &mut w2], 0, 1000);
     let holds = gangs::gang_reservations(&c.cluster, &c.config, MonotonicMillis(1000), 10_000);
     assert_eq!(holds.len(), 1);
@@ -626,7 +648,7 @@
 #[test]
 fn a_machine_kept_for_a_gang_takes_no_other_work() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
     c.submit(&mut store, job("job-1", 1), 100);
     let (ix, mix) = (c.job_ix("job-1"), c.machine("m1"));
@@ -640,8 +662,8 @@
 #[test]
 fn a_machine_that_fails_different_jobs_gets_nothing_more() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
-    w.sick = true;
+    let mut w = FakeWorker::new("m1", "north", 0);
+    w.fails_tasks = true;
     w.run_ms = 100;
     w.image_pull_ms = 0;
     for id in ["job-1", "job-2", "job-3"] {
@@ -657,15 +679,15 @@
 #[test]
 fn a_job_that_fails_everywhere_is_backed_off() {
     let (mut store, mut c) = one();
-    let mut workers: Vec<Worker> = (0..4)
-        .map(|i| Worker::new(&format!("m{i}"), "north", 0))
+    let mut workers: Vec<FakeWorker> = (0..4)
+        .map(|i| FakeWorker::new(&format!("m{i}"), "north", 0))
         .collect();
     for w in &mut workers {
-        w.sick = true;
+        w.fails_tasks = true;
         w.run_ms = 100;
         w.image_pull_ms = 0;
     }
-    let mut all: Vec<&mut Worker> = workers.iter_mut().collect();
+    let mut all: Vec<&mut FakeWorker> = workers.iter_mut().collect();
     c.submit(&mut store, job("job-1", 1), 0);
     play(&mut c, &mut store, &mut all, 0, 5000);
     let tries: usize = workers.iter().map(|w| w.started.len()).sum();
@@ -676,7 +698,7 @@
 #[test]
 fn prod_work_without_room_stops_the_cheapest_work_below_it() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     w.run_ms = 100_000;
     let mut saving = job("job-1", 1);
     saving.checkpoint_s = 5.0;
@@ -746,7 +768,7 @@
 #[test]
 fn work_for_spot_machines_leaves_empty_ordinary_ones_alone_for_a_while() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     w.spot = false;
     c.submit(&mut store, job("job-1", 1), 0);
     c.visit(&mut store, &mut w, 500);
@@ -758,7 +780,7 @@
 #[test]
 fn work_that_an_urgent_job_needs_takes_empty_ordinary_machines_at_once() {
     let (mut store, mut c) = one();
-    let mut worker = Worker::new("m1", "north", 0);
+    let mut worker = FakeWorker::new("m1", "north", 0);
     worker.spot = false;
     c.submit(&mut store, job("job-1", 1), 0);
     let mut last = job("job-2", 1);
@@ -772,7 +794,7 @@
 #[test]
 fn work_that_may_not_use_spot_never_does() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     let mut spec = job("job-1", 1);
     spec.spot = false;
     c.submit(&mut store, spec, 0);
@@ -789,7 +811,7 @@
 #[test]
 fn a_machine_under_notice_gets_nothing_and_saves_what_can_be_saved() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     w.run_ms = 100_000;
     let mut spec = job("job-1", 1);
     spec.checkpoint_s = 5.0;
@@ -797,7 +819,7 @@
     c.submit(&mut store, spec, 0);
     play(&mut c, &mut store, &mut [&mut w], 0, 3000);
     c.submit(&mut store, job("job-2", 1), 3000);
-    let mut r = w.report(3000);
+    let mut r = w.heartbeat(3000);
     r.preemption_notice_s = Some(12.0);
     let a = c.report(&mut store, &r, 3000).unwrap();
     assert_eq!(starts(&a.commands), 0);
@@ -807,7 +829,7 @@
 #[test]
 fn a_task_on_the_machine_without_a_placement_is_stopped() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     let stray = pointhook::protocol::workers::HeartbeatResponse {
         fencing_token: FencingToken(0),
         commands: vec![Command::Start {
@@ -815,18 +837,17 @@
             attempt: 4,
         }],
     };
-    w.answered(&stray, 1, 0, 0);
+    w.receive_response(&stray, AgentEpoch(1), 0, 0);
     play(&mut c, &mut store, &mut [&mut w], 500, 2500);
-    assert!(w.report(2500).tasks.is_empty());
+    assert!(w.heartbeat(2500).tasks.is_empty());
 }
 
 #[test]
 fn a_deleted_node_does_not_come_back_with_an_old_watch() {
     let (mut store, mut c) = one();
     let other = Controller::start("s1", 2, &mut store, 0);
-    let (_, old) = store.watch(ROOT, 0);
-    let old = old.unwrap();
-    store.end_lease(other.lease);
+    let old = store.watch(ROOT, 0).body.unwrap();
+    store.revoke_lease(other.lease);
     c.sync(&store);
     assert!(!c.cluster.controllers.contains_key("s1"));
     c.cluster.take_changes(0, old.revision, &old.events);
@@ -836,12 +857,12 @@
 #[test]
 fn a_watch_that_is_too_old_is_replaced_by_a_full_read() {
     let (mut store, mut c) = one();
-    store.kept_changes = 2;
+    store.max_logged_changes = 2;
     let mut b = Controller::start("s1", 2, &mut store, 0);
     for i in 0..6 {
         b.submit(&mut store, job(&format!("job-{i}"), 1), 0);
     }
-    assert_eq!(store.watch(ROOT, c.cluster.revision).0, 410);
+    assert_eq!(store.watch(ROOT, c.cluster.revision).status, 410);
     assert!(c.sync(&store));
     assert_eq!(c.cluster.active.len(), 6);
 }
@@ -853,7 +874,7 @@
     c.sync(&store);
     assert!(c.cluster.controllers.contains_key("s1"));
     // It misses hundreds of changes in a cut, one of them the other's end.
-    store.end_lease(dead.lease);
+    store.revoke_lease(dead.lease);
     let mut other = Controller::start("s2", 3, &mut store, 0);
     for i in 0..200 {
         other.submit(&mut store, job(&format!("job-{i}"), 1), 0);
@@ -868,7 +889,7 @@
     ));
     let (mut from, mut fleeting, mut revision) = (String::new(), HashSet::new(), None);
     loop {
-        let page = store.list(ROOT, &from, 50);
+        let page = store.read_page(ROOT, &from, 50);
         assert!(page.entries.len() <= 50);
         revision.get_or_insert(page.revision);
         c.cluster.take_page(&page.entries, &mut fleeting);
@@ -882,7 +903,7 @@
     // A node that came while the pages were read is known by a watch and stays.
     let newer = Controller::start("s3", 9, &mut store, 0);
     let key = format!("{ROOT}node/s3");
-    let page = store.list(&key, "", 1);
+    let page = store.read_page(&key, "", 1);
     c.cluster
         .put(&key, page.entries[0].version, &page.entries[0].v);
     c.cluster.end_read(&fleeting, revision.unwrap());
@@ -901,11 +922,11 @@
     spec.gpus = 0.001;
     spec.mem_gb = 0.01;
     c.submit(&mut store, spec, 0);
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     play(&mut c, &mut store, &mut [&mut w], 0, 20_000);
     assert!(c.job("job-1").done.count() > 200);
     let e = store.entry(&ClusterState::job_key("job-1")).unwrap();
-    assert!(e.v.to_string().len() <= store.value_bytes);
+    assert!(e.v.to_string().len() <= store.max_value_bytes);
 }
 
 #[test]
@@ -942,7 +963,7 @@
 #[test]
 fn writes_above_the_limit_are_refused_and_change_nothing() {
     let (mut store, mut c) = one();
-    store.writes_per_s = 1.0;
+    store.max_writes_per_s = 1.0;
     let first = c.submit(&mut store, job("job-1", 1), 1000);
     let second = c.submit(&mut store, job("job-2", 1), 1000);
     assert!(matches!(first, CommitOutcome::Committed(_)));
@@ -957,7 +978,7 @@
 #[test]
 fn younger_work_leaves_its_teams_limit_to_a_gang_that_waits() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     let mut first = job("job-1", 1);
     first.team = "mixers".into();
     w.run_ms = 7000;
@@ -983,9 +1004,9 @@
 // the machine reported in a new session and was told to start what the record then gave away.
 /// A team's limit of two of which a long job of this shape holds one, with a gang waiting that
 /// needs both.
-fn gang_behind(shape: JobKind) -> (Store, Controller, Worker) {
+fn gang_behind(shape: JobKind) -> (FakeKvStore, Controller, FakeWorker) {
     let (mut store, mut c) = one();
-    let mut worker = Worker::new("m1", "north", 0);
+    let mut worker = FakeWorker::new("m1", "north", 0);
     worker.run_ms = 500_000;
     let mut holder = job("job-1", 1);
     holder.team = "mixers".into();
@@ -1014,7 +1035,7 @@
 #[test]
 fn no_machine_is_kept_for_a_gang_that_services_keep_out_of_its_teams_limit() {
     let (mut store, mut c, mut worker) = gang_behind(JobKind::Service);
-    let mut other = Worker::new("m2", "north", 0);
+    let mut other = FakeWorker::new("m2", "north", 0);
     play(
         &mut c,
         &mut store,
@@ -1047,10 +1068,10 @@
 #[test]
 fn what_is_being_given_up_is_not_started_while_the_transaction_is_on_its_way() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
     c.submit(&mut store, job("job-1", 1), 100);
-    let r = w.report(500);
+    let r = w.heartbeat(500);
     let lost = c.report(&mut store, &r, 500).unwrap();
     assert_eq!(starts(&lost.commands), 1, "an answer that never arrives");
     // Nobody answers the machine for longer than a lease: its tasks are proven dead.
@@ -1060,7 +1081,7 @@
     assert!(draft.jobs[&ix].placements.is_empty());
     reconciliation::mark_abandoned(&mut c.cluster, &draft);
     let on_its_way = transaction(&c.cluster, &draft);
-    let r = w.report(now + 20);
+    let r = w.heartbeat(now + 20);
     assert_eq!(r.agent_epoch, AgentEpoch(2));
     let got = heartbeats::receive(
         &mut c.cluster,
@@ -1095,7 +1116,7 @@
 #[test]
 fn an_answer_to_an_overtaken_report_renews_the_lease_all_the_same() {
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     w.run_ms = 60_000;
     c.submit(&mut store, job("job-1", 1), 0);
     play(&mut c, &mut store, &mut [&mut w], 0, 1500);
@@ -1107,8 +1128,8 @@
         .last_heartbeat
         .unwrap();
     // The report waits in a socket while an answer to a direct command is read.
-    let late = w.report(9000);
-    let newer = w.report(9100);
+    let late = w.heartbeat(9000);
+    let newer = w.heartbeat(9100);
     let mix = c.machine("m1");
     heartbeats::take(&mut c.cluster, mix, &newer, MonotonicMillis(9100), None);
     assert!(c.report(&mut store, &late, 9200).is_some());
@@ -1126,7 +1147,7 @@
 fn only_direct_starts_that_may_still_run_raise_the_token() {
     use pointhook::state::machine::InFlightStart;
     let (mut store, mut c) = one();
-    let mut w = Worker::new("m1", "north", 0);
+    let mut w = FakeWorker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
     c.submit(&mut store, job("job-1", 1), 10);
     let (ix, mix) = (c.job_ix("job-1"), c.machine("m1"));
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -24,8 +24,8 @@
 use standby::publisher::{Publisher, StreamLimits};
 use support::controller::{Controller, Standby};
 use support::job;
-use support::store::Store;
-use support::worker::Worker;
+use support::kv_store::FakeKvStore;
+use support::worker::FakeWorker;
 use support::world::World;
 
 const NORTH: ShardIndex = ShardIndex(0);
@@ -33,25 +33,25 @@
 /// An owner that the state service has given up, though it goes on working, and a standby that
 /// has seen that but nothing since.
 struct Deposed {
-    store: Store,
+    store: FakeKvStore,
     owner: Controller,
     standby: Controller,
-    worker: Worker,
+    worker: FakeWorker,
 }
 
 /// The task of `job-1` has begun on `m1` under the owner.
 fn deposed() -> Deposed {
-    let mut store = Store::default();
+    let mut store = FakeKvStore::default();
     let mut owner = Controller::start_as("n1", 1, Standby::SameZone, &mut store, 0);
     assert_eq!(owner.members(&mut store, 0), 3);
     let mut standby = Controller::start_as("n2", 2, Standby::SameZone, &mut store, 0);
-    let mut worker = Worker::new("m1", "north", 0);
-    worker.sick = true;
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    worker.fails_tasks = true;
     worker.run_ms = 1000;
     owner.submit(&mut store, job("job-1", 1), 0);
     owner.visit(&mut store, &mut worker, 500);
     assert_eq!(worker.started.len(), 1);
-    store.end_lease(owner.lease);
+    store.revoke_lease(owner.lease);
     standby.sync(&store);
     Deposed {
         store,
@@ -61,14 +61,14 @@
     }
 }
 
-fn take_north(c: &mut Controller, store: &mut Store, now: u64) -> CommitOutcome {
+fn take_north(c: &mut Controller, store: &mut FakeKvStore, now: u64) -> CommitOutcome {
     let to = c.config.controller_name.clone();
     let wanted = Move { shard: NORTH, to };
     c.execute_moves(store, &wanted, now)
 }
 
 /// Takes the northern shard over, which succeeds.
-fn take_over(c: &mut Controller, store: &mut Store, now: u64) {
+fn take_over(c: &mut Controller, store: &mut FakeKvStore, now: u64) {
     let outcome = take_north(c, store, now);
     assert!(
         matches!(outcome, CommitOutcome::Committed(_)),
@@ -80,14 +80,14 @@
 fn nothing_starts_before_the_records_are_known_as_of_the_fence() {
     let mut d = deposed();
     // The owner, late but alive, records the end of the attempt and starts the next elsewhere.
-    let mut other = Worker::new("m2", "north", 0);
+    let mut other = FakeWorker::new("m2", "north", 0);
     d.owner.visit(&mut d.store, &mut other, 3000);
     d.owner.visit(&mut d.store, &mut d.worker, 3500);
     d.owner.visit(&mut d.store, &mut other, 4000);
-    assert!(!d.worker.has("job-1/0") && other.has("job-1/0"));
+    assert!(!d.worker.has_task("job-1/0") && other.has_task("job-1/0"));
     // The standby takes over without having read that: by its view the attempt is still due here.
     take_over(&mut d.standby, &mut d.store, 4000);
-    let report = d.worker.report(4500);
+    let report = d.worker.heartbeat(4500);
     let answer = d.standby.report_without_store(&report, 4500).unwrap();
     assert!(answer.commands.is_empty(), "{:?}", answer.commands);
     assert!(d.standby.direct_starts(4500).is_empty());
@@ -103,7 +103,7 @@
         State::Active { .. }
     ));
     assert_eq!(d.worker.started.len(), 1);
-    assert!(other.has("job-1/0"));
+    assert!(other.has_task("job-1/0"));
 }
 
 #[test]
@@ -111,30 +111,30 @@
     let mut d = deposed();
     d.owner.submit(&mut d.store, job("job-2", 1), 600);
     take_over(&mut d.standby, &mut d.store, 700);
-    d.store.down = true;
+    d.store.unavailable = true;
     for now in (1000..20_000).step_by(1000) {
         assert!(!d.standby.sync(&d.store));
         let draft = d.standby.draft(now);
         assert!(draft.is_empty() && d.standby.direct_starts(now).is_empty());
     }
-    d.store.down = false;
+    d.store.unavailable = false;
     d.standby.sync(&d.store);
-    let mut fresh = Worker::new("m3", "north", 0);
+    let mut fresh = FakeWorker::new("m3", "north", 0);
     d.standby.visit(&mut d.store, &mut fresh, 20_500);
-    assert!(fresh.has("job-2/0"));
+    assert!(fresh.has_task("job-2/0"));
 }
 
 #[test]
 fn a_claim_of_the_old_owner_that_is_carried_out_late_is_refused_by_the_fence() {
     let mut d = deposed();
     d.owner.submit(&mut d.store, job("job-2", 1), 600);
-    let mut other = Worker::new("m2", "north", 0);
+    let mut other = FakeWorker::new("m2", "north", 0);
     // Its claim gets no answer and is on its way while the standby takes over.
-    d.store.late_ms = Some(3000);
+    d.store.execution_delay_ms = Some(3000);
     d.owner.visit(&mut d.store, &mut other, 1000);
-    d.store.late_ms = None;
+    d.store.execution_delay_ms = None;
     take_over(&mut d.standby, &mut d.store, 2000);
-    d.store.deliver_late(4000);
+    d.store.execute_delayed(4000);
     d.standby.sync(&d.store);
     assert!(d.standby.job("job-2").placements.is_empty());
     d.standby.visit(&mut d.store, &mut other, 4500);
@@ -145,10 +145,10 @@
 fn a_claim_recorded_without_an_answer_is_known_to_the_next_owner() {
     let mut d = deposed();
     d.owner.submit(&mut d.store, job("job-2", 1), 600);
-    let mut other = Worker::new("m2", "north", 0);
-    d.store.loses_answers = true;
+    let mut other = FakeWorker::new("m2", "north", 0);
+    d.store.drops_responses = true;
     d.owner.visit(&mut d.store, &mut other, 1000);
-    d.store.loses_answers = false;
+    d.store.drops_responses = false;
     take_over(&mut d.standby, &mut d.store, 2000);
     d.standby.sync(&d.store);
     let claimed = d.standby.job("job-2").placements.clone();
@@ -172,7 +172,7 @@
     d.standby.visit(&mut d.store, &mut d.worker, 1000);
     d.owner.submit(&mut d.store, job("job-2", 1), 1100);
     // A worker that has seen the new token tells the old owner, which has read nothing since.
-    let report = d.worker.report(1200);
+    let report = d.worker.heartbeat(1200);
     let before = d.owner.takeovers.permits().get(ShardId(0)).is_some();
     assert!(before);
     for now in [1200, 1300, 1400] {
@@ -213,7 +213,7 @@
     let mut third = Controller::start_as("n3", 3, Standby::SameZone, &mut d.store, 0);
     d.standby.sync(&d.store);
     take_over(&mut d.standby, &mut d.store, 700);
-    d.store.end_lease(d.standby.lease);
+    d.store.revoke_lease(d.standby.lease);
     third.sync(&d.store);
     take_over(&mut third, &mut d.store, 900);
     third.sync(&d.store);
@@ -224,10 +224,10 @@
 }
 
 /// Nodes n1 and n2 in the north, s1 in the south, all there for long.
-fn three_nodes(standby: Standby) -> (Store, [Controller; 3], MembershipView) {
+fn three_nodes(standby: Standby) -> (FakeKvStore, [Controller; 3], MembershipView) {
     const ZONES: [(&str, u32); 3] = [("n1", 0), ("n2", 0), ("s1", 1)];
     let names = ZONES.map(|(name, _)| name);
-    let mut store = Store::default();
+    let mut store = FakeKvStore::default();
     let mut start = |name, incarnation| {
         let c = Controller::start_as(name, incarnation, standby, &mut store, 0);
         c.among(&names, &ZONES)
@@ -259,12 +259,12 @@
 }
 
 /// Lets `n1` own the northern shard and end.
-fn without_n1(store: &mut Store, nodes: &mut [Controller; 3]) {
+fn without_n1(store: &mut FakeKvStore, nodes: &mut [Controller; 3]) {
     assert!(matches!(
         take_north(&mut nodes[0], store, 0),
         CommitOutcome::Committed(_)
     ));
-    store.end_lease(nodes[0].lease);
+    store.revoke_lease(nodes[0].lease);
     for c in nodes {
         c.sync(store);
     }
@@ -294,7 +294,7 @@
 fn nodes_that_do_not_know_the_feature_are_no_standbys() {
     let (mut store, mut nodes, known) = three_nodes(Standby::SameZone);
     // n2 is replaced by a process of the version in production.
-    store.end_lease(nodes[1].lease);
+    store.revoke_lease(nodes[1].lease);
     nodes[1] = Controller::start("n2", 9, &mut store, 0);
     without_n1(&mut store, &mut nodes);
     assert_eq!(takers(&nodes[2..], &known, 10_000), ["s1"]);
@@ -303,7 +303,7 @@
 #[test]
 fn what_is_stored_about_roles_is_one_field_that_production_ignores() {
     for (standby, stored) in [(Standby::Off, false), (Standby::SameZone, true)] {
-        let mut store = Store::default();
+        let mut store = FakeKvStore::default();
         Controller::start_as("n1", 7, standby, &mut store, 0);
         let entry = store.entry(&format!("{ROOT}node/n1")).unwrap();
         let fields = entry.v.as_map().unwrap().iter();
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -42,7 +42,7 @@
     cluster.loaded = true;
     cluster.record_format_v2 = second_form;
     cluster.set_machine_types(&MachineTypeCatalog {
-        types: vec![cloud::flavor()],
+        types: vec![cloud::machine_type()],
     });
     drop(cluster);
     node
--- a/tests/support/controller.rs
+++ b/tests/support/controller.rs
@@ -1,9 +1,9 @@
 //! A controller without sockets: the same decisions, committed to the store stand-in.
 
-use super::cloud::flavor;
+use super::cloud::machine_type;
 use super::digest;
-use super::store::Store;
-use super::worker::Worker;
+use super::kv_store::{FakeKvStore, NO_RESPONSE};
+use super::worker::FakeWorker;
 use pointhook::coordination::cancellations::{self, CancelledTaskSweeper};
 use pointhook::coordination::kv::{apply_outcome, set, transaction, CommitOutcome};
 use pointhook::coordination::reconciliation;
@@ -90,8 +90,8 @@
 }
 
 /// A store and one controller that owns all shards.
-pub fn one() -> (Store, Controller) {
-    let mut store = Store::default();
+pub fn one() -> (FakeKvStore, Controller) {
+    let mut store = FakeKvStore::default();
     let mut c = Controller::start("n1", 1, &mut store, 0);
     assert_eq!(c.members(&mut store, 0), 3);
     (store, c)
@@ -100,8 +100,8 @@
 /// Lets workers report every half second.
 pub fn play(
     c: &mut Controller,
-    store: &mut Store,
-    workers: &mut [&mut Worker],
+    store: &mut FakeKvStore,
+    workers: &mut [&mut FakeWorker],
     from: u64,
     to: u64,
 ) {
@@ -114,7 +114,7 @@
 
 impl Controller {
     /// A controller that has its key and knows the records.
-    pub fn start(name: &str, incarnation: u64, store: &mut Store, now: u64) -> Controller {
+    pub fn start(name: &str, incarnation: u64, store: &mut FakeKvStore, now: u64) -> Controller {
         Controller::start_as(name, incarnation, Standby::Off, store, now)
     }
 
@@ -123,7 +123,7 @@
         name: &str,
         incarnation: u64,
         standby: Standby,
-        store: &mut Store,
+        store: &mut FakeKvStore,
         now: u64,
     ) -> Controller {
         let zones = ["north".to_string(), "south".to_string()];
@@ -143,8 +143,8 @@
             cancel_ms: CANCEL_MS,
             completion_targets: HashMap::new(),
             limits_now: Limits {
-                txn_ops: store.txn_ops,
-                value_bytes: store.value_bytes * 9 / 10,
+                txn_ops: store.max_txn_ops,
+                value_bytes: store.max_value_bytes * 9 / 10,
                 write_rps: f64::MAX,
             },
             limits_next: Limits::NONE,
@@ -157,7 +157,7 @@
             ]),
             cluster,
             config,
-            lease: store.grant(4000, now),
+            lease: store.grant_lease(4000, now),
             peers: Vec::new(),
             began: now,
             left: CancelledTaskSweeper::default(),
@@ -169,9 +169,9 @@
             cascaded: false,
         };
         c.cluster.set_machine_types(&MachineTypeCatalog {
-            types: vec![flavor()],
+            types: vec![machine_type()],
         });
-        let page = store.list(ROOT, "", 1000);
+        let page = store.read_page(ROOT, "", 1000);
         c.cluster.take_all(&page.entries, page.revision);
         let key = format!("{ROOT}node/{name}");
         let txn = Transaction {
@@ -191,21 +191,22 @@
             .into_iter()
             .collect(),
         };
-        assert_eq!(digest::commit(store, &txn, now).0, 200);
+        assert_eq!(digest::commit(store, &txn, now).status, 200);
         c.sync(store);
         c
     }
 
     /// Reads the newest changes; false while the store is down.
-    pub fn sync(&mut self, store: &Store) -> bool {
+    pub fn sync(&mut self, store: &FakeKvStore) -> bool {
         let from = self.cluster.revision;
-        match store.watch(ROOT, from) {
+        let response = store.watch(ROOT, from);
+        match (response.status, response.body) {
             (200, Some(c)) => {
                 self.cluster.take_changes(from, c.revision, &c.events);
                 true
             }
             (410, _) => {
-                let page = store.list(ROOT, "", 1000);
+                let page = store.read_page(ROOT, "", 1000);
                 self.cluster.take_all(&page.entries, page.revision);
                 true
             }
@@ -213,17 +214,18 @@
         }
     }
 
-    pub fn send(store: &mut Store, txn: &Transaction, now: u64) -> CommitOutcome {
-        match digest::commit(store, txn, now) {
+    pub fn send(store: &mut FakeKvStore, txn: &Transaction, now: u64) -> CommitOutcome {
+        let response = digest::commit(store, txn, now);
+        match (response.status, response.body) {
             (200, Some(c)) => CommitOutcome::Committed(c.revision),
             (409, Some(c)) => CommitOutcome::Conflict(c.failed),
-            (0, _) => CommitOutcome::Unknown,
+            (NO_RESPONSE, _) => CommitOutcome::Unknown,
             (s, _) => CommitOutcome::Refused(s),
         }
     }
 
     /// Takes and hands over shards as membership wants; the moves that were committed.
-    pub fn members(&mut self, store: &mut Store, now: u64) -> usize {
+    pub fn members(&mut self, store: &mut FakeKvStore, now: u64) -> usize {
         let moves = membership::moves(
             &self.cluster,
             &self.config,
@@ -256,7 +258,7 @@
         self.config.owns(&self.cluster, ShardIndex::new(shard))
     }
 
-    pub fn submit(&mut self, store: &mut Store, spec: JobSpec, now: u64) -> CommitOutcome {
+    pub fn submit(&mut self, store: &mut FakeKvStore, spec: JobSpec, now: u64) -> CommitOutcome {
         let key = ClusterState::job_key(&spec.id);
         let rec = JobRecord::submitted(spec, now);
         let txn = Transaction {
@@ -271,7 +273,7 @@
         out
     }
 
-    pub fn cancel(&mut self, store: &mut Store, id: &str, now: u64) -> CommitOutcome {
+    pub fn cancel(&mut self, store: &mut FakeKvStore, id: &str, now: u64) -> CommitOutcome {
         let (ix, job) = self
             .cluster
             .job(id)
@@ -356,7 +358,7 @@
     }
 
     /// Passes until nothing changes any more.
-    pub fn plan(&mut self, store: &mut Store, now: u64) {
+    pub fn plan(&mut self, store: &mut FakeKvStore, now: u64) {
         self.cascaded = false;
         for _ in 0..60 {
             let draft = self.draft(now);
@@ -381,14 +383,14 @@
 
     /// The same as [`Controller::report`] while the state service is out of this node's reach.
     pub fn report_without_store(&mut self, r: &Heartbeat, now: u64) -> Option<HeartbeatResponse> {
-        let mut nothing = Store::unreachable();
+        let mut nothing = FakeKvStore::unreachable();
         self.report(&mut nothing, r, now)
     }
 
     /// Takes a report and answers it; `None` is 421.
     pub fn report(
         &mut self,
-        store: &mut Store,
+        store: &mut FakeKvStore,
         r: &Heartbeat,
         now: u64,
     ) -> Option<HeartbeatResponse> {
@@ -419,19 +421,19 @@
 
     /// One report of a worker, answered and executed at once; false for 421. A worker that
     /// learns a higher token reports once more.
-    pub fn visit(&mut self, store: &mut Store, w: &mut Worker, now: u64) -> bool {
-        let before = w.token;
+    pub fn visit(&mut self, store: &mut FakeKvStore, w: &mut FakeWorker, now: u64) -> bool {
+        let before = w.fencing_token;
         let took = self.visit_once(store, w, now);
-        if took && w.token > before {
+        if took && w.fencing_token > before {
             return self.visit_once(store, w, now);
         }
         took
     }
 
-    fn visit_once(&mut self, store: &mut Store, w: &mut Worker, now: u64) -> bool {
-        let r = w.report(now);
+    fn visit_once(&mut self, store: &mut FakeKvStore, w: &mut FakeWorker, now: u64) -> bool {
+        let r = w.heartbeat(now);
         match self.report(store, &r, now) {
-            Some(a) => w.answered(&a, r.agent_epoch.0, now, now),
+            Some(a) => w.receive_response(&a, r.agent_epoch, now, now),
             None => false,
         }
     }
@@ -457,17 +459,17 @@
     }
 
     /// Keeps its key, takes and hands over shards, with the times that the duty keeps.
-    pub fn keep_shards(&mut self, store: &mut Store, now: u64) {
+    pub fn keep_shards(&mut self, store: &mut FakeKvStore, now: u64) {
         let me = self.config.controller_name.clone();
-        if !store.down && !store.touch(self.lease, now) {
-            self.lease = store.grant(4000, now);
+        if !store.unavailable && !store.renew_lease(self.lease, now) {
+            self.lease = store.grant_lease(4000, now);
         }
         let mine = self
             .cluster
             .controllers
             .get(&me)
             .map(|r| r.record.incarnation);
-        if !store.down && mine != Some(self.config.incarnation) {
+        if !store.unavailable && mine != Some(self.config.incarnation) {
             let key = format!("{ROOT}node/{me}");
             let rec = ControllerRecord {
                 incarnation: self.config.incarnation,
@@ -539,7 +541,7 @@
     /// Carries a move out as the duty does: what it recorded is known before any newer change.
     pub fn execute_moves(
         &mut self,
-        store: &mut Store,
+        store: &mut FakeKvStore,
         m: &membership::Move,
         now: u64,
     ) -> CommitOutcome {
--- a/tests/support/days.rs
+++ b/tests/support/days.rs
@@ -63,8 +63,8 @@
             // One that can't read the records yet is tried again at each step.
             Fault::ControllerDown(_) => {}
             Fault::ZoneCut => world.cut_zone(on),
-            Fault::LateTransactions => world.store.late_ms = on.then_some(4000),
-            Fault::LostTransactionAnswers => world.store.loses_answers = on,
+            Fault::LateTransactions => world.store.execution_delay_ms = on.then_some(4000),
+            Fault::LostTransactionAnswers => world.store.drops_responses = on,
             Fault::MachineDeaf(at) => world.hosts[at].ill.deaf = on,
             Fault::MachineMute(at) => world.hosts[at].ill.mute = on,
             Fault::MachineHangs(at) => world.hosts[at].ill.hangs = on,
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -3,7 +3,7 @@
 //! Each event goes in as the name of its kind, the time and the bytes of the protocol
 //! (MessagePack with the protocol's names of fields), so that names in the code play no part.
 
-use super::store::Store;
+use super::kv_store::{FakeKvStore, KvResponse};
 use pointhook::protocol::kv::{Committed, Transaction};
 use serde::Serialize;
 use std::cell::RefCell;
@@ -67,9 +67,13 @@
 }
 
 /// Commits a transaction, and takes it and its answer into the digest.
-pub fn commit(store: &mut Store, txn: &Transaction, now: u64) -> (u16, Option<Committed>) {
-    let answer = store.commit(txn, now);
+pub fn commit(store: &mut FakeKvStore, txn: &Transaction, now: u64) -> KvResponse<Committed> {
+    let response = store.commit(txn, now);
     note("transaction", now, txn);
-    note("transaction's answer", now, &answer);
-    answer
+    note(
+        "transaction's answer",
+        now,
+        &(response.status, &response.body),
+    );
+    response
 }
--- a/tests/support/liveness.rs
+++ b/tests/support/liveness.rs
@@ -63,7 +63,7 @@
 fn free_slots(world: &World, zone: &str) -> usize {
     let hosts = world.hosts.iter().filter(|h| h.worker.zone == zone);
     let hosts = hosts.filter(|h| !world.is_returned(h));
-    let free = hosts.map(|h| MACHINE_SLOTS.saturating_sub(h.worker.on_machine().1));
+    let free = hosts.map(|h| MACHINE_SLOTS.saturating_sub(h.worker.active_task_count()));
     free.sum()
 }
 
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -10,4 +10,4 @@
 pub mod world;
 
 pub use testkit::jobs::job;
-pub use testkit::{cloud, store, worker};
+pub use testkit::{cloud, kv_store, worker};
--- a/tests/support/scenarios.rs
+++ b/tests/support/scenarios.rs
@@ -14,7 +14,7 @@
     assert!(w.submit(1, job("job-2", 6)));
     w.run(5000);
     assert!(w.runs("job-1") && w.runs("job-2"));
-    let host = w.hosts.iter().position(|h| h.worker.has("job-1/0"));
+    let host = w.hosts.iter().position(|h| h.worker.has_task("job-1/0"));
     let leader = w.owner_of(host.unwrap()).unwrap();
     let other = (0..3).find(|at| *at != leader).unwrap();
     (w, leader, other)
