--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -3,8 +3,8 @@
 
 use super::controller::{commands, Controller, Standby, CANCEL_MS, LEASE_MS};
 use super::digest;
-use super::store::Store;
-use super::worker::Worker;
+use super::kv_store::FakeKvStore;
+use super::worker::FakeWorker;
 use pointhook::coordination::cancellations;
 use pointhook::coordination::heartbeats::{self, HeartbeatOutcome};
 use pointhook::coordination::kv::CommitOutcome;
@@ -15,7 +15,6 @@
 use pointhook::coordination::scheduler::preemption;
 use pointhook::coordination::worker_connectivity;
 use pointhook::protocol::users::{JobKind, JobSpec};
-use pointhook::protocol::workers::AgentEpoch;
 use pointhook::protocol::workers::{DirectCommands, Heartbeat};
 use pointhook::state::cluster_state::ClusterState;
 use pointhook::state::names::{Index, ShardIndex, TeamIndex};
@@ -55,7 +54,7 @@
 }
 
 pub struct Host {
-    pub worker: Worker,
+    pub worker: FakeWorker,
     pub ill: Ill,
     /// The controller it reports to.
     to: usize,
@@ -72,7 +71,7 @@
 
 /// All of it.
 pub struct World {
-    pub store: Store,
+    pub store: FakeKvStore,
     pub nodes: Vec<Option<Controller>>,
     pub trouble: [Trouble; 3],
     pub outage: bool,
@@ -101,7 +100,7 @@
     pub fn with(machines: usize, standby: Standby) -> World {
         let mut w = World {
             standby,
-            store: Store::default(),
+            store: FakeKvStore::default(),
             nodes: vec![None, None, None],
             trouble: [Trouble::default(); 3],
             outage: false,
@@ -114,7 +113,7 @@
             broken: Vec::new(),
             by_user: BTreeSet::new(),
         };
-        w.store.txn_ops = 16;
+        w.store.max_txn_ops = 16;
         for at in 0..3 {
             w.start(at);
         }
@@ -129,7 +128,7 @@
     pub fn boot(&mut self, zone: &str) -> usize {
         let name = format!("m{}", self.hosts.len() + 1);
         self.hosts.push(Host {
-            worker: Worker::new(&name, zone, self.now),
+            worker: FakeWorker::new(&name, zone, self.now),
             ill: Ill::default(),
             to: self.hosts.len() % 3,
             next: self.now,
@@ -151,10 +150,13 @@
         self.incarnation += 1;
         // The predecessor's key may still be there: a new start replaces it. It goes on trying
         // until it has its key, which is a start that came later.
-        let late = (self.store.late_ms.take(), self.store.loses_answers);
-        self.store.loses_answers = false;
+        let late = (
+            self.store.execution_delay_ms.take(),
+            self.store.drops_responses,
+        );
+        self.store.drops_responses = false;
         let c = self.controller(at);
-        (self.store.late_ms, self.store.loses_answers) = late;
+        (self.store.execution_delay_ms, self.store.drops_responses) = late;
         let mut c = c.among(&NAMES, &ZONES);
         c.cluster
             .cancellation_watermark
@@ -174,7 +176,7 @@
 
     /// A controller starts during an outage: it knows no records, and tells what it knows.
     pub fn start_unread(&mut self, at: usize) {
-        let mut elsewhere = Store::default();
+        let mut elsewhere = FakeKvStore::default();
         self.incarnation += 1;
         let c = Controller::start_as(
             NAMES[at],
@@ -190,7 +192,7 @@
     pub fn begin_record_format_v2(&mut self) {
         let c = self.nodes[0].as_ref().expect("a controller");
         let txn = membership::begin_record_format_v2(&c.cluster, &NAMES).expect("all know it");
-        assert_eq!(digest::commit(&mut self.store, &txn, self.now).0, 200);
+        assert_eq!(digest::commit(&mut self.store, &txn, self.now).status, 200);
         self.run(STEP_MS);
     }
 
@@ -283,7 +285,7 @@
     }
 
     fn door(&mut self, at: usize) {
-        self.store.down = self.outage || self.trouble[at].refused;
+        self.store.unavailable = self.outage || self.trouble[at].refused;
     }
 
     /// A user submits at a controller; true if it was accepted.
@@ -479,9 +481,9 @@
 
     fn step(&mut self) {
         let now = self.now;
-        self.store.deliver_late(now);
+        self.store.execute_delayed(now);
         if !self.outage {
-            self.store.expire(now);
+            self.store.expire_leases(now);
         }
         for at in 0..3 {
             self.door(at);
@@ -547,7 +549,7 @@
         let now = self.now;
         let host = &mut self.hosts[h];
         if host.ill.hangs {
-            host.worker.lapse(now);
+            host.worker.expire_lease(now);
             return;
         }
         let cut = host.cut_off;
@@ -556,13 +558,13 @@
             .partition(|(at, _)| *at <= now || *at == u64::MAX && !cut);
         host.held = later;
         for (_, c) in due {
-            host.worker.command(&c, now);
+            host.worker.receive_commands(&c, now);
         }
         host.worker.advance(now);
         if now < host.next {
             return;
         }
-        let report = host.worker.report(now);
+        let report = host.worker.heartbeat(now);
         host.next = now + REPORT_MS;
         host.sent.push(report.clone());
         if host.ill.mute {
@@ -619,9 +621,10 @@
         }
         match answer {
             Ok(a) => {
-                let before = host.worker.token;
-                host.worker.answered(&a, report.agent_epoch.0, now, now);
-                if host.worker.token > before {
+                let before = host.worker.fencing_token;
+                host.worker
+                    .receive_response(&a, report.agent_epoch, now, now);
+                if host.worker.fencing_token > before {
                     host.next = now + STEP_MS;
                 }
             }
@@ -658,7 +661,7 @@
         if host.ill.deaf {
             return DirectStartOutcome::Unknown;
         }
-        match host.worker.command(&c, now) {
+        match host.worker.receive_commands(&c, now) {
             _ if host.ill.loses_answers => DirectStartOutcome::Unknown,
             200 => DirectStartOutcome::Executed,
             _ => DirectStartOutcome::Refused,
@@ -674,16 +677,16 @@
                 continue;
             };
             let token = c.cluster.shards[m.shard.at()].record.fencing_token;
-            let due = c.config.owns(&c.cluster, m.shard) && host.worker.token < token.0;
+            let due = c.config.owns(&c.cluster, m.shard) && host.worker.fencing_token < token;
             let cut = host.cut_off && (host.worker.zone == "south") != (at == 2);
             if due && !cut && !host.ill.deaf && !host.ill.hangs {
                 let show = DirectCommands {
                     fencing_token: token,
-                    agent_epoch: AgentEpoch(host.worker.session),
+                    agent_epoch: host.worker.agent_epoch,
                     commands: Vec::new(),
                 };
                 digest::note("token", now, &(NAMES[at], &host.worker.name, &show));
-                host.worker.command(&show, now);
+                host.worker.receive_commands(&show, now);
                 host.next = now;
             }
         }
@@ -725,13 +728,13 @@
         for host in &mut self.hosts {
             let cut = host.cut_off && (host.worker.zone == "south") != (at == 2);
             let deaf = host.ill.deaf || host.ill.hangs || cut;
-            if deaf || !left.tasks.iter().any(|(t, _)| host.worker.has(t)) {
+            if deaf || !left.tasks.iter().any(|(t, _)| host.worker.has_task(t)) {
                 continue;
             }
-            let status = host.worker.report(now);
+            let status = host.worker.heartbeat(now);
             if let Some(c) = cancellations::stops(&status, &left.tasks) {
                 digest::note("direct stop", now, &(NAMES[at], &host.worker.name, &c));
-                host.worker.command(&c, now);
+                host.worker.receive_commands(&c, now);
             }
         }
     }
@@ -744,7 +747,7 @@
         let now = self.now;
         for host in &self.hosts {
             let name = &host.worker.name;
-            for task in host.worker.on_machine().0 {
+            for task in host.worker.running_tasks() {
                 let id = task.split('/').next().unwrap_or_default();
                 if !seen.insert(task.to_string()) {
                     self.broken.push(format!("{now}: {task} runs twice"));
@@ -764,7 +767,7 @@
                         .push(format!("{now}: {task} on {name} though cancelled"));
                 }
             }
-            for task in host.worker.on_machine().0 {
+            for task in host.worker.running_tasks() {
                 let id = task.split('/').next().unwrap_or_default();
                 let awaits = self
                     .told
@@ -818,7 +821,7 @@
 
     /// True if the job is complete and a worker that is heard can still tell so.
     pub fn shows_completion(&self, id: &str) -> bool {
-        let shows = |h: &Host| h.worker.shows_completion_of(id);
+        let shows = |h: &Host| h.worker.reports_completion_of(id);
         self.completed(id) && self.hosts.iter().any(shows)
     }
 
@@ -834,7 +837,10 @@
 
     /// How many of a job's tasks are on machines, image there or not.
     pub fn tasks_on_machines(&self, id: &str) -> usize {
-        self.hosts.iter().map(|h| h.worker.tasks_of(id)).sum()
+        self.hosts
+            .iter()
+            .map(|h| h.worker.active_task_count_of(id))
+            .sum()
     }
 
     /// Accepted jobs with their descriptions.
