--- /dev/null
+++ b/tests/documentation.rs
@@ -0,0 +1,116 @@
+//! The page of architecture names only what is there, and links between pages resolve.
+
+use std::collections::BTreeSet;
+use std::path::{Path, PathBuf};
+
+/// Folders whose files the pages name by their path.
+const ROOTS: [&str; 6] = ["src/", "crates/", "tests/", "docs/", "deploy/", "examples/"];
+
+fn repository() -> &'static Path {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn read(path: &Path) -> String {
+    std::fs::read_to_string(path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
+}
+
+/// All files below a folder that have this ending.
+fn files(folder: &Path, ending: &str) -> Vec<PathBuf> {
+    let entries = std::fs::read_dir(folder).unwrap_or_else(|e| panic!("{}: {e}", folder.display()));
+    let paths = entries.map(|entry| entry.unwrap().path());
+    let below = |path: PathBuf| match path.is_dir() {
+        true => files(&path, ending),
+        false => vec![path],
+    };
+    let all = paths.flat_map(below);
+    all.filter(|p| p.extension().is_some_and(|e| e == ending))
+        .collect()
+}
+
+/// All words of the sources, this file apart, which names what is not there.
+fn source_words() -> BTreeSet<String> {
+    let folders = ["src", "crates", "tests", "examples"].map(|f| repository().join(f));
+    let sources = folders.iter().flat_map(|folder| files(folder, "rs"));
+    let text: Vec<String> = sources
+        .filter(|path| !path.ends_with(file!()))
+        .map(|path| read(&path))
+        .collect();
+    let words = text.iter().flat_map(|t| t.split(|c| !is_name_part(c)));
+    words.map(str::to_string).collect()
+}
+
+fn is_name_part(c: char) -> bool {
+    c.is_ascii_alphanumeric() || c == '_'
+}
+
+fn is_path(span: &str) -> bool {
+    ROOTS.iter().any(|root| span.starts_with(root))
+}
+
+/// True for `name` and `Type::name`; record keys, commands and numbers are none.
+fn is_identifier(span: &str) -> bool {
+    let name = |part: &str| {
+        part.chars().all(is_name_part) && part.starts_with(|c: char| !c.is_ascii_digit())
+    };
+    span.split("::").all(name)
+}
+
+/// What a page has in backticks, and the paths in its fenced blocks.
+fn marked(page: &str) -> Vec<&str> {
+    let mut out = Vec::new();
+    for (n, block) in page.split("```").enumerate() {
+        if n % 2 == 1 {
+            out.extend(block.split_whitespace().filter(|word| is_path(word)));
+        } else {
+            let spans = |line| str::split(line, '`').skip(1).step_by(2);
+            out.extend(block.lines().flat_map(spans));
+        }
+    }
+    out
+}
+
+/// What a page names and the sources lack.
+fn missing<'a>(page: &'a str, words: &BTreeSet<String>) -> Vec<&'a str> {
+    let lacks = |span: &&str| match is_path(span) {
+        true => !repository().join(span).exists(),
+        false => is_identifier(span) && !span.split("::").all(|name| words.contains(name)),
+    };
+    marked(page).into_iter().filter(lacks).collect()
+}
+
+#[test]
+fn every_path_and_name_on_the_page_of_architecture_is_in_the_sources() {
+    let page = read(&repository().join("docs/architecture.md"));
+    let names = marked(&page).into_iter().filter(|s| is_identifier(s));
+    assert!(names.count() > 100, "the names on the page are not found");
+    let missing = missing(&page, &source_words());
+    assert!(missing.is_empty(), "no source has {missing:?}");
+}
+
+#[test]
+fn a_path_and_a_name_that_are_not_there_are_reported() {
+    let page = "`ClusterState::learn_machine` `ClusterState::no_such` `ph/job/ID` `src/lib.rs`\n\
+                `src/no_such.rs`\n```text\ntests/no_such/\n```\n";
+    let expected = ["ClusterState::no_such", "src/no_such.rs", "tests/no_such/"];
+    assert_eq!(missing(page, &source_words()), expected);
+}
+
+#[test]
+fn links_between_pages_resolve() {
+    let mut pages = files(&repository().join("docs"), "md");
+    pages.push(repository().join("README.md"));
+    for path in pages {
+        let page = read(&path);
+        let targets = page.split("](").skip(1).filter_map(|s| s.split(')').next());
+        let targets = targets
+            .filter(|t| !t.contains("://"))
+            .map(|t| t.split('#').next());
+        let is_page = |s: &&str| s.ends_with(".md") && !s.contains([' ', '*']);
+        let named = marked(&page).into_iter().filter(is_page);
+        for target in targets.flatten().chain(named) {
+            let near = path.with_file_name(target).exists();
+            let there = near || repository().join(target).exists();
+            assert!(there, "{}: no page {target}", path.display());
+        }
+    }
+}
