--- a/crates/testkit/src/history.rs
+++ b/crates/testkit/src/history.rs
@@ -198,12 +198,12 @@
             .placements_by_job
             .insert(job.to_string(), placements.clone());
         let previous = previous.unwrap_or_default();
-        for (task, attempt, machine, _, charged_shard) in placements.difference(&previous) {
+        for placement in placements.difference(&previous) {
             let event = Event::Claimed {
-                task: format!("{job}/{task}"),
-                attempt: *attempt,
-                machine: machine.clone(),
-                fenced: fences.contains_key(charged_shard),
+                task: format!("{job}/{}", placement.task),
+                attempt: placement.attempt,
+                machine: placement.machine.clone(),
+                fenced: fences.contains_key(&placement.charged_shard.0),
             };
             self.entries.push(Entry { at_ms, event });
         }
--- a/crates/testkit/tests/checker.rs
+++ b/crates/testkit/tests/checker.rs
@@ -3,7 +3,7 @@
 use pointhook::coordination::kv::set;
 use pointhook::protocol::kv::{Condition, Transaction};
 use pointhook::protocol::workers::FencingToken;
-use pointhook::state::job::JobRecord;
+use pointhook::state::job::{JobRecord, StoredPlacement};
 use pointhook::state::records::{ShardRecord, ROOT};
 use pointhook::state::units::Incarnation;
 use testkit::checker::{check, ViolationKind};
@@ -168,7 +168,7 @@
             state: pointhook::state::job::JobState::Open,
             submitted_at: 0,
             done: Default::default(),
-            placements: vec![(0, attempt, "m1".into(), 0, 0)],
+            placements: vec![StoredPlacement::from((0, attempt, "m1".to_string(), 0, 0))],
             next_attempt: attempt + 1,
             finished_at: 0,
         };
--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -77,7 +77,7 @@
             cluster
                 .failures
                 .get(ix)
-                .is_none_or(|(_, until)| now >= *until)
+                .is_none_or(|failures| !failures.is_backed_off(now))
         })
         .collect();
     jobs.sort_by_key(|(ix, j)| {
@@ -130,11 +130,9 @@
     // What is there when the service opens is a backlog, not a rate.
     let from = wall_ms.saturating_sub(ARRIVALS_MS).max(first + BACKLOG_MS);
     let span = wall_ms.saturating_sub(from).max(60_000);
-    for (_, spec) in cluster
-        .recent_submissions
-        .iter()
-        .filter(|(at, _)| *at >= from)
-    {
+    let recent = cluster.recent_submissions.iter();
+    for submission in recent.filter(|s| s.submitted_at >= from) {
+        let spec = &submission.spec;
         let class = classes
             .entry(spec.wire.class.as_str())
             .or_insert((0, spec.clone()));
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -315,15 +315,15 @@
     machine_index: MachineIndex,
     now: MonotonicMillis,
 ) {
-    let entry = cluster.failures.entry(ix).or_default();
-    entry.0.insert(machine_index);
-    let on = entry.0.len();
+    let failures = cluster.failures.entry(ix).or_default();
+    failures.machines.insert(machine_index);
+    let on = failures.machines.len();
     if on < BAD_JOB_MACHINES {
         return;
     }
     let wait = BACK_OFF_MS << (on - BAD_JOB_MACHINES).min(4);
-    entry.1 = now.plus(wait);
-    entry.0.clear();
+    failures.retry_at = now.plus(wait);
+    failures.machines.clear();
     let id = &cluster.jobs[ix.at()].id;
     log::warn!("job {id} fails on different machines, next try in {wait} ms");
 }
--- a/src/coordination/scheduler/bin_packing.rs
+++ b/src/coordination/scheduler/bin_packing.rs
@@ -82,7 +82,7 @@
     let failed_here = cluster
         .failures
         .get(&ix)
-        .is_some_and(|(on, _)| on.contains(&machine_index));
+        .is_some_and(|failures| failures.machines.contains(&machine_index));
     kind && !failed_here && zone_allowed(cluster, job, spec, m.zone)
 }
 
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -14,7 +14,7 @@
         || cluster
             .failures
             .get(&ix)
-            .is_some_and(|(_, until)| now < *until)
+            .is_some_and(|failures| failures.is_backed_off(now))
 }
 
 /// A waiting job, in the order of service.
--- a/src/state/cancellation_watermark.rs
+++ b/src/state/cancellation_watermark.rs
@@ -1,105 +1,114 @@
-//! Up to which moment this node knows all confirmed cancellations. Pure, no I/O.
+//! The time up to which a controller knows all confirmed cancellations.
 
 use super::units::MonotonicMillis;
 
-/// What another controller last told of the cancellations it knows.
+/// What a peer's latest answer proves about the cancellations that it confirmed.
 #[derive(Clone, Copy, Debug)]
 struct PeerAttestation {
-    /// When it was asked; what it knew then, it told.
+    /// When the peer was asked: its answer holds all that it knew at that time.
     requested_at: MonotonicMillis,
-    /// The latest at which its process can have begun: it vouches for nothing before.
+    /// Upper bound of its process start: it can't attest anything older.
     process_started: MonotonicMillis,
 }
 
-/// Up to which moment the knowledge of confirmed cancellations is complete: every cancellation
-/// that any node confirmed to a user before it is known here.
+/// The time up to which the known set of confirmed cancellations is complete: every cancellation
+/// that any controller confirmed to a user before it is known here.
 ///
-/// A confirmation follows a write to the state service, so a read shows all of those before it
-/// began, be it this node's or that of another node which passes on what it knows. And a
-/// confirmation is made by some node, which knows it from then on; so when every node has told
-/// what it knows, nothing from before is missing, unless one of them has restarted since the
-/// moment up to which knowledge was complete: what its predecessor confirmed last, it can't tell.
+/// A confirmation follows a write to the key-value store, so a read shows all of those before the
+/// read began, whether this controller read or a peer that passes on what it knows. And the
+/// controller that makes a confirmation knows it from then on. So once every peer has answered,
+/// nothing from before the first request is missing, unless a peer has restarted since the time
+/// up to which the set was complete: a new process can't know what the one before confirmed last.
 #[derive(Clone, Debug, Default)]
 pub struct CancellationWatermark {
-    /// Start of this process: what its predecessor confirmed it knows no better than others do.
+    /// Start of this process; about the time before, it knows no more than its peers.
     process_started: MonotonicMillis,
     complete_until: Option<MonotonicMillis>,
     peers: Vec<Option<PeerAttestation>>,
 }
 
 impl CancellationWatermark {
-    /// Of a node with this many peers, whose process began then.
-    pub fn new(peers: usize, born: MonotonicMillis) -> CancellationWatermark {
+    /// For a controller with this many peers, whose process started then.
+    pub fn new(peers: usize, process_started: MonotonicMillis) -> CancellationWatermark {
         CancellationWatermark {
-            process_started: born,
+            process_started,
             complete_until: None,
             peers: vec![None; peers],
         }
     }
 
-    /// A read of the records that began then has brought all changes.
+    /// Records that a full read of the records has completed, which began then.
     pub fn record_read(&mut self, began: MonotonicMillis) {
         self.complete_until = self.complete_until.max(Some(began));
         self.advance();
     }
 
-    /// A peer that was asked at `asked` has told all unsettled cancellations it knows; its own
-    /// knowledge was complete `age_ms` before, and its process has run for `up_ms`.
+    /// Records the answer of a peer that was asked at `requested_at` and has sent all unsettled
+    /// cancellations it knows; its own set was complete up to `age_ms` before, and its process
+    /// has run for `up_ms`.
     pub fn record_attestation(
         &mut self,
         peer: usize,
-        asked: MonotonicMillis,
+        requested_at: MonotonicMillis,
         now: MonotonicMillis,
         up_ms: u64,
         age_ms: Option<u64>,
     ) {
         if let Some(slot) = self.peers.get_mut(peer) {
-            // Answers may cross; the later question counts.
-            if slot.is_none_or(|v| v.requested_at <= asked) {
-                // Whole milliseconds, and clocks that drift: never too early.
-                let born = MonotonicMillis(now.0.saturating_sub(up_ms - up_ms / 1000)).plus(2);
+            // Answers may overtake each other; the latest request counts.
+            if slot.is_none_or(|known| known.requested_at <= requested_at) {
                 *slot = Some(PeerAttestation {
-                    requested_at: asked,
-                    process_started: born,
+                    requested_at,
+                    process_started: latest_process_start(now, up_ms),
                 });
             }
         }
-        if let Some(age) = age_ms {
-            let age = age.saturating_add(age / 1000 + 1);
-            let complete = asked.0.checked_sub(age).map(MonotonicMillis);
-            self.complete_until = self
-                .complete_until
-                .max(complete.filter(|t| *t >= self.process_started));
+        if let Some(age_ms) = age_ms {
+            let peer_complete_until = complete_until_of_peer(requested_at, age_ms);
+            let usable = peer_complete_until.filter(|time| *time >= self.process_started);
+            self.complete_until = self.complete_until.max(usable);
         }
         self.advance();
     }
 
-    /// Moves on to where all peers have told what they know.
+    /// Advances to the earliest of the peers' latest attestations, once all peers have one.
     fn advance(&mut self) {
-        let Some(upto) = self.complete_until else {
+        let Some(complete_until) = self.complete_until else {
             return;
         };
-        let vouches = |v: &Option<PeerAttestation>| {
-            v.filter(|v| v.process_started <= upto)
-                .map(|v| v.requested_at)
+        let attested = |peer: &Option<PeerAttestation>| {
+            peer.filter(|peer| peer.process_started <= complete_until)
+                .map(|peer| peer.requested_at)
         };
-        let all: Option<Vec<MonotonicMillis>> = self.peers.iter().map(vouches).collect();
-        self.complete_until = self
-            .complete_until
-            .max(all.and_then(|a| a.into_iter().min()));
+        let by_peer: Option<Vec<MonotonicMillis>> = self.peers.iter().map(attested).collect();
+        let earliest = by_peer.and_then(|times| times.into_iter().min());
+        self.complete_until = self.complete_until.max(earliest);
     }
 
-    /// Up to when knowledge is complete; `None` before the records were read. A node without
-    /// peers confirms all that is confirmed, and so always knows it.
+    /// The time up to which the set is complete; `None` before the records were read. A
+    /// controller without peers makes all confirmations itself, and so always knows them.
     pub fn complete_until(&self, now: MonotonicMillis) -> Option<MonotonicMillis> {
         match (self.complete_until, self.peers.is_empty()) {
             (_, true) => Some(now),
-            (upto, false) => upto,
+            (complete_until, false) => complete_until,
         }
     }
 
-    /// How old the knowledge is.
+    /// How long ago the set was complete.
     pub fn age_ms(&self, now: MonotonicMillis) -> Option<u64> {
-        self.complete_until(now).map(|t| now.since(t))
+        self.complete_until(now).map(|time| now.since(time))
     }
 }
+
+/// Upper bound of the start of a process that has run for `up_ms`. Allows for whole milliseconds
+/// and for clock drift: too early a bound would attest what the process before confirmed.
+fn latest_process_start(now: MonotonicMillis, up_ms: u64) -> MonotonicMillis {
+    let least_up_ms = up_ms - up_ms / 1000;
+    MonotonicMillis(now.0.saturating_sub(least_up_ms)).plus(2)
+}
+
+/// Lower bound of the time up to which a peer's set was complete, with the same allowance.
+fn complete_until_of_peer(requested_at: MonotonicMillis, age_ms: u64) -> Option<MonotonicMillis> {
+    let most_age_ms = age_ms.saturating_add(age_ms / 1000 + 1);
+    requested_at.0.checked_sub(most_age_ms).map(MonotonicMillis)
+}
--- a/src/state/dependencies.rs
+++ b/src/state/dependencies.rs
@@ -1,91 +1,94 @@
-//! Jobs that await others, and jobs that are cancelled, alone or with one that they need.
+//! Dependencies between the jobs of the cluster state, and cancellations: of a job by its user,
+//! and with it of its dependents.
 
 use super::cluster_state::ClusterState;
-use super::dependency_graph;
+use super::dependency_graph::{self, OwnTerms};
 use super::job::{DependencyState, Job, JobState, Spec};
 use super::names::{Index, JobIndex};
 use super::units::millis_from_seconds;
 use crate::protocol::users::Priority;
 
-/// Cancellations kept in mind that no record here shows yet.
+/// Cancellations learned from peers that are remembered while no record read here shows them.
 const MAX_UNCONFIRMED_CANCELLATIONS: usize = 10_000;
 
 impl ClusterState {
-    /// What follows for a job from those around it, and whether it is cancelled with one.
+    /// What follows for a job from its dependencies and dependents, and whether it is cancelled
+    /// with a dependency.
     pub(super) fn dependency_state(
         &self,
         id: &str,
-        submitted: u64,
+        submitted_at: u64,
         spec: Option<&Spec>,
     ) -> (DependencyState, bool) {
-        let rank = spec.map_or(Priority::Low, Spec::priority);
-        let due = spec.and_then(|s| s.wire.deadline_s);
-        let due = due.map(|s| submitted.saturating_add(millis_from_seconds(s)));
-        let names = spec.map_or(&[] as &[String], |s| &s.wire.dependencies);
-        let dependencies = names.iter().map(|n| self.job(n).map(|(_, j)| j));
-        let dependents = self
-            .dependency_graph
-            .dependents(id)
-            .iter()
-            .map(|d| &self.jobs[d.at()]);
-        dependency_graph::dependency_state(submitted, (rank, due), dependencies, dependents)
+        let deadline_ms = spec
+            .and_then(|spec| spec.wire.deadline_s)
+            .map(millis_from_seconds);
+        let own = OwnTerms {
+            submitted_at,
+            priority: spec.map_or(Priority::Low, Spec::priority),
+            deadline: deadline_ms.map(|ms| submitted_at.saturating_add(ms)),
+        };
+        let names = spec.map_or(&[] as &[String], |spec| &spec.wire.dependencies);
+        let dependencies = names.iter().map(|name| self.job(name).map(|(_, job)| job));
+        let dependents = self.dependency_graph.dependents(id).iter();
+        let dependents = dependents.map(|index| &self.jobs[index.at()]);
+        dependency_graph::dependency_state(own, dependencies, dependents)
     }
 
-    /// Enters an open job under those that it needs.
-    pub(super) fn enter(&mut self, ix: JobIndex, job: &Job) {
+    /// Adds an open job to the graph as a dependent of its unfinished dependencies.
+    pub(super) fn add_to_dependencies(&mut self, job_index: JobIndex, job: &Job) {
         let Some(spec) = job.spec.clone().filter(|_| job.is_open()) else {
             return;
         };
         for name in &spec.wire.dependencies {
-            let dependency = self.job(name).map(|(at, j)| (at, j.is_open()));
+            let dependency = self.job(name).map(|(index, job)| (index, job.is_open()));
             if dependency.is_none_or(|(_, open)| open) {
-                self.dependency_graph.awaits(ix, name);
+                self.dependency_graph.add_dependent(job_index, name);
             }
-            // It has one more that needs it.
+            // The dependency has one dependent more.
             self.dependency_graph
-                .changed
-                .extend(dependency.map(|d| d.0));
+                .mark_changed(dependency.map(|(index, _)| index));
         }
     }
 
-    /// Looks at all jobs whose surroundings have changed, and at what changes by that.
-    pub(super) fn look_around(&mut self) {
-        while let Some(ix) = self.dependency_graph.changed.pop() {
-            let Some(job) = self.jobs.get(ix.at()).filter(|j| j.is_open()) else {
-                continue;
-            };
-            let (id, spec) = (job.id.clone(), job.spec.clone());
-            let (dependency_state, cancelled) =
-                self.dependency_state(&id, job.submitted_at, spec.as_deref());
-            if cancelled {
-                let state = JobState::Cancelled;
-                let job = Job {
-                    state,
-                    ..job.clone()
-                };
-                self.dependency_graph.unwritten.insert(ix);
-                self.store_job(ix, job);
-                continue;
-            }
-            if dependency_state == job.dependency_state {
-                continue;
-            }
-            self.jobs[ix.at()].dependency_state = dependency_state;
-            self.look_at_needs(spec.as_deref());
+    /// Evaluates the jobs whose dependencies or dependents have changed, and those that are
+    /// affected by the result, until nothing changes.
+    pub(super) fn update_dependency_states(&mut self) {
+        while let Some(job_index) = self.dependency_graph.next_changed() {
+            self.update_dependency_state(job_index);
+        }
+    }
+
+    fn update_dependency_state(&mut self, job_index: JobIndex) {
+        let Some(job) = self.jobs.get(job_index.at()).filter(|job| job.is_open()) else {
+            return;
+        };
+        let (id, spec) = (job.id.clone(), job.spec.clone());
+        let (dependency_state, cancelled) =
+            self.dependency_state(&id, job.submitted_at, spec.as_deref());
+        if cancelled {
+            let cancelled_job = job.clone().cancelled();
+            self.dependency_graph
+                .set_cancellation_unwritten(job_index, true);
+            self.store_job(job_index, cancelled_job);
+        } else if dependency_state != job.dependency_state {
+            self.jobs[job_index.at()].dependency_state = dependency_state;
+            self.mark_dependencies_changed(spec.as_deref());
         }
     }
 
-    /// What a job needs is to be looked at, as that job has changed.
-    pub(super) fn look_at_needs(&mut self, spec: Option<&Spec>) {
-        let names = spec.into_iter().flat_map(|s| &s.wire.dependencies);
-        let needs: Vec<JobIndex> = names.filter_map(|n| Some(self.job(n)?.0)).collect();
-        self.dependency_graph.changed.extend(needs);
+    /// Marks the dependencies of a job for evaluation, because the job has changed.
+    pub(super) fn mark_dependencies_changed(&mut self, spec: Option<&Spec>) {
+        let names = spec.into_iter().flat_map(|spec| &spec.wire.dependencies);
+        let dependencies: Vec<JobIndex> =
+            names.filter_map(|name| Some(self.job(name)?.0)).collect();
+        self.dependency_graph.mark_changed(dependencies);
     }
 
-    /// Takes the news that a job's cancellation was confirmed to its user; true if it is new.
+    /// Records that a peer knows a job's cancellation to be confirmed; true if that is new here.
     ///
-    /// It holds whatever the record known here says, which may not be readable for minutes. What
-    /// rests on that record fails all the same, since the newest one has another version.
+    /// It overrides the record known here, whose new version may not be readable for minutes.
+    /// Transactions on the condition of the known version fail, as the record has a newer one.
     pub fn learn_cancelled(&mut self, id: &str) -> bool {
         let known = self.job(id);
         if known.is_some_and(|(_, job)| !job.is_open())
@@ -94,27 +97,26 @@
         {
             return false;
         }
-        if let Some((ix, job)) = self.job(id) {
-            let job = job.clone();
-            let state = JobState::Cancelled;
-            self.store_job(ix, Job { state, ..job });
-            self.look_around();
+        if let Some((job_index, job)) = self.job(id) {
+            let cancelled_job = job.clone().cancelled();
+            self.store_job(job_index, cancelled_job);
+            self.update_dependency_states();
         }
         true
     }
 
-    /// Cancelled jobs of which tasks may be left, by what is known here.
+    /// Cancelled jobs of which tasks may still run, as far as is known here.
     pub fn cancelled(&self) -> impl Iterator<Item = (JobIndex, &Job)> {
-        let cancelled = |(_, j): &(JobIndex, &Job)| j.state == JobState::Cancelled;
-        self.active_jobs().filter(cancelled)
+        self.active_jobs()
+            .filter(|(_, job)| job.state == JobState::Cancelled)
     }
 
-    /// Names of cancelled jobs of which tasks may be left. Of one whose cancelled record was not
-    /// read here nothing is known of its tasks, so all those are among them.
+    /// Ids of cancelled jobs of which tasks may still run. They include all jobs whose
+    /// cancellation is known from peers only, as nothing is known of their tasks.
     pub fn cancelled_names(&self) -> Vec<String> {
-        let read = self.cancelled().map(|(_, j)| &j.id);
-        let read = read.filter(|id| !self.cancelled_by_peers.contains(*id));
-        let all = read.chain(&self.cancelled_by_peers);
+        let by_record = self.cancelled().map(|(_, job)| &job.id);
+        let by_record = by_record.filter(|id| !self.cancelled_by_peers.contains(*id));
+        let all = by_record.chain(&self.cancelled_by_peers);
         all.map(|id| id.to_string()).collect()
     }
 }
--- a/src/state/dependency_graph.rs
+++ b/src/state/dependency_graph.rs
@@ -1,8 +1,8 @@
-//! Dependencies between jobs. Pure, no I/O.
+//! The graph of dependencies between jobs.
 //!
-//! Job records say what a job awaits; all else is derived from that and from the states of the
-//! jobs named, both of which only ever go one way. A change touches neighbours; what goes on from
-//! there goes by a list of work, however deep the graph is.
+//! Job records name the dependencies; all else is derived from them and from the states of the
+//! jobs named. Both only ever change in one direction. A change affects the neighbours of a job;
+//! a work list carries it on from there, so that no depth of the graph exhausts the stack.
 
 use super::job::{DependencyState, Job, JobState};
 use super::names::JobIndex;
@@ -11,20 +11,20 @@
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// Jobs by those that need them.
+/// Open jobs by their unfinished dependencies, and the jobs that are to be evaluated again.
 #[derive(Default, Debug)]
-pub struct Graph {
-    /// Open dependents by the name of a dependency that is not over.
+pub struct DependencyGraph {
+    /// Open dependents by the name of a dependency that is not finished.
     dependents: HashMap<Rc<str>, Vec<JobIndex>>,
-    /// Jobs cancelled with one that they need, whose record does not say so yet.
+    /// Jobs that are cancelled with a dependency, but whose record does not say so yet.
     pub unwritten: BTreeSet<JobIndex>,
-    /// Jobs whose surroundings changed, to be looked at.
-    pub changed: Vec<JobIndex>,
+    /// Jobs whose dependencies or dependents have changed: the work list.
+    changed: Vec<JobIndex>,
 }
 
-impl Graph {
-    /// Notes that an open job awaits one that is not over.
-    pub fn awaits(&mut self, job: JobIndex, dependency: &str) {
+impl DependencyGraph {
+    /// Adds an open job as a dependent of an unfinished one.
+    pub fn add_dependent(&mut self, job: JobIndex, dependency: &str) {
         match self.dependents.get_mut(dependency) {
             Some(list) if list.contains(&job) => {}
             Some(list) => list.push(job),
@@ -33,59 +33,91 @@
             }
         }
     }
-    /// Open jobs that need this one.
+
+    /// Open dependents of a job.
     pub fn dependents(&self, id: &str) -> &[JobIndex] {
         self.dependents.get(id).map_or(&[], Vec::as_slice)
     }
-    /// A job is over: those that need it are to be looked at, and it need not be remembered.
-    pub fn over(&mut self, id: &str) {
-        if let Some(list) = self.dependents.remove(id) {
-            self.changed.extend(list);
+
+    /// Removes a job that is done or cancelled; its dependents are to be evaluated again.
+    pub fn remove_finished(&mut self, id: &str) {
+        if let Some(dependents) = self.dependents.remove(id) {
+            self.mark_changed(dependents);
+        }
+    }
+
+    /// Adds jobs to the work list.
+    pub fn mark_changed(&mut self, jobs: impl IntoIterator<Item = JobIndex>) {
+        self.changed.extend(jobs);
+    }
+
+    /// Takes the next job from the work list.
+    pub fn next_changed(&mut self) -> Option<JobIndex> {
+        self.changed.pop()
+    }
+
+    /// Records whether a job is cancelled with a dependency while its record is still open.
+    pub fn set_cancellation_unwritten(&mut self, job: JobIndex, unwritten: bool) {
+        if unwritten {
+            self.unwritten.insert(job);
+        } else {
+            self.unwritten.remove(&job);
         }
     }
 }
 
-/// Time for an image and the news of an end, in a stage of a pipeline.
-const STAGE_MS: u64 = 4000;
+/// Time that a stage of a pipeline takes beside its run: to pull an image, and until the end of
+/// the stage before is known.
+const STAGE_OVERHEAD_MS: u64 = 4000;
 
-/// The latest time by which what a job needs has to be done, for the job to be done in time.
-pub fn needed_by(job: &Job) -> Option<u64> {
-    let estimate = job
-        .spec
-        .as_ref()
-        .map_or(0, |s| millis_from_seconds(s.wire.estimated_run_s));
-    let due = job.dependency_state.deadline?;
-    Some(due.saturating_sub(estimate + STAGE_MS))
+/// Wall-clock time by which a job's dependencies have to be done for the job to keep its
+/// deadline, ms.
+pub fn latest_dependency_end(job: &Job) -> Option<u64> {
+    let spec = job.spec.as_ref();
+    let run_ms = spec.map_or(0, |spec| millis_from_seconds(spec.wire.estimated_run_s));
+    let deadline = job.dependency_state.deadline?;
+    Some(deadline.saturating_sub(run_ms + STAGE_OVERHEAD_MS))
 }
 
-/// What follows for a job from its dependencies, as far as they are known, and from its
-/// dependents; and whether one of the former was cancelled.
+/// What a job asks for by itself, before its dependencies and dependents are considered.
+#[derive(Clone, Copy)]
+pub struct OwnTerms {
+    /// Wall-clock time of the submission, ms.
+    pub submitted_at: u64,
+    /// Its own priority.
+    pub priority: Priority,
+    /// Its own deadline, wall-clock ms.
+    pub deadline: Option<u64>,
+}
+
+/// Derives a job's state from its dependencies (`None`: not known here) and its dependents, and
+/// whether one of the dependencies is cancelled.
 pub fn dependency_state<'a>(
-    submitted: u64,
-    own: (Priority, Option<u64>),
+    own: OwnTerms,
     dependencies: impl Iterator<Item = Option<&'a Job>>,
     dependents: impl Iterator<Item = &'a Job>,
 ) -> (DependencyState, bool) {
-    let mut out = DependencyState {
+    let mut derived = DependencyState {
         blocked: false,
-        eligible_since: submitted,
-        priority: own.0,
-        deadline: own.1,
+        eligible_since: own.submitted_at,
+        priority: own.priority,
+        deadline: own.deadline,
     };
     let mut cancelled = false;
-    for job in dependencies {
-        match job.map(|j| (j.state, j.finished_at)) {
-            Some((JobState::Done, at)) => out.eligible_since = out.eligible_since.max(at),
+    for dependency in dependencies {
+        match dependency.map(|job| (job.state, job.finished_at)) {
+            Some((JobState::Done, finished_at)) => {
+                derived.eligible_since = derived.eligible_since.max(finished_at);
+            }
             Some((JobState::Cancelled, _)) => cancelled = true,
-            Some((JobState::Open, _)) | None => out.blocked = true,
+            Some((JobState::Open, _)) | None => derived.blocked = true,
         }
     }
-    for job in dependents.filter(|j| j.is_open()) {
-        out.priority = out.priority.min(job.dependency_state.priority);
-        out.deadline = match (out.deadline, needed_by(job)) {
-            (Some(a), Some(b)) => Some(a.min(b)),
-            (a, b) => a.or(b),
-        };
+    for dependent in dependents.filter(|job| job.is_open()) {
+        let priority = dependent.dependency_state.priority;
+        derived.priority = derived.priority.min(priority);
+        let deadlines = [derived.deadline, latest_dependency_end(dependent)];
+        derived.deadline = deadlines.into_iter().flatten().min();
     }
-    (out, cancelled)
+    (derived, cancelled)
 }
--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -1,15 +1,16 @@
-//! Job records: what is stored of a job, and its form in memory.
+//! Jobs: their records in the key-value store, and their form in memory.
 
 use super::names::{ImageIndex, MachineIndex, MachineTypeIndex, ShardIndex, TeamIndex, ZoneIndex};
+use super::task_ranges::TaskRanges;
 use super::units::Resources;
 use crate::protocol::users::{JobKind, JobSpec, Priority};
 use serde::{Deserialize, Serialize};
 use std::rc::Rc;
 
-/// Where a job stands.
+/// State of a job.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
 pub enum JobState {
-    /// Not over.
+    /// Neither done nor cancelled.
     #[serde(rename = "o")]
     Open,
     /// All tasks are done.
@@ -20,85 +21,90 @@
     Cancelled,
 }
 
-/// Sorted, disjoint, half-open ranges of task numbers.
-#[derive(Serialize, Deserialize, Clone, PartialEq, Eq, Debug, Default)]
-pub struct Ranges(Vec<(u32, u32)>);
+/// Estimated size of a placement in a record.
+pub const PLACEMENT_BYTES: usize = 36;
+/// Estimated size of a job's record without its description, ranges and placements.
+const RECORD_BASE_BYTES: usize = 120;
+/// Estimated size of one range of done tasks in a record.
+const TASK_RANGE_BYTES: usize = 14;
+/// Estimated size of an overflow record without placements.
+const OVERFLOW_BASE_BYTES: usize = 20;
+/// Overflow records of a job at most.
+const MAX_OVERFLOW_RECORDS: u16 = 2000;
 
-impl Ranges {
-    /// All numbers below `n`.
-    pub fn all(n: u32) -> Ranges {
-        Ranges(vec![(0, n)])
-    }
-    /// Adds a number.
-    pub fn add(&mut self, x: u32) {
-        let at = self.0.partition_point(|r| r.1 < x);
-        match self.0.get_mut(at) {
-            Some(r) if r.0 <= x && x < r.1 => return,
-            Some(r) if r.1 == x => r.1 = x + 1,
-            Some(r) if r.0 == x + 1 => {
-                r.0 = x;
-                return;
-            }
-            _ => self.0.insert(at, (x, x + 1)),
-        }
-        if at + 1 < self.0.len() && self.0[at + 1].0 == self.0[at].1 {
-            self.0[at].1 = self.0[at + 1].1;
-            self.0.remove(at + 1);
+/// A placement as it is stored, in the order of [`PlacementFields`].
+#[derive(Serialize, Deserialize, Clone, PartialEq, Eq, Hash, Debug)]
+#[serde(from = "PlacementFields", into = "PlacementFields")]
+pub struct StoredPlacement {
+    /// Task number.
+    pub task: u32,
+    /// Attempt number.
+    pub attempt: u64,
+    /// Name of the machine.
+    pub machine: String,
+    /// Shard of the machine.
+    pub shard: ShardIndex,
+    /// Shard whose quota share is charged.
+    pub charged_shard: ShardIndex,
+}
+
+/// The stored form of a placement: task, attempt, machine, its shard, the charged shard. Records
+/// of version 0.1 are read by it, so it never changes.
+type PlacementFields = (u32, u64, String, u32, u32);
+
+impl From<PlacementFields> for StoredPlacement {
+    fn from(fields: PlacementFields) -> StoredPlacement {
+        let (task, attempt, machine, shard, charged_shard) = fields;
+        StoredPlacement {
+            task,
+            attempt,
+            machine,
+            shard: ShardIndex(shard),
+            charged_shard: ShardIndex(charged_shard),
         }
     }
-    /// True if it holds `x`.
-    pub fn has(&self, x: u32) -> bool {
-        let at = self.0.partition_point(|r| r.1 <= x);
-        self.0.get(at).is_some_and(|r| r.0 <= x)
-    }
-    /// How many numbers it holds.
-    pub fn count(&self) -> u32 {
-        self.0.iter().map(|r| r.1 - r.0).sum()
-    }
-    /// Numbers below `n` that it lacks, from the lowest.
-    pub fn missing(&self, n: u32) -> impl Iterator<Item = u32> + '_ {
-        let starts = std::iter::once(0).chain(self.0.iter().map(|r| r.1));
-        let ends = self.0.iter().map(|r| r.0).chain(std::iter::once(n));
-        starts.zip(ends).flat_map(|(a, b)| a..b)
-    }
-    /// How many ranges it takes.
-    pub fn pieces(&self) -> usize {
-        self.0.len()
-    }
 }
 
-/// Rough size of a placement in a record.
-pub const PLACEMENT_BYTES: usize = 36;
-/// Rough size of a part of a record without placements.
-const PART_BYTES: usize = 20;
-/// Parts of a record at most.
-const MOST_PARTS: u16 = 2000;
-
-/// A placement as stored: task, attempt, machine, its shard, the paying shard.
-pub type StoredPlacement = (u32, u64, String, u32, u32);
+impl From<StoredPlacement> for PlacementFields {
+    fn from(placement: StoredPlacement) -> PlacementFields {
+        let shard = placement.shard.0;
+        let charged_shard = placement.charged_shard.0;
+        (
+            placement.task,
+            placement.attempt,
+            placement.machine,
+            shard,
+            charged_shard,
+        )
+    }
+}
 
-/// A job's record in the state service.
+/// A job's record, at the key `ph/job/<id>`.
+///
+/// Created by the controller that takes the submission; afterwards written by the owners of the
+/// shards that it has placements on, each time on the condition that neither the record nor the
+/// writer's fencing tokens have changed.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct JobRecord {
-    /// Description; left out once the job is over and nothing of it is left.
+    /// Description; left out once the job is settled.
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
-    /// State.
+    /// State as stored.
     #[serde(rename = "s")]
     pub state: JobState,
-    /// Time of day of the submission, ms.
+    /// Wall-clock time of the submission, ms.
     #[serde(rename = "t")]
     pub submitted_at: u64,
-    /// Done tasks.
+    /// Tasks that are done.
     #[serde(rename = "d", default)]
-    pub done: Ranges,
-    /// Placements.
+    pub done: TaskRanges,
+    /// Placements, without those in overflow records.
     #[serde(rename = "p", default)]
     pub placements: Vec<StoredPlacement>,
-    /// Next attempt.
+    /// Number of the next attempt of any task.
     #[serde(rename = "n")]
     pub next_attempt: u64,
-    /// Time of day at which the last task was done, ms; 0: not yet, or written by version 0.1.
+    /// Wall-clock time at which the last task was done, ms; 0: not yet, or written by version 0.1.
     #[serde(rename = "f", default, skip_serializing_if = "is_zero")]
     pub finished_at: u64,
 }
@@ -110,7 +116,7 @@
             spec: Some(spec),
             state: JobState::Open,
             submitted_at: wall_ms,
-            done: Ranges::default(),
+            done: TaskRanges::default(),
             placements: Vec::new(),
             next_attempt: 1,
             finished_at: 0,
@@ -122,52 +128,55 @@
     *n == 0
 }
 
-/// A task's place. It goes only on proof that the attempt is not there and can't begin later.
+/// An attempt of a task that is assigned to a machine.
+///
+/// It is removed only on proof that the attempt does not run and can't start later; otherwise a
+/// task could run twice.
 #[derive(Clone, Copy, Debug)]
 pub struct Placement {
-    /// Task.
+    /// Task number.
     pub task: u32,
-    /// TaskAttempt.
+    /// Attempt number.
     pub attempt: u64,
     /// Machine.
     pub machine: MachineIndex,
     /// The machine's shard.
     pub shard: ShardIndex,
-    /// The shard whose share of the team's limit it uses.
+    /// The shard whose share of the team's quota is charged.
     pub charged_shard: ShardIndex,
-    /// The part of the job's record that holds it; 0: the record itself.
+    /// The overflow record in which it is stored; 0: the job's own record.
     pub overflow_index: u16,
 }
 
-/// Where it is stored makes no difference to what it is.
+/// The record in which a placement is stored does not count.
 impl PartialEq for Placement {
-    fn eq(&self, o: &Placement) -> bool {
-        let all = |p: &Placement| (p.task, p.attempt, p.machine, p.shard, p.charged_shard);
-        all(self) == all(o)
+    fn eq(&self, other: &Placement) -> bool {
+        let fields = |p: &Placement| (p.task, p.attempt, p.machine, p.shard, p.charged_shard);
+        fields(self) == fields(other)
     }
 }
 
-/// A job's description, names interned.
+/// A job's description with interned names.
 #[derive(Clone, Debug)]
 pub struct Spec {
     /// As submitted.
     pub wire: JobSpec,
     /// Team.
     pub team: TeamIndex,
-    /// What a task takes.
+    /// Resources that one task requests.
     pub need: Resources,
-    /// Allowed types.
+    /// Machine types that are allowed; `None`: all.
     pub machine_types: Option<Vec<MachineTypeIndex>>,
-    /// Only allowed zone.
+    /// The zone that is allowed; `None`: all.
     pub zone: Option<ZoneIndex>,
-    /// Image.
+    /// Container image.
     pub image: ImageIndex,
     /// Size of the description in a record.
     pub record_bytes: usize,
 }
 
 impl Spec {
-    /// Tasks.
+    /// How many tasks the job has.
     pub fn tasks(&self) -> u32 {
         self.wire.tasks
     }
@@ -175,11 +184,11 @@
     pub fn priority(&self) -> Priority {
         self.wire.priority
     }
-    /// True for a gang of more than one task: it skips the queues.
+    /// True for a gang of more than one task: its tasks are never queued on machines.
     pub fn is_wide_gang(&self) -> bool {
         self.wire.kind == JobKind::Gang && self.wire.tasks > 1
     }
-    /// Most tasks that may be in one zone.
+    /// Maximum number of tasks in one zone.
     pub fn zone_cap(&self) -> u32 {
         if self.wire.spread {
             self.wire.tasks.div_ceil(2)
@@ -198,92 +207,96 @@
     pub version: u64,
     /// State.
     pub state: JobState,
-    /// Time of day of the submission, ms.
+    /// Wall-clock time of the submission, ms.
     pub submitted_at: u64,
-    /// Description, while needed.
+    /// Description; `None` once the job is settled, or if the record is unreadable.
     pub spec: Option<Rc<Spec>>,
-    /// Done tasks.
-    pub done: Ranges,
+    /// Tasks that are done.
+    pub done: TaskRanges,
     /// Placements.
     pub placements: Vec<Placement>,
-    /// Next attempt.
+    /// Number of the next attempt of any task.
     pub next_attempt: u64,
-    /// Time of day at which its last task was done, ms, if that is known.
+    /// Wall-clock time at which its last task was done, ms; 0: unknown.
     pub finished_at: u64,
-    /// What follows from the jobs around it.
+    /// What follows from its dependencies and dependents.
     pub dependency_state: DependencyState,
 }
 
-/// What follows for a job from those that it needs and those that need it.
+/// What follows for a job from its dependencies and dependents.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct DependencyState {
-    /// It waits for a dependency, so nothing of it may start.
+    /// A dependency is not done, so no task may start.
     pub blocked: bool,
-    /// Time of day from which on it could run: its submission, or the end of its last dependency.
+    /// Wall-clock time since which it could run, ms: its submission, or the end of its last
+    /// dependency.
     pub eligible_since: u64,
-    /// The highest priority of the job and of all that need it.
+    /// The highest priority of the job and of its dependents.
     pub priority: Priority,
-    /// Time of day by which it has to be done, for its own deadline or so that those that need
-    /// it can keep theirs.
+    /// Wall-clock time by which it has to be done, ms, to keep its own deadline and those of its
+    /// dependents.
     pub deadline: Option<u64>,
 }
 
 impl Job {
-    /// True while it is not over.
+    /// True while it is neither done nor cancelled.
     pub fn is_open(&self) -> bool {
         self.state == JobState::Open
     }
-    /// True while tasks may start: it is open, and all it needs is done.
+    /// True while tasks may start: it is open and all its dependencies are done.
     pub fn is_runnable(&self) -> bool {
         self.is_open() && !self.dependency_state.blocked
     }
-    /// True once nothing more will happen to it.
+    /// True once nothing more will happen to it: it is over and has no placements.
     pub fn is_settled(&self) -> bool {
         !self.is_open() && self.placements.is_empty()
     }
+    /// The same job, cancelled.
+    pub fn cancelled(self) -> Job {
+        Job {
+            state: JobState::Cancelled,
+            ..self
+        }
+    }
     /// The placement of a task.
     pub fn placement(&self, task: u32) -> Option<&Placement> {
         self.placements.iter().find(|p| p.task == task)
     }
-    /// True if the task waits for a machine.
+    /// True if the task waits for a placement.
     pub fn is_waiting(&self, task: u32) -> bool {
         self.is_runnable() && !self.done.has(task) && self.placement(task).is_none()
     }
-    /// Tasks that wait for a machine, from the lowest.
+    /// Tasks that wait for a placement, in ascending order.
     pub fn waiting_tasks(&self) -> impl Iterator<Item = u32> + '_ {
-        let n = self
-            .spec
-            .as_ref()
-            .filter(|_| self.is_runnable())
-            .map_or(0, |s| s.tasks());
+        let spec = self.spec.as_ref().filter(|_| self.is_runnable());
+        let task_count = spec.map_or(0, |spec| spec.tasks());
         let mut placed: Vec<u32> = self.placements.iter().map(|p| p.task).collect();
         placed.sort_unstable();
-        let waits = move |t: &u32| placed.binary_search(t).is_err();
-        self.done.missing(n).filter(waits)
+        let unfinished = self.done.missing(task_count);
+        unfinished.filter(move |task| placed.binary_search(task).is_err())
     }
-    /// How many tasks wait.
+    /// How many tasks wait for a placement.
     pub fn waiting_count(&self) -> u32 {
         match &self.spec {
-            Some(s) if self.is_runnable() => {
-                let placed = self
-                    .placements
-                    .iter()
-                    .filter(|p| !self.done.has(p.task))
-                    .count() as u32;
-                s.tasks()
-                    .saturating_sub(self.done.count())
-                    .saturating_sub(placed)
-            }
+            Some(spec) if self.is_runnable() => spec
+                .tasks()
+                .saturating_sub(self.done.count())
+                .saturating_sub(self.unfinished_placements()),
             _ => 0,
         }
     }
-    /// Notes that a task is done; a gang's tasks complete together.
+    /// How many placements are of tasks that are not done.
+    pub fn unfinished_placements(&self) -> u32 {
+        let unfinished = self.placements.iter().filter(|p| !self.done.has(p.task));
+        unfinished.count() as u32
+    }
+    /// Records that a task is done; a gang's tasks complete together.
     pub fn complete_task(&mut self, task: u32) {
         let Some(spec) = self.spec.clone() else {
             return;
         };
         match spec.wire.kind {
-            JobKind::Gang => self.done = Ranges::all(spec.tasks()),
+            JobKind::Gang => self.done = TaskRanges::all(spec.tasks()),
             // A replica that ends by itself is replaced.
             JobKind::Service => return,
             JobKind::Array => self.done.add(task),
@@ -292,53 +305,58 @@
             self.state = JobState::Done;
         }
     }
-    /// Drops one placement, which is proven gone.
+    /// Removes a placement whose attempt is proven absent; false if there is none.
     pub fn remove_placement(&mut self, task: u32, attempt: u64) -> bool {
         let before = self.placements.len();
         self.placements
             .retain(|p| (p.task, p.attempt) != (task, attempt));
         before != self.placements.len()
     }
-    /// Rough size of the record as JSON, without its parts.
+    /// Estimated size of the job's own record as JSON, without overflow records.
     pub fn record_bytes(&self) -> usize {
-        let own = self
-            .placements
-            .iter()
-            .filter(|p| p.overflow_index == 0)
-            .count();
-        let spec = self.spec.as_ref().map_or(0, |s| s.record_bytes);
-        120 + spec + self.done.pieces() * 14 + own * PLACEMENT_BYTES
+        let own = self.placements.iter().filter(|p| p.overflow_index == 0);
+        let spec = self.spec.as_ref().map_or(0, |spec| spec.record_bytes);
+        RECORD_BASE_BYTES
+            + spec
+            + self.done.range_count() * TASK_RANGE_BYTES
+            + own.count() * PLACEMENT_BYTES
     }
-    /// Parts of the record for this many more placements, each the first with room; the record
-    /// itself is part 0, and the only one unless there may be `parts`.
+    /// The record in which each of `count` more placements is to be stored: the first with space
+    /// left below `value_bytes`. 0 is the job's own record, and the only one unless
+    /// `overflow_allowed`; `None` if they don't fit.
     pub fn overflow_indices_for(
         &self,
-        n: usize,
+        count: usize,
         value_bytes: usize,
-        parts: bool,
+        overflow_allowed: bool,
     ) -> Option<Vec<u16>> {
-        let mut sizes = vec![self.record_bytes()];
-        for p in self.placements.iter().filter(|p| p.overflow_index > 0) {
-            let at = usize::from(p.overflow_index);
-            if sizes.len() <= at {
-                sizes.resize(at + 1, PART_BYTES);
-            }
-            sizes[at] += PLACEMENT_BYTES;
-        }
-        let mut out = Vec::with_capacity(n);
-        for _ in 0..n {
+        let mut sizes = self.stored_sizes();
+        let mut indices = Vec::with_capacity(count);
+        for _ in 0..count {
             let fits = |size: &usize| size + PLACEMENT_BYTES <= value_bytes;
-            let found = sizes.iter().position(fits);
-            let at = found.unwrap_or(sizes.len());
-            if at > 0 && !parts || at > usize::from(MOST_PARTS) {
+            let first_fit = sizes.iter().position(fits);
+            let index = first_fit.unwrap_or(sizes.len());
+            if index > 0 && !overflow_allowed || index > usize::from(MAX_OVERFLOW_RECORDS) {
                 return None;
             }
-            if at == sizes.len() {
-                sizes.push(PART_BYTES);
+            if index == sizes.len() {
+                sizes.push(OVERFLOW_BASE_BYTES);
+            }
+            sizes[index] += PLACEMENT_BYTES;
+            indices.push(index as u16);
+        }
+        Some(indices)
+    }
+    /// Estimated sizes of the job's own record and, behind it, of its overflow records.
+    fn stored_sizes(&self) -> Vec<usize> {
+        let mut sizes = vec![self.record_bytes()];
+        for placement in self.placements.iter().filter(|p| p.overflow_index > 0) {
+            let index = usize::from(placement.overflow_index);
+            if sizes.len() <= index {
+                sizes.resize(index + 1, OVERFLOW_BASE_BYTES);
             }
-            sizes[at] += PLACEMENT_BYTES;
-            out.push(at as u16);
+            sizes[index] += PLACEMENT_BYTES;
         }
-        Some(out)
+        sizes
     }
 }
--- a/src/state/names.rs
+++ b/src/state/names.rs
@@ -1,4 +1,5 @@
-//! Names become dense indices at the door; inside, only indices are compared.
+//! Interned names: each becomes a dense, typed index when it is read, and the scheduler compares
+//! and stores indices only.
 
 use std::collections::HashMap;
 use std::marker::PhantomData;
@@ -6,9 +7,9 @@
 
 /// An index handed out by an [`Interner`].
 pub trait Index: Copy {
-    /// Wraps a position.
-    fn new(at: usize) -> Self;
-    /// The position.
+    /// The index of a position.
+    fn new(position: usize) -> Self;
+    /// The position in a list by index.
     fn at(self) -> usize;
 }
 
@@ -18,8 +19,8 @@
         #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
         pub struct $name(pub u32);
         impl Index for $name {
-            fn new(at: usize) -> Self {
-                $name(at as u32)
+            fn new(position: usize) -> Self {
+                $name(position as u32)
             }
             fn at(self) -> usize {
                 self.0 as usize
@@ -29,38 +30,38 @@
 }
 
 index!(
-    /// A job.
+    /// Index of a job.
     JobIndex
 );
 index!(
-    /// A machine.
+    /// Index of a machine.
     MachineIndex
 );
 index!(
-    /// A machine type.
+    /// Index of a machine type.
     MachineTypeIndex
 );
 index!(
-    /// A zone.
+    /// Index of a zone.
     ZoneIndex
 );
 index!(
-    /// A team.
+    /// Index of a team.
     TeamIndex
 );
 index!(
-    /// An image.
+    /// Index of an image.
     ImageIndex
 );
 index!(
-    /// A shard of the machines (or the renting duty, which is the last one).
+    /// Index of a shard of the machines; the last one has none and is the autoscaler's.
     ShardIndex
 );
 
 /// Maps names to dense indices and back.
 #[derive(Debug)]
 pub struct Interner<I> {
-    map: HashMap<Rc<str>, u32>,
+    indices: HashMap<Rc<str>, u32>,
     names: Vec<Rc<str>>,
     kind: PhantomData<I>,
 }
@@ -68,7 +69,7 @@
 impl<I> Default for Interner<I> {
     fn default() -> Self {
         Interner {
-            map: HashMap::new(),
+            indices: HashMap::new(),
             names: Vec::new(),
             kind: PhantomData,
         }
@@ -78,21 +79,22 @@
 impl<I: Index> Interner<I> {
     /// The index of a name, which is added if it is new.
     pub fn intern(&mut self, name: &str) -> I {
-        if let Some(at) = self.map.get(name) {
-            return I::new(*at as usize);
+        if let Some(index) = self.find(name) {
+            return index;
         }
         let name: Rc<str> = name.into();
-        self.map.insert(name.clone(), self.names.len() as u32);
+        self.indices.insert(name.clone(), self.names.len() as u32);
         self.names.push(name);
         I::new(self.names.len() - 1)
     }
     /// The index of a known name.
     pub fn find(&self, name: &str) -> Option<I> {
-        self.map.get(name).map(|at| I::new(*at as usize))
+        let position = self.indices.get(name)?;
+        Some(I::new(*position as usize))
     }
     /// The name behind an index.
-    pub fn name(&self, ix: I) -> &Rc<str> {
-        &self.names[ix.at()]
+    pub fn name(&self, index: I) -> &Rc<str> {
+        &self.names[index.at()]
     }
     /// How many names are known.
     pub fn len(&self) -> usize {
--- /dev/null
+++ b/src/state/record_formats.rs
@@ -0,0 +1,93 @@
+//! What is written to the key-value store for a job: its own record, and overflow records with
+//! the placements that exceed the limit of one value.
+
+use super::cluster_state::ClusterState;
+use super::job::{Job, JobRecord, Placement, StoredPlacement};
+use super::names::{Index, JobIndex};
+use super::records::ROOT;
+use crate::protocol::users::JobSpec;
+
+/// Size of a job's description in its record, as the key-value store counts it.
+pub(super) fn stored_bytes(wire: &JobSpec) -> usize {
+    let bytes = rmp_serde::to_vec_named(wire).unwrap_or_default();
+    let value = rmpv::decode::read_value(&mut bytes.as_slice());
+    value.map_or(0, |v| v.to_string().len())
+}
+
+impl ClusterState {
+    /// Key of a job's record.
+    pub fn job_key(id: &str) -> String {
+        format!("{ROOT}job/{id}")
+    }
+
+    /// Key of one of a job's overflow records.
+    pub fn overflow_key(id: &str, overflow_index: u16) -> String {
+        format!("{ROOT}more/{id}.{overflow_index}")
+    }
+
+    /// A job's record as it is stored, without the placements in overflow records.
+    pub fn record(&self, job: &Job) -> JobRecord {
+        let spec = job.spec.as_ref().filter(|_| !job.is_settled());
+        JobRecord {
+            spec: spec.map(|spec| spec.wire.clone()),
+            state: job.state,
+            submitted_at: job.submitted_at,
+            done: job.done.clone(),
+            placements: self.stored_overflow(job, 0),
+            next_attempt: job.next_attempt,
+            finished_at: job.finished_at,
+        }
+    }
+
+    /// The placements of one overflow record as they are stored; 0: those in the job's record.
+    pub fn stored_overflow(&self, job: &Job, overflow_index: u16) -> Vec<StoredPlacement> {
+        job.placements
+            .iter()
+            .filter(|p| p.overflow_index == overflow_index)
+            .map(|p| self.stored_placement(p))
+            .collect()
+    }
+
+    fn stored_placement(&self, placement: &Placement) -> StoredPlacement {
+        StoredPlacement {
+            task: placement.task,
+            attempt: placement.attempt,
+            machine: self.machine_names.name(placement.machine).to_string(),
+            shard: placement.shard,
+            charged_shard: placement.charged_shard,
+        }
+    }
+
+    /// Placements in memory for those of a stored record.
+    pub(super) fn read_placements(
+        &mut self,
+        stored: &[StoredPlacement],
+        overflow_index: u16,
+    ) -> Vec<Placement> {
+        let mut placements = Vec::with_capacity(stored.len());
+        for placement in stored {
+            placements.push(Placement {
+                task: placement.task,
+                attempt: placement.attempt,
+                machine: self.intern_machine(&placement.machine),
+                shard: placement.shard,
+                charged_shard: placement.charged_shard,
+                overflow_index,
+            });
+        }
+        placements
+    }
+
+    /// Indices of the overflow records in which `job` differs from the job as last read.
+    pub fn changed_overflows(&self, job_index: JobIndex, job: &Job) -> Vec<u16> {
+        let old = &self.jobs[job_index.at()];
+        let placements = old.placements.iter().chain(&job.placements);
+        let mut indices: Vec<u16> = placements.map(|p| p.overflow_index).collect();
+        indices.sort_unstable();
+        indices.dedup();
+        indices.retain(|index| {
+            *index > 0 && self.stored_overflow(old, *index) != self.stored_overflow(job, *index)
+        });
+        indices
+    }
+}
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -1,23 +1,26 @@
-//! Records of the state service other than jobs, and their versions.
+//! Records of the key-value store other than jobs, and their versions.
 
 use super::names::ShardIndex;
 use super::units::{Incarnation, QuotaUsage};
 use serde::{Deserialize, Serialize};
 use standby::ids::FencingToken;
 
-/// All keys of the service start with this.
+/// All keys in the key-value store start with this.
 pub const ROOT: &str = "ph/";
 
-/// A controller's incarnation, held by a lease.
+/// A controller's incarnation, at the key `ph/node/<controller>`.
+///
+/// Written by the controller itself under its lease, and deleted by the key-value store when the
+/// lease expires.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
 pub struct ControllerRecord {
-    /// Number drawn at the start of the process.
+    /// Number drawn when the process started.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// Forms of records that its process knows; 0: only the first, of version 0.1.
+    /// Highest record format that its process can read; 0: only the first, of version 0.1.
     #[serde(rename = "v", default, skip_serializing_if = "is_zero")]
     pub record_format: u32,
-    /// Version of the standby's messages that its process takes; 0: it follows nobody.
+    /// Version of the replication messages that its process accepts; 0: it is no standby.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
     pub standby_version: u32,
 }
@@ -26,45 +29,55 @@
     *n == 0
 }
 
-/// The form of records that this version knows beside the first: jobs with dependencies, and
-/// placements in parts. It begins when every node knows it.
+/// The record format that this version can read beside the first: jobs with dependencies, and
+/// overflow records. It is written once every controller can read it.
 pub const RECORD_FORMAT_V2: u32 = 2;
 
-/// Version of the messages by which a standby follows an owner.
+/// Version of the messages that replicate a shard owner's state to its standby.
 pub const STANDBY_VERSION: u32 = 1;
 
-/// Placements of a job that its own record has no room for.
+/// Placements that would make a job's own record exceed the size limit of a value, at the key
+/// `ph/more/<job>.<overflow index>`.
+///
+/// Written and deleted in the same transactions as the job's record, whose version therefore
+/// stands for all of them.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
 pub struct OverflowRecord {
-    /// Placements.
+    /// Placements of this overflow record.
     #[serde(rename = "p")]
     pub placements: Vec<super::job::StoredPlacement>,
 }
 
-/// Who owns a shard.
+/// Ownership of a shard, at the key `ph/shard/<index>`.
+///
+/// Written by the controller that acquires the shard, on the condition that the record has not
+/// changed. Every transaction of the owner is conditional on the version of this record.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
 pub struct ShardRecord {
-    /// Node.
+    /// Name of the owning controller.
     #[serde(rename = "o")]
     pub owner: String,
-    /// Its incarnation.
+    /// Incarnation of the owner.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// Token; every change of owner raises it.
+    /// Fencing token; every change of owner raises it.
     #[serde(rename = "t")]
     pub fencing_token: FencingToken,
 }
 
-/// Shares of a team's limit: shard, processors and graphics processors in thousandths.
+/// A team's quota shares, at the key `ph/team/<team>`.
+///
+/// Written by shard owners that take a larger share, on the condition that the record has not
+/// changed, so that the shares never exceed the team's limit together.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
 pub struct TeamRecord {
-    /// Shares.
+    /// Stored shares: shard, CPU and GPU in thousandths.
     #[serde(rename = "s", default)]
     pub shares: Vec<(u32, i64, i64)>,
 }
 
 impl TeamRecord {
-    /// A shard's share.
+    /// Quota share of a shard.
     pub fn share(&self, shard: ShardIndex) -> QuotaUsage {
         let stored = self.shares.iter().find(|share| share.0 == shard.0);
         stored.map_or(QuotaUsage::default(), |(_, cpu_milli, gpu_milli)| {
@@ -74,7 +87,7 @@
             }
         })
     }
-    /// Sets a shard's share.
+    /// Sets the quota share of a shard; an empty one is not stored.
     pub fn set(&mut self, shard: ShardIndex, share: QuotaUsage) {
         self.shares.retain(|stored| stored.0 != shard.0);
         if share != QuotaUsage::default() {
@@ -91,22 +104,26 @@
     }
 }
 
-/// A rental that was asked for and may not show in the list yet.
+/// A provisioning request that may not show in the cloud's machine list yet, at the key
+/// `ph/book/<request>`.
+///
+/// Written by the owner of the autoscaler's shard before it asks the cloud, so that neither a
+/// restart nor a failover requests the same machines twice; deleted once the list shows them.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
 pub struct ProvisioningRecord {
-    /// Type.
+    /// Machine type.
     #[serde(rename = "r")]
     pub machine_type: String,
     /// Zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Spot.
+    /// Spot machines, which the cloud may preempt.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     #[serde(rename = "n")]
     pub count: u32,
-    /// Machines, once known.
+    /// Names of the machines, once the cloud has answered.
     #[serde(rename = "h", default)]
     pub machines: Vec<String>,
 }
@@ -120,16 +137,29 @@
     pub record: T,
 }
 
-/// A team's settings, in thousandths; 0: none.
+/// A team's limits by the settings.
 #[derive(Clone, Debug)]
 pub struct TeamLimits {
-    /// Guaranteed processors and graphics processors.
+    /// Guaranteed quota; 0: none.
     pub guaranteed: QuotaUsage,
-    /// Limits of both.
+    /// Upper limit of the quota; 0: unlimited.
     pub limit: QuotaUsage,
 }
 
 impl TeamLimits {
+    /// The limits that the settings give a team.
+    pub fn from_settings(team: &crate::settings::Team) -> TeamLimits {
+        let milli = |amount: f64| (amount * 1000.0).round().max(0.0) as i64;
+        let quota = |cpus: f64, gpus: f64| QuotaUsage {
+            cpu_milli: milli(cpus),
+            gpu_milli: milli(gpus),
+        };
+        TeamLimits {
+            guaranteed: quota(team.cpus, team.gpus),
+            limit: quota(team.cpus_max, team.gpus_max),
+        }
+    }
+
     /// True if nothing limits the team.
     pub fn unlimited(&self) -> bool {
         self.limit == QuotaUsage::default()
--- a/src/state/resource_totals.rs
+++ b/src/state/resource_totals.rs
@@ -1,83 +1,91 @@
-//! Sums over placements, kept current as records change, so that no pass walks them all.
+//! Sums over placements, updated as records change, so that no scheduling round adds up all jobs.
 
 use super::job::Job;
 use super::machine::TaskAttempt;
 use super::names::{Index, JobIndex, MachineIndex, ShardIndex, TeamIndex};
 use super::units::{QuotaUsage, Resources};
 
-/// What placements use, by machine and by team.
+/// What the placements of all jobs use, by machine, and by team and charged shard.
 #[derive(Default, Debug)]
 pub struct ResourceTotals {
+    /// Attempts by machine.
     placed: Vec<Vec<TaskAttempt>>,
+    /// Free capacity by machine.
     free_capacity: Vec<Option<Resources>>,
+    /// Quota used, by team and charged shard.
     used_by_shard: Vec<Vec<QuotaUsage>>,
 }
 
-fn slot<T: Default>(list: &mut Vec<T>, at: usize) -> &mut T {
-    if list.len() <= at {
-        list.resize_with(at + 1, T::default);
+/// The element at `position` of a list, which is extended up to there.
+fn slot<T: Default>(list: &mut Vec<T>, position: usize) -> &mut T {
+    if list.len() <= position {
+        list.resize_with(position + 1, T::default);
     }
-    &mut list[at]
+    &mut list[position]
 }
 
 impl ResourceTotals {
-    /// Counts a job's placements.
-    pub fn add(&mut self, ix: JobIndex, job: &Job) {
-        self.count(ix, job, 1);
+    /// Adds a job's placements.
+    pub fn add(&mut self, job_index: JobIndex, job: &Job) {
+        for placement in &job.placements {
+            let attempt = TaskAttempt::new(job_index, placement.task, placement.attempt);
+            slot(&mut self.placed, placement.machine.at()).push(attempt);
+        }
+        self.charge(job, 1);
     }
-    /// Takes a job's placements out again.
-    pub fn remove(&mut self, ix: JobIndex, job: &Job) {
-        self.count(ix, job, -1);
+
+    /// Removes a job's placements.
+    pub fn remove(&mut self, job_index: JobIndex, job: &Job) {
+        for placement in &job.placements {
+            let attempt = TaskAttempt::new(job_index, placement.task, placement.attempt);
+            slot(&mut self.placed, placement.machine.at()).retain(|placed| *placed != attempt);
+        }
+        self.charge(job, -1);
     }
 
-    fn count(&mut self, ix: JobIndex, job: &Job, sign: i64) {
-        for p in &job.placements {
-            let a = TaskAttempt::new(ix, p.task, p.attempt);
-            let here = slot(&mut self.placed, p.machine.at());
-            if sign > 0 {
-                here.push(a);
-            } else {
-                here.retain(|x| *x != a);
-            }
-            if let Some(s) = &job.spec {
-                let used = slot(
-                    slot(&mut self.used_by_shard, s.team.at()),
-                    p.charged_shard.at(),
-                );
-                *used = used.plus(s.need.quota().times(sign));
-            }
+    /// Charges a job's placements to its team `times` times; -1 takes the charge back.
+    fn charge(&mut self, job: &Job, times: i64) {
+        let Some(spec) = &job.spec else { return };
+        for placement in &job.placements {
+            let by_shard = slot(&mut self.used_by_shard, spec.team.at());
+            let used = slot(by_shard, placement.charged_shard.at());
+            *used = used.plus(spec.need.quota().times(times));
         }
     }
 
     /// Attempts placed on a machine.
-    pub fn placed_on(&self, m: MachineIndex) -> &[TaskAttempt] {
-        self.placed.get(m.at()).map_or(&[], Vec::as_slice)
+    pub fn placed_on(&self, machine: MachineIndex) -> &[TaskAttempt] {
+        self.placed.get(machine.at()).map_or(&[], Vec::as_slice)
     }
+
     /// Machines with placements.
     pub fn occupied(&self) -> impl Iterator<Item = MachineIndex> + '_ {
-        let here = self.placed.iter().enumerate();
-        here.filter(|(_, a)| !a.is_empty())
-            .map(|(i, _)| MachineIndex::new(i))
+        let by_machine = self.placed.iter().enumerate();
+        by_machine
+            .filter(|(_, attempts)| !attempts.is_empty())
+            .map(|(index, _)| MachineIndex::new(index))
     }
-    /// What the placements charged to a shard use.
+
+    /// Quota that a team's placements charged to a shard use.
     pub fn quota_used_by_shard(&self, team: TeamIndex, charged_shard: ShardIndex) -> QuotaUsage {
         let by_shard = self.used_by_shard.get(team.at());
-        by_shard
-            .and_then(|p| p.get(charged_shard.at()))
-            .copied()
-            .unwrap_or_default()
+        let used = by_shard.and_then(|shards| shards.get(charged_shard.at()));
+        used.copied().unwrap_or_default()
     }
-    /// What a team's placements use.
+
+    /// Quota that all placements of a team use.
     pub fn quota_used(&self, team: TeamIndex) -> QuotaUsage {
         let by_shard = self.used_by_shard.get(team.at()).into_iter().flatten();
         by_shard.fold(QuotaUsage::default(), |sum, used| sum.plus(*used))
     }
-    /// Free room by machine; `None` where the machine or its type is unknown.
+
+    /// Free capacity by machine; `None` where the machine or its type is unknown.
     pub fn free_capacity(&self) -> &[Option<Resources>] {
         &self.free_capacity
     }
-    /// Notes what is free on a machine.
-    pub fn set_free_capacity(&mut self, m: MachineIndex, free: Option<Resources>) {
-        *slot(&mut self.free_capacity, m.at()) = free;
+
+    /// Sets the free capacity of a machine.
+    pub fn set_free_capacity(&mut self, machine: MachineIndex, free: Option<Resources>) {
+        *slot(&mut self.free_capacity, machine.at()) = free;
     }
 }
--- a/src/state/units.rs
+++ b/src/state/units.rs
@@ -1,8 +1,8 @@
-//! Amounts and times.
+//! Units: times, incarnations and amounts of resources.
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds of this process' steady clock.
+/// Milliseconds of this process' monotonic clock.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct MonotonicMillis(pub u64);
 
@@ -29,63 +29,64 @@
     (seconds.max(0.0) * 1000.0).min(1e15) as u64
 }
 
-/// Amounts that count against a team's quota, in thousandths.
+/// Resources that count against a team's quota, in thousandths.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct QuotaUsage {
-    /// Processors.
+    /// CPUs.
     pub cpu_milli: i64,
-    /// Graphics processors.
+    /// GPUs.
     pub gpu_milli: i64,
 }
 
 impl QuotaUsage {
-    /// Sum.
+    /// Sum of each resource.
     pub fn plus(self, other: QuotaUsage) -> QuotaUsage {
         QuotaUsage {
             cpu_milli: self.cpu_milli + other.cpu_milli,
             gpu_milli: self.gpu_milli + other.gpu_milli,
         }
     }
-    /// `n` times as much; a negative `n` takes back.
+    /// `n` times as much; a negative `n` reverses a charge.
     pub fn times(self, n: i64) -> QuotaUsage {
         QuotaUsage {
             cpu_milli: self.cpu_milli.saturating_mul(n),
             gpu_milli: self.gpu_milli.saturating_mul(n),
         }
     }
-    /// The greater of each part.
+    /// The maximum of each resource.
     pub fn max(self, other: QuotaUsage) -> QuotaUsage {
         QuotaUsage {
             cpu_milli: self.cpu_milli.max(other.cpu_milli),
             gpu_milli: self.gpu_milli.max(other.gpu_milli),
         }
     }
-    /// What is left of it; parts may become negative.
+    /// Difference of each resource, which may be negative.
     pub fn minus(self, other: QuotaUsage) -> QuotaUsage {
         QuotaUsage {
             cpu_milli: self.cpu_milli.saturating_sub(other.cpu_milli),
             gpu_milli: self.gpu_milli.saturating_sub(other.gpu_milli),
         }
     }
-    /// True if no part exceeds that of `other`.
+    /// True if no resource exceeds that of `other`.
     pub fn within(self, other: QuotaUsage) -> bool {
         self.cpu_milli <= other.cpu_milli && self.gpu_milli <= other.gpu_milli
     }
 }
 
-/// What a task takes or a machine has, in thousandths.
+/// Resources that a task requests or a machine has, in thousandths.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Resources {
-    /// Processors.
+    /// CPUs.
     pub cpu: i64,
-    /// Graphics processors.
+    /// GPUs.
     pub gpu: i64,
-    /// Memory.
+    /// Memory, GB.
     pub mem: i64,
 }
 
-fn milli(x: f64) -> i64 {
-    (x * 1000.0).ceil().clamp(0.0, 1e15) as i64
+/// Thousandths of an amount, rounded up, so that no request is counted too low.
+fn milli(amount: f64) -> i64 {
+    (amount * 1000.0).ceil().clamp(0.0, 1e15) as i64
 }
 
 impl Resources {
@@ -97,39 +98,39 @@
             mem: milli(mem_gb),
         }
     }
-    /// The part that counts against a team's quota.
+    /// The resources that count against a team's quota.
     pub fn quota(self) -> QuotaUsage {
         QuotaUsage {
             cpu_milli: self.cpu,
             gpu_milli: self.gpu,
         }
     }
-    /// True if `self` fits into `room`.
-    pub fn fits(self, room: Resources) -> bool {
-        self.cpu <= room.cpu && self.gpu <= room.gpu && self.mem <= room.mem
+    /// True if `self` fits into `available`.
+    pub fn fits(self, available: Resources) -> bool {
+        self.cpu <= available.cpu && self.gpu <= available.gpu && self.mem <= available.mem
     }
-    /// Sum.
-    pub fn plus(self, o: Resources) -> Resources {
+    /// Sum of each resource.
+    pub fn plus(self, other: Resources) -> Resources {
         Resources {
-            cpu: self.cpu + o.cpu,
-            gpu: self.gpu + o.gpu,
-            mem: self.mem + o.mem,
+            cpu: self.cpu + other.cpu,
+            gpu: self.gpu + other.gpu,
+            mem: self.mem + other.mem,
         }
     }
-    /// Difference; parts may become negative.
-    pub fn minus(self, o: Resources) -> Resources {
+    /// Difference of each resource, which may be negative.
+    pub fn minus(self, other: Resources) -> Resources {
         Resources {
-            cpu: self.cpu - o.cpu,
-            gpu: self.gpu - o.gpu,
-            mem: self.mem - o.mem,
+            cpu: self.cpu - other.cpu,
+            gpu: self.gpu - other.gpu,
+            mem: self.mem - other.mem,
         }
     }
-    /// The lesser of each part.
-    pub fn least(self, o: Resources) -> Resources {
+    /// The minimum of each resource.
+    pub fn least(self, other: Resources) -> Resources {
         Resources {
-            cpu: self.cpu.min(o.cpu),
-            gpu: self.gpu.min(o.gpu),
-            mem: self.mem.min(o.mem),
+            cpu: self.cpu.min(other.cpu),
+            gpu: self.gpu.min(other.gpu),
+            mem: self.mem.min(other.mem),
         }
     }
     /// `n` times as much.
@@ -140,15 +141,16 @@
             mem: self.mem.saturating_mul(n.into()),
         }
     }
-    /// The largest part of `whole` that `self` takes, 0 to 1 and beyond.
+    /// Dominant share: the largest fraction of a resource of `whole` that `self` takes; above 1 if
+    /// it does not fit.
     pub fn share_of(self, whole: Resources) -> f64 {
-        let part = |a: i64, b: i64| match (a, b) {
-            (a, _) if a <= 0 => 0.0,
+        let fraction = |used: i64, available: i64| match (used, available) {
+            (used, _) if used <= 0 => 0.0,
             (_, 0) => 1.0,
-            (a, b) => a as f64 / b as f64,
+            (used, available) => used as f64 / available as f64,
         };
-        part(self.cpu, whole.cpu)
-            .max(part(self.gpu, whole.gpu))
-            .max(part(self.mem, whole.mem))
+        fraction(self.cpu, whole.cpu)
+            .max(fraction(self.gpu, whole.gpu))
+            .max(fraction(self.mem, whole.mem))
     }
 }
--- a/tests/http_api.rs
+++ b/tests/http_api.rs
@@ -7,8 +7,8 @@
 use pointhook::protocol::workers::{split_task, Heartbeat};
 use pointhook::settings::{Operator, Platform};
 use pointhook::state::cluster_state::ClusterState;
-use pointhook::state::job::Ranges;
 use pointhook::state::names::{Interner, MachineIndex};
+use pointhook::state::task_ranges::TaskRanges;
 use std::path::PathBuf;
 use support::{cloud, controller::team, job};
 
@@ -152,7 +152,7 @@
     let mut seed = fastrand::Rng::with_seed(3);
     let mut all: Vec<u32> = (0..200).collect();
     seed.shuffle(&mut all);
-    let mut r = Ranges::default();
+    let mut r = TaskRanges::default();
     for (i, x) in all.iter().enumerate() {
         assert!(!r.has(*x));
         r.add(*x);
@@ -161,8 +161,8 @@
         assert_eq!(r.count() as usize, i + 1);
         assert_eq!(r.missing(200).count(), 199 - i);
     }
-    assert_eq!(r, Ranges::all(200));
-    assert_eq!(r.pieces(), 1);
+    assert_eq!(r, TaskRanges::all(200));
+    assert_eq!(r.range_count(), 1);
 }
 
 #[test]
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -3,11 +3,12 @@
 use pointhook::protocol::peers::{self, MachineStatus, PeerRequest, PeerResponse, TaskRef};
 use pointhook::protocol::users::{JobKind, JobSpec, Priority};
 use pointhook::protocol::workers::FencingToken;
-use pointhook::state::job::{JobRecord, JobState, Ranges};
+use pointhook::state::job::{JobRecord, JobState, StoredPlacement};
 use pointhook::state::names::ShardIndex;
 use pointhook::state::records::{
     ControllerRecord, OverflowRecord, ProvisioningRecord, ShardRecord, TeamRecord, RECORD_FORMAT_V2,
 };
+use pointhook::state::task_ranges::TaskRanges;
 use pointhook::state::units::Incarnation;
 use pointhook::state::units::QuotaUsage;
 use serde::de::DeserializeOwned;
@@ -78,7 +79,7 @@
         deadline_s: Some(900.0),
         dependencies: Vec::new(),
     };
-    let mut done = Ranges::default();
+    let mut done = TaskRanges::default();
     for t in [0, 1, 3] {
         done.add(t);
     }
@@ -88,8 +89,8 @@
         submitted_at: 1_764_650_000_123,
         done,
         placements: vec![
-            (2, 7, "n-000231".into(), 1, 0),
-            (4, 8, "n-000007".into(), 3, 3),
+            StoredPlacement::from((2, 7, "n-000231".to_string(), 1, 0)),
+            StoredPlacement::from((4, 8, "n-000007".to_string(), 3, 3)),
         ],
         next_attempt: 9,
         finished_at: 0,
@@ -99,7 +100,7 @@
         spec: None,
         state: JobState::Cancelled,
         submitted_at: 1_764_650_000_123,
-        done: Ranges::default(),
+        done: TaskRanges::default(),
         placements: Vec::new(),
         next_attempt: 2,
         finished_at: 0,
@@ -260,13 +261,13 @@
     let same = |name: &str, rec: &JobRecord| same_record_as(VERSION_0_2, name, rec);
     let waiting = JobRecord::submitted(dependent(), 1_764_650_000_123);
     same("record/job/waiting", &waiting);
-    let mut done = Ranges::default();
+    let mut done = TaskRanges::default();
     for task in [0, 1, 7] {
         done.add(task);
     }
     let running = JobRecord {
         done,
-        placements: vec![(2, 7, "n-000231".into(), 1, 0)],
+        placements: vec![StoredPlacement::from((2, 7, "n-000231".to_string(), 1, 0))],
         next_attempt: 9,
         ..waiting.clone()
     };
@@ -274,7 +275,7 @@
     let over = JobRecord {
         spec: None,
         state: JobState::Done,
-        done: Ranges::all(300),
+        done: TaskRanges::all(300),
         next_attempt: 301,
         finished_at: 1_764_650_090_456,
         ..waiting
@@ -282,8 +283,8 @@
     same("record/job/done", &over);
     let part = OverflowRecord {
         placements: vec![
-            (40, 41, "n-000007".into(), 3, 3),
-            (41, 42, "n-000231".into(), 1, 0),
+            StoredPlacement::from((40, 41, "n-000007".to_string(), 3, 3)),
+            StoredPlacement::from((41, 42, "n-000231".to_string(), 1, 0)),
         ],
     };
     same_record_as(VERSION_0_2, "record/part", &part);
