--- a/tests/autoscaling.rs
+++ b/tests/autoscaling.rs
@@ -14,23 +14,23 @@
 use pointhook::state::names::{Index, MachineTypeIndex, ZoneIndex};
 use pointhook::state::units::{MonotonicMillis, Resources};
 use std::collections::{BTreeMap, HashMap, HashSet};
-use support::controller::Controller;
 use support::job;
 use support::kv_store::FakeKvStore;
+use support::simulated_controller::SimulatedController;
 use support::worker::FakeWorker;
 
-fn ready() -> (FakeKvStore, Controller) {
+fn ready() -> (FakeKvStore, SimulatedController) {
     let mut store = FakeKvStore::default();
-    let mut c = Controller::start("n1", 1, &mut store, 0);
-    c.members(&mut store, 0);
+    let mut c = SimulatedController::start("n1", 1, &mut store, 0);
+    c.apply_membership_moves(&mut store, 0);
     (store, c)
 }
 
-fn oven(c: &Controller) -> MachineTypeIndex {
+fn oven(c: &SimulatedController) -> MachineTypeIndex {
     c.cluster.machine_type_names.find("oven").unwrap()
 }
 
-fn empty(c: &Controller, zone: usize, spot: bool) -> Supply {
+fn empty(c: &SimulatedController, zone: usize, spot: bool) -> Supply {
     Supply {
         pool: Pool {
             machine_type: oven(c),
@@ -42,7 +42,7 @@
     }
 }
 
-fn plan(c: &Controller, mut supply: Vec<Supply>, blocked: &[Pool]) -> ScaleOutPlan {
+fn plan(c: &SimulatedController, mut supply: Vec<Supply>, blocked: &[Pool]) -> ScaleOutPlan {
     let blocked: HashSet<Pool> = blocked.iter().copied().collect();
     plan_scale_out(
         &c.cluster,
@@ -122,7 +122,7 @@
     };
     let mut worker = FakeWorker::new("m1", "north", 0);
     c.submit(&mut store, of_mixers("job-1", 1, JobKind::Service), 0);
-    c.visit(&mut store, &mut worker, 0);
+    c.exchange_heartbeat(&mut store, &mut worker, 0);
     assert_eq!(c.job("job-1").placements.len(), 1);
     c.submit(&mut store, of_mixers("job-2", 2, JobKind::Gang), 100);
     c.submit(&mut store, of_mixers("job-3", 1, JobKind::Array), 200);
@@ -162,7 +162,7 @@
         count: 2,
         machines: Vec::new(),
     };
-    let put = |c: &mut Controller, store: &mut FakeKvStore, rec: &ProvisioningRecord| {
+    let put = |c: &mut SimulatedController, store: &mut FakeKvStore, rec: &ProvisioningRecord| {
         let txn = Transaction {
             conditions: Vec::new(),
             writes: set(format!("{ROOT}book/b-1-1"), rec, None)
@@ -170,7 +170,7 @@
                 .collect(),
         };
         assert!(matches!(
-            Controller::send(store, &txn, 0),
+            SimulatedController::commit(store, &txn, 0),
             CommitOutcome::Committed(_)
         ));
         c.sync(store);
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -7,9 +7,9 @@
 use pointhook::state::cancellation_watermark::CancellationWatermark;
 use pointhook::state::job::JobState;
 use pointhook::state::units::MonotonicMillis;
-use support::controller::{CANCEL_MS, LEASE_MS, RENEW_MS};
 use support::job;
-use support::world::World;
+use support::simulated_cluster::SimulatedCluster;
+use support::simulated_controller::{CANCEL_MS, LEASE_MS, RENEW_MS};
 
 use support::scenarios::{recover, refuse_leader_then_all, two_long_jobs};
 
@@ -17,175 +17,175 @@
 fn what_another_confirms_while_the_leader_is_refused_is_gone_in_time() {
     let (mut w, leader, other) = two_long_jobs();
     refuse_leader_then_all(&mut w, leader, other, "job-1");
-    w.run(CANCEL_MS);
+    w.run_for(CANCEL_MS);
     assert!(!w.runs("job-1"));
     assert!(w.runs("job-2"), "the outage cost other work");
     recover(&mut w);
-    w.keeps_the_rules();
+    w.assert_no_violations();
     // All of it once more.
     assert!(w.submit(other, job("job-3", 6)));
-    w.run(6000);
+    w.run_for(6000);
     assert!(w.runs("job-3"));
     refuse_leader_then_all(&mut w, leader, other, "job-3");
-    w.run(CANCEL_MS + 4000);
+    w.run_for(CANCEL_MS + 4000);
     assert!(!w.runs("job-3"));
     recover(&mut w);
     assert!(w.runs("job-2"));
-    w.keeps_the_rules();
+    w.assert_no_violations();
 }
 
 #[test]
 fn an_outage_for_all_costs_no_work_while_the_nodes_hear_each_other() {
     let (mut w, ..) = two_long_jobs();
-    w.outage = true;
-    w.run(5 * CANCEL_MS);
-    for host in &w.hosts {
+    w.kv_outage = true;
+    w.run_for(5 * CANCEL_MS);
+    for host in &w.machines {
         assert_eq!(host.worker.agent_epoch, AgentEpoch(1));
     }
     recover(&mut w);
-    w.keeps_the_rules();
+    w.assert_no_violations();
 }
 
 #[test]
 fn a_leader_cut_from_store_and_peers_renews_no_lease_for_longer_than_cancellations_allow() {
     let (mut w, leader, other) = two_long_jobs();
-    w.trouble[leader].refused = true;
-    w.trouble[leader].alone = true;
-    w.run(1000);
+    w.controller_faults[leader].kv_refused = true;
+    w.controller_faults[leader].isolated_from_peers = true;
+    w.run_for(1000);
     // Machines of the leader can't be reached from elsewhere; they go on reporting to it.
-    for h in &mut w.hosts {
-        h.ill.loses_answers = true;
+    for h in &mut w.machines {
+        h.faults.drops_command_responses = true;
     }
     assert!(w.cancel(other, "job-1"));
-    w.outage = true;
-    w.run(CANCEL_MS);
-    w.keeps_nothing_of("job-1");
+    w.kv_outage = true;
+    w.run_for(CANCEL_MS);
+    w.assert_nothing_runs_of("job-1");
     recover(&mut w);
-    w.keeps_the_rules();
+    w.assert_no_violations();
 }
 
 #[test]
 fn a_controller_that_ends_right_after_its_answer_leaves_the_rest_in_doubt_only() {
     let (mut w, leader, other) = two_long_jobs();
-    w.trouble[leader].refused = true;
-    w.run(1000);
+    w.controller_faults[leader].kv_refused = true;
+    w.run_for(1000);
     // Cut from all others, it confirms, and ends.
-    w.trouble[other].alone = true;
+    w.controller_faults[other].isolated_from_peers = true;
     assert!(w.cancel(other, "job-1"));
-    w.end(other);
-    w.outage = true;
-    w.run(CANCEL_MS);
-    w.keeps_nothing_of("job-1");
-    w.outage = false;
-    w.start(other);
+    w.stop_controller(other);
+    w.kv_outage = true;
+    w.run_for(CANCEL_MS);
+    w.assert_nothing_runs_of("job-1");
+    w.kv_outage = false;
+    w.start_controller(other);
     recover(&mut w);
-    w.keeps_the_rules();
+    w.assert_no_violations();
 }
 
 #[test]
 fn a_controller_that_restarts_within_a_second_does_not_vouch_for_what_it_confirmed_before() {
     let (mut w, leader, other) = two_long_jobs();
-    w.trouble[leader].refused = true;
-    w.run(1000);
-    w.trouble[other].alone = true;
+    w.controller_faults[leader].kv_refused = true;
+    w.run_for(1000);
+    w.controller_faults[other].isolated_from_peers = true;
     assert!(w.cancel(other, "job-1"));
     // It is back at once and reaches its peers, but the state service is out for all.
-    w.end(other);
-    w.outage = true;
-    w.start_unread(other);
-    w.trouble[other].alone = false;
-    w.run(CANCEL_MS);
-    w.keeps_nothing_of("job-1");
-    w.end(other);
-    w.outage = false;
-    w.start(other);
+    w.stop_controller(other);
+    w.kv_outage = true;
+    w.start_controller_without_records(other);
+    w.controller_faults[other].isolated_from_peers = false;
+    w.run_for(CANCEL_MS);
+    w.assert_nothing_runs_of("job-1");
+    w.stop_controller(other);
+    w.kv_outage = false;
+    w.start_controller(other);
     recover(&mut w);
-    w.keeps_the_rules();
+    w.assert_no_violations();
 }
 
 #[test]
 fn a_cancellation_of_what_a_deaf_mute_or_hanging_machine_runs_is_carried_out_in_time() {
     for ill in 0..3 {
         let (mut w, leader, other) = two_long_jobs();
-        let host = w.hosts.iter().position(|h| h.worker.has_task("job-1/0"));
-        let h = &mut w.hosts[host.unwrap()];
+        let host = w.machines.iter().position(|h| h.worker.has_task("job-1/0"));
+        let h = &mut w.machines[host.unwrap()];
         match ill {
-            0 => h.ill.deaf = true,
-            1 => h.ill.mute = true,
-            _ => h.ill.hangs = true,
+            0 => h.faults.drops_incoming = true,
+            1 => h.faults.drops_heartbeats = true,
+            _ => h.faults.frozen = true,
         }
         refuse_leader_then_all(&mut w, leader, other, "job-1");
-        w.run(LEASE_MS / 2);
-        w.hosts[host.unwrap()].ill.hangs = false;
-        w.run(CANCEL_MS - LEASE_MS / 2);
-        w.keeps_nothing_of("job-1");
-        w.hosts[host.unwrap()].ill = Default::default();
+        w.run_for(LEASE_MS / 2);
+        w.machines[host.unwrap()].faults.frozen = false;
+        w.run_for(CANCEL_MS - LEASE_MS / 2);
+        w.assert_nothing_runs_of("job-1");
+        w.machines[host.unwrap()].faults = Default::default();
         recover(&mut w);
-        w.keeps_the_rules();
+        w.assert_no_violations();
     }
 }
 
 #[test]
 fn a_mute_machine_is_stopped_by_whoever_knows() {
     let (mut w, leader, other) = two_long_jobs();
-    let host = w.hosts.iter().position(|h| h.worker.has_task("job-1/0"));
+    let host = w.machines.iter().position(|h| h.worker.has_task("job-1/0"));
     let host = host.unwrap();
     // Its lease is far longer than the time for cancellations, so that nothing else ends it.
-    w.hosts[host].worker.lease_ms = 10 * CANCEL_MS;
-    w.hosts[host].ill.mute = true;
-    w.end(leader);
+    w.machines[host].worker.lease_ms = 10 * CANCEL_MS;
+    w.machines[host].faults.drops_heartbeats = true;
+    w.stop_controller(leader);
     assert!(w.cancel(other, "job-1"));
-    w.run(CANCEL_MS);
-    w.keeps_nothing_of("job-1");
+    w.run_for(CANCEL_MS);
+    w.assert_nothing_runs_of("job-1");
 }
 
 #[test]
 fn a_cancellation_meets_a_claim_in_flight_and_a_direct_start_without_answer() {
-    let mut w = World::new(4);
-    for h in &mut w.hosts {
+    let mut w = SimulatedCluster::new(4);
+    for h in &mut w.machines {
         h.worker.run_ms = 200_000;
-        h.ill.loses_answers = true;
+        h.faults.drops_command_responses = true;
     }
     assert!(w.submit(1, job("job-2", 2)));
-    w.run(4000);
+    w.run_for(4000);
     // The claims are carried out late, their starts get no answer.
     assert!(w.submit(0, job("job-1", 6)));
     w.store.execution_delay_ms = Some(3000);
-    w.run(1500);
+    w.run_for(1500);
     w.store.execution_delay_ms = None;
     assert!(w.cancel(1, "job-1"));
-    w.run(1000);
-    w.outage = true;
-    w.run(CANCEL_MS);
-    w.keeps_nothing_of("job-1");
+    w.run_for(1000);
+    w.kv_outage = true;
+    w.run_for(CANCEL_MS);
+    w.assert_nothing_runs_of("job-1");
     recover(&mut w);
-    w.keeps_the_rules();
+    w.assert_no_violations();
 }
 
 #[test]
 fn a_cancellation_holds_while_its_machines_change_hands_twice() {
     let (mut w, leader, other) = two_long_jobs();
     refuse_leader_then_all(&mut w, leader, other, "job-1");
-    w.run(3000);
-    w.outage = false;
-    w.run(1000);
-    w.end(leader);
-    w.run(7000);
-    w.start(leader);
-    w.run(CANCEL_MS - 11_000);
-    w.keeps_nothing_of("job-1");
+    w.run_for(3000);
+    w.kv_outage = false;
+    w.run_for(1000);
+    w.stop_controller(leader);
+    w.run_for(7000);
+    w.start_controller(leader);
+    w.run_for(CANCEL_MS - 11_000);
+    w.assert_nothing_runs_of("job-1");
     recover(&mut w);
-    w.keeps_the_rules();
+    w.assert_no_violations();
 }
 
 #[test]
 fn news_of_a_cancellation_outlive_older_records() {
     let (mut w, leader, other) = two_long_jobs();
-    w.trouble[leader].refused = true;
-    w.run(500);
-    let before = w.node(leader).job("job-1").version;
+    w.controller_faults[leader].kv_refused = true;
+    w.run_for(500);
+    let before = w.controller(leader).job("job-1").version;
     assert!(w.cancel(other, "job-1"));
-    let c = w.node(leader);
+    let c = w.controller(leader);
     assert_eq!(c.job("job-1").state, JobState::Cancelled);
     assert_eq!(c.job("job-1").version, before);
     // A newer record that is still open, from a read that began before.
@@ -269,18 +269,18 @@
         let (mut w, leader, other) = two_long_jobs();
         if before {
             assert!(w.cancel(other, "job-1"));
-            w.trouble[leader].refused = true;
+            w.controller_faults[leader].kv_refused = true;
         } else {
-            w.trouble[leader].refused = true;
+            w.controller_faults[leader].kv_refused = true;
             assert!(w.cancel(other, "job-1"));
         }
-        w.run(1000);
-        w.outage = true;
-        w.run(CANCEL_MS);
-        w.keeps_nothing_of("job-1");
+        w.run_for(1000);
+        w.kv_outage = true;
+        w.run_for(CANCEL_MS);
+        w.assert_nothing_runs_of("job-1");
         assert!(w.runs("job-2"));
         recover(&mut w);
-        w.keeps_the_rules();
+        w.assert_no_violations();
     }
 }
 
@@ -288,65 +288,65 @@
 fn a_zone_that_is_cut_off_with_its_controller_keeps_its_work_only_for_as_long_as_it_may() {
     let (mut w, ..) = two_long_jobs();
     // The south loses the rest, the state service included.
-    w.trouble[2].alone = true;
-    w.trouble[2].refused = true;
-    for h in &mut w.hosts {
-        h.cut_off = true;
+    w.controller_faults[2].isolated_from_peers = true;
+    w.controller_faults[2].kv_refused = true;
+    for h in &mut w.machines {
+        h.partitioned = true;
     }
-    w.run(4000);
+    w.run_for(4000);
     assert!(w.cancel(0, "job-1"));
-    w.run(CANCEL_MS);
-    w.keeps_nothing_of("job-1");
-    for h in &mut w.hosts {
-        h.cut_off = false;
+    w.run_for(CANCEL_MS);
+    w.assert_nothing_runs_of("job-1");
+    for h in &mut w.machines {
+        h.partitioned = false;
         h.worker.run_ms = 10_000;
     }
     recover(&mut w);
-    w.run(300_000);
-    assert_eq!(w.poll(1, "job-2"), Some("done"));
-    w.keeps_the_rules();
+    w.run_for(300_000);
+    assert_eq!(w.query_status(1, "job-2"), Some("done"));
+    w.assert_no_violations();
 }
 
 #[test]
 fn jobs_cancelled_while_a_controllers_work_changes_hands_are_gone_in_time() {
     for delay in 0..12 {
         let (mut w, leader, other) = two_long_jobs();
-        w.end(leader);
+        w.stop_controller(leader);
         // At any moment of the take-over, and of the hand-over back.
-        w.run(delay * 1000);
+        w.run_for(delay * 1000);
         let third = 3 - leader - other;
         assert!(w.cancel(if delay % 2 == 0 { other } else { third }, "job-1"));
         if delay > 5 {
-            w.start(leader);
+            w.start_controller(leader);
         }
-        w.run(CANCEL_MS);
-        w.keeps_nothing_of("job-1");
+        w.run_for(CANCEL_MS);
+        w.assert_nothing_runs_of("job-1");
         assert!(w.runs("job-2"));
-        w.keeps_the_rules();
+        w.assert_no_violations();
     }
 }
 
 #[test]
 fn a_cancellation_that_meets_the_end_of_the_last_task_has_one_outcome() {
     for delay in 0..14 {
-        let mut w = World::new(2);
-        for h in &mut w.hosts {
+        let mut w = SimulatedCluster::new(2);
+        for h in &mut w.machines {
             h.worker.run_ms = 2000;
         }
         assert!(w.submit(0, job("job-1", 1)));
-        w.run(1000 + delay * 500);
+        w.run_for(1000 + delay * 500);
         let cancelled = w.cancel(1, "job-1");
         for node in 0..3 {
-            let word = w.poll(node, "job-1").unwrap();
+            let word = w.query_status(node, "job-1").unwrap();
             assert_eq!(word == "aborted", cancelled);
         }
         assert!(!w.submit(2, job("job-1", 1)));
-        w.run(8000);
+        w.run_for(8000);
         for node in 0..3 {
-            let word = w.poll(node, "job-1").unwrap();
+            let word = w.query_status(node, "job-1").unwrap();
             assert_eq!(word, if cancelled { "aborted" } else { "done" });
         }
-        w.keeps_the_rules();
+        w.assert_no_violations();
     }
 }
 
@@ -386,33 +386,33 @@
 #[test]
 fn an_owner_that_has_heard_of_nothing_for_a_while_starts_nothing_any_more() {
     let (mut w, leader, other) = {
-        let mut w = World::new(4);
-        for h in &mut w.hosts {
+        let mut w = SimulatedCluster::new(4);
+        for h in &mut w.machines {
             h.worker.run_ms = 60_000;
-            h.ill.mute = true;
+            h.faults.drops_heartbeats = true;
         }
-        w.run(1000);
+        w.run_for(1000);
         (w, 0, 1)
     };
     // Claimed by its owner, which reaches no machine and then nobody else.
-    for h in &mut w.hosts {
-        h.ill.deaf = true;
+    for h in &mut w.machines {
+        h.faults.drops_incoming = true;
     }
     assert!(w.submit(other, job("job-1", 4)));
-    w.run(1500);
-    assert!(!w.node(leader).job("job-1").placements.is_empty());
-    for t in &mut w.trouble {
-        t.refused = true;
-        t.alone = true;
+    w.run_for(1500);
+    assert!(!w.controller(leader).job("job-1").placements.is_empty());
+    for t in &mut w.controller_faults {
+        t.kv_refused = true;
+        t.isolated_from_peers = true;
     }
-    w.run(7000);
-    for h in &mut w.hosts {
-        h.ill = Default::default();
+    w.run_for(7000);
+    for h in &mut w.machines {
+        h.faults = Default::default();
     }
-    w.run(2500);
-    assert_eq!(w.started(), 0);
-    w.trouble = Default::default();
-    w.run(20_000);
+    w.run_for(2500);
+    assert_eq!(w.start_count(), 0);
+    w.controller_faults = Default::default();
+    w.run_for(20_000);
     assert!(w.runs("job-1"));
-    w.keeps_the_rules();
+    w.assert_no_violations();
 }
--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -32,13 +32,13 @@
 use std::collections::{HashMap, HashSet};
 use std::fmt::Write;
 use support::cloud::FakeCloud;
-use support::controller::{one, Standby, CANCEL_MS};
-use support::days::Day;
 use support::digest;
 use support::job;
+use support::randomized_run::RandomizedRun;
 use support::scenarios::{recover, refuse_leader_then_all, two_long_jobs};
+use support::simulated_cluster::SimulatedCluster;
+use support::simulated_controller::{start_single_controller, Standby, CANCEL_MS};
 use support::worker::FakeWorker;
-use support::world::World;
 
 const GOLDEN: &str = "tests/data/decision_digest.txt";
 /// Days that differ with the warm standby's place.
@@ -53,19 +53,19 @@
 
 /// Faults of every kind, pipelines and cancellations.
 fn random_day(seed: u64, standby: Standby) {
-    let mut day = Day::new(seed, standby);
-    day.play();
-    end(day.world);
+    let mut run = RandomizedRun::new(seed, standby);
+    run.run();
+    end(run.world);
 }
 
 /// Takes the end of a world into the digest: each job's state at each controller, and what each
 /// machine started and completed.
-fn end(mut w: World) {
+fn end(mut w: SimulatedCluster) {
     let ids: Vec<String> = w.accepted_jobs().map(|(id, _)| id.to_string()).collect();
     for (at, id) in ids.iter().flat_map(|id| (0..3).map(move |at| (at, id))) {
-        w.poll(at, id);
+        w.query_status(at, id);
     }
-    for h in &w.hosts {
+    for h in &w.machines {
         let of_host = (&h.worker.name, &h.worker.started, &h.worker.completed);
         digest::note("machine", w.now, &of_host);
     }
@@ -110,20 +110,20 @@
 /// gangs that machines are held for, expected times to finish.
 fn crowded(seed: u64) {
     let mut rng = Rng::with_seed(seed);
-    let mut w = World::new(5);
+    let mut w = SimulatedCluster::new(5);
     w.begin_record_format_v2();
-    w.hosts[4].worker.spot = false;
+    w.machines[4].worker.spot = false;
     let objective = Objective {
         kind: "finished".into(),
         class: Some("proof".into()),
         within_s: Some(60.0),
     };
-    for c in w.nodes.iter_mut().flatten() {
+    for c in w.controllers.iter_mut().flatten() {
         c.config.completion_targets = finish_times(std::slice::from_ref(&objective));
     }
     for step in 0..150 {
         if rng.u8(..3) == 0 {
-            let earlier = w.accepted_without_services();
+            let earlier = w.accepted_finite_jobs();
             let spec = any_job(&mut rng, step, &earlier);
             w.submit(rng.usize(..3), spec);
         }
@@ -131,18 +131,18 @@
             let id = format!("job-{}", rng.u32(..=step));
             w.cancel(rng.usize(..3), &id);
         }
-        w.poll(rng.usize(..3), &format!("job-{}", rng.u32(..=step)));
+        w.query_status(rng.usize(..3), &format!("job-{}", rng.u32(..=step)));
         reserve_for_gangs(&mut w);
         note_order_and_queues(&w);
-        w.run(1000);
+        w.run_for(1000);
     }
     end(w);
 }
 
 /// Keeps machines for gangs that have waited for long, as the duty does.
-fn reserve_for_gangs(w: &mut World) {
+fn reserve_for_gangs(w: &mut SimulatedCluster) {
     let now = w.now;
-    for c in w.nodes.iter_mut().flatten() {
+    for c in w.controllers.iter_mut().flatten() {
         for (ix, machines) in
             gangs::gang_reservations(&c.cluster, &c.config, MonotonicMillis(now), now)
         {
@@ -164,9 +164,9 @@
 
 /// The order in which each controller would serve the jobs that wait, and the machines at which
 /// it would queue their tasks.
-fn note_order_and_queues(w: &World) {
+fn note_order_and_queues(w: &SimulatedCluster) {
     let draft = DraftTransaction::default();
-    for c in w.nodes.iter().flatten() {
+    for c in w.controllers.iter().flatten() {
         for job in
             job_order::waiting_jobs(&c.cluster, &c.config, &draft, MonotonicMillis(w.now), w.now)
         {
@@ -181,8 +181,8 @@
 
 /// Urgent work finds all machines taken by work that can save.
 fn preemption() {
-    let mut w = World::new(3);
-    for h in &mut w.hosts {
+    let mut w = SimulatedCluster::new(3);
+    for h in &mut w.machines {
         h.worker.run_ms = 30_000;
     }
     for (n, rank) in [
@@ -193,22 +193,22 @@
         let mut spec = job(&format!("job-{n}"), 4);
         (spec.priority, spec.checkpoint_s, spec.checkpoint_grace_s) = (rank, 5.0, f64::from(n));
         assert!(w.submit(n as usize % 3, spec));
-        w.run(1500);
+        w.run_for(1500);
     }
-    w.run(3000);
+    w.run_for(3000);
     for (n, rank) in [(4, Priority::Production), (5, Priority::High)] {
         let mut spec = job(&format!("job-{n}"), 2);
         (spec.priority, spec.gpus) = (rank, 2.0);
         assert!(w.submit(n as usize % 3, spec));
-        w.run(8000);
+        w.run_for(8000);
     }
-    w.run(90_000);
+    w.run_for(90_000);
     end(w);
 }
 
 /// Teams at their limit in both zones, with a service that takes a part of it.
 fn quotas() {
-    let mut w = World::new(4);
+    let mut w = SimulatedCluster::new(4);
     let shapes = [
         JobKind::Service,
         JobKind::Array,
@@ -222,37 +222,37 @@
             spec.tasks = 1;
         }
         assert!(w.submit(n % 3, spec));
-        w.run(4000);
+        w.run_for(4000);
     }
-    w.run(40_000);
+    w.run_for(40_000);
     assert!(w.cancel(1, "job-1"));
-    w.run(60_000);
+    w.run_for(60_000);
     end(w);
 }
 
 /// Each controller ends in its turn while arrays, gangs and services run; then a zone is cut off.
 fn failovers(standby: Standby) {
-    let mut w = World::with(6, standby);
+    let mut w = SimulatedCluster::with_standby(6, standby);
     for (n, shape) in (1..).zip([JobKind::Array, JobKind::Gang, JobKind::Service]) {
         let mut spec = job(&format!("job-{n}"), 3);
         spec.kind = shape;
         assert!(w.submit(n % 3, spec));
     }
     for at in 0..3 {
-        w.run(3000);
-        w.end(at);
-        w.run(9000);
+        w.run_for(3000);
+        w.stop_controller(at);
+        w.run_for(9000);
         assert!(w.submit((at + 1) % 3, job(&format!("job-{}", 10 + at), 9)));
-        w.run(2000);
-        w.start(at);
+        w.run_for(2000);
+        w.start_controller(at);
     }
-    w.run(6000);
-    w.cut_zone(true);
-    w.run(12_000);
-    w.cut_zone(false);
-    w.run(30_000);
+    w.run_for(6000);
+    w.partition_zone(true);
+    w.run_for(12_000);
+    w.partition_zone(false);
+    w.run_for(30_000);
     assert!(w.cancel(0, "job-3"));
-    w.run(30_000);
+    w.run_for(30_000);
     end(w);
 }
 
@@ -261,25 +261,25 @@
     let (mut w, leader, other) = two_long_jobs();
     refuse_leader_then_all(&mut w, leader, other, "job-1");
     match trouble {
-        0 => w.trouble[leader].alone = true,
-        1 => w.hosts[0].ill.deaf = true,
-        2 => w.hosts[1].ill.loses_answers = true,
-        _ => w.end(other),
+        0 => w.controller_faults[leader].isolated_from_peers = true,
+        1 => w.machines[0].faults.drops_incoming = true,
+        2 => w.machines[1].faults.drops_command_responses = true,
+        _ => w.stop_controller(other),
     }
-    w.run(CANCEL_MS);
-    w.hosts[0].ill.deaf = false;
-    w.hosts[1].ill.loses_answers = false;
+    w.run_for(CANCEL_MS);
+    w.machines[0].faults.drops_incoming = false;
+    w.machines[1].faults.drops_command_responses = false;
     recover(&mut w);
-    w.start(other);
+    w.start_controller(other);
     assert!(w.cancel(leader, "job-2"));
-    w.run(CANCEL_MS);
+    w.run_for(CANCEL_MS);
     end(w);
 }
 
 /// Machines are rented for what waits, serve it and go back when nothing needs them.
 fn renting(seed: u64) {
     let mut rng = Rng::with_seed(seed);
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     let mut cloud = FakeCloud::default();
     let mut workers: Vec<FakeWorker> = Vec::new();
     for now in (0..150_000).step_by(1000) {
@@ -331,7 +331,7 @@
             }
         }
         for w in &mut workers {
-            c.visit(&mut store, w, now);
+            c.exchange_heartbeat(&mut store, w, now);
         }
         // A rule of this test: what is empty and not needed goes back every four seconds.
         let idle = |w: &FakeWorker| {
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -17,8 +17,8 @@
 use pointhook::state::units::Incarnation;
 use pointhook::state::units::MonotonicMillis;
 use std::collections::HashMap;
-use support::controller::{one, play, Controller};
 use support::job;
+use support::simulated_controller::{run_heartbeats, start_single_controller, SimulatedController};
 use support::worker::FakeWorker;
 
 fn gang(id: &str, tasks: u32) -> pointhook::protocol::users::JobSpec {
@@ -30,20 +30,20 @@
 
 #[test]
 fn a_late_copy_proves_nothing_and_gets_no_orders() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     let mut w = FakeWorker::new("m1", "north", 0);
     w.run_ms = 60_000;
-    c.visit(&mut store, &mut w, 0);
+    c.exchange_heartbeat(&mut store, &mut w, 0);
     let empty = w.heartbeat(100);
-    c.report(&mut store, &empty, 100).unwrap();
+    c.receive_heartbeat(&mut store, &empty, 100).unwrap();
     c.submit(&mut store, job("job-1", 1), 200);
-    c.visit(&mut store, &mut w, 1000);
-    c.visit(&mut store, &mut w, 2000);
+    c.exchange_heartbeat(&mut store, &mut w, 1000);
+    c.exchange_heartbeat(&mut store, &mut w, 2000);
     assert!(w.has_task("job-1/0"));
     // A copy of the report from before the start, well over a lease later.
-    play(&mut c, &mut store, &mut [&mut w], 2500, 30_000);
+    run_heartbeats(&mut c, &mut store, &mut [&mut w], 2500, 30_000);
     let heard = c.cluster.machine(c.machine("m1")).unwrap().last_heartbeat;
-    let answer = c.report(&mut store, &empty, 30_000).unwrap();
+    let answer = c.receive_heartbeat(&mut store, &empty, 30_000).unwrap();
     assert!(answer.commands.is_empty());
     assert_eq!(
         c.cluster.machine(c.machine("m1")).unwrap().last_heartbeat,
@@ -54,14 +54,14 @@
 
 #[test]
 fn a_copy_of_the_newest_report_takes_no_start_for_delivered() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     let mut w = FakeWorker::new("m1", "north", 0);
-    c.visit(&mut store, &mut w, 0);
+    c.exchange_heartbeat(&mut store, &mut w, 0);
     let r = w.heartbeat(500);
-    c.report(&mut store, &r, 500).unwrap();
+    c.receive_heartbeat(&mut store, &r, 500).unwrap();
     c.submit(&mut store, job("job-1", 1), 600);
     // The copy comes first after the claim: its answer goes nowhere.
-    let answer = c.report(&mut store, &r, 700).unwrap();
+    let answer = c.receive_heartbeat(&mut store, &r, 700).unwrap();
     assert!(answer.commands.is_empty());
     assert!(c
         .cluster
@@ -69,55 +69,55 @@
         .unwrap()
         .start_sent
         .is_empty());
-    c.visit(&mut store, &mut w, 1000);
+    c.exchange_heartbeat(&mut store, &mut w, 1000);
     assert_eq!(w.started.len(), 1);
 }
 
 #[test]
 fn a_late_copy_after_a_take_over_is_no_sign_of_life() {
-    let (mut store, old) = one();
+    let (mut store, old) = start_single_controller();
     let mut old = old;
     let mut w = FakeWorker::new("m1", "north", 0);
-    old.visit(&mut store, &mut w, 0);
+    old.exchange_heartbeat(&mut store, &mut w, 0);
     let copy = w.heartbeat(100);
     store.revoke_lease(old.lease);
-    let mut new = Controller::start("s1", 2, &mut store, 200);
-    new.members(&mut store, 200);
+    let mut new = SimulatedController::start("s1", 2, &mut store, 200);
+    new.apply_membership_moves(&mut store, 200);
     new.submit(&mut store, job("job-1", 1), 300);
     // The machine is long gone; only copies of its reports still come.
-    new.report(&mut store, &copy, 40_000).unwrap();
+    new.receive_heartbeat(&mut store, &copy, 40_000).unwrap();
     let mix = new.machine("m1");
     assert_eq!(new.cluster.machine(mix).unwrap().last_heartbeat, None);
-    assert!(new.draft(40_000).claims.is_empty());
+    assert!(new.draft_plan(40_000).claims.is_empty());
     // The machine itself, once it has the new token, is heard and gets the work.
     let mut alive = FakeWorker::new("m2", "north", 40_000);
-    new.visit(&mut store, &mut alive, 40_000);
+    new.exchange_heartbeat(&mut store, &mut alive, 40_000);
     assert_eq!(alive.started.len(), 1);
 }
 
 #[test]
 fn a_late_copy_brings_no_deleted_machine_back() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     let mut w = FakeWorker::new("m1", "north", 0);
-    c.visit(&mut store, &mut w, 0);
+    c.exchange_heartbeat(&mut store, &mut w, 0);
     let copy = w.heartbeat(100);
     let mix = c.machine("m1");
     c.cluster.mark_deleted(mix);
     c.submit(&mut store, job("job-1", 1), 200);
-    assert!(c.report(&mut store, &copy, 20_000).is_none());
-    assert!(c.draft(20_000).claims.is_empty());
+    assert!(c.receive_heartbeat(&mut store, &copy, 20_000).is_none());
+    assert!(c.draft_plan(20_000).claims.is_empty());
 }
 
 #[test]
 fn a_machine_that_hears_nothing_gets_no_work_and_its_tasks_go_elsewhere() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     let mut deaf = FakeWorker::new("m1", "north", 0);
-    c.visit(&mut store, &mut deaf, 0);
+    c.exchange_heartbeat(&mut store, &mut deaf, 0);
     c.submit(&mut store, job("job-1", 1), 100);
     // Its reports arrive, the answers do not.
     for now in (500..4000).step_by(500) {
         let r = deaf.heartbeat(now);
-        c.report(&mut store, &r, now).unwrap();
+        c.receive_heartbeat(&mut store, &r, now).unwrap();
     }
     assert!(c
         .cluster
@@ -127,16 +127,16 @@
         .is_some());
     assert!(c.job("job-1").placements.is_empty());
     let mut other = FakeWorker::new("m2", "north", 4000);
-    c.visit(&mut store, &mut other, 4000);
+    c.exchange_heartbeat(&mut store, &mut other, 4000);
     assert_eq!(other.started.len(), 1);
     assert!(deaf.started.is_empty());
 }
 
 #[test]
 fn a_machine_that_hears_nothing_is_returned_unless_it_is_reached_again() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     let mut w = FakeWorker::new("m1", "north", 0);
-    c.visit(&mut store, &mut w, 0);
+    c.exchange_heartbeat(&mut store, &mut w, 0);
     let mix = c.machine("m1");
     c.cluster.machine_mut(mix).unwrap().unreachable_since = Some(MonotonicMillis(1000));
     let asked = worker_connectivity::unreachable_machines(
@@ -161,12 +161,12 @@
 
 #[test]
 fn a_session_that_ends_under_steady_answers_tells_that_they_do_not_arrive() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     let mut w = FakeWorker::new("m1", "north", 0);
-    c.visit(&mut store, &mut w, 0);
+    c.exchange_heartbeat(&mut store, &mut w, 0);
     for now in (500..12_000).step_by(500) {
         let r = w.heartbeat(now);
-        c.report(&mut store, &r, now).unwrap();
+        c.receive_heartbeat(&mut store, &r, now).unwrap();
     }
     assert!(w.agent_epoch > AgentEpoch(1));
     let m = c.cluster.machine(c.machine("m1")).unwrap();
@@ -175,12 +175,12 @@
 
 #[test]
 fn a_session_that_ends_while_nobody_answers_tells_nothing() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     let mut w = FakeWorker::new("m1", "north", 0);
-    play(&mut c, &mut store, &mut [&mut w], 0, 12_000);
+    run_heartbeats(&mut c, &mut store, &mut [&mut w], 0, 12_000);
     // No node answers for longer than its lease; then all is as before.
     w.advance(30_000);
-    play(&mut c, &mut store, &mut [&mut w], 30_000, 31_000);
+    run_heartbeats(&mut c, &mut store, &mut [&mut w], 30_000, 31_000);
     assert!(w.agent_epoch > AgentEpoch(1));
     assert!(c
         .cluster
@@ -192,7 +192,7 @@
 
 #[test]
 fn a_gang_task_whose_wait_ran_out_waits_again_under_the_same_attempt() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     c.submit(&mut store, gang("job-1", 2), 0);
     let (mut w1, mut w2) = (
         FakeWorker::new("m1", "north", 0),
@@ -201,9 +201,9 @@
     w1.run_ms = 1_000_000;
     // The second machine fetches for longer than the first one waits.
     w2.image_pull_ms = 1_000_000;
-    play(&mut c, &mut store, &mut [&mut w1, &mut w2], 0, 2000);
+    run_heartbeats(&mut c, &mut store, &mut [&mut w1, &mut w2], 0, 2000);
     w1.time_out_gang_wait();
-    play(&mut c, &mut store, &mut [&mut w1, &mut w2], 2000, 3000);
+    run_heartbeats(&mut c, &mut store, &mut [&mut w1, &mut w2], 2000, 3000);
     assert!(c.job("job-1").placements.iter().all(|p| p.attempt == 1));
     assert_eq!(w1.started.len(), 2);
     assert_eq!(w1.started[0], w1.started[1]);
@@ -212,7 +212,7 @@
 
 #[test]
 fn a_gang_that_never_gets_complete_is_tried_anew_after_a_few_waits() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     c.submit(&mut store, gang("job-1", 2), 0);
     let (mut w1, mut w2) = (
         FakeWorker::new("m1", "north", 0),
@@ -220,11 +220,11 @@
     );
     w2.image_pull_ms = 1_000_000;
     w1.run_ms = 1_000_000;
-    play(&mut c, &mut store, &mut [&mut w1, &mut w2], 0, 2000);
+    run_heartbeats(&mut c, &mut store, &mut [&mut w1, &mut w2], 0, 2000);
     for i in 0..6 {
         w1.time_out_gang_wait();
         let from = 2000 + i * 2000;
-        play(
+        run_heartbeats(
             &mut c,
             &mut store,
             &mut [&mut w1, &mut w2],
@@ -237,21 +237,21 @@
 
 #[test]
 fn a_node_cut_from_the_store_starts_nothing_and_stands_down_at_the_higher_token() {
-    let (mut store, mut old) = one();
+    let (mut store, mut old) = start_single_controller();
     let mut w = FakeWorker::new("m1", "north", 0);
     w.run_ms = 60_000;
     old.submit(&mut store, job("job-1", 1), 0);
-    old.visit(&mut store, &mut w, 0);
-    old.visit(&mut store, &mut w, 1000);
+    old.exchange_heartbeat(&mut store, &mut w, 0);
+    old.exchange_heartbeat(&mut store, &mut w, 1000);
     assert!(w.has_task("job-1/0"));
     // It loses the store and its peers; its key ends and another takes its shards.
     store.revoke_lease(old.lease);
-    let mut new = Controller::start("s1", 2, &mut store, 5000);
-    new.members(&mut store, 5000);
+    let mut new = SimulatedController::start("s1", 2, &mut store, 5000);
+    new.apply_membership_moves(&mut store, 5000);
     new.submit(&mut store, job("job-2", 1), 5100);
     // It goes on answering its worker, which keeps its task and gets nothing new.
     let r = w.heartbeat(6000);
-    let a = old.report_without_store(&r, 6000).unwrap();
+    let a = old.receive_heartbeat_without_kv(&r, 6000).unwrap();
     assert!(!a
         .commands
         .iter()
@@ -260,9 +260,9 @@
     // The new owner shows its token; the worker reports it, and the old one stands down.
     w.fencing_token = new.cluster.shards[0].record.fencing_token;
     let r = w.heartbeat(7000);
-    assert!(old.report_without_store(&r, 7000).is_none());
+    assert!(old.receive_heartbeat_without_kv(&r, 7000).is_none());
     // The task stays where it is, once: its placement is as good as before.
-    new.visit(&mut store, &mut w, 7500);
+    new.exchange_heartbeat(&mut store, &mut w, 7500);
     assert_eq!(w.started.iter().filter(|s| s.0 == "job-1/0").count(), 1);
     assert_eq!(new.job("job-1").placements.len(), 1);
     old.sync(&store);
@@ -271,16 +271,16 @@
 
 #[test]
 fn a_machine_that_went_while_all_nodes_were_down_does_not_hold_its_tasks_for_ever() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     let mut w = FakeWorker::new("m1", "north", 0);
     c.submit(&mut store, job("job-1", 1), 0);
-    c.visit(&mut store, &mut w, 0);
+    c.exchange_heartbeat(&mut store, &mut w, 0);
     assert_eq!(c.job("job-1").placements.len(), 1);
     // All nodes restart, and the cloud takes the machine before any of them hears it.
     store.revoke_lease(c.lease);
-    let mut new = Controller::start("n1", 2, &mut store, 5000);
-    new.members(&mut store, 5000);
-    new.plan(&mut store, 200_000);
+    let mut new = SimulatedController::start("n1", 2, &mut store, 5000);
+    new.apply_membership_moves(&mut store, 5000);
+    new.run_planner(&mut store, 200_000);
     assert_eq!(new.job("job-1").placements.len(), 1);
     // It is in no list and nobody hears it: it is deleted by name, which proves it gone.
     let names = autoscaler::lost(&new.cluster, &HashMap::new(), |_| true);
@@ -288,7 +288,7 @@
     assert!(autoscaler::lost(&new.cluster, &HashMap::new(), |_| false).is_empty());
     let mix = new.machine("m1");
     new.cluster.mark_deleted(mix);
-    new.plan(&mut store, 200_000);
+    new.run_planner(&mut store, 200_000);
     assert!(new.job("job-1").placements.is_empty());
     assert!(autoscaler::lost(&new.cluster, &HashMap::new(), |_| true).is_empty());
 }
@@ -311,11 +311,11 @@
 
 #[test]
 fn news_of_machines_counts_only_from_their_owner() {
-    let (mut store, old) = one();
+    let (mut store, old) = start_single_controller();
     store.revoke_lease(old.lease);
-    let mut new = Controller::start("s1", 2, &mut store, 5000);
-    let mut third = Controller::start("s2", 3, &mut store, 5000);
-    new.members(&mut store, 5000);
+    let mut new = SimulatedController::start("s1", 2, &mut store, 5000);
+    let mut third = SimulatedController::start("s2", 3, &mut store, 5000);
+    new.apply_membership_moves(&mut store, 5000);
     third.sync(&store);
     let mix = third
         .cluster
@@ -344,11 +344,11 @@
 
 #[test]
 fn a_machine_that_an_earlier_owner_closed_is_judged_anew_by_the_next() {
-    let (mut store, mut old) = one();
+    let (mut store, mut old) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
-    old.visit(&mut store, &mut worker, 0);
+    old.exchange_heartbeat(&mut store, &mut worker, 0);
     store.revoke_lease(old.lease);
-    let mut new = Controller::start("s1", 2, &mut store, 5000);
+    let mut new = SimulatedController::start("s1", 2, &mut store, 5000);
     let closed = MachineStatus {
         cordoned: true,
         ..news("m1", 0)
@@ -366,13 +366,13 @@
         .machine(mix)
         .unwrap()
         .is_schedulable(MonotonicMillis(5000), 4000));
-    new.members(&mut store, 5000);
+    new.apply_membership_moves(&mut store, 5000);
     new.submit(&mut store, job("job-1", 1), 5000);
-    play(&mut new, &mut store, &mut [&mut worker], 5500, 8000);
+    run_heartbeats(&mut new, &mut store, &mut [&mut worker], 5500, 8000);
     assert!(worker.has_task("job-1/0"));
     // What the owner itself has closed, to return it, stays so.
     new.cluster.machine_mut(mix).unwrap().cordoned = true;
-    play(&mut new, &mut store, &mut [&mut worker], 8000, 10_000);
+    run_heartbeats(&mut new, &mut store, &mut [&mut worker], 8000, 10_000);
     assert!(!new
         .cluster
         .machine(mix)
@@ -382,36 +382,36 @@
 
 #[test]
 fn a_new_owner_gives_machines_time_to_learn_its_token() {
-    let (mut store, mut old) = one();
+    let (mut store, mut old) = start_single_controller();
     let mut w = FakeWorker::new("m1", "north", 0);
-    old.visit(&mut store, &mut w, 0);
+    old.exchange_heartbeat(&mut store, &mut w, 0);
     let limits = autoscaler::Silence {
         sure_ms: 10_000,
         lease_ms: 10_000,
     };
-    let at = |c: &Controller| {
+    let at = |c: &SimulatedController| {
         let m = c.cluster.machine(c.machine("m1")).unwrap();
         limits.of(&c.cluster, &c.config, m)
     };
     assert_eq!(at(&old), 10_000);
     // The new owner knows it from news; the worker still talks to the old one.
     store.revoke_lease(old.lease);
-    let mut new = Controller::start("s1", 2, &mut store, 5000);
+    let mut new = SimulatedController::start("s1", 2, &mut store, 5000);
     let known = new
         .cluster
         .learn_machine("m1", "oven", "north", true, MonotonicMillis(5000))
         .unwrap();
     new.cluster.machine_mut(known).unwrap().last_heartbeat = Some(MonotonicMillis(5000));
-    new.members(&mut store, 5000);
+    new.apply_membership_moves(&mut store, 5000);
     assert_eq!(at(&new), 15_000);
-    new.visit(&mut store, &mut w, 6000);
+    new.exchange_heartbeat(&mut store, &mut w, 6000);
     assert_eq!(at(&new), 10_000);
 }
 
 #[test]
 fn a_node_back_amid_a_hand_over_inherits_nothing_and_no_shard_is_left() {
-    let (mut store, old) = one();
-    let target = Controller::start("s1", 2, &mut store, 0);
+    let (mut store, old) = start_single_controller();
+    let target = SimulatedController::start("s1", 2, &mut store, 0);
     let mut old = old;
     old.sync(&store);
     // The hand-over of a shard to s1 is on its way when s1 is killed and back at once.
@@ -420,10 +420,10 @@
         to: "s1".into(),
     };
     let (txn, _) = pointhook::coordination::membership::move_transaction(&old.cluster, &m).unwrap();
-    Controller::send(&mut store, &txn, 100);
-    let mut back = Controller::start("s1", 3, &mut store, 200);
+    SimulatedController::commit(&mut store, &txn, 100);
+    let mut back = SimulatedController::start("s1", 3, &mut store, 200);
     assert!(!back.owns(1));
-    back.members(&mut store, 300);
+    back.apply_membership_moves(&mut store, 300);
     assert!(back.owns(1) && back.cluster.shards[1].record.fencing_token >= FencingToken(3));
     old.sync(&store);
     assert!(!old.owns(1));
@@ -435,11 +435,11 @@
 
 #[test]
 fn repeats_of_requests_that_were_carried_out_change_nothing() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     let mut w = FakeWorker::new("m1", "north", 0);
     c.submit(&mut store, job("job-1", 1), 0);
-    c.visit(&mut store, &mut w, 0);
-    let draft = c.draft(10);
+    c.exchange_heartbeat(&mut store, &mut w, 0);
+    let draft = c.draft_plan(10);
     assert!(draft.is_empty());
     let accepted = c.job("job-1").version;
     assert!(!matches!(
@@ -447,14 +447,14 @@
         pointhook::coordination::kv::CommitOutcome::Committed(_)
     ));
     assert_eq!(c.job("job-1").version, accepted);
-    play(&mut c, &mut store, &mut [&mut w], 500, 12_000);
+    run_heartbeats(&mut c, &mut store, &mut [&mut w], 500, 12_000);
     assert_eq!(c.job("job-1").state, JobState::Done);
     // A repeated start after the end of a job has no placement to rest on.
     let mix = c.machine("m1");
     assert!(commands::orders(
         &mut c.cluster,
         &c.config,
-        c.takeovers.permits(),
+        c.failovers.permits(),
         mix,
         MonotonicMillis(0)
     )
@@ -486,14 +486,14 @@
 
 #[test]
 fn every_controller_knows_every_job_after_an_outage_with_a_restart_of_all() {
-    let (mut store, mut a) = one();
+    let (mut store, mut a) = start_single_controller();
     let mut w = FakeWorker::new("m1", "north", 0);
     for i in 1..=30 {
         a.submit(&mut store, job(&format!("job-{i}"), 1), 0);
     }
-    a.visit(&mut store, &mut w, 0);
+    a.exchange_heartbeat(&mut store, &mut w, 0);
     store.revoke_lease(a.lease);
-    let nodes = ["n1", "s1"].map(|n| Controller::start(n, 7, &mut store, 60_000));
+    let nodes = ["n1", "s1"].map(|n| SimulatedController::start(n, 7, &mut store, 60_000));
     for c in &nodes {
         assert!(c.cluster.loaded);
         assert!((1..=30).all(|i| c.cluster.job(&format!("job-{i}")).is_some()));
@@ -502,7 +502,7 @@
 
 #[test]
 fn unreachable_machines_do_not_hold_back_the_token_from_the_rest() {
-    let (_, mut c) = one();
+    let (_, mut c) = start_single_controller();
     for i in 0..300 {
         let name = format!("m{i:03}");
         let mix = c
@@ -573,9 +573,9 @@
 
 #[test]
 fn a_node_that_stood_still_does_not_count_that_time_as_silence_of_machines() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     let mut w = FakeWorker::new("m1", "north", 0);
-    c.visit(&mut store, &mut w, 0);
+    c.exchange_heartbeat(&mut store, &mut w, 0);
     let m = c.cluster.machine(c.machine("m1")).unwrap();
     // It owned the shard from the start, and stood still from 1 s to 40 s.
     let (owned, woke) = (Some(MonotonicMillis(0)), Some(MonotonicMillis(40_000)));
@@ -598,38 +598,38 @@
 
 #[test]
 fn what_was_drafted_before_a_stop_is_refused_after_a_take_over() {
-    let (mut store, mut old) = one();
+    let (mut store, mut old) = start_single_controller();
     let mut w = FakeWorker::new("m1", "north", 0);
     w.run_ms = 600_000;
     old.submit(&mut store, job("job-0", 1), 0);
-    play(&mut old, &mut store, &mut [&mut w], 0, 1500);
+    run_heartbeats(&mut old, &mut store, &mut [&mut w], 0, 1500);
     assert!(w.has_task("job-0/0"));
     old.submit(&mut store, job("job-1", 1), 1500);
-    let draft = old.draft(1600);
+    let draft = old.draft_plan(1600);
     assert_eq!(draft.claims.len(), 1);
     let late = pointhook::coordination::kv::transaction(&old.cluster, &draft);
     // It stands still past its lease; another takes its shards and gives the task away.
     store.revoke_lease(old.lease);
-    let mut new = Controller::start("s1", 2, &mut store, 20_000);
-    new.members(&mut store, 20_000);
+    let mut new = SimulatedController::start("s1", 2, &mut store, 20_000);
+    new.apply_membership_moves(&mut store, 20_000);
     let mut other = FakeWorker::new("m2", "north", 20_000);
-    new.visit(&mut store, &mut other, 20_000);
+    new.exchange_heartbeat(&mut store, &mut other, 20_000);
     // It goes on where it stood: the commit, an answer held back, a proof by time.
     assert!(!matches!(
-        Controller::send(&mut store, &late, 40_000),
+        SimulatedController::commit(&mut store, &late, 40_000),
         pointhook::coordination::kv::CommitOutcome::Committed(_)
     ));
     let r = w.heartbeat(40_000);
-    let held = old.report_without_store(&r, 40_000).unwrap();
+    let held = old.receive_heartbeat_without_kv(&r, 40_000).unwrap();
     assert!(!held
         .commands
         .iter()
         .any(|o| matches!(o, Command::Start { .. })));
-    let proof = old.draft(60_000);
+    let proof = old.draft_plan(60_000);
     assert!(!proof.is_empty());
     let by_time = pointhook::coordination::kv::transaction(&old.cluster, &proof);
     assert!(!matches!(
-        Controller::send(&mut store, &by_time, 60_000),
+        SimulatedController::commit(&mut store, &by_time, 60_000),
         pointhook::coordination::kv::CommitOutcome::Committed(_)
     ));
     assert_eq!(other.started.len(), 1);
@@ -638,17 +638,17 @@
 
 #[test]
 fn a_node_that_no_worker_reaches_gives_its_shards_away_and_gets_them_back() {
-    let (mut store, mut c) = one();
-    Controller::start("s1", 2, &mut store, 0);
+    let (mut store, mut c) = start_single_controller();
+    SimulatedController::start("s1", 2, &mut store, 0);
     c.sync(&store);
     let seen = HashMap::from(
         [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), Incarnation(i)), MonotonicMillis(0))),
     );
-    let moves = |c: &Controller, deaf: &[&str]| {
+    let moves = |c: &SimulatedController, deaf: &[&str]| {
         let known = membership::MembershipView {
             first_seen: seen.clone(),
             unreachable_from_workers: deaf.iter().map(|n| n.to_string()).collect(),
-            owned_since: c.owned_for_long(),
+            owned_since: c.owned_since_start(),
             ..membership::MembershipView::default()
         };
         membership::moves(
@@ -715,8 +715,8 @@
 
 #[test]
 fn two_nodes_that_disagree_do_not_hand_a_shard_to_and_fro() {
-    let (mut store, mut c) = one();
-    Controller::start("s1", 2, &mut store, 0);
+    let (mut store, mut c) = start_single_controller();
+    SimulatedController::start("s1", 2, &mut store, 0);
     c.sync(&store);
     let seen = HashMap::from(
         [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), Incarnation(i)), MonotonicMillis(0))),
@@ -724,7 +724,7 @@
     // This node has just got the shard, and does not know yet that the other is deaf.
     let south = ZoneIndex(1);
     assert_eq!(c.cluster.shard_zone(ShardIndex(1)), Some(south));
-    let moves = |c: &Controller, now: u64| {
+    let moves = |c: &SimulatedController, now: u64| {
         let known = membership::MembershipView {
             first_seen: seen.clone(),
             owned_since: HashMap::from([(ShardIndex(1), MonotonicMillis(10_000))]),
--- a/tests/http_api.rs
+++ b/tests/http_api.rs
@@ -10,7 +10,7 @@
 use pointhook::state::names::{Interner, MachineIndex};
 use pointhook::state::task_ranges::TaskRanges;
 use std::path::PathBuf;
-use support::{cloud, controller::team, job};
+use support::{cloud, job, simulated_controller::team};
 
 fn bytes(spec: &JobSpec) -> Vec<u8> {
     rmp_serde::to_vec_named(spec).unwrap()
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -10,9 +10,9 @@
 use pointhook::state::names::Index;
 use pointhook::state::units::MonotonicMillis;
 use std::collections::BTreeSet;
-use support::controller::{one, Controller};
 use support::job;
 use support::kv_store::FakeKvStore;
+use support::simulated_controller::{start_single_controller, SimulatedController};
 use support::worker::FakeWorker;
 
 const MACHINES: usize = 4000;
@@ -28,8 +28,8 @@
 }
 
 /// One controller that owns all shards and has heard all machines of both zones.
-fn large_fleet() -> (FakeKvStore, Controller) {
-    let (store, mut c) = one();
+fn large_fleet() -> (FakeKvStore, SimulatedController) {
+    let (store, mut c) = start_single_controller();
     for i in 0..MACHINES {
         let zone = ["north", "south"][i % 2];
         let learnt =
@@ -106,15 +106,15 @@
         c.submit(&mut store, job(&format!("job-{i}"), 1000), 0);
     }
     let mut before = usize::MAX;
-    let waiting = |c: &Controller| -> usize {
+    let waiting = |c: &SimulatedController| -> usize {
         let jobs = c.cluster.active_jobs();
         jobs.map(|(_, j)| j.waiting_count() as usize).sum()
     };
     while waiting(&c) < before {
         before = waiting(&c);
-        let draft = c.draft(10);
+        let draft = c.draft_plan(10);
         let transaction = pointhook::coordination::kv::transaction(&c.cluster, &draft);
-        let outcome = Controller::send(&mut store, &transaction, 10);
+        let outcome = SimulatedController::commit(&mut store, &transaction, 10);
         pointhook::coordination::kv::apply_outcome(&mut c.cluster, &draft, &outcome);
     }
     assert_eq!(before, 0);
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -11,9 +11,9 @@
 use pointhook::state::job::JobState;
 use pointhook::state::records::RECORD_FORMAT_V2;
 use pointhook::state::units::Incarnation;
-use support::controller::{one, Controller, CANCEL_MS};
 use support::job;
-use support::world::World;
+use support::simulated_cluster::SimulatedCluster;
+use support::simulated_controller::{start_single_controller, SimulatedController, CANCEL_MS};
 
 fn after(id: &str, tasks: u32, awaits: &[&str]) -> JobSpec {
     JobSpec {
@@ -23,9 +23,9 @@
 }
 
 /// A world in the second form, whose tasks run for this long.
-fn world(run_ms: u64) -> World {
-    let mut w = World::new(4);
-    for h in &mut w.hosts {
+fn world(run_ms: u64) -> SimulatedCluster {
+    let mut w = SimulatedCluster::new(4);
+    for h in &mut w.machines {
         h.worker.run_ms = run_ms;
     }
     w.begin_record_format_v2();
@@ -63,7 +63,7 @@
         .collect();
     let mut spec = job("job-9", 1);
     spec.dependencies = many;
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     store.max_value_bytes = 2048;
     assert!(matches!(
         c.submit(&mut store, spec, 0),
@@ -82,11 +82,11 @@
     ] {
         assert!(w.submit(2, after(id, 2, &awaits)));
     }
-    w.run(1500);
-    assert_eq!(w.poll(0, "job-4"), Some("pending"));
-    w.run(40_000);
-    assert_eq!(w.over(), 4);
-    w.keeps_the_rules();
+    w.run_for(1500);
+    assert_eq!(w.query_status(0, "job-4"), Some("pending"));
+    w.run_for(40_000);
+    assert_eq!(w.finished_count(), 4);
+    w.assert_no_violations();
 }
 
 #[test]
@@ -105,12 +105,12 @@
     let mut other = job("job-4", 1);
     other.team = "mixers".into();
     assert!(w.submit(2, other));
-    w.run(8000);
+    w.run_for(8000);
     assert!(w.runs("job-1") && w.runs("job-4"));
-    assert!(!w.begun("job-2") && !w.begun("job-3"));
-    w.run(60_000);
-    assert!(w.begun("job-2") || w.begun("job-3"));
-    w.keeps_the_rules();
+    assert!(!w.has_started("job-2") && !w.has_started("job-3"));
+    w.run_for(60_000);
+    assert!(w.has_started("job-2") || w.has_started("job-3"));
+    w.assert_no_violations();
 }
 
 #[test]
@@ -127,42 +127,47 @@
         last = id;
     }
     assert!(w.submit(0, job("job-5", 1)));
-    w.run(4000);
+    w.run_for(4000);
     assert!(w.cancel(1, "job-2"));
     // Every node says so of all of them at once, before any record does.
     for at in 0..3 {
         for id in ["job-4", "job-10", "job-200", last.as_str()] {
-            assert_eq!(w.poll(at, id), Some("aborted"), "{id} at {at}");
+            assert_eq!(w.query_status(at, id), Some("aborted"), "{id} at {at}");
         }
-        assert_ne!(w.poll(at, "job-1"), Some("aborted"));
-        assert_ne!(w.poll(at, "job-3"), Some("aborted"));
+        assert_ne!(w.query_status(at, "job-1"), Some("aborted"));
+        assert_ne!(w.query_status(at, "job-3"), Some("aborted"));
     }
     // One that comes later, and names a cancelled job, is accepted and cancelled.
     assert!(w.submit(2, after("job-999", 1, &["job-5", "job-4"])));
     for at in 0..3 {
-        assert_eq!(w.poll(at, "job-999"), Some("aborted"));
+        assert_eq!(w.query_status(at, "job-999"), Some("aborted"));
     }
-    w.run(CANCEL_MS);
-    assert!(!w.begun("job-4") && !w.begun(&last));
+    w.run_for(CANCEL_MS);
+    assert!(!w.has_started("job-4") && !w.has_started(&last));
     // The records follow, a few at a time.
-    w.run(200_000);
+    w.run_for(200_000);
     for at in 0..3 {
-        assert!(w.node(at).cluster.dependency_graph.unwritten.is_empty());
+        assert!(w
+            .controller(at)
+            .cluster
+            .dependency_graph
+            .unwritten
+            .is_empty());
     }
-    w.keeps_the_rules();
+    w.assert_no_violations();
 }
 
 #[test]
 fn a_cancellation_that_is_answered_with_done_cancels_nothing() {
     let mut w = world(2000);
     assert!(w.submit(0, job("job-1", 1)));
-    w.run(8000);
-    assert_eq!(w.poll(1, "job-1"), Some("done"));
+    w.run_for(8000);
+    assert_eq!(w.query_status(1, "job-1"), Some("done"));
     assert!(w.submit(1, after("job-2", 1, &["job-1"])));
     assert!(!w.cancel(2, "job-1"));
-    w.run(12_000);
-    assert_eq!(w.poll(0, "job-2"), Some("done"));
-    w.keeps_the_rules();
+    w.run_for(12_000);
+    assert_eq!(w.query_status(0, "job-2"), Some("done"));
+    w.assert_no_violations();
 }
 
 #[test]
@@ -170,10 +175,10 @@
     for cancel_first in [true, false] {
         let mut w = world(20_000);
         assert!(w.submit(0, job("job-1", 1)));
-        w.run(3000);
+        w.run_for(3000);
         if cancel_first {
             // The node that takes the dependent has not heard of it.
-            w.trouble[1].alone = true;
+            w.controller_faults[1].isolated_from_peers = true;
             assert!(w.cancel(0, "job-1"));
             assert!(w.submit(1, after("job-2", 1, &["job-1"])));
         } else {
@@ -181,12 +186,12 @@
             assert!(w.cancel(0, "job-1"));
         }
         for at in 0..3 {
-            assert_eq!(w.poll(at, "job-2"), Some("aborted"));
+            assert_eq!(w.query_status(at, "job-2"), Some("aborted"));
         }
-        w.trouble[1].alone = false;
-        w.run(40_000);
-        assert!(!w.begun("job-2"));
-        w.keeps_the_rules();
+        w.controller_faults[1].isolated_from_peers = false;
+        w.run_for(40_000);
+        assert!(!w.has_started("job-2"));
+        w.assert_no_violations();
     }
 }
 
@@ -194,8 +199,8 @@
 fn the_answer_to_a_submission_is_no_older_than_the_cancellation_it_follows() {
     use pointhook::coordination::job_api::accepted;
     use pointhook::protocol::users::JobStatus;
-    let (mut store, mut c) = one();
-    let status = |c: &Controller, id: &str| {
+    let (mut store, mut c) = start_single_controller();
+    let status = |c: &SimulatedController, id: &str| {
         let answer = accepted(&c.cluster, id, c.job(id).version);
         assert_eq!(answer.status, 201);
         let body: JobStatus = rmp_serde::from_slice(&answer.body).unwrap();
@@ -217,22 +222,22 @@
     assert!(w.submit(0, job("job-1", 3)));
     assert!(w.submit(1, after("job-2", 3, &["job-1"])));
     assert!(w.submit(2, after("job-3", 3, &["job-2"])));
-    w.run(3000);
+    w.run_for(3000);
     w.store.execution_delay_ms = Some(3000);
-    w.run(6000);
+    w.run_for(6000);
     w.store.execution_delay_ms = None;
-    w.trouble[1].refused = true;
-    w.run(4000);
-    w.end(0);
-    w.run(8000);
-    w.outage = true;
-    w.run(6000);
-    w.outage = false;
-    w.trouble[1].refused = false;
-    w.start(0);
-    w.run(90_000);
-    assert_eq!(w.over(), 3);
-    w.keeps_the_rules();
+    w.controller_faults[1].kv_refused = true;
+    w.run_for(4000);
+    w.stop_controller(0);
+    w.run_for(8000);
+    w.kv_outage = true;
+    w.run_for(6000);
+    w.kv_outage = false;
+    w.controller_faults[1].kv_refused = false;
+    w.start_controller(0);
+    w.run_for(90_000);
+    assert_eq!(w.finished_count(), 3);
+    w.assert_no_violations();
 }
 
 #[test]
@@ -242,24 +247,24 @@
     let mut second = after("job-2", 1, &["job-1"]);
     second.vcpus = 1000.0;
     assert!(w.submit(0, second));
-    w.run(20_000);
-    let job = w.node(1).job("job-1").clone();
+    w.run_for(20_000);
+    let job = w.controller(1).job("job-1").clone();
     assert!(job.finished_at > 0);
     assert_eq!(
-        w.node(1).job("job-2").dependency_state.eligible_since,
+        w.controller(1).job("job-2").dependency_state.eligible_since,
         job.finished_at
     );
     let mut wide = after("job-3", 1, &["job-1"]);
     wide.vcpus = 1000.0;
     assert!(w.submit(0, wide));
     for at in 0..3 {
-        w.end(at);
+        w.stop_controller(at);
     }
-    w.run(3000);
+    w.run_for(3000);
     for at in 0..3 {
-        w.start(at);
+        w.start_controller(at);
         // It was submitted after that end, so that counts.
-        let node = w.node(at);
+        let node = w.controller(at);
         let own = node.job("job-3").submitted_at;
         assert_eq!(node.job("job-3").dependency_state.eligible_since, own);
         assert_eq!(node.job("job-1").finished_at, job.finished_at);
@@ -268,7 +273,7 @@
 
 #[test]
 fn priority_and_deadline_are_lent_to_what_the_last_job_needs_also_when_it_comes_late() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     let mut first = job("job-1", 1);
     first.priority = Priority::Low;
     let mut second = after("job-2", 1, &["job-1"]);
@@ -285,7 +290,7 @@
     for id in ["job-1", "job-2", "job-3"] {
         assert_eq!(c.job(id).dependency_state.priority, Priority::High);
     }
-    let due = |c: &Controller, id: &str| c.job(id).dependency_state.deadline.unwrap();
+    let due = |c: &SimulatedController, id: &str| c.job(id).dependency_state.deadline.unwrap();
     assert_eq!(due(&c, "job-3"), 103_000);
     // The end less what it takes, and a little for each stage.
     assert!((75_000..83_000).contains(&due(&c, "job-2")));
@@ -301,13 +306,13 @@
     use pointhook::state::names::ShardIndex;
     use pointhook::state::units::MonotonicMillis;
     for needed in [false, true] {
-        let (mut store, mut c) = one();
+        let (mut store, mut c) = start_single_controller();
         let mut w = support::worker::FakeWorker::new("m1", "north", 0);
         w.run_ms = 100_000;
         let mut low = job("job-1", 1);
         (low.priority, low.gpus, low.checkpoint_s) = (Priority::Low, 4.0, 10.0);
         c.submit(&mut store, low, 0);
-        support::controller::play(&mut c, &mut store, &mut [&mut w], 0, 4000);
+        support::simulated_controller::run_heartbeats(&mut c, &mut store, &mut [&mut w], 0, 4000);
         assert!(w.has_task("job-1/0"));
         if needed {
             let mut last = after("job-2", 1, &["job-1"]);
@@ -317,12 +322,18 @@
         let mut other = job("job-3", 1);
         (other.priority, other.gpus) = (Priority::High, 4.0);
         c.submit(&mut store, other, 4000);
-        support::controller::play(&mut c, &mut store, &mut [&mut w], 4000, 12_000);
+        support::simulated_controller::run_heartbeats(
+            &mut c,
+            &mut store,
+            &mut [&mut w],
+            4000,
+            12_000,
+        );
         let turn = ShardIndex(0);
         let stops = preemption::preempt(
             &c.cluster,
             &c.config,
-            c.takeovers.permits(),
+            c.failovers.permits(),
             turn,
             MonotonicMillis(12_000),
             12_000,
@@ -333,12 +344,12 @@
 
 #[test]
 fn the_second_form_begins_when_all_nodes_live_and_know_it() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     assert!(
         begin_record_format_v2(&c.cluster, &["n1", "s1"]).is_none(),
         "one is away"
     );
-    let s1 = Controller::start("s1", 2, &mut store, 0);
+    let s1 = SimulatedController::start("s1", 2, &mut store, 0);
     c.sync(&store);
     let txn = begin_record_format_v2(&c.cluster, &["n1", "s1"]).unwrap();
     // One of them comes back with the old version before that is carried out.
@@ -369,15 +380,15 @@
     assert_eq!(RECORD_FORMAT_V2, 2);
     // And a node that starts later reads so.
     assert!(
-        Controller::start("s1", 9, &mut store, 0)
+        SimulatedController::start("s1", 9, &mut store, 0)
             .cluster
             .record_format_v2
     );
 }
 
 /// Sets what the settings say of the limits to come.
-fn expect(w: &mut World, next: Limits) {
-    for c in w.nodes.iter_mut().flatten() {
+fn expect(w: &mut SimulatedCluster, next: Limits) {
+    for c in w.controllers.iter_mut().flatten() {
         c.config.limits_next = next;
     }
 }
@@ -389,10 +400,10 @@
         value_bytes: 2048 * 9 / 10,
         write_rps: 15.0,
     };
-    let mut w = World::new(16);
+    let mut w = SimulatedCluster::new(16);
     w.store.max_txn_ops = 12;
     expect(&mut w, next);
-    for h in &mut w.hosts {
+    for h in &mut w.machines {
         h.worker.run_ms = 40_000;
     }
     // Wide while the old version may still live: as wide as one record holds.
@@ -405,17 +416,17 @@
         spec
     };
     assert!(w.submit(0, slim("job-1", 150, JobKind::Array)));
-    w.run(20_000);
-    let widest = |w: &World| {
+    w.run_for(20_000);
+    let widest = |w: &SimulatedCluster| {
         let entries = w.store.read_page(ROOT, "", 10_000).entries;
         let size = |e: &pointhook::protocol::kv::Entry| e.v.to_string().len();
         entries.iter().map(size).max().unwrap()
     };
     assert!(widest(&w) > 2048);
-    assert!(w.node(0).job("job-1").placements.len() > 100);
+    assert!(w.controller(0).job("job-1").placements.len() > 100);
     // All know the second form: what is too large is split before it is caught.
     w.begin_record_format_v2();
-    w.run(10_000);
+    w.run_for(10_000);
     assert!(widest(&w) <= 2048, "{}", widest(&w));
     w.store.max_value_bytes = 2048;
     w.store.max_txn_ops = 5;
@@ -423,29 +434,29 @@
     assert!(w.submit(1, slim("job-2", 200, JobKind::Array)));
     assert!(w.submit(2, slim("job-3", 16, JobKind::Gang)));
     assert!(w.submit(2, slim("job-4", 90, JobKind::Gang)));
-    w.run(30_000);
-    let node = w.node(1);
+    w.run_for(30_000);
+    let node = w.controller(1);
     assert!(node.job("job-2").placements.len() > 150);
     assert_eq!(node.job("job-3").placements.len(), 16);
     assert_eq!(node.job("job-4").placements.len(), 90);
     assert!(w.cancel(0, "job-2"));
-    w.run(CANCEL_MS);
-    w.keeps_nothing_of("job-2");
+    w.run_for(CANCEL_MS);
+    w.assert_nothing_runs_of("job-2");
     // A node that starts now reads the same placements out of all parts.
-    w.end(0);
-    w.start(0);
-    let placed = |c: &Controller| c.cluster.job("job-4").unwrap().1.placements.len();
-    let (a, b) = (placed(w.node(0)), placed(w.node(2)));
+    w.stop_controller(0);
+    w.start_controller(0);
+    let placed = |c: &SimulatedController| c.cluster.job("job-4").unwrap().1.placements.len();
+    let (a, b) = (placed(w.controller(0)), placed(w.controller(2)));
     assert_eq!(a, b);
-    w.run(400_000);
-    assert_eq!(w.over(), 4);
+    w.run_for(400_000);
+    assert_eq!(w.finished_count(), 4);
     // Nothing is left of the parts.
     assert!(w
         .store
         .read_page(&format!("{ROOT}more/"), "", 10)
         .entries
         .is_empty());
-    w.keeps_the_rules();
+    w.assert_no_violations();
 }
 
 #[test]
@@ -456,7 +467,7 @@
     assert_eq!((seen.txn_ops, seen.value_bytes), (7, 3000));
     // What is small anyway was refused for something else.
     assert_eq!(seen.refused(1, 100).value_bytes, 1024);
-    let (_, mut c) = one();
+    let (_, mut c) = start_single_controller();
     c.config.limits_observed.set(seen);
     assert_eq!(c.config.limits(&c.cluster).txn_ops, 7);
     c.config.limits_next.txn_ops = 5;
@@ -503,46 +514,50 @@
             if w.submit(at, spec) {
                 ids.push(id);
             }
-            w.run(500 * rng.u64(1..4));
+            w.run_for(500 * rng.u64(1..4));
             match rng.u32(..10) {
                 0 if !ids.is_empty() => {
                     let id = ids[rng.usize(..ids.len())].clone();
                     w.cancel(at, &id);
                 }
-                1 => w.outage = true,
-                2 | 3 => w.outage = false,
-                4 => w.trouble[at].refused = !w.trouble[at].refused,
-                5 => w.end(at),
-                6 | 7 if w.nodes[at].is_none() => w.start(at),
+                1 => w.kv_outage = true,
+                2 | 3 => w.kv_outage = false,
+                4 => w.controller_faults[at].kv_refused = !w.controller_faults[at].kv_refused,
+                5 => w.stop_controller(at),
+                6 | 7 if w.controllers[at].is_none() => w.start_controller(at),
                 8 => w.store.execution_delay_ms = rng.bool().then_some(3000),
                 _ => {}
             }
             for id in &ids {
-                w.poll(rng.usize(..3), id);
+                w.query_status(rng.usize(..3), id);
             }
         }
-        w.outage = false;
-        w.trouble = Default::default();
+        w.kv_outage = false;
+        w.controller_faults = Default::default();
         w.store.execution_delay_ms = None;
-        w.run(6000);
+        w.run_for(6000);
         for at in 0..3 {
-            if w.nodes[at].is_none() {
-                w.start(at);
+            if w.controllers[at].is_none() {
+                w.start_controller(at);
             }
         }
-        w.run(150_000);
-        let broken = std::mem::take(&mut w.broken);
+        w.run_for(150_000);
+        let broken = std::mem::take(&mut w.violations);
         assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
-        assert_eq!(w.over(), w.accepted(), "seed {seed}: jobs are left");
+        assert_eq!(
+            w.finished_count(),
+            w.accepted_count(),
+            "seed {seed}: jobs are left"
+        );
         for id in &ids {
-            let state = w.node(0).job(id).state;
+            let state = w.controller(0).job(id).state;
             for at in 1..3 {
-                assert_eq!(w.node(at).job(id).state, state, "seed {seed}: {id}");
+                assert_eq!(w.controller(at).job(id).state, state, "seed {seed}: {id}");
             }
             cascades += usize::from(state == JobState::Cancelled && !w.cancelled_by_user(id));
             ended += usize::from(state == JobState::Done);
         }
-        w.keeps_the_rules();
+        w.assert_no_violations();
     }
     assert!(cascades > 20 && ended > 150, "{cascades} {ended}");
 }
--- a/tests/random_days.rs
+++ b/tests/random_days.rs
@@ -3,8 +3,8 @@
 
 mod support;
 
-use support::controller::Standby;
-use support::days::Day;
+use support::randomized_run::RandomizedRun;
+use support::simulated_controller::Standby;
 
 /// Days in CI; `POINTHOOK_RANDOM_DAYS` asks for more.
 const DAYS: u64 = 24;
@@ -19,17 +19,17 @@
 fn random_troubles_break_no_rule_and_every_job_ends(standby: Standby) {
     let (mut confirmed, mut started, mut dependents) = (0, 0, 0);
     for seed in 1..=days() {
-        let mut day = Day::new(seed, standby);
-        day.play();
-        let mut world = day.world;
-        let broken = std::mem::take(&mut world.broken);
+        let mut run = RandomizedRun::new(seed, standby);
+        run.run();
+        let mut world = run.world;
+        let broken = std::mem::take(&mut world.violations);
         assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
         let unfinished = world.unfinished();
         assert!(unfinished.is_empty(), "seed {seed}: {unfinished:#?}");
-        world.keeps_the_rules();
-        confirmed += day.confirmed;
-        started += world.started();
-        dependents += world.begun_dependents();
+        world.assert_no_violations();
+        confirmed += run.confirmed;
+        started += world.start_count();
+        dependents += world.started_dependents();
     }
     assert!(started > 800, "too few starts: {started}");
     assert!(confirmed > 60, "too few cancellations: {confirmed}");
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -17,13 +17,13 @@
 use pointhook::state::job::JobState;
 use pointhook::state::machine::TaskAttempt;
 use pointhook::state::units::{MonotonicMillis, Resources};
-use support::controller::{one, play, Controller};
 use support::job;
 use support::kv_store::FakeKvStore;
+use support::simulated_controller::{run_heartbeats, start_single_controller, SimulatedController};
 use support::worker::FakeWorker;
 
 /// Adds machines that were just heard.
-fn fleet(c: &mut Controller, n: usize) {
+fn fleet(c: &mut SimulatedController, n: usize) {
     for i in 0..n {
         let name = format!("m{i:03}");
         let mix = c
@@ -36,7 +36,7 @@
 
 #[test]
 fn a_task_finds_the_one_machine_of_hundreds_that_has_its_image() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     fleet(&mut c, 400);
     c.submit(&mut store, job("job-1", 1), 0);
     let image = c.job("job-1").spec.as_ref().unwrap().image;
@@ -45,7 +45,7 @@
         .machine_mut(warm)
         .unwrap()
         .use_image(image, 1.0, 100.0);
-    let ix = c.job_ix("job-1");
+    let ix = c.job_index("job-1");
     for _ in 0..20 {
         assert_eq!(
             claims::bind(&c.cluster, &c.config, ix, MonotonicMillis(10), 10),
@@ -57,14 +57,14 @@
 #[test]
 fn sums_kept_current_are_those_of_the_records() {
     let mut store = FakeKvStore::default();
-    let mut c = Controller::start("n1", 1, &mut store, 0);
-    c.members(&mut store, 0);
+    let mut c = SimulatedController::start("n1", 1, &mut store, 0);
+    c.apply_membership_moves(&mut store, 0);
     fleet(&mut c, 8);
     let mut spec = job("job-1", 12);
     spec.team = "mixers".into();
     c.submit(&mut store, spec, 0);
     c.submit(&mut store, job("job-2", 20), 0);
-    c.plan(&mut store, 10);
+    c.run_planner(&mut store, 10);
     c.cancel(&mut store, "job-2", 20);
     let mut placed = 0;
     for (mix, m) in c.cluster.all_machines() {
@@ -91,7 +91,7 @@
 
 #[test]
 fn a_wide_job_with_time_left_begins_within_two_minutes_of_smaller_ones() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     // Its deadline is far off, so it is in time all the while; smaller jobs keep coming.
     c.submit(&mut store, due("job-1", 200, 900.0), 0);
     for t in 100..130u64 {
@@ -101,7 +101,7 @@
     }
 }
 
-fn order(c: &Controller, wall: u64) -> Vec<String> {
+fn order(c: &SimulatedController, wall: u64) -> Vec<String> {
     let draft = draft::DraftTransaction::default();
     let jobs = job_order::waiting_jobs(&c.cluster, &c.config, &draft, MonotonicMillis(wall), wall);
     let names = jobs
@@ -118,7 +118,7 @@
 
 #[test]
 fn among_jobs_that_can_be_in_time_the_smaller_goes_first() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     c.submit(&mut store, due("job-1", 100, 100.0), 0);
     c.submit(&mut store, due("job-2", 5, 100.0), 1000);
     c.submit(&mut store, due("job-3", 6, 100.0), 2000);
@@ -127,7 +127,7 @@
 
 #[test]
 fn a_late_wide_job_is_not_starved_by_younger_and_smaller_ones() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     c.submit(&mut store, due("job-1", 200, 60.0), 0);
     // Every second a small job comes that can be in time.
     let mut first = 0;
@@ -155,7 +155,7 @@
 
 #[test]
 fn a_wide_gang_begins_amid_steady_small_work() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     let mut workers: Vec<FakeWorker> = (0..4)
         .map(|i| FakeWorker::new(&format!("m{i}"), "north", 0))
         .collect();
@@ -180,7 +180,7 @@
         for (i, w) in workers.iter_mut().enumerate() {
             // No two tasks end together, so that a machine is never empty by chance.
             w.run_ms = 3000 + (now / 500 * 7 + i as u64 * 3) % 11 * 500;
-            c.visit(&mut store, w, now);
+            c.exchange_heartbeat(&mut store, w, now);
         }
         let placed = c.cluster.job("job-1000").map(|j| j.1.placements.len());
         if begun.is_none() && placed == Some(3) {
@@ -195,11 +195,11 @@
 fn a_job_as_wide_as_the_largest_arrays_runs_whole_within_one_record() {
     let mut store = FakeKvStore::default();
     store.max_value_bytes = 8 * 1024;
-    let mut c = Controller::start("n1", 1, &mut store, 0);
-    c.members(&mut store, 0);
+    let mut c = SimulatedController::start("n1", 1, &mut store, 0);
+    c.apply_membership_moves(&mut store, 0);
     fleet(&mut c, 40);
     c.submit(&mut store, job("job-1", 80), 0);
-    c.plan(&mut store, 10);
+    c.run_planner(&mut store, 10);
     assert_eq!(c.job("job-1").placements.len(), 80);
 }
 
@@ -235,13 +235,13 @@
 
 #[test]
 fn the_loss_of_hundreds_of_machines_costs_one_change_a_job() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     fleet(&mut c, 300);
     for i in 0..12 {
         c.submit(&mut store, job(&format!("job-{i}"), 60), 0);
     }
-    c.plan(&mut store, 10);
-    let placed = |c: &Controller| -> usize {
+    c.run_planner(&mut store, 10);
+    let placed = |c: &SimulatedController| -> usize {
         c.cluster
             .active_jobs()
             .map(|(_, j)| j.placements.len())
@@ -259,7 +259,7 @@
         reconciliation::reconcile(
             &c.cluster,
             &c.config,
-            c.takeovers.permits(),
+            c.failovers.permits(),
             &mut d,
             MonotonicMillis(20),
         );
@@ -268,7 +268,7 @@
         }
         changes += d.jobs.len();
         let txn = pointhook::coordination::kv::transaction(&c.cluster, &d);
-        let out = Controller::send(&mut store, &txn, 20);
+        let out = SimulatedController::commit(&mut store, &txn, 20);
         pointhook::coordination::kv::apply_outcome(&mut c.cluster, &d, &out);
     }
     assert_eq!((placed(&c), changes), (0, 12));
@@ -276,25 +276,25 @@
 
 #[test]
 fn ends_of_an_array_are_gathered_but_its_last_is_not_and_its_room_is_free_at_once() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     let mut w = FakeWorker::new("m1", "north", 0);
     w.run_ms = 2000;
     c.submit(&mut store, job("job-1", 4), 0);
-    play(&mut c, &mut store, &mut [&mut w], 0, 1500);
+    run_heartbeats(&mut c, &mut store, &mut [&mut w], 0, 1500);
     assert_eq!(c.job("job-1").placements.len(), 4);
-    let later = |c: &Controller, now| {
+    let later = |c: &SimulatedController, now| {
         let mut d = draft::DraftTransaction::batching(true, 0);
         reconciliation::reconcile(
             &c.cluster,
             &c.config,
-            c.takeovers.permits(),
+            c.failovers.permits(),
             &mut d,
             MonotonicMillis(now),
         );
         claims::claim(
             &c.cluster,
             &c.config,
-            c.takeovers.permits(),
+            c.failovers.permits(),
             &mut d,
             MonotonicMillis(now),
             now,
@@ -305,7 +305,7 @@
     let mut r = w.heartbeat(4000);
     r.tasks[3].state = TaskState::Running;
     r.tasks[3].exit_reason = None;
-    let take = |c: &mut Controller, r| {
+    let take = |c: &mut SimulatedController, r| {
         heartbeats::receive(&mut c.cluster, &c.config, r, 10_000, MonotonicMillis(4000))
     };
     take(&mut c, &r);
@@ -316,12 +316,12 @@
     c.submit(&mut store, job("job-3", 1), 4000);
     let d = later(&c, 4010);
     assert_eq!(d.claims.len(), 3);
-    assert!(d.claims.iter().all(|(ix, _)| *ix == c.job_ix("job-2")));
+    assert!(d.claims.iter().all(|(ix, _)| *ix == c.job_index("job-2")));
     // Once the last is done as well, the job's end is written at once, with all of them.
     let r = w.heartbeat(5000);
     take(&mut c, &r);
     let d = later(&c, 5000);
-    assert_eq!(d.jobs[&c.job_ix("job-1")].state, JobState::Done);
+    assert_eq!(d.jobs[&c.job_index("job-1")].state, JobState::Done);
 }
 
 #[test]
@@ -345,7 +345,7 @@
 
 #[test]
 fn a_deleted_machine_leaves_nothing_behind_but_its_name() {
-    let (_, mut c) = one();
+    let (_, mut c) = start_single_controller();
     fleet(&mut c, 2000);
     for i in 0..1990 {
         let mix = c.machine(&format!("m{i:03}"));
@@ -362,7 +362,7 @@
 
 #[test]
 fn a_job_that_missed_one_time_of_several_still_keeps_the_last() {
-    let (mut store, mut c) = one();
+    let (mut store, mut c) = start_single_controller();
     let times = [350.0, 150.0, 250.0].map(|t| Objective {
         kind: "finished".into(),
         class: Some("bake".into()),
@@ -375,7 +375,7 @@
     );
     let mut c = begun_at_once(c, &mut store, "job-1", 40);
     // Younger work keeps coming that can make the first time.
-    let back = |c: &Controller, age: u64| {
+    let back = |c: &SimulatedController, age: u64| {
         let job = c.job("job-1");
         job_order::put_back(&c.config, job, job.spec.as_ref().unwrap(), age * 1000 + 1)
     };
@@ -393,7 +393,7 @@
     let mut spec = due("job-2", 40, 60.0);
     spec.class = "bake".into();
     c.submit(&mut store, spec, 1);
-    c.plan(&mut store, 10);
+    c.run_planner(&mut store, 10);
     let job = c.job("job-2");
     let at =
         |age: u64| job_order::put_back(&c.config, job, job.spec.as_ref().unwrap(), age * 1000 + 1);
@@ -402,10 +402,15 @@
 }
 
 /// Adds machines and a job of which some tasks have begun.
-fn begun_at_once(mut c: Controller, store: &mut FakeKvStore, id: &str, tasks: u32) -> Controller {
+fn begun_at_once(
+    mut c: SimulatedController,
+    store: &mut FakeKvStore,
+    id: &str,
+    tasks: u32,
+) -> SimulatedController {
     fleet(&mut c, 15);
     c.submit(store, job(id, tasks), 1);
-    c.plan(store, 10);
+    c.run_planner(store, 10);
     assert!(!c.job(id).placements.is_empty());
     c
 }
--- a/tests/support/liveness.rs
+++ b/tests/support/liveness.rs
@@ -1,6 +1,6 @@
 //! Checks that ready jobs do not wait while there is room for them.
 
-use super::world::World;
+use super::simulated_cluster::SimulatedCluster;
 use pointhook::protocol::users::{JobKind, JobSpec};
 use pointhook::state::names::{Index, TeamIndex};
 use std::collections::BTreeMap;
@@ -18,7 +18,7 @@
 
 impl Liveness {
     /// Looks at all jobs now; those that have waited too long.
-    pub fn check(&mut self, world: &World) -> Vec<String> {
+    pub fn check(&mut self, world: &SimulatedCluster) -> Vec<String> {
         let mut waiting = BTreeMap::new();
         let mut late = Vec::new();
         for (id, spec) in world.accepted_jobs() {
@@ -39,11 +39,11 @@
 }
 
 /// True if the job is ready, nothing of it is on any machine, and its first tasks fit.
-fn could_run(world: &World, id: &str, spec: &JobSpec) -> bool {
+fn could_run(world: &SimulatedCluster, id: &str, spec: &JobSpec) -> bool {
     // A completion whose machine was lost before it told is known to nobody: that job runs anew.
-    let known = |needed: &String| world.is_over(needed) || world.shows_completion(needed);
+    let known = |needed: &String| world.is_finished(needed) || world.shows_completion(needed);
     let ready = spec.dependencies.iter().all(known);
-    if !ready || world.is_over(id) || world.runs(id) {
+    if !ready || world.is_finished(id) || world.runs(id) {
         return false;
     }
     let tasks = match spec.kind {
@@ -60,14 +60,14 @@
     slots >= tasks && team_has_room(world, spec, tasks)
 }
 
-fn free_slots(world: &World, zone: &str) -> usize {
-    let hosts = world.hosts.iter().filter(|h| h.worker.zone == zone);
-    let hosts = hosts.filter(|h| !world.is_returned(h));
+fn free_slots(world: &SimulatedCluster, zone: &str) -> usize {
+    let hosts = world.machines.iter().filter(|h| h.worker.zone == zone);
+    let hosts = hosts.filter(|h| !world.is_leaving(h));
     let free = hosts.map(|h| MACHINE_SLOTS.saturating_sub(h.worker.active_task_count()));
     free.sum()
 }
 
-fn team_has_room(world: &World, spec: &JobSpec, tasks: usize) -> bool {
+fn team_has_room(world: &SimulatedCluster, spec: &JobSpec, tasks: usize) -> bool {
     let controller = world.first_controller();
     let team: TeamIndex = controller
         .cluster
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -2,12 +2,12 @@
 //! them, with a clock that only the test moves; and a controller without sockets.
 #![allow(dead_code)]
 
-pub mod controller;
-pub mod days;
 pub mod digest;
 pub mod liveness;
+pub mod randomized_run;
 pub mod scenarios;
-pub mod world;
+pub mod simulated_cluster;
+pub mod simulated_controller;
 
 pub use testkit::jobs::job;
 pub use testkit::{cloud, kv_store, worker};
--- a/tests/support/days.rs
+++ b/tests/support/randomized_run.rs
@@ -1,9 +1,9 @@
 //! Random days: jobs with dependencies, cancellations and overlapping faults, by a seed.
 
-use super::controller::Standby;
 use super::job;
 use super::liveness::Liveness;
-use super::world::{Trouble, World};
+use super::simulated_cluster::{ControllerFaults, SimulatedCluster};
+use super::simulated_controller::Standby;
 use fastrand::Rng;
 use pointhook::protocol::users::{JobKind, JobSpec, Priority};
 
@@ -20,18 +20,18 @@
 /// A fault of the world, with what it strikes.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Fault {
-    Outage,
-    StoreRefuses(usize),
+    KvOutage,
+    KvRefuses(usize),
     PeersUnreachable(usize),
     ControllerDown(usize),
-    ZoneCut,
-    LateTransactions,
-    LostTransactionAnswers,
-    MachineDeaf(usize),
-    MachineMute(usize),
-    MachineHangs(usize),
-    MachineLosesAnswers(usize),
-    MachineSlow(usize),
+    ZonePartition,
+    DelayedTransactions,
+    DroppedKvResponses,
+    MachineDropsIncoming(usize),
+    MachineDropsHeartbeats(usize),
+    MachineFrozen(usize),
+    MachineDropsCommandResponses(usize),
+    MachineDelaysCommands(usize),
 }
 
 impl Fault {
@@ -39,45 +39,47 @@
         let controller = rng.usize(..CONTROLLERS);
         let machine = rng.usize(..MACHINES);
         match rng.u8(..14) {
-            0 => Fault::Outage,
-            1 => Fault::StoreRefuses(controller),
+            0 => Fault::KvOutage,
+            1 => Fault::KvRefuses(controller),
             2 => Fault::PeersUnreachable(controller),
             3..=5 => Fault::ControllerDown(controller),
-            6 => Fault::ZoneCut,
-            7 => Fault::LateTransactions,
-            8 => Fault::LostTransactionAnswers,
-            9 => Fault::MachineDeaf(machine),
-            10 => Fault::MachineMute(machine),
-            11 => Fault::MachineHangs(machine),
-            12 => Fault::MachineLosesAnswers(machine),
-            _ => Fault::MachineSlow(machine),
+            6 => Fault::ZonePartition,
+            7 => Fault::DelayedTransactions,
+            8 => Fault::DroppedKvResponses,
+            9 => Fault::MachineDropsIncoming(machine),
+            10 => Fault::MachineDropsHeartbeats(machine),
+            11 => Fault::MachineFrozen(machine),
+            12 => Fault::MachineDropsCommandResponses(machine),
+            _ => Fault::MachineDelaysCommands(machine),
         }
     }
 
-    fn set(self, world: &mut World, on: bool) {
+    fn set(self, world: &mut SimulatedCluster, on: bool) {
         match self {
-            Fault::Outage => world.outage = on,
-            Fault::StoreRefuses(at) => world.trouble[at].refused = on,
-            Fault::PeersUnreachable(at) => world.trouble[at].alone = on,
-            Fault::ControllerDown(at) if on => world.end(at),
+            Fault::KvOutage => world.kv_outage = on,
+            Fault::KvRefuses(at) => world.controller_faults[at].kv_refused = on,
+            Fault::PeersUnreachable(at) => world.controller_faults[at].isolated_from_peers = on,
+            Fault::ControllerDown(at) if on => world.stop_controller(at),
             // One that can't read the records yet is tried again at each step.
             Fault::ControllerDown(_) => {}
-            Fault::ZoneCut => world.cut_zone(on),
-            Fault::LateTransactions => world.store.execution_delay_ms = on.then_some(4000),
-            Fault::LostTransactionAnswers => world.store.drops_responses = on,
-            Fault::MachineDeaf(at) => world.hosts[at].ill.deaf = on,
-            Fault::MachineMute(at) => world.hosts[at].ill.mute = on,
-            Fault::MachineHangs(at) => world.hosts[at].ill.hangs = on,
-            Fault::MachineLosesAnswers(at) => world.hosts[at].ill.loses_answers = on,
-            Fault::MachineSlow(at) => world.hosts[at].ill.slow = on,
+            Fault::ZonePartition => world.partition_zone(on),
+            Fault::DelayedTransactions => world.store.execution_delay_ms = on.then_some(4000),
+            Fault::DroppedKvResponses => world.store.drops_responses = on,
+            Fault::MachineDropsIncoming(at) => world.machines[at].faults.drops_incoming = on,
+            Fault::MachineDropsHeartbeats(at) => world.machines[at].faults.drops_heartbeats = on,
+            Fault::MachineFrozen(at) => world.machines[at].faults.frozen = on,
+            Fault::MachineDropsCommandResponses(at) => {
+                world.machines[at].faults.drops_command_responses = on
+            }
+            Fault::MachineDelaysCommands(at) => world.machines[at].faults.delays_commands = on,
         }
     }
 }
 
 /// A day that is being played.
-pub struct Day {
+pub struct RandomizedRun {
     rng: Rng,
-    pub world: World,
+    pub world: SimulatedCluster,
     jobs: u32,
     /// Cancellations that were confirmed.
     pub confirmed: u32,
@@ -86,18 +88,18 @@
     liveness: Liveness,
 }
 
-impl Day {
-    pub fn new(seed: u64, standby: Standby) -> Day {
+impl RandomizedRun {
+    pub fn new(seed: u64, standby: Standby) -> RandomizedRun {
         let mut rng = Rng::with_seed(seed);
-        let mut world = World::with(MACHINES, standby);
-        for host in &mut world.hosts {
+        let mut world = SimulatedCluster::with_standby(MACHINES, standby);
+        for host in &mut world.machines {
             host.worker.run_ms = rng.u64(3000..15_000);
         }
         // Some days begin in the first form of records, which holds no dependencies.
         if rng.u8(..4) > 0 {
             world.begin_record_format_v2();
         }
-        Day {
+        RandomizedRun {
             rng,
             world,
             jobs: 0,
@@ -107,9 +109,9 @@
         }
     }
 
-    pub fn play(&mut self) {
+    pub fn run(&mut self) {
         for step in 0..FAULTY_STEPS {
-            self.world.run(STEP_MS);
+            self.world.run_for(STEP_MS);
             self.world.try_begin_record_format_v2();
             self.end_faults(step);
             self.start_controllers();
@@ -152,8 +154,8 @@
         for at in 0..CONTROLLERS {
             let down = Fault::ControllerDown(at);
             let kept_down = self.faults.iter().any(|(fault, _)| *fault == down);
-            if self.world.nodes[at].is_none() && !kept_down {
-                self.world.start(at);
+            if self.world.controllers[at].is_none() && !kept_down {
+                self.world.start_controller(at);
             }
         }
     }
@@ -171,14 +173,14 @@
             2 => JobKind::Service,
             _ => JobKind::Array,
         };
-        if self.world.takes_dependencies(at) && self.rng.bool() {
+        if self.world.accepts_dependencies(at) && self.rng.bool() {
             self.add_dependencies(&mut spec);
         }
         self.world.submit(at, spec);
     }
 
     fn add_dependencies(&mut self, spec: &mut JobSpec) {
-        let mut ids = self.world.accepted_without_services();
+        let mut ids = self.world.accepted_finite_jobs();
         self.rng.shuffle(&mut ids);
         ids.truncate(self.rng.usize(1..3));
         spec.dependencies = ids;
@@ -193,30 +195,34 @@
         let Some(id) = self.any_job() else { return };
         self.confirmed += u32::from(self.world.cancel(at, &id));
         let other = self.rng.usize(..CONTROLLERS);
-        self.world.poll(other, &id);
+        self.world.query_status(other, &id);
     }
 
     fn poll(&mut self, at: usize) {
         if let Some(id) = self.any_job() {
-            self.world.poll(at, &id);
+            self.world.query_status(at, &id);
         }
     }
 
     fn deliver_old_report(&mut self, at: usize) {
         let host = self.rng.usize(..MACHINES);
-        let sent = self.world.hosts[host].sent.len().max(1);
+        let sent = self.world.machines[host].sent_heartbeats.len().max(1);
         let which = self.rng.usize(..sent);
-        self.world.deliver_old(host, which, at);
+        self.world.redeliver_heartbeat(host, which, at);
     }
 
     /// Ends all faults and gives the jobs time to end; services are cancelled for that.
     fn recover(&mut self) {
         self.end_faults(u32::MAX);
-        assert!(self.world.trouble.iter().all(|t| *t == Trouble::default()));
-        self.world.run(6000);
+        assert!(self
+            .world
+            .controller_faults
+            .iter()
+            .all(|t| *t == ControllerFaults::default()));
+        self.world.run_for(6000);
         self.start_controllers();
         self.run_calmly(120_000);
-        for id in self.world.services() {
+        for id in self.world.open_services() {
             self.world.cancel(0, &id);
         }
         while self.world.now < LONGEST_DAY_MS && !self.world.unfinished().is_empty() {
@@ -228,9 +234,9 @@
     fn run_calmly(&mut self, ms: u64) {
         let end = self.world.now + ms;
         while self.world.now < end {
-            self.world.run(STEP_MS);
+            self.world.run_for(STEP_MS);
             let late = self.liveness.check(&self.world);
-            self.world.broken.extend(late);
+            self.world.violations.extend(late);
         }
     }
 }
--- a/tests/support/controller.rs
+++ b/tests/support/simulated_controller.rs
@@ -31,24 +31,24 @@
 use standby::ids::{FencingToken, Revision, ShardId};
 use std::collections::{BTreeMap, HashMap};
 
-pub struct Controller {
+pub struct SimulatedController {
     pub cluster: ClusterState,
     pub config: SchedulerConfig,
     pub lease: u64,
     pub zones: BTreeMap<String, ZoneIndex>,
     /// Names of the others, by the index of what they vouch for.
     pub peers: Vec<String>,
-    pub began: u64,
-    pub left: CancelledTaskSweeper,
+    pub started_at: u64,
+    pub cancelled_task_sweeper: CancelledTaskSweeper,
     /// Since when its shards and other nodes are there, as membership keeps it.
-    pub known: membership::MembershipView,
+    pub membership: membership::MembershipView,
     /// Whether it has the warm standby.
     pub standby: Standby,
     /// Takeovers of its shards, and the permits that they issue.
-    pub takeovers: Failovers,
+    pub failovers: Failovers,
     /// Shards that it has stepped down from, as it said.
     pub stepped_down: Vec<ShardIndex>,
-    raised: u64,
+    token_raised_at: u64,
     cascaded: bool,
 }
 
@@ -90,16 +90,16 @@
 }
 
 /// A store and one controller that owns all shards.
-pub fn one() -> (FakeKvStore, Controller) {
+pub fn start_single_controller() -> (FakeKvStore, SimulatedController) {
     let mut store = FakeKvStore::default();
-    let mut c = Controller::start("n1", 1, &mut store, 0);
-    assert_eq!(c.members(&mut store, 0), 3);
+    let mut c = SimulatedController::start("n1", 1, &mut store, 0);
+    assert_eq!(c.apply_membership_moves(&mut store, 0), 3);
     (store, c)
 }
 
 /// Lets workers report every half second.
-pub fn play(
-    c: &mut Controller,
+pub fn run_heartbeats(
+    c: &mut SimulatedController,
     store: &mut FakeKvStore,
     workers: &mut [&mut FakeWorker],
     from: u64,
@@ -107,15 +107,20 @@
 ) {
     for now in (from..to).step_by(500) {
         for w in workers.iter_mut() {
-            c.visit(store, w, now);
+            c.exchange_heartbeat(store, w, now);
         }
     }
 }
 
-impl Controller {
+impl SimulatedController {
     /// A controller that has its key and knows the records.
-    pub fn start(name: &str, incarnation: u64, store: &mut FakeKvStore, now: u64) -> Controller {
-        Controller::start_as(name, incarnation, Standby::Off, store, now)
+    pub fn start(
+        name: &str,
+        incarnation: u64,
+        store: &mut FakeKvStore,
+        now: u64,
+    ) -> SimulatedController {
+        SimulatedController::start_as(name, incarnation, Standby::Off, store, now)
     }
 
     /// The same, with or without the warm standby.
@@ -125,7 +130,7 @@
         standby: Standby,
         store: &mut FakeKvStore,
         now: u64,
-    ) -> Controller {
+    ) -> SimulatedController {
         let zones = ["north".to_string(), "south".to_string()];
         let cluster = ClusterState::new(&zones, &[team("ovens", 0.0), team("mixers", 2.0)], 1);
         let config = SchedulerConfig {
@@ -150,7 +155,7 @@
             limits_next: Limits::NONE,
             limits_observed: std::cell::Cell::new(Limits::NONE),
         };
-        let mut c = Controller {
+        let mut c = SimulatedController {
             zones: BTreeMap::from([
                 ("n1".to_string(), ZoneIndex(0)),
                 ("s1".to_string(), ZoneIndex(1)),
@@ -159,13 +164,13 @@
             config,
             lease: store.grant_lease(4000, now),
             peers: Vec::new(),
-            began: now,
-            left: CancelledTaskSweeper::default(),
-            known: membership::MembershipView::default(),
-            takeovers: Failovers::new(3),
+            started_at: now,
+            cancelled_task_sweeper: CancelledTaskSweeper::default(),
+            membership: membership::MembershipView::default(),
+            failovers: Failovers::new(3),
             standby,
             stepped_down: Vec::new(),
-            raised: 0,
+            token_raised_at: 0,
             cascaded: false,
         };
         c.cluster.set_machine_types(&MachineTypeCatalog {
@@ -214,7 +219,7 @@
         }
     }
 
-    pub fn send(store: &mut FakeKvStore, txn: &Transaction, now: u64) -> CommitOutcome {
+    pub fn commit(store: &mut FakeKvStore, txn: &Transaction, now: u64) -> CommitOutcome {
         let response = digest::commit(store, txn, now);
         match (response.status, response.body) {
             (200, Some(c)) => CommitOutcome::Committed(c.revision),
@@ -225,13 +230,13 @@
     }
 
     /// Takes and hands over shards as membership wants; the moves that were committed.
-    pub fn members(&mut self, store: &mut FakeKvStore, now: u64) -> usize {
+    pub fn apply_membership_moves(&mut self, store: &mut FakeKvStore, now: u64) -> usize {
         let moves = membership::moves(
             &self.cluster,
             &self.config,
             &self.zones,
             &membership::MembershipView {
-                owned_since: self.owned_for_long(),
+                owned_since: self.owned_since_start(),
                 ..Default::default()
             },
             true,
@@ -240,7 +245,7 @@
         let mut done = 0;
         for m in moves {
             let (txn, _) = membership::move_transaction(&self.cluster, &m).expect("a live target");
-            if matches!(Self::send(store, &txn, now), CommitOutcome::Committed(_)) {
+            if matches!(Self::commit(store, &txn, now), CommitOutcome::Committed(_)) {
                 done += 1;
             }
         }
@@ -249,7 +254,7 @@
     }
 
     /// All shards, as if they had been here for long.
-    pub fn owned_for_long(&self) -> HashMap<ShardIndex, MonotonicMillis> {
+    pub fn owned_since_start(&self) -> HashMap<ShardIndex, MonotonicMillis> {
         let shards = (0..self.cluster.shards.len()).map(ShardIndex::new);
         shards.map(|s| (s, MonotonicMillis(0))).collect()
     }
@@ -268,7 +273,7 @@
             }],
             writes: set(key, &rec, None).into_iter().collect(),
         };
-        let out = Self::send(store, &txn, now);
+        let out = Self::commit(store, &txn, now);
         self.sync(store);
         out
     }
@@ -287,17 +292,21 @@
                 ..job
             },
         );
-        let out = Self::send(store, &transaction(&self.cluster, &draft), now);
+        let out = Self::commit(store, &transaction(&self.cluster, &draft), now);
         apply_outcome(&mut self.cluster, &draft, &out);
         out
     }
 
     /// Brings takeovers up to date with the view.
-    pub fn observe(&mut self, now: u64) {
+    pub fn observe_failovers(&mut self, now: u64) {
         for at in 0..self.cluster.shards.len() {
             let shard = ShardIndex::new(at);
-            let standby =
-                membership::standby_of(&self.cluster, &self.known, shard, MonotonicMillis(now));
+            let standby = membership::standby_of(
+                &self.cluster,
+                &self.membership,
+                shard,
+                MonotonicMillis(now),
+            );
             let standby = standby == Some(self.config.controller_name.as_str());
             let heard = |_: &str| Some(MonotonicMillis(now));
             let (cluster, config) = (&self.cluster, &self.config);
@@ -305,7 +314,7 @@
                 failover::observation(cluster, config, shard, standby, heard, MonotonicMillis(now));
             let id = ShardId(shard.0);
             for change in self
-                .takeovers
+                .failovers
                 .observe(id, seen, failover::millis(MonotonicMillis(now)))
             {
                 if change.to == State::SteppedDown {
@@ -316,14 +325,14 @@
     }
 
     /// A worker has shown a higher token than the own one of its shard.
-    pub fn refused_by_worker(&mut self, shard: ShardIndex, seen: u64, now: u64) {
+    pub fn reject_stale_token(&mut self, shard: ShardIndex, seen: u64, now: u64) {
         let refusal = Refusal::Worker {
             seen: FencingToken(seen),
         };
         let known = Revision(self.cluster.revision);
         let now = failover::millis(MonotonicMillis(now));
         let change = self
-            .takeovers
+            .failovers
             .refused(ShardId(shard.0), refusal, known, now);
         if change.is_some() {
             self.stepped_down.push(shard);
@@ -331,9 +340,9 @@
     }
 
     /// What a pass would commit.
-    pub fn draft(&mut self, now: u64) -> DraftTransaction {
-        self.observe(now);
-        let permits = self.takeovers.permits();
+    pub fn draft_plan(&mut self, now: u64) -> DraftTransaction {
+        self.observe_failovers(now);
+        let permits = self.failovers.permits();
         let mut d = DraftTransaction::batching(false, now);
         if now.is_multiple_of(1000) && !self.cascaded {
             d.cascade_budget = 2;
@@ -358,16 +367,16 @@
     }
 
     /// Passes until nothing changes any more.
-    pub fn plan(&mut self, store: &mut FakeKvStore, now: u64) {
+    pub fn run_planner(&mut self, store: &mut FakeKvStore, now: u64) {
         self.cascaded = false;
         for _ in 0..60 {
-            let draft = self.draft(now);
+            let draft = self.draft_plan(now);
             self.cascaded = true;
             if draft.is_empty() {
                 return;
             }
             reconciliation::mark_abandoned(&mut self.cluster, &draft);
-            let out = Self::send(store, &transaction(&self.cluster, &draft), now);
+            let out = Self::commit(store, &transaction(&self.cluster, &draft), now);
             apply_outcome(&mut self.cluster, &draft, &out);
             // As the duty does: what was refused is tried again at its next turn.
             if matches!(out, CommitOutcome::Unknown | CommitOutcome::Refused(_)) {
@@ -382,13 +391,17 @@
     }
 
     /// The same as [`Controller::report`] while the state service is out of this node's reach.
-    pub fn report_without_store(&mut self, r: &Heartbeat, now: u64) -> Option<HeartbeatResponse> {
+    pub fn receive_heartbeat_without_kv(
+        &mut self,
+        r: &Heartbeat,
+        now: u64,
+    ) -> Option<HeartbeatResponse> {
         let mut nothing = FakeKvStore::unreachable();
-        self.report(&mut nothing, r, now)
+        self.receive_heartbeat(&mut nothing, r, now)
     }
 
     /// Takes a report and answers it; `None` is 421.
-    pub fn report(
+    pub fn receive_heartbeat(
         &mut self,
         store: &mut FakeKvStore,
         r: &Heartbeat,
@@ -405,12 +418,12 @@
             digest::note("report not taken", now, &r.machine);
             return None;
         };
-        self.plan(store, now);
-        self.observe(now);
+        self.run_planner(store, now);
+        self.observe_failovers(now);
         let answer = heartbeats::reply(
             &mut self.cluster,
             &self.config,
-            self.takeovers.permits(),
+            self.failovers.permits(),
             r,
             (mix, token, taken),
             MonotonicMillis(now),
@@ -421,35 +434,45 @@
 
     /// One report of a worker, answered and executed at once; false for 421. A worker that
     /// learns a higher token reports once more.
-    pub fn visit(&mut self, store: &mut FakeKvStore, w: &mut FakeWorker, now: u64) -> bool {
+    pub fn exchange_heartbeat(
+        &mut self,
+        store: &mut FakeKvStore,
+        w: &mut FakeWorker,
+        now: u64,
+    ) -> bool {
         let before = w.fencing_token;
-        let took = self.visit_once(store, w, now);
+        let took = self.exchange_heartbeat_once(store, w, now);
         if took && w.fencing_token > before {
-            return self.visit_once(store, w, now);
+            return self.exchange_heartbeat_once(store, w, now);
         }
         took
     }
 
-    fn visit_once(&mut self, store: &mut FakeKvStore, w: &mut FakeWorker, now: u64) -> bool {
+    fn exchange_heartbeat_once(
+        &mut self,
+        store: &mut FakeKvStore,
+        w: &mut FakeWorker,
+        now: u64,
+    ) -> bool {
         let r = w.heartbeat(now);
-        match self.report(store, &r, now) {
+        match self.receive_heartbeat(store, &r, now) {
             Some(a) => w.receive_response(&a, r.agent_epoch, now, now),
             None => false,
         }
     }
 
     /// One of several controllers: it knows of the others.
-    pub fn among(mut self, names: &[&str], zones: &[(&str, u32)]) -> Controller {
+    pub fn with_peers(mut self, names: &[&str], zones: &[(&str, u32)]) -> SimulatedController {
         let others = names.iter().filter(|n| **n != self.config.controller_name);
         self.peers = others.map(|n| n.to_string()).collect();
         self.cluster.cancellation_watermark =
-            CancellationWatermark::new(self.peers.len(), MonotonicMillis(self.began));
+            CancellationWatermark::new(self.peers.len(), MonotonicMillis(self.started_at));
         self.zones = zones
             .iter()
             .map(|(n, z)| (n.to_string(), ZoneIndex(*z)))
             .collect();
         if self.standby != Standby::Off {
-            self.known.standby = Some(membership::StandbyRule {
+            self.membership.standby = Some(membership::StandbyRule {
                 zones: self.zones.clone(),
                 prefer_other_zone: self.standby == Standby::OtherZone,
                 settle_ms: 2500,
@@ -459,7 +482,7 @@
     }
 
     /// Keeps its key, takes and hands over shards, with the times that the duty keeps.
-    pub fn keep_shards(&mut self, store: &mut FakeKvStore, now: u64) {
+    pub fn run_membership_tick(&mut self, store: &mut FakeKvStore, now: u64) {
         let me = self.config.controller_name.clone();
         if !store.unavailable && !store.renew_lease(self.lease, now) {
             self.lease = store.grant_lease(4000, now);
@@ -483,7 +506,7 @@
                 }],
                 writes: set(key, &rec, Some(self.lease)).into_iter().collect(),
             };
-            Self::send(store, &txn, now);
+            Self::commit(store, &txn, now);
             self.sync(store);
             return;
         }
@@ -491,27 +514,27 @@
         let nodes = &cluster.controllers;
         let there =
             |n: &String, i: Incarnation| nodes.get(n).is_some_and(|r| r.record.incarnation == i);
-        self.known.first_seen.retain(|(n, i), _| there(n, *i));
+        self.membership.first_seen.retain(|(n, i), _| there(n, *i));
         for (n, r) in nodes {
             let key = (n.clone(), r.record.incarnation);
-            self.known
+            self.membership
                 .first_seen
                 .entry(key)
                 .or_insert(MonotonicMillis(now));
         }
         for s in (0..cluster.shards.len()).map(ShardIndex::new) {
             if self.config.owns(cluster, s) {
-                self.known
+                self.membership
                     .owned_since
                     .entry(s)
                     .or_insert(MonotonicMillis(now));
             } else {
-                self.known.owned_since.remove(&s);
+                self.membership.owned_since.remove(&s);
             }
             if cluster.live_owner(s).is_some() {
-                self.known.ownerless_since.remove(&s);
+                self.membership.ownerless_since.remove(&s);
             } else {
-                self.known
+                self.membership
                     .ownerless_since
                     .entry(s)
                     .or_insert(MonotonicMillis(now));
@@ -520,15 +543,15 @@
         if mine != Some(self.config.incarnation) {
             return;
         }
-        let may_raise = now >= self.raised + 5000;
+        let may_raise = now >= self.token_raised_at + 5000;
         if may_raise {
-            self.raised = now;
+            self.token_raised_at = now;
         }
         let moves = membership::moves(
             cluster,
             &self.config,
             &self.zones,
-            &self.known,
+            &self.membership,
             may_raise,
             MonotonicMillis(now),
         );
@@ -550,9 +573,9 @@
         };
         let (id, at) = (ShardId(m.shard.0), failover::millis(MonotonicMillis(now)));
         if m.to == self.config.controller_name {
-            self.takeovers.fence_sent(id, at);
+            self.failovers.fence_sent(id, at);
         }
-        let outcome = Self::send(store, &txn, now);
+        let outcome = Self::commit(store, &txn, now);
         match &outcome {
             CommitOutcome::Committed(revision) => {
                 let slot = &mut self.cluster.shards[m.shard.at()];
@@ -560,7 +583,7 @@
                 slot.record = record;
             }
             CommitOutcome::Conflict(_) | CommitOutcome::Refused(_) => {
-                self.takeovers.fence_refused(id, at);
+                self.failovers.fence_refused(id, at);
             }
             CommitOutcome::Unknown => {}
         }
@@ -568,9 +591,10 @@
     }
 
     /// Asks a peer for the cancellations it knows, telling those known here.
-    pub fn request(&mut self, peer: &mut Controller, now: u64) {
+    pub fn exchange_cancellations(&mut self, peer: &mut SimulatedController, now: u64) {
         cancellations::learn(&mut peer.cluster, &cancellations::names(&self.cluster));
-        let reply = cancellations::tells(&peer.cluster, MonotonicMillis(now), now - peer.began);
+        let reply =
+            cancellations::tells(&peer.cluster, MonotonicMillis(now), now - peer.started_at);
         let at = self
             .peers
             .iter()
@@ -586,8 +610,8 @@
     }
 
     pub fn direct_starts(&mut self, now: u64) -> Vec<DirectStart> {
-        self.observe(now);
-        let permits = self.takeovers.permits();
+        self.observe_failovers(now);
+        let permits = self.failovers.permits();
         commands::direct_starts(
             &mut self.cluster,
             &self.config,
@@ -604,7 +628,7 @@
             .expect("known machine")
     }
 
-    pub fn job_ix(&self, id: &str) -> JobIndex {
+    pub fn job_index(&self, id: &str) -> JobIndex {
         self.cluster.job(id).expect("known job").0
     }
 
@@ -614,7 +638,7 @@
 }
 
 /// Direct commands of a push.
-pub fn commands(p: &DirectStart) -> DirectCommands {
+pub fn direct_commands(p: &DirectStart) -> DirectCommands {
     DirectCommands {
         fencing_token: p.fencing_token,
         agent_epoch: p.agent_epoch,
