--- /dev/null
+++ b/tests/support/simulated_cluster/mod.rs
@@ -0,0 +1,398 @@
+//! Several controllers, workers and users around one key-value store, on one simulated clock, with
+//! faults that tests switch on, and a checker of the invariants on what really ran where.
+//!
+//! - this module: controllers, machines and their faults;
+//! - `users`: what users submit, cancel and ask, and what they were told;
+//! - `tick`: one step of the clock, with all messages that it carries;
+//! - `invariants`: what must hold after each step.
+
+mod invariants;
+mod tick;
+mod users;
+
+use super::digest;
+use super::kv_store::FakeKvStore;
+use super::simulated_controller::{SimulatedController, Standby};
+use super::worker::FakeWorker;
+use pointhook::coordination::membership;
+use pointhook::protocol::users::{JobKind, JobSpec};
+use pointhook::protocol::workers::{DirectCommands, Heartbeat};
+use pointhook::state::units::MonotonicMillis;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+
+/// Number of controllers.
+pub const CONTROLLERS: usize = 3;
+/// Names of the controllers.
+pub const NAMES: [&str; CONTROLLERS] = ["n1", "n2", "s1"];
+/// Zones of the controllers, as indices.
+const ZONES: [(&str, u32); CONTROLLERS] = [("n1", 0), ("n2", 0), ("s1", 1)];
+/// The controller of the southern zone.
+const SOUTHERN_CONTROLLER: usize = 2;
+const MACHINE_ZONES: [&str; 2] = ["north", "south"];
+/// Step of the simulated clock.
+const STEP_MS: u64 = 500;
+/// Time until a new cluster has distributed its shards.
+const START_UP_MS: u64 = 6000;
+/// Most writes in a transaction of the store.
+const MAX_TXN_OPS: usize = 16;
+/// Due time of commands that a partition holds back until it ends.
+const WHEN_PARTITION_ENDS: u64 = u64::MAX;
+
+/// Faults between a controller and the rest of the cluster.
+#[derive(Default, Clone, Copy, PartialEq)]
+pub struct ControllerFaults {
+    /// The key-value store refuses this controller.
+    pub kv_refused: bool,
+    /// No message passes between it and the other controllers.
+    pub isolated_from_peers: bool,
+}
+
+/// Faults of a machine and of its links.
+#[derive(Default, Clone, Copy, PartialEq)]
+pub struct MachineFaults {
+    /// Its heartbeats arrive; their answers and direct commands do not.
+    pub drops_incoming: bool,
+    /// Its heartbeats do not arrive; direct commands do.
+    pub drops_heartbeats: bool,
+    /// The machine is frozen; commands wait until it resumes.
+    pub frozen: bool,
+    /// Responses to direct commands are lost.
+    pub drops_command_responses: bool,
+    /// Direct commands arrive seconds late.
+    pub delays_commands: bool,
+}
+
+/// Commands on their way to a machine.
+struct DelayedCommands {
+    due: u64,
+    commands: DirectCommands,
+}
+
+/// A heartbeat that a partition holds back.
+struct UndeliveredHeartbeat {
+    controller: usize,
+    heartbeat: Heartbeat,
+}
+
+/// A machine with its worker.
+pub struct SimulatedMachine {
+    pub worker: FakeWorker,
+    pub faults: MachineFaults,
+    /// The controller that gets its heartbeats.
+    target_controller: usize,
+    next_heartbeat_at: u64,
+    delayed_commands: Vec<DelayedCommands>,
+    /// All past heartbeats, so that a test can deliver one again.
+    pub sent_heartbeats: Vec<Heartbeat>,
+    /// It reaches only controllers of its own zone.
+    pub partitioned: bool,
+    undelivered_heartbeats: Vec<UndeliveredHeartbeat>,
+}
+
+impl SimulatedMachine {
+    /// True if a partition separates the machine from a controller.
+    fn is_partitioned_from(&self, controller: usize) -> bool {
+        let is_southern = self.worker.zone == "south";
+        self.partitioned && is_southern != (controller == SOUTHERN_CONTROLLER)
+    }
+
+    /// True if direct commands of a controller reach the worker now.
+    fn is_reachable_from(&self, controller: usize) -> bool {
+        let is_cut_off = self.is_partitioned_from(controller);
+        !is_cut_off && !self.faults.drops_incoming && !self.faults.frozen
+    }
+}
+
+/// What a user knows of a job that was accepted.
+struct UserView {
+    spec: JobSpec,
+    /// The status that a user was told last.
+    status: &'static str,
+}
+
+/// The whole cluster.
+pub struct SimulatedCluster {
+    pub store: FakeKvStore,
+    /// Controllers by index; `None` while one is stopped.
+    pub controllers: Vec<Option<SimulatedController>>,
+    pub controller_faults: [ControllerFaults; CONTROLLERS],
+    /// The key-value store is unavailable to all.
+    pub kv_outage: bool,
+    pub machines: Vec<SimulatedMachine>,
+    /// Whether controllers that start have the warm standby.
+    pub standby: Standby,
+    /// The simulated clock.
+    pub now: u64,
+    incarnation: u64,
+    /// By job: when its user was told that it is cancelled.
+    pub cancelled_at: BTreeMap<String, u64>,
+    /// Accepted jobs with what their users know.
+    user_views: BTreeMap<String, UserView>,
+    /// When each machine first started each task.
+    first_starts: HashMap<String, u64>,
+    /// Invariants that were broken.
+    pub violations: Vec<String>,
+    /// Jobs that users asked to cancel.
+    cancel_requests: BTreeSet<String>,
+}
+
+impl SimulatedCluster {
+    /// Three controllers that own their shards, and machines in turn of both zones.
+    pub fn new(machines: usize) -> SimulatedCluster {
+        SimulatedCluster::with_standby(machines, Standby::Off)
+    }
+
+    /// The same, with or without the warm standby.
+    pub fn with_standby(machines: usize, standby: Standby) -> SimulatedCluster {
+        let mut cluster = SimulatedCluster {
+            standby,
+            store: FakeKvStore::default(),
+            controllers: vec![None, None, None],
+            controller_faults: [ControllerFaults::default(); CONTROLLERS],
+            kv_outage: false,
+            machines: Vec::new(),
+            now: 0,
+            incarnation: 1,
+            cancelled_at: BTreeMap::new(),
+            user_views: BTreeMap::new(),
+            first_starts: HashMap::new(),
+            violations: Vec::new(),
+            cancel_requests: BTreeSet::new(),
+        };
+        cluster.store.max_txn_ops = MAX_TXN_OPS;
+        for controller in 0..CONTROLLERS {
+            cluster.start_controller(controller);
+        }
+        for machine in 0..machines {
+            cluster.add_machine(MACHINE_ZONES[machine % MACHINE_ZONES.len()]);
+        }
+        cluster.run_for(START_UP_MS);
+        cluster
+    }
+
+    /// Starts a machine; its index.
+    pub fn add_machine(&mut self, zone: &str) -> usize {
+        let name = format!("m{}", self.machines.len() + 1);
+        self.machines.push(SimulatedMachine {
+            worker: FakeWorker::new(&name, zone, self.now),
+            faults: MachineFaults::default(),
+            target_controller: self.machines.len() % CONTROLLERS,
+            next_heartbeat_at: self.now,
+            delayed_commands: Vec::new(),
+            sent_heartbeats: Vec::new(),
+            partitioned: false,
+            undelivered_heartbeats: Vec::new(),
+        });
+        self.machines.len() - 1
+    }
+
+    /// Starts a controller, or starts it again. Nothing happens while it can't read the records.
+    pub fn start_controller(&mut self, at: usize) {
+        if self.kv_outage || self.controller_faults[at].kv_refused {
+            return;
+        }
+        self.select_kv_view(at);
+        self.incarnation += 1;
+        // A real controller retries until its key is written. The key is written at once here, so
+        // the faults of the store are off meanwhile.
+        let delay_ms = self.store.execution_delay_ms.take();
+        let drops_responses = std::mem::take(&mut self.store.drops_responses);
+        let controller = SimulatedController::start_as(
+            NAMES[at],
+            self.incarnation,
+            self.standby,
+            &mut self.store,
+            self.now,
+        );
+        self.store.execution_delay_ms = delay_ms;
+        self.store.drops_responses = drops_responses;
+        let mut controller = controller.with_peers(&NAMES, &ZONES);
+        controller
+            .cluster
+            .cancellation_watermark
+            .record_read(MonotonicMillis(self.now));
+        self.controllers[at] = Some(controller);
+    }
+
+    /// Starts a controller during an outage: it knows no records, and answers its peers.
+    pub fn start_controller_without_records(&mut self, at: usize) {
+        let mut empty_store = FakeKvStore::default();
+        self.incarnation += 1;
+        let controller = SimulatedController::start_as(
+            NAMES[at],
+            self.incarnation,
+            self.standby,
+            &mut empty_store,
+            self.now,
+        );
+        self.controllers[at] = Some(controller.with_peers(&NAMES, &ZONES));
+    }
+
+    /// Stops a controller.
+    pub fn stop_controller(&mut self, at: usize) {
+        self.controllers[at] = None;
+    }
+
+    /// A running controller.
+    pub fn controller(&mut self, at: usize) -> &mut SimulatedController {
+        self.controllers[at].as_mut().expect("a live controller")
+    }
+
+    /// The first running controller.
+    pub fn first_controller(&self) -> &SimulatedController {
+        let mut running = self.controllers.iter().flatten();
+        running.next().expect("a controller")
+    }
+
+    /// Switches to the second record format, which all controllers support.
+    pub fn begin_record_format_v2(&mut self) {
+        let controller = self.controllers[0].as_ref().expect("a controller");
+        let begin = membership::begin_record_format_v2(&controller.cluster, &NAMES);
+        let begin = begin.expect("all know it");
+        let response = digest::commit(&mut self.store, &begin, self.now);
+        assert_eq!(response.status, 200);
+        self.run_for(STEP_MS);
+    }
+
+    /// Switches to the second record format if the first controller sees that all controllers run
+    /// and support it.
+    pub fn try_begin_record_format_v2(&mut self) {
+        self.select_kv_view(0);
+        let Some(controller) = &self.controllers[0] else {
+            return;
+        };
+        let begin = membership::begin_record_format_v2(&controller.cluster, &NAMES);
+        if let Some(begin) = begin {
+            digest::commit(&mut self.store, &begin, self.now);
+        }
+    }
+
+    /// True if this controller accepts jobs with dependencies.
+    pub fn accepts_dependencies(&self, at: usize) -> bool {
+        let controller = self.controllers[at].as_ref();
+        controller.is_some_and(|c| c.cluster.record_format_v2)
+    }
+
+    /// Partitions the southern zone with its controller from the rest, or ends that: heartbeats
+    /// that its machines sent across the partition then arrive.
+    pub fn partition_zone(&mut self, partitioned: bool) {
+        let was_partitioned = self.machines.iter().any(|machine| machine.partitioned);
+        self.controller_faults[SOUTHERN_CONTROLLER] = ControllerFaults {
+            kv_refused: partitioned,
+            isolated_from_peers: partitioned,
+        };
+        for machine in &mut self.machines {
+            machine.partitioned = partitioned;
+        }
+        if was_partitioned && !partitioned {
+            self.deliver_held_back_heartbeats();
+        }
+    }
+
+    fn deliver_held_back_heartbeats(&mut self) {
+        for machine in 0..self.machines.len() {
+            let held_back = std::mem::take(&mut self.machines[machine].undelivered_heartbeats);
+            for undelivered in held_back {
+                self.deliver(undelivered.controller, &undelivered.heartbeat);
+            }
+        }
+    }
+
+    fn deliver(&mut self, controller: usize, heartbeat: &Heartbeat) {
+        self.select_kv_view(controller);
+        let now = self.now;
+        if let Some(mut receiver) = self.controllers[controller].take() {
+            // The answer goes to nobody: the worker has stopped waiting for it.
+            let _ = receiver.receive_heartbeat(&mut self.store, heartbeat, now);
+            self.controllers[controller] = Some(receiver);
+        }
+    }
+
+    /// Delivers a past heartbeat of a machine once more, to any controller.
+    pub fn redeliver_heartbeat(&mut self, machine: usize, which: usize, controller: usize) {
+        let past = self.machines[machine].sent_heartbeats.get(which).cloned();
+        if let Some(heartbeat) = past {
+            self.deliver(controller, &heartbeat);
+        }
+    }
+
+    /// The controller that owns a machine's shard, by its own view.
+    pub fn owner_of(&self, machine: usize) -> Option<usize> {
+        let name = &self.machines[machine].worker.name;
+        let owns = |controller: &SimulatedController| {
+            let index = controller.cluster.machine_names.find(name);
+            let known = index.and_then(|index| controller.cluster.machine(index));
+            known.is_some_and(|m| controller.config.owns(&controller.cluster, m.shard))
+        };
+        (0..CONTROLLERS).find(|at| self.controllers[*at].as_ref().is_some_and(owns))
+    }
+
+    /// The controller that owns the shard of a zone's first machine, by its own view.
+    pub fn owner_of_zone(&self, zone: &str) -> usize {
+        let machine = self.machines.iter().position(|m| m.worker.zone == zone);
+        let owner = self.owner_of(machine.expect("a machine"));
+        owner.expect("an owner")
+    }
+
+    /// True if some controller is about to delete the machine.
+    pub fn is_leaving(&self, machine: &SimulatedMachine) -> bool {
+        self.controllers.iter().flatten().any(|controller| {
+            let index = controller.cluster.machine_names.find(&machine.worker.name);
+            let known = index.and_then(|index| controller.cluster.machine(index));
+            known.is_some_and(|m| m.quarantined || m.cordoned)
+        })
+    }
+
+    /// Makes the store available to a controller, or not, before the controller uses it.
+    fn select_kv_view(&mut self, at: usize) {
+        self.store.unavailable = self.kv_outage || self.controller_faults[at].kv_refused;
+    }
+
+    /// How many starts were executed.
+    pub fn start_count(&self) -> usize {
+        let starts = self.machines.iter().map(|m| m.worker.started.len());
+        starts.sum()
+    }
+
+    /// True if a task of the job was ever started.
+    pub fn has_started(&self, job: &str) -> bool {
+        let prefix = format!("{job}/");
+        let mut started = self.machines.iter().flat_map(|m| &m.worker.started);
+        started.any(|(task, _)| task.starts_with(&prefix))
+    }
+
+    /// True if workers completed the job: all tasks of an array, any of a gang, whose tasks
+    /// complete together.
+    pub fn completed(&self, job: &str) -> bool {
+        let Some(view) = self.user_views.get(job) else {
+            return true;
+        };
+        let mut tasks = (0..view.spec.tasks).map(|task| format!("{job}/{task}"));
+        match view.spec.kind {
+            JobKind::Gang => tasks.any(|task| self.task_completed(&task)),
+            JobKind::Array | JobKind::Service => tasks.all(|task| self.task_completed(&task)),
+        }
+    }
+
+    fn task_completed(&self, task: &String) -> bool {
+        let completed_by = |m: &SimulatedMachine| m.worker.completed.contains(task);
+        self.machines.iter().any(completed_by)
+    }
+
+    /// True if the job is complete and the heartbeats of a worker still show that.
+    pub fn shows_completion(&self, job: &str) -> bool {
+        let shows = |m: &SimulatedMachine| m.worker.reports_completion_of(job);
+        self.completed(job) && self.machines.iter().any(shows)
+    }
+
+    /// True if a task of the job is on any machine, whether its image is there or not.
+    pub fn runs(&self, job: &str) -> bool {
+        self.tasks_on_machines(job) > 0
+    }
+
+    /// How many of a job's tasks are on machines, whether their image is there or not.
+    pub fn tasks_on_machines(&self, job: &str) -> usize {
+        let counts = self.machines.iter();
+        counts.map(|m| m.worker.active_task_count_of(job)).sum()
+    }
+}
