--- a/tests/autoscaling.rs
+++ b/tests/autoscaling.rs
@@ -21,19 +21,19 @@
 
 fn ready() -> (FakeKvStore, SimulatedController) {
     let mut store = FakeKvStore::default();
-    let mut c = SimulatedController::start("n1", 1, &mut store, 0);
-    c.apply_membership_moves(&mut store, 0);
-    (store, c)
+    let mut controller = SimulatedController::start("n1", 1, &mut store, 0);
+    controller.apply_membership_moves(&mut store, 0);
+    (store, controller)
 }
 
-fn oven(c: &SimulatedController) -> MachineTypeIndex {
-    c.cluster.machine_type_names.find("oven").unwrap()
+fn oven(controller: &SimulatedController) -> MachineTypeIndex {
+    controller.cluster.machine_type_names.find("oven").unwrap()
 }
 
-fn empty(c: &SimulatedController, zone: usize, spot: bool) -> Supply {
+fn empty(controller: &SimulatedController, zone: usize, spot: bool) -> Supply {
     Supply {
         pool: Pool {
-            machine_type: oven(c),
+            machine_type: oven(controller),
             zone: ZoneIndex::new(zone),
             spot,
         },
@@ -42,11 +42,15 @@
     }
 }
 
-fn plan(c: &SimulatedController, mut supply: Vec<Supply>, blocked: &[Pool]) -> ScaleOutPlan {
+fn plan(
+    controller: &SimulatedController,
+    mut supply: Vec<Supply>,
+    blocked: &[Pool],
+) -> ScaleOutPlan {
     let blocked: HashSet<Pool> = blocked.iter().copied().collect();
     plan_scale_out(
-        &c.cluster,
-        &c.config,
+        &controller.cluster,
+        &controller.config,
         &mut supply,
         &blocked,
         MonotonicMillis(1000),
@@ -56,78 +60,85 @@
 
 #[test]
 fn waiting_tasks_scale_out_to_as_many_machines_as_they_fill() {
-    let (mut store, mut c) = ready();
-    c.submit(&mut store, job("job-1", 10), 0);
-    let w = plan(&c, Vec::new(), &[]);
-    assert_eq!(w.machines_to_rent.values().sum::<u32>(), 3);
-    assert!(w.machines_to_rent.keys().all(|p| p.spot));
+    let (mut store, mut controller) = ready();
+    controller.submit(&mut store, job("job-1", 10), 0);
+    let worker = plan(&controller, Vec::new(), &[]);
+    assert_eq!(worker.machines_to_rent.values().sum::<u32>(), 3);
+    assert!(worker.machines_to_rent.keys().all(|p| p.spot));
 }
 
 #[test]
 fn machines_being_provisioned_are_not_requested_again() {
-    let (mut store, mut c) = ready();
-    c.submit(&mut store, job("job-1", 4), 0);
-    let coming = vec![empty(&c, 0, true)];
-    assert!(plan(&c, coming, &[]).machines_to_rent.is_empty());
+    let (mut store, mut controller) = ready();
+    controller.submit(&mut store, job("job-1", 4), 0);
+    let coming = vec![empty(&controller, 0, true)];
+    assert!(plan(&controller, coming, &[]).machines_to_rent.is_empty());
 }
 
 #[test]
 fn jobs_that_exclude_spot_get_on_demand_machines() {
-    let (mut store, mut c) = ready();
+    let (mut store, mut controller) = ready();
     let mut spec = job("job-1", 1);
     spec.spot = false;
-    c.submit(&mut store, spec, 0);
-    let w = plan(&c, vec![empty(&c, 0, true)], &[]);
-    assert_eq!(w.machines_to_rent.len(), 1);
-    assert!(w.machines_to_rent.keys().all(|p| !p.spot));
+    controller.submit(&mut store, spec, 0);
+    let worker = plan(&controller, vec![empty(&controller, 0, true)], &[]);
+    assert_eq!(worker.machines_to_rent.len(), 1);
+    assert!(worker.machines_to_rent.keys().all(|p| !p.spot));
 }
 
 #[test]
 fn a_one_zone_gang_scales_out_where_it_can_be_complete() {
-    let (mut store, mut c) = ready();
+    let (mut store, mut controller) = ready();
     let mut spec = job("job-1", 3);
     spec.kind = JobKind::Gang;
     spec.one_zone = true;
     spec.spot = false;
     spec.vcpus = 16.0;
-    c.submit(&mut store, spec, 0);
+    controller.submit(&mut store, spec, 0);
     // Two fit in the north, but nothing more is to be had there.
     let none = Pool {
-        machine_type: oven(&c),
+        machine_type: oven(&controller),
         zone: ZoneIndex(0),
         spot: false,
     };
-    let w = plan(&c, vec![empty(&c, 0, false), empty(&c, 0, false)], &[none]);
-    assert_eq!(w.machines_to_rent.values().sum::<u32>(), 3);
-    assert!(w.machines_to_rent.keys().all(|p| p.zone == ZoneIndex(1)));
+    let worker = plan(
+        &controller,
+        vec![empty(&controller, 0, false), empty(&controller, 0, false)],
+        &[none],
+    );
+    assert_eq!(worker.machines_to_rent.values().sum::<u32>(), 3);
+    assert!(worker
+        .machines_to_rent
+        .keys()
+        .all(|p| p.zone == ZoneIndex(1)));
 }
 
 #[test]
 fn a_team_at_its_quota_scales_out_no_further() {
-    let (mut store, mut c) = ready();
+    let (mut store, mut controller) = ready();
     let mut spec = job("job-1", 40);
     spec.team = "mixers".into();
-    c.submit(&mut store, spec, 0);
-    let w = plan(&c, Vec::new(), &[]);
-    assert_eq!(w.machines_to_rent.values().sum::<u32>(), 1);
+    controller.submit(&mut store, spec, 0);
+    let worker = plan(&controller, Vec::new(), &[]);
+    assert_eq!(worker.machines_to_rent.values().sum::<u32>(), 1);
 }
 
 #[test]
 fn a_gang_whose_quota_services_use_holds_up_no_scale_out() {
-    let (mut store, mut c) = ready();
+    let (mut store, mut controller) = ready();
     let of_mixers = |id: &str, tasks, shape| pointhook::protocol::users::JobSpec {
         team: "mixers".into(),
         kind: shape,
         ..job(id, tasks)
     };
     let mut worker = FakeWorker::new("m1", "north", 0);
-    c.submit(&mut store, of_mixers("job-1", 1, JobKind::Service), 0);
-    c.exchange_heartbeat(&mut store, &mut worker, 0);
-    assert_eq!(c.job("job-1").placements.len(), 1);
-    c.submit(&mut store, of_mixers("job-2", 2, JobKind::Gang), 100);
-    c.submit(&mut store, of_mixers("job-3", 1, JobKind::Array), 200);
+    controller.submit(&mut store, of_mixers("job-1", 1, JobKind::Service), 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
+    assert_eq!(controller.job("job-1").placements.len(), 1);
+    controller.submit(&mut store, of_mixers("job-2", 2, JobKind::Gang), 100);
+    controller.submit(&mut store, of_mixers("job-3", 1, JobKind::Array), 200);
     assert_eq!(
-        plan(&c, Vec::new(), &[])
+        plan(&controller, Vec::new(), &[])
             .machines_to_rent
             .values()
             .sum::<u32>(),
@@ -137,13 +148,13 @@
 
 #[test]
 fn replicas_are_spread_over_the_zones() {
-    let (mut store, mut c) = ready();
+    let (mut store, mut controller) = ready();
     let mut spec = job("job-1", 2);
     spec.kind = JobKind::Service;
     spec.spread = true;
     spec.spot = false;
-    c.submit(&mut store, spec, 0);
-    let zones: HashSet<ZoneIndex> = plan(&c, Vec::new(), &[])
+    controller.submit(&mut store, spec, 0);
+    let zones: HashSet<ZoneIndex> = plan(&controller, Vec::new(), &[])
         .machines_to_rent
         .keys()
         .map(|p| p.zone)
@@ -153,8 +164,8 @@
 
 #[test]
 fn provisioning_requests_count_before_their_machines_are_listed() {
-    let (mut store, mut c) = ready();
-    c.submit(&mut store, job("job-1", 8), 0);
+    let (mut store, mut controller) = ready();
+    controller.submit(&mut store, job("job-1", 8), 0);
     let mut rec = ProvisioningRecord {
         machine_type: "oven".into(),
         zone: "north".into(),
@@ -162,7 +173,9 @@
         count: 2,
         machines: Vec::new(),
     };
-    let put = |c: &mut SimulatedController, store: &mut FakeKvStore, rec: &ProvisioningRecord| {
+    let put = |controller: &mut SimulatedController,
+               store: &mut FakeKvStore,
+               rec: &ProvisioningRecord| {
         let txn = Transaction {
             conditions: Vec::new(),
             writes: set(format!("{ROOT}book/b-1-1"), rec, None)
@@ -173,23 +186,27 @@
             SimulatedController::commit(store, &txn, 0),
             CommitOutcome::Committed(_)
         ));
-        c.sync(store);
+        controller.sync(store);
     };
     // Asked for, but not answered: it may have rented all it asks for.
-    put(&mut c, &mut store, &rec);
+    put(&mut controller, &mut store, &rec);
     let list = HashMap::new();
-    let have = supply(&c.cluster, &list, 4000, MonotonicMillis(1000));
+    let have = supply(&controller.cluster, &list, 4000, MonotonicMillis(1000));
     assert_eq!(have.len(), 2);
-    assert!(plan(&c, have, &[]).machines_to_rent.is_empty());
+    assert!(plan(&controller, have, &[]).machines_to_rent.is_empty());
     // Answered with one machine, which the list does not show yet.
     rec.machines = vec!["n-000007".into()];
-    put(&mut c, &mut store, &rec);
-    c.cluster
+    put(&mut controller, &mut store, &rec);
+    controller
+        .cluster
         .learn_machine("n-000007", "oven", "north", true, MonotonicMillis(1000));
-    let have = supply(&c.cluster, &list, 4000, MonotonicMillis(1000));
+    let have = supply(&controller.cluster, &list, 4000, MonotonicMillis(1000));
     assert_eq!(have.len(), 1);
     assert_eq!(
-        plan(&c, have, &[]).machines_to_rent.values().sum::<u32>(),
+        plan(&controller, have, &[])
+            .machines_to_rent
+            .values()
+            .sum::<u32>(),
         1
     );
 }
@@ -282,9 +299,9 @@
 
 #[test]
 fn a_thousand_machines_are_requested_in_few_requests_alternating_between_pools() {
-    let (_, c) = ready();
+    let (_, controller) = ready();
     let pool = |zone, spot| Pool {
-        machine_type: oven(&c),
+        machine_type: oven(&controller),
         zone: ZoneIndex::new(zone),
         spot,
     };
@@ -298,9 +315,10 @@
 
 #[test]
 fn a_long_overdue_machine_is_not_waited_for() {
-    let (mut store, mut c) = ready();
-    c.submit(&mut store, job("job-1", 4), 0);
-    c.cluster
+    let (mut store, mut controller) = ready();
+    controller.submit(&mut store, job("job-1", 4), 0);
+    controller
+        .cluster
         .learn_machine("n-000007", "oven", "north", true, MonotonicMillis(0));
     let listed = ListedMachine {
         status: "booting".into(),
@@ -308,8 +326,8 @@
     };
     let list = HashMap::from([(listed.name.clone(), listed)]);
     assert_eq!(
-        supply(&c.cluster, &list, 4000, MonotonicMillis(20_000)).len(),
+        supply(&controller.cluster, &list, 4000, MonotonicMillis(20_000)).len(),
         1
     );
-    assert!(supply(&c.cluster, &list, 4000, MonotonicMillis(60_000)).is_empty());
+    assert!(supply(&controller.cluster, &list, 4000, MonotonicMillis(60_000)).is_empty());
 }
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -15,167 +15,173 @@
 
 #[test]
 fn a_cancellation_confirmed_by_a_peer_while_kv_refuses_the_leader_is_carried_out_in_time() {
-    let (mut w, leader, other) = two_long_jobs();
-    refuse_leader_then_all(&mut w, leader, other, "job-1");
-    w.run_for(CANCEL_MS);
-    assert!(!w.runs("job-1"));
-    assert!(w.runs("job-2"), "the outage cost other work");
-    recover(&mut w);
-    w.assert_no_violations();
+    let (mut cluster, leader, other) = two_long_jobs();
+    refuse_leader_then_all(&mut cluster, leader, other, "job-1");
+    cluster.run_for(CANCEL_MS);
+    assert!(!cluster.runs("job-1"));
+    assert!(cluster.runs("job-2"), "the outage cost other work");
+    recover(&mut cluster);
+    cluster.assert_no_violations();
     // All of it once more.
-    assert!(w.submit(other, job("job-3", 6)));
-    w.run_for(6000);
-    assert!(w.runs("job-3"));
-    refuse_leader_then_all(&mut w, leader, other, "job-3");
-    w.run_for(CANCEL_MS + 4000);
-    assert!(!w.runs("job-3"));
-    recover(&mut w);
-    assert!(w.runs("job-2"));
-    w.assert_no_violations();
+    assert!(cluster.submit(other, job("job-3", 6)));
+    cluster.run_for(6000);
+    assert!(cluster.runs("job-3"));
+    refuse_leader_then_all(&mut cluster, leader, other, "job-3");
+    cluster.run_for(CANCEL_MS + 4000);
+    assert!(!cluster.runs("job-3"));
+    recover(&mut cluster);
+    assert!(cluster.runs("job-2"));
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_kv_outage_stops_no_work_while_the_controllers_reach_each_other() {
-    let (mut w, ..) = two_long_jobs();
-    w.kv_outage = true;
-    w.run_for(5 * CANCEL_MS);
-    for host in &w.machines {
+    let (mut cluster, ..) = two_long_jobs();
+    cluster.kv_outage = true;
+    cluster.run_for(5 * CANCEL_MS);
+    for host in &cluster.machines {
         assert_eq!(host.worker.agent_epoch, AgentEpoch(1));
     }
-    recover(&mut w);
-    w.assert_no_violations();
+    recover(&mut cluster);
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn an_isolated_leader_renews_no_lease_for_longer_than_cancellations_allow() {
-    let (mut w, leader, other) = two_long_jobs();
-    w.controller_faults[leader].kv_refused = true;
-    w.controller_faults[leader].isolated_from_peers = true;
-    w.run_for(1000);
+    let (mut cluster, leader, other) = two_long_jobs();
+    cluster.controller_faults[leader].kv_refused = true;
+    cluster.controller_faults[leader].isolated_from_peers = true;
+    cluster.run_for(1000);
     // Machines of the leader can't be reached from elsewhere; they go on reporting to it.
-    for h in &mut w.machines {
+    for h in &mut cluster.machines {
         h.faults.drops_command_responses = true;
     }
-    assert!(w.cancel(other, "job-1"));
-    w.kv_outage = true;
-    w.run_for(CANCEL_MS);
-    w.assert_nothing_runs_of("job-1");
-    recover(&mut w);
-    w.assert_no_violations();
+    assert!(cluster.cancel(other, "job-1"));
+    cluster.kv_outage = true;
+    cluster.run_for(CANCEL_MS);
+    cluster.assert_nothing_runs_of("job-1");
+    recover(&mut cluster);
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_controller_that_stops_right_after_confirming_leaves_its_peers_in_doubt_only() {
-    let (mut w, leader, other) = two_long_jobs();
-    w.controller_faults[leader].kv_refused = true;
-    w.run_for(1000);
+    let (mut cluster, leader, other) = two_long_jobs();
+    cluster.controller_faults[leader].kv_refused = true;
+    cluster.run_for(1000);
     // Cut from all others, it confirms, and ends.
-    w.controller_faults[other].isolated_from_peers = true;
-    assert!(w.cancel(other, "job-1"));
-    w.stop_controller(other);
-    w.kv_outage = true;
-    w.run_for(CANCEL_MS);
-    w.assert_nothing_runs_of("job-1");
-    w.kv_outage = false;
-    w.start_controller(other);
-    recover(&mut w);
-    w.assert_no_violations();
+    cluster.controller_faults[other].isolated_from_peers = true;
+    assert!(cluster.cancel(other, "job-1"));
+    cluster.stop_controller(other);
+    cluster.kv_outage = true;
+    cluster.run_for(CANCEL_MS);
+    cluster.assert_nothing_runs_of("job-1");
+    cluster.kv_outage = false;
+    cluster.start_controller(other);
+    recover(&mut cluster);
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_controller_restarted_within_a_second_does_not_attest_what_it_confirmed_before() {
-    let (mut w, leader, other) = two_long_jobs();
-    w.controller_faults[leader].kv_refused = true;
-    w.run_for(1000);
-    w.controller_faults[other].isolated_from_peers = true;
-    assert!(w.cancel(other, "job-1"));
+    let (mut cluster, leader, other) = two_long_jobs();
+    cluster.controller_faults[leader].kv_refused = true;
+    cluster.run_for(1000);
+    cluster.controller_faults[other].isolated_from_peers = true;
+    assert!(cluster.cancel(other, "job-1"));
     // It is back at once and reaches its peers, but the state service is out for all.
-    w.stop_controller(other);
-    w.kv_outage = true;
-    w.start_controller_without_records(other);
-    w.controller_faults[other].isolated_from_peers = false;
-    w.run_for(CANCEL_MS);
-    w.assert_nothing_runs_of("job-1");
-    w.stop_controller(other);
-    w.kv_outage = false;
-    w.start_controller(other);
-    recover(&mut w);
-    w.assert_no_violations();
+    cluster.stop_controller(other);
+    cluster.kv_outage = true;
+    cluster.start_controller_without_records(other);
+    cluster.controller_faults[other].isolated_from_peers = false;
+    cluster.run_for(CANCEL_MS);
+    cluster.assert_nothing_runs_of("job-1");
+    cluster.stop_controller(other);
+    cluster.kv_outage = false;
+    cluster.start_controller(other);
+    recover(&mut cluster);
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_cancellation_is_carried_out_in_time_on_machines_that_lose_messages_or_freeze() {
     for ill in 0..3 {
-        let (mut w, leader, other) = two_long_jobs();
-        let host = w.machines.iter().position(|h| h.worker.has_task("job-1/0"));
-        let h = &mut w.machines[host.unwrap()];
+        let (mut cluster, leader, other) = two_long_jobs();
+        let host = cluster
+            .machines
+            .iter()
+            .position(|h| h.worker.has_task("job-1/0"));
+        let h = &mut cluster.machines[host.unwrap()];
         match ill {
             0 => h.faults.drops_incoming = true,
             1 => h.faults.drops_heartbeats = true,
             _ => h.faults.frozen = true,
         }
-        refuse_leader_then_all(&mut w, leader, other, "job-1");
-        w.run_for(LEASE_MS / 2);
-        w.machines[host.unwrap()].faults.frozen = false;
-        w.run_for(CANCEL_MS - LEASE_MS / 2);
-        w.assert_nothing_runs_of("job-1");
-        w.machines[host.unwrap()].faults = Default::default();
-        recover(&mut w);
-        w.assert_no_violations();
+        refuse_leader_then_all(&mut cluster, leader, other, "job-1");
+        cluster.run_for(LEASE_MS / 2);
+        cluster.machines[host.unwrap()].faults.frozen = false;
+        cluster.run_for(CANCEL_MS - LEASE_MS / 2);
+        cluster.assert_nothing_runs_of("job-1");
+        cluster.machines[host.unwrap()].faults = Default::default();
+        recover(&mut cluster);
+        cluster.assert_no_violations();
     }
 }
 
 #[test]
 fn a_machine_whose_heartbeats_are_lost_is_stopped_by_any_controller_that_knows() {
-    let (mut w, leader, other) = two_long_jobs();
-    let host = w.machines.iter().position(|h| h.worker.has_task("job-1/0"));
+    let (mut cluster, leader, other) = two_long_jobs();
+    let host = cluster
+        .machines
+        .iter()
+        .position(|h| h.worker.has_task("job-1/0"));
     let host = host.unwrap();
     // Its lease is far longer than the time for cancellations, so that nothing else ends it.
-    w.machines[host].worker.lease_ms = 10 * CANCEL_MS;
-    w.machines[host].faults.drops_heartbeats = true;
-    w.stop_controller(leader);
-    assert!(w.cancel(other, "job-1"));
-    w.run_for(CANCEL_MS);
-    w.assert_nothing_runs_of("job-1");
+    cluster.machines[host].worker.lease_ms = 10 * CANCEL_MS;
+    cluster.machines[host].faults.drops_heartbeats = true;
+    cluster.stop_controller(leader);
+    assert!(cluster.cancel(other, "job-1"));
+    cluster.run_for(CANCEL_MS);
+    cluster.assert_nothing_runs_of("job-1");
 }
 
 #[test]
 fn a_cancellation_meets_a_claim_in_flight_and_an_unanswered_direct_start() {
-    let mut w = SimulatedCluster::new(4);
-    for h in &mut w.machines {
+    let mut cluster = SimulatedCluster::new(4);
+    for h in &mut cluster.machines {
         h.worker.run_ms = 200_000;
         h.faults.drops_command_responses = true;
     }
-    assert!(w.submit(1, job("job-2", 2)));
-    w.run_for(4000);
+    assert!(cluster.submit(1, job("job-2", 2)));
+    cluster.run_for(4000);
     // The claims are carried out late, their starts get no answer.
-    assert!(w.submit(0, job("job-1", 6)));
-    w.store.execution_delay_ms = Some(3000);
-    w.run_for(1500);
-    w.store.execution_delay_ms = None;
-    assert!(w.cancel(1, "job-1"));
-    w.run_for(1000);
-    w.kv_outage = true;
-    w.run_for(CANCEL_MS);
-    w.assert_nothing_runs_of("job-1");
-    recover(&mut w);
-    w.assert_no_violations();
+    assert!(cluster.submit(0, job("job-1", 6)));
+    cluster.store.execution_delay_ms = Some(3000);
+    cluster.run_for(1500);
+    cluster.store.execution_delay_ms = None;
+    assert!(cluster.cancel(1, "job-1"));
+    cluster.run_for(1000);
+    cluster.kv_outage = true;
+    cluster.run_for(CANCEL_MS);
+    cluster.assert_nothing_runs_of("job-1");
+    recover(&mut cluster);
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_cancellation_holds_while_its_shards_change_owner_twice() {
-    let (mut w, leader, other) = two_long_jobs();
-    refuse_leader_then_all(&mut w, leader, other, "job-1");
-    w.run_for(3000);
-    w.kv_outage = false;
-    w.run_for(1000);
-    w.stop_controller(leader);
-    w.run_for(7000);
-    w.start_controller(leader);
-    w.run_for(CANCEL_MS - 11_000);
-    w.assert_nothing_runs_of("job-1");
-    recover(&mut w);
-    w.assert_no_violations();
+    let (mut cluster, leader, other) = two_long_jobs();
+    refuse_leader_then_all(&mut cluster, leader, other, "job-1");
+    cluster.run_for(3000);
+    cluster.kv_outage = false;
+    cluster.run_for(1000);
+    cluster.stop_controller(leader);
+    cluster.run_for(7000);
+    cluster.start_controller(leader);
+    cluster.run_for(CANCEL_MS - 11_000);
+    cluster.assert_nothing_runs_of("job-1");
+    recover(&mut cluster);
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -252,13 +258,13 @@
         gang_peer_s: 8.0,
         cancel_s,
     };
-    let w = workers(30.0, 55.0);
-    assert!(w.warning().is_none());
-    assert!((23_000..24_000).contains(&w.renew_ms()));
+    let cluster = workers(30.0, 55.0);
+    assert!(cluster.warning().is_none());
+    assert!((23_000..24_000).contains(&cluster.renew_ms()));
     // A lease that leaves no room: told, and work still runs.
-    let w = workers(30.0, 30.0);
-    assert!(w.warning().unwrap().to_string().contains("cancel_s"));
-    assert!(w.renew_ms() > 6000);
+    let cluster = workers(30.0, 30.0);
+    assert!(cluster.warning().unwrap().to_string().contains("cancel_s"));
+    assert!(cluster.renew_ms() > 6000);
     let (lease_s, cancel_s) = (LEASE_MS as f64 / 1000.0, CANCEL_MS as f64 / 1000.0);
     assert_eq!(workers(lease_s, cancel_s).renew_ms(), RENEW_MS);
 }
@@ -266,95 +272,95 @@
 #[test]
 fn cancellations_at_the_moment_kv_refuses_the_leader_are_carried_out() {
     for before in [true, false] {
-        let (mut w, leader, other) = two_long_jobs();
+        let (mut cluster, leader, other) = two_long_jobs();
         if before {
-            assert!(w.cancel(other, "job-1"));
-            w.controller_faults[leader].kv_refused = true;
+            assert!(cluster.cancel(other, "job-1"));
+            cluster.controller_faults[leader].kv_refused = true;
         } else {
-            w.controller_faults[leader].kv_refused = true;
-            assert!(w.cancel(other, "job-1"));
+            cluster.controller_faults[leader].kv_refused = true;
+            assert!(cluster.cancel(other, "job-1"));
         }
-        w.run_for(1000);
-        w.kv_outage = true;
-        w.run_for(CANCEL_MS);
-        w.assert_nothing_runs_of("job-1");
-        assert!(w.runs("job-2"));
-        recover(&mut w);
-        w.assert_no_violations();
+        cluster.run_for(1000);
+        cluster.kv_outage = true;
+        cluster.run_for(CANCEL_MS);
+        cluster.assert_nothing_runs_of("job-1");
+        assert!(cluster.runs("job-2"));
+        recover(&mut cluster);
+        cluster.assert_no_violations();
     }
 }
 
 #[test]
 fn a_zone_partitioned_with_its_controller_keeps_its_work_only_while_cancellations_allow() {
-    let (mut w, ..) = two_long_jobs();
+    let (mut cluster, ..) = two_long_jobs();
     // The south loses the rest, the state service included.
-    w.controller_faults[2].isolated_from_peers = true;
-    w.controller_faults[2].kv_refused = true;
-    for h in &mut w.machines {
+    cluster.controller_faults[2].isolated_from_peers = true;
+    cluster.controller_faults[2].kv_refused = true;
+    for h in &mut cluster.machines {
         h.partitioned = true;
     }
-    w.run_for(4000);
-    assert!(w.cancel(0, "job-1"));
-    w.run_for(CANCEL_MS);
-    w.assert_nothing_runs_of("job-1");
-    for h in &mut w.machines {
+    cluster.run_for(4000);
+    assert!(cluster.cancel(0, "job-1"));
+    cluster.run_for(CANCEL_MS);
+    cluster.assert_nothing_runs_of("job-1");
+    for h in &mut cluster.machines {
         h.partitioned = false;
         h.worker.run_ms = 10_000;
     }
-    recover(&mut w);
-    w.run_for(300_000);
-    assert_eq!(w.query_status(1, "job-2"), Some("done"));
-    w.assert_no_violations();
+    recover(&mut cluster);
+    cluster.run_for(300_000);
+    assert_eq!(cluster.query_status(1, "job-2"), Some("done"));
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn jobs_cancelled_during_a_shard_handover_are_stopped_in_time() {
     for delay in 0..12 {
-        let (mut w, leader, other) = two_long_jobs();
-        w.stop_controller(leader);
+        let (mut cluster, leader, other) = two_long_jobs();
+        cluster.stop_controller(leader);
         // At any moment of the take-over, and of the hand-over back.
-        w.run_for(delay * 1000);
+        cluster.run_for(delay * 1000);
         let third = 3 - leader - other;
-        assert!(w.cancel(if delay % 2 == 0 { other } else { third }, "job-1"));
+        assert!(cluster.cancel(if delay % 2 == 0 { other } else { third }, "job-1"));
         if delay > 5 {
-            w.start_controller(leader);
+            cluster.start_controller(leader);
         }
-        w.run_for(CANCEL_MS);
-        w.assert_nothing_runs_of("job-1");
-        assert!(w.runs("job-2"));
-        w.assert_no_violations();
+        cluster.run_for(CANCEL_MS);
+        cluster.assert_nothing_runs_of("job-1");
+        assert!(cluster.runs("job-2"));
+        cluster.assert_no_violations();
     }
 }
 
 #[test]
 fn a_cancellation_concurrent_with_the_last_completion_has_one_outcome() {
     for delay in 0..14 {
-        let mut w = SimulatedCluster::new(2);
-        for h in &mut w.machines {
+        let mut cluster = SimulatedCluster::new(2);
+        for h in &mut cluster.machines {
             h.worker.run_ms = 2000;
         }
-        assert!(w.submit(0, job("job-1", 1)));
-        w.run_for(1000 + delay * 500);
-        let cancelled = w.cancel(1, "job-1");
+        assert!(cluster.submit(0, job("job-1", 1)));
+        cluster.run_for(1000 + delay * 500);
+        let cancelled = cluster.cancel(1, "job-1");
         for node in 0..3 {
-            let word = w.query_status(node, "job-1").unwrap();
+            let word = cluster.query_status(node, "job-1").unwrap();
             assert_eq!(word == "aborted", cancelled);
         }
-        assert!(!w.submit(2, job("job-1", 1)));
-        w.run_for(8000);
+        assert!(!cluster.submit(2, job("job-1", 1)));
+        cluster.run_for(8000);
         for node in 0..3 {
-            let word = w.query_status(node, "job-1").unwrap();
+            let word = cluster.query_status(node, "job-1").unwrap();
             assert_eq!(word, if cancelled { "aborted" } else { "done" });
         }
-        w.assert_no_violations();
+        cluster.assert_no_violations();
     }
 }
 
 #[test]
 fn a_direct_stop_ends_checkpointing_tasks_and_ignores_exited_and_absent_ones() {
     use pointhook::protocol::workers::{Command, TaskState};
-    let mut w = support::worker::FakeWorker::new("m1", "north", 0);
-    let mut status = w.heartbeat(0);
+    let mut cluster = support::worker::FakeWorker::new("m1", "north", 0);
+    let mut status = cluster.heartbeat(0);
     (status.fencing_token, status.agent_epoch) = (FencingToken(7), AgentEpoch(3));
     let shown = |task: &str, state| pointhook::protocol::workers::TaskStatus {
         task: task.into(),
@@ -369,14 +375,18 @@
         shown("job-2/0", TaskState::Running),
     ];
     let left: Vec<_> = (0..3).map(|t| (format!("job-1/{t}"), 2)).collect();
-    let c = pointhook::coordination::cancellations::stops(&status, &left).unwrap();
+    let controller = pointhook::coordination::cancellations::stops(&status, &left).unwrap();
     // Under the worker's own token: nobody's right to command it changes.
     assert_eq!(
-        (c.fencing_token, c.agent_epoch, c.commands.len()),
+        (
+            controller.fencing_token,
+            controller.agent_epoch,
+            controller.commands.len()
+        ),
         (FencingToken(7), AgentEpoch(3), 1)
     );
     assert!(
-        matches!(&c.commands[0], Command::Stop { task, grace_s, .. } if task == "job-1/0" && *grace_s == 0.0)
+        matches!(&controller.commands[0], Command::Stop { task, grace_s, .. } if task == "job-1/0" && *grace_s == 0.0)
     );
     // Another attempt is none of its business.
     let other = [("job-1/0".to_string(), 1)];
@@ -385,34 +395,38 @@
 
 #[test]
 fn an_owner_without_recent_reads_starts_nothing() {
-    let (mut w, leader, other) = {
-        let mut w = SimulatedCluster::new(4);
-        for h in &mut w.machines {
+    let (mut cluster, leader, other) = {
+        let mut cluster = SimulatedCluster::new(4);
+        for h in &mut cluster.machines {
             h.worker.run_ms = 60_000;
             h.faults.drops_heartbeats = true;
         }
-        w.run_for(1000);
-        (w, 0, 1)
+        cluster.run_for(1000);
+        (cluster, 0, 1)
     };
     // Claimed by its owner, which reaches no machine and then nobody else.
-    for h in &mut w.machines {
+    for h in &mut cluster.machines {
         h.faults.drops_incoming = true;
     }
-    assert!(w.submit(other, job("job-1", 4)));
-    w.run_for(1500);
-    assert!(!w.controller(leader).job("job-1").placements.is_empty());
-    for t in &mut w.controller_faults {
+    assert!(cluster.submit(other, job("job-1", 4)));
+    cluster.run_for(1500);
+    assert!(!cluster
+        .controller(leader)
+        .job("job-1")
+        .placements
+        .is_empty());
+    for t in &mut cluster.controller_faults {
         t.kv_refused = true;
         t.isolated_from_peers = true;
     }
-    w.run_for(7000);
-    for h in &mut w.machines {
+    cluster.run_for(7000);
+    for h in &mut cluster.machines {
         h.faults = Default::default();
     }
-    w.run_for(2500);
-    assert_eq!(w.start_count(), 0);
-    w.controller_faults = Default::default();
-    w.run_for(20_000);
-    assert!(w.runs("job-1"));
-    w.assert_no_violations();
+    cluster.run_for(2500);
+    assert_eq!(cluster.start_count(), 0);
+    cluster.controller_faults = Default::default();
+    cluster.run_for(20_000);
+    assert!(cluster.runs("job-1"));
+    cluster.assert_no_violations();
 }
--- a/tests/claims_and_binding.rs
+++ b/tests/claims_and_binding.rs
@@ -15,14 +15,14 @@
 
 #[test]
 fn an_array_runs_to_completion_and_leaves_nothing_behind() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    c.submit(&mut store, job("job-1", 6), 0);
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 0, 20_000);
-    assert_eq!(c.job("job-1").state, JobState::Done);
-    assert!(c.job("job-1").is_settled());
-    assert_eq!(w.started.len(), 6);
-    assert!(w.heartbeat(20_000).tasks.is_empty());
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    controller.submit(&mut store, job("job-1", 6), 0);
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 20_000);
+    assert_eq!(controller.job("job-1").state, JobState::Done);
+    assert!(controller.job("job-1").is_settled());
+    assert_eq!(worker.started.len(), 6);
+    assert!(worker.heartbeat(20_000).tasks.is_empty());
 }
 
 #[test]
@@ -48,7 +48,7 @@
     south.sync(&store);
     south.apply_membership_moves(&mut store, 0);
     // The old owner has not noticed yet and still claims.
-    let (mut w1, mut w2) = (
+    let (mut worker1, mut worker2) = (
         FakeWorker::new("m1", "north", 0),
         FakeWorker::new("m2", "south", 0),
     );
@@ -57,47 +57,47 @@
         south.submit(&mut store, spec, 0),
         CommitOutcome::Committed(_)
     ));
-    south.exchange_heartbeat(&mut store, &mut w2, 10);
-    north.exchange_heartbeat(&mut store, &mut w1, 20);
-    assert_eq!(w1.started.len() + w2.started.len(), 1);
+    south.exchange_heartbeat(&mut store, &mut worker2, 10);
+    north.exchange_heartbeat(&mut store, &mut worker1, 20);
+    assert_eq!(worker1.started.len() + worker2.started.len(), 1);
 }
 
 #[test]
 fn a_cancellation_stops_a_task_whose_start_is_in_flight() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    c.exchange_heartbeat(&mut store, &mut w, 0);
-    c.submit(&mut store, job("job-1", 2), 100);
-    let r = w.heartbeat(500);
-    let answer = c.receive_heartbeat(&mut store, &r, 500).unwrap();
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
+    controller.submit(&mut store, job("job-1", 2), 100);
+    let r = worker.heartbeat(500);
+    let answer = controller.receive_heartbeat(&mut store, &r, 500).unwrap();
     assert!(matches!(
-        c.cancel(&mut store, "job-1", 550),
+        controller.cancel(&mut store, "job-1", 550),
         CommitOutcome::Committed(_)
     ));
-    w.receive_response(&answer, r.agent_epoch, 500, 600);
-    assert!(w.has_task("job-1/1"));
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 1000, 3000);
-    assert!(!w.has_task("job-1/0") && !w.has_task("job-1/1"));
-    assert_eq!(c.job("job-1").state, JobState::Cancelled);
+    worker.receive_response(&answer, r.agent_epoch, 500, 600);
+    assert!(worker.has_task("job-1/1"));
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 1000, 3000);
+    assert!(!worker.has_task("job-1/0") && !worker.has_task("job-1/1"));
+    assert_eq!(controller.job("job-1").state, JobState::Cancelled);
 }
 
 #[test]
 fn a_cancelled_job_stays_cancelled_when_its_tasks_complete() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    w.run_ms = 100;
-    w.image_pull_ms = 0;
-    c.submit(&mut store, job("job-1", 1), 0);
-    c.exchange_heartbeat(&mut store, &mut w, 0);
-    c.cancel(&mut store, "job-1", 50);
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 1000, 3000);
-    assert_eq!(c.job("job-1").state, JobState::Cancelled);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    worker.run_ms = 100;
+    worker.image_pull_ms = 0;
+    controller.submit(&mut store, job("job-1", 1), 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
+    controller.cancel(&mut store, "job-1", 50);
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 1000, 3000);
+    assert_eq!(controller.job("job-1").state, JobState::Cancelled);
 }
 
 #[test]
 fn a_running_task_without_a_placement_is_stopped() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
     let stray = pointhook::protocol::workers::HeartbeatResponse {
         fencing_token: FencingToken(0),
         commands: vec![Command::Start {
@@ -105,22 +105,22 @@
             attempt: 4,
         }],
     };
-    w.receive_response(&stray, AgentEpoch(1), 0, 0);
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 500, 2500);
-    assert!(w.heartbeat(2500).tasks.is_empty());
+    worker.receive_response(&stray, AgentEpoch(1), 0, 0);
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 500, 2500);
+    assert!(worker.heartbeat(2500).tasks.is_empty());
 }
 
 #[test]
 fn a_wide_job_stays_within_the_record_size_limit() {
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     let mut spec = job("job-1", 100_000);
     spec.vcpus = 0.01;
     spec.gpus = 0.001;
     spec.mem_gb = 0.01;
-    c.submit(&mut store, spec, 0);
-    let mut w = FakeWorker::new("m1", "north", 0);
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 0, 20_000);
-    assert!(c.job("job-1").done.count() > 200);
+    controller.submit(&mut store, spec, 0);
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 20_000);
+    assert!(controller.job("job-1").done.count() > 200);
     let e = store.entry(&ClusterState::job_key("job-1")).unwrap();
     assert!(e.v.to_string().len() <= store.max_value_bytes);
 }
@@ -129,48 +129,58 @@
 // machine sent a heartbeat in a new agent epoch and was told to start what the record then gave up.
 #[test]
 fn an_abandoned_attempt_is_not_started_while_its_transaction_is_in_flight() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    c.exchange_heartbeat(&mut store, &mut w, 0);
-    c.submit(&mut store, job("job-1", 1), 100);
-    let r = w.heartbeat(500);
-    let lost = c.receive_heartbeat(&mut store, &r, 500).unwrap();
-    assert_eq!(count_starts(&lost.commands), 1, "an answer that never arrives");
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
+    controller.submit(&mut store, job("job-1", 1), 100);
+    let r = worker.heartbeat(500);
+    let lost = controller.receive_heartbeat(&mut store, &r, 500).unwrap();
+    assert_eq!(
+        count_starts(&lost.commands),
+        1,
+        "an answer that never arrives"
+    );
     // Nobody answers the machine for longer than a lease: its tasks are proven dead.
-    let now = 500 + c.config.lease_expiry_ms + 10;
-    let draft = c.draft_plan(now);
-    let ix = c.job_index("job-1");
+    let now = 500 + controller.config.lease_expiry_ms + 10;
+    let draft = controller.draft_plan(now);
+    let ix = controller.job_index("job-1");
     assert!(draft.jobs[&ix].placements.is_empty());
-    reconciliation::mark_abandoned(&mut c.cluster, &draft);
-    let on_its_way = transaction(&c.cluster, &draft);
-    let r = w.heartbeat(now + 20);
+    reconciliation::mark_abandoned(&mut controller.cluster, &draft);
+    let on_its_way = transaction(&controller.cluster, &draft);
+    let r = worker.heartbeat(now + 20);
     assert_eq!(r.agent_epoch, AgentEpoch(2));
     let got = heartbeats::receive(
-        &mut c.cluster,
-        &c.config,
+        &mut controller.cluster,
+        &controller.config,
         &r,
         10_000,
         MonotonicMillis(now + 20),
     );
-    let heartbeats::HeartbeatOutcome::Accepted(mix, token, taken) = got else {
+    let heartbeats::HeartbeatOutcome::Accepted(machine, token, taken) = got else {
         panic!("not taken");
     };
-    let taken = (mix, token, taken);
+    let taken = (machine, token, taken);
     let answer = heartbeats::reply(
-        &mut c.cluster,
-        &c.config,
-        c.failovers.permits(),
+        &mut controller.cluster,
+        &controller.config,
+        controller.failovers.permits(),
         &r,
         taken,
         MonotonicMillis(now + 20),
     )
     .unwrap();
     assert_eq!(count_starts(&answer.commands), 0);
-    assert!(c.direct_starts(now + 20).is_empty());
+    assert!(controller.direct_starts(now + 20).is_empty());
     let out = SimulatedController::commit(&mut store, &on_its_way, now + 50);
     assert!(matches!(out, CommitOutcome::Committed(_)));
-    apply_outcome(&mut c.cluster, &draft, &out);
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], now + 500, now + 20_000);
-    assert_eq!(w.started, [("job-1/0".to_string(), 2)]);
-    assert_eq!(c.job("job-1").state, JobState::Done);
+    apply_outcome(&mut controller.cluster, &draft, &out);
+    run_heartbeats(
+        &mut controller,
+        &mut store,
+        &mut [&mut worker],
+        now + 500,
+        now + 20_000,
+    );
+    assert_eq!(worker.started, [("job-1/0".to_string(), 2)]);
+    assert_eq!(controller.job("job-1").state, JobState::Done);
 }
--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -60,14 +60,17 @@
 
 /// Takes the end of a world into the digest: each job's state at each controller, and what each
 /// machine started and completed.
-fn end(mut w: SimulatedCluster) {
-    let ids: Vec<String> = w.accepted_jobs().map(|(id, _)| id.to_string()).collect();
+fn end(mut cluster: SimulatedCluster) {
+    let ids: Vec<String> = cluster
+        .accepted_jobs()
+        .map(|(id, _)| id.to_string())
+        .collect();
     for (at, id) in ids.iter().flat_map(|id| (0..3).map(move |at| (at, id))) {
-        w.query_status(at, id);
+        cluster.query_status(at, id);
     }
-    for h in &w.machines {
+    for h in &cluster.machines {
         let of_host = (&h.worker.name, &h.worker.started, &h.worker.completed);
-        digest::note("machine", w.now, &of_host);
+        digest::note("machine", cluster.now, &of_host);
     }
 }
 
@@ -110,51 +113,54 @@
 /// gangs that machines are held for, expected times to finish.
 fn crowded(seed: u64) {
     let mut rng = Rng::with_seed(seed);
-    let mut w = SimulatedCluster::new(5);
-    w.begin_record_format_v2();
-    w.machines[4].worker.spot = false;
+    let mut cluster = SimulatedCluster::new(5);
+    cluster.begin_record_format_v2();
+    cluster.machines[4].worker.spot = false;
     let objective = Objective {
         kind: "finished".into(),
         class: Some("proof".into()),
         within_s: Some(60.0),
     };
-    for c in w.controllers.iter_mut().flatten() {
-        c.config.completion_targets = finish_times(std::slice::from_ref(&objective));
+    for controller in cluster.controllers.iter_mut().flatten() {
+        controller.config.completion_targets = finish_times(std::slice::from_ref(&objective));
     }
     for step in 0..150 {
         if rng.u8(..3) == 0 {
-            let earlier = w.accepted_finite_jobs();
+            let earlier = cluster.accepted_finite_jobs();
             let spec = any_job(&mut rng, step, &earlier);
-            w.submit(rng.usize(..3), spec);
+            cluster.submit(rng.usize(..3), spec);
         }
         if rng.u8(..12) == 0 {
             let id = format!("job-{}", rng.u32(..=step));
-            w.cancel(rng.usize(..3), &id);
+            cluster.cancel(rng.usize(..3), &id);
         }
-        w.query_status(rng.usize(..3), &format!("job-{}", rng.u32(..=step)));
-        reserve_for_gangs(&mut w);
-        note_order_and_queues(&w);
-        w.run_for(1000);
+        cluster.query_status(rng.usize(..3), &format!("job-{}", rng.u32(..=step)));
+        reserve_for_gangs(&mut cluster);
+        note_order_and_queues(&cluster);
+        cluster.run_for(1000);
     }
-    end(w);
+    end(cluster);
 }
 
 /// Keeps machines for gangs that have waited for long, as the duty does.
 fn reserve_for_gangs(w: &mut SimulatedCluster) {
     let now = w.now;
-    for c in w.controllers.iter_mut().flatten() {
-        for (ix, machines) in
-            gangs::gang_reservations(&c.cluster, &c.config, MonotonicMillis(now), now)
-        {
-            for mix in machines {
-                let id = c.cluster.jobs[ix.at()].id.to_string();
-                let name = c.cluster.machine_names.name(mix).to_string();
+    for controller in w.controllers.iter_mut().flatten() {
+        for (ix, machines) in gangs::gang_reservations(
+            &controller.cluster,
+            &controller.config,
+            MonotonicMillis(now),
+            now,
+        ) {
+            for machine in machines {
+                let id = controller.cluster.jobs[ix.at()].id.to_string();
+                let name = controller.cluster.machine_names.name(machine).to_string();
                 digest::note(
                     "held for a gang",
                     now,
-                    &(&c.config.controller_name, id, name),
+                    &(&controller.config.controller_name, id, name),
                 );
-                if let Some(m) = c.cluster.machine_mut(mix) {
+                if let Some(m) = controller.cluster.machine_mut(machine) {
                     m.reservation = Some((ix, MonotonicMillis(now + 4000)));
                 }
             }
@@ -166,23 +172,37 @@
 /// it would queue their tasks.
 fn note_order_and_queues(w: &SimulatedCluster) {
     let draft = DraftTransaction::default();
-    for c in w.controllers.iter().flatten() {
-        for job in
-            job_order::waiting_jobs(&c.cluster, &c.config, &draft, MonotonicMillis(w.now), w.now)
-        {
-            let id = c.cluster.jobs[job.ix.at()].id.to_string();
-            let queues = claims::bind(&c.cluster, &c.config, job.ix, MonotonicMillis(w.now), w.now);
-            let name = |m: MachineIndex| c.cluster.machine_names.name(m).to_string();
+    for controller in w.controllers.iter().flatten() {
+        for job in job_order::waiting_jobs(
+            &controller.cluster,
+            &controller.config,
+            &draft,
+            MonotonicMillis(w.now),
+            w.now,
+        ) {
+            let id = controller.cluster.jobs[job.ix.at()].id.to_string();
+            let queues = claims::bind(
+                &controller.cluster,
+                &controller.config,
+                job.ix,
+                MonotonicMillis(w.now),
+                w.now,
+            );
+            let name = |m: MachineIndex| controller.cluster.machine_names.name(m).to_string();
             let queues: Vec<_> = queues.into_iter().map(|(t, m)| (t, name(m))).collect();
-            digest::note("queued", w.now, &(&c.config.controller_name, id, queues));
+            digest::note(
+                "queued",
+                w.now,
+                &(&controller.config.controller_name, id, queues),
+            );
         }
     }
 }
 
 /// Urgent work finds all machines taken by work that can save.
 fn preemption() {
-    let mut w = SimulatedCluster::new(3);
-    for h in &mut w.machines {
+    let mut cluster = SimulatedCluster::new(3);
+    for h in &mut cluster.machines {
         h.worker.run_ms = 30_000;
     }
     for (n, rank) in [
@@ -192,23 +212,23 @@
     ] {
         let mut spec = job(&format!("job-{n}"), 4);
         (spec.priority, spec.checkpoint_s, spec.checkpoint_grace_s) = (rank, 5.0, f64::from(n));
-        assert!(w.submit(n as usize % 3, spec));
-        w.run_for(1500);
+        assert!(cluster.submit(n as usize % 3, spec));
+        cluster.run_for(1500);
     }
-    w.run_for(3000);
+    cluster.run_for(3000);
     for (n, rank) in [(4, Priority::Production), (5, Priority::High)] {
         let mut spec = job(&format!("job-{n}"), 2);
         (spec.priority, spec.gpus) = (rank, 2.0);
-        assert!(w.submit(n as usize % 3, spec));
-        w.run_for(8000);
+        assert!(cluster.submit(n as usize % 3, spec));
+        cluster.run_for(8000);
     }
-    w.run_for(90_000);
-    end(w);
+    cluster.run_for(90_000);
+    end(cluster);
 }
 
 /// Teams at their limit in both zones, with a service that takes a part of it.
 fn quotas() {
-    let mut w = SimulatedCluster::new(4);
+    let mut cluster = SimulatedCluster::new(4);
     let shapes = [
         JobKind::Service,
         JobKind::Array,
@@ -221,97 +241,97 @@
         if shape != JobKind::Array {
             spec.tasks = 1;
         }
-        assert!(w.submit(n % 3, spec));
-        w.run_for(4000);
+        assert!(cluster.submit(n % 3, spec));
+        cluster.run_for(4000);
     }
-    w.run_for(40_000);
-    assert!(w.cancel(1, "job-1"));
-    w.run_for(60_000);
-    end(w);
+    cluster.run_for(40_000);
+    assert!(cluster.cancel(1, "job-1"));
+    cluster.run_for(60_000);
+    end(cluster);
 }
 
 /// Each controller ends in its turn while arrays, gangs and services run; then a zone is cut off.
 fn failovers(standby: Standby) {
-    let mut w = SimulatedCluster::with_standby(6, standby);
+    let mut cluster = SimulatedCluster::with_standby(6, standby);
     for (n, shape) in (1..).zip([JobKind::Array, JobKind::Gang, JobKind::Service]) {
         let mut spec = job(&format!("job-{n}"), 3);
         spec.kind = shape;
-        assert!(w.submit(n % 3, spec));
+        assert!(cluster.submit(n % 3, spec));
     }
     for at in 0..3 {
-        w.run_for(3000);
-        w.stop_controller(at);
-        w.run_for(9000);
-        assert!(w.submit((at + 1) % 3, job(&format!("job-{}", 10 + at), 9)));
-        w.run_for(2000);
-        w.start_controller(at);
+        cluster.run_for(3000);
+        cluster.stop_controller(at);
+        cluster.run_for(9000);
+        assert!(cluster.submit((at + 1) % 3, job(&format!("job-{}", 10 + at), 9)));
+        cluster.run_for(2000);
+        cluster.start_controller(at);
     }
-    w.run_for(6000);
-    w.partition_zone(true);
-    w.run_for(12_000);
-    w.partition_zone(false);
-    w.run_for(30_000);
-    assert!(w.cancel(0, "job-3"));
-    w.run_for(30_000);
-    end(w);
+    cluster.run_for(6000);
+    cluster.partition_zone(true);
+    cluster.run_for(12_000);
+    cluster.partition_zone(false);
+    cluster.run_for(30_000);
+    assert!(cluster.cancel(0, "job-3"));
+    cluster.run_for(30_000);
+    end(cluster);
 }
 
 /// A cancellation is confirmed, then the state service is out and a machine or a node with it.
 fn cancelled_in_outage(trouble: usize) {
-    let (mut w, leader, other) = two_long_jobs();
-    refuse_leader_then_all(&mut w, leader, other, "job-1");
+    let (mut cluster, leader, other) = two_long_jobs();
+    refuse_leader_then_all(&mut cluster, leader, other, "job-1");
     match trouble {
-        0 => w.controller_faults[leader].isolated_from_peers = true,
-        1 => w.machines[0].faults.drops_incoming = true,
-        2 => w.machines[1].faults.drops_command_responses = true,
-        _ => w.stop_controller(other),
+        0 => cluster.controller_faults[leader].isolated_from_peers = true,
+        1 => cluster.machines[0].faults.drops_incoming = true,
+        2 => cluster.machines[1].faults.drops_command_responses = true,
+        _ => cluster.stop_controller(other),
     }
-    w.run_for(CANCEL_MS);
-    w.machines[0].faults.drops_incoming = false;
-    w.machines[1].faults.drops_command_responses = false;
-    recover(&mut w);
-    w.start_controller(other);
-    assert!(w.cancel(leader, "job-2"));
-    w.run_for(CANCEL_MS);
-    end(w);
+    cluster.run_for(CANCEL_MS);
+    cluster.machines[0].faults.drops_incoming = false;
+    cluster.machines[1].faults.drops_command_responses = false;
+    recover(&mut cluster);
+    cluster.start_controller(other);
+    assert!(cluster.cancel(leader, "job-2"));
+    cluster.run_for(CANCEL_MS);
+    end(cluster);
 }
 
 /// Machines are rented for what waits, serve it and go back when nothing needs them.
 fn renting(seed: u64) {
     let mut rng = Rng::with_seed(seed);
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     let mut cloud = FakeCloud::default();
     let mut workers: Vec<FakeWorker> = Vec::new();
     for now in (0..150_000).step_by(1000) {
         if now < 80_000 && rng.u8(..5) == 0 {
             let mut spec = any_job(&mut rng, now as u32 / 1000, &[]);
             spec.spot = rng.bool();
-            c.submit(&mut store, spec, now);
+            controller.submit(&mut store, spec, now);
         }
         let listed = cloud.list_machines(now).hosts;
         let list: HashMap<String, ListedMachine> =
             listed.into_iter().map(|h| (h.name.clone(), h)).collect();
         let mut have = supply(
-            &c.cluster,
+            &controller.cluster,
             &list,
-            c.config.unresponsive_ms,
+            controller.config.unresponsive_ms,
             MonotonicMillis(now),
         );
         let blocked = HashSet::new();
         let plan = plan_scale_out(
-            &c.cluster,
-            &c.config,
+            &controller.cluster,
+            &controller.config,
             &mut have,
             &blocked,
             MonotonicMillis(now),
             now,
         );
-        let name = |m: &MachineIndex| c.cluster.machine_names.name(*m).to_string();
+        let name = |m: &MachineIndex| controller.cluster.machine_names.name(*m).to_string();
         let mut needed: Vec<String> = plan.needed_machines.iter().map(name).collect();
         needed.sort_unstable();
         digest::note("needed", now, &needed);
         for (n, (pool, count)) in requests(plan.machines_to_rent).into_iter().enumerate() {
-            let names = &c.cluster.machine_type_names;
+            let names = &controller.cluster.machine_type_names;
             let booking = ProvisioningRequest {
                 request_id: format!("b-{now}-{n}"),
                 machine_type: names.name(pool.machine_type).to_string(),
@@ -323,7 +343,8 @@
             for name in cloud.provision(&booking, now).unwrap_or_default() {
                 let (zone, spot) = (&booking.zone, booking.spot);
                 let kind = &booking.machine_type;
-                c.cluster
+                controller
+                    .cluster
                     .learn_machine(&name, kind, zone, spot, MonotonicMillis(now));
                 let mut worker = FakeWorker::new(&name, zone, now);
                 worker.spot = spot;
@@ -331,11 +352,14 @@
             }
         }
         for w in &mut workers {
-            c.exchange_heartbeat(&mut store, w, now);
+            controller.exchange_heartbeat(&mut store, w, now);
         }
         // A rule of this test: what is empty and not needed goes back every four seconds.
         let idle = |w: &FakeWorker| {
-            let empty = c.cluster.placed_on(c.machine(&w.name)).is_empty();
+            let empty = controller
+                .cluster
+                .placed_on(controller.machine(&w.name))
+                .is_empty();
             empty && now % 4000 == 0 && !needed.contains(&w.name)
         };
         let idle: Vec<String> = workers
@@ -347,11 +371,15 @@
         cloud.delete_machines(&idle);
         workers.retain(|w| !idle.contains(&w.name));
         for name in &idle {
-            let mix = c.machine(name);
-            c.cluster.mark_deleted(mix);
+            let mix = controller.machine(name);
+            controller.cluster.mark_deleted(mix);
         }
     }
-    for (_, j) in c.cluster.active_jobs().filter(|(_, j)| j.is_open()) {
+    for (_, j) in controller
+        .cluster
+        .active_jobs()
+        .filter(|(_, j)| j.is_open())
+    {
         digest::note("open job", 150_000, &j.id.to_string());
     }
 }
--- a/tests/direct_starts.rs
+++ b/tests/direct_starts.rs
@@ -17,95 +17,134 @@
 
 #[test]
 fn an_unanswered_direct_start_delays_the_exit_acknowledgement() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    c.exchange_heartbeat(&mut store, &mut w, 0);
-    c.exchange_heartbeat(&mut store, &mut w, 500);
-    c.submit(&mut store, job("job-1", 1), 600);
-    c.run_planner(&mut store, 600);
-    let pushed = c.direct_starts(600);
-    assert_eq!(pushed.len(), 1);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 500);
+    controller.submit(&mut store, job("job-1", 1), 600);
+    controller.run_planner(&mut store, 600);
+    let direct_start = controller.direct_starts(600);
+    assert_eq!(direct_start.len(), 1);
     // No answer comes. The next report's answer starts the task; it runs and ends.
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 1000, 12_000);
-    assert_eq!(c.job("job-1").state, JobState::Done);
+    run_heartbeats(
+        &mut controller,
+        &mut store,
+        &mut [&mut worker],
+        1000,
+        12_000,
+    );
+    assert_eq!(controller.job("job-1").state, JobState::Done);
     // The exited attempt must still be known to the worker when the late start arrives.
     assert_eq!(
-        w.receive_commands(&direct_commands(&pushed[0]), 12_000),
+        worker.receive_commands(&direct_commands(&direct_start[0]), 12_000),
         200
     );
-    assert!(!w.has_task("job-1/0"));
-    assert_eq!(w.started.len(), 1);
+    assert!(!worker.has_task("job-1/0"));
+    assert_eq!(worker.started.len(), 1);
     // Raising the token shuts the late start out, and then the attempt may be forgotten.
-    assert_eq!(c.apply_membership_moves(&mut store, 13_000), 1);
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 13_500, 16_000);
-    assert!(w.heartbeat(16_000).tasks.is_empty());
+    assert_eq!(controller.apply_membership_moves(&mut store, 13_000), 1);
+    run_heartbeats(
+        &mut controller,
+        &mut store,
+        &mut [&mut worker],
+        13_500,
+        16_000,
+    );
+    assert!(worker.heartbeat(16_000).tasks.is_empty());
     assert_eq!(
-        w.receive_commands(&direct_commands(&pushed[0]), 16_100),
+        worker.receive_commands(&direct_commands(&direct_start[0]), 16_100),
         409
     );
-    assert_eq!(w.started.len(), 1);
+    assert_eq!(worker.started.len(), 1);
 }
 
 #[test]
 fn a_repeated_direct_start_starts_nothing_after_its_task_has_moved() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    w.run_ms = 60_000;
-    c.exchange_heartbeat(&mut store, &mut w, 0);
-    c.exchange_heartbeat(&mut store, &mut w, 500);
-    c.submit(&mut store, job("job-1", 1), 600);
-    c.run_planner(&mut store, 600);
-    let pushed = c.direct_starts(600).remove(0);
-    assert_eq!(w.receive_commands(&direct_commands(&pushed), 700), 200);
-    let mix = c.machine("m1");
-    let a = pushed.attempts[0];
-    c.cluster
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    worker.run_ms = 60_000;
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 500);
+    controller.submit(&mut store, job("job-1", 1), 600);
+    controller.run_planner(&mut store, 600);
+    let direct_start = controller.direct_starts(600).remove(0);
+    assert_eq!(
+        worker.receive_commands(&direct_commands(&direct_start), 700),
+        200
+    );
+    let mix = controller.machine("m1");
+    let a = direct_start.attempts[0];
+    controller
+        .cluster
         .machine_mut(mix)
         .unwrap()
         .in_flight_starts
         .get_mut(&a)
         .unwrap()
         .acknowledged = true;
-    c.exchange_heartbeat(&mut store, &mut w, 1000);
+    controller.exchange_heartbeat(&mut store, &mut worker, 1000);
     // It is stopped, and the task moves to another machine.
-    c.cluster.machine_mut(mix).unwrap().stopping.insert(a, 0.0);
-    c.cluster.machine_mut(mix).unwrap().cordoned = true;
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 1500, 4000);
+    controller
+        .cluster
+        .machine_mut(mix)
+        .unwrap()
+        .stopping
+        .insert(a, 0.0);
+    controller.cluster.machine_mut(mix).unwrap().cordoned = true;
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 1500, 4000);
     let mut other = FakeWorker::new("m2", "north", 4000);
     other.run_ms = 60_000;
-    run_heartbeats(&mut c, &mut store, &mut [&mut w, &mut other], 4000, 6000);
-    assert!(other.has_task("job-1/0") && !w.has_task("job-1/0"));
+    run_heartbeats(
+        &mut controller,
+        &mut store,
+        &mut [&mut worker, &mut other],
+        4000,
+        6000,
+    );
+    assert!(other.has_task("job-1/0") && !worker.has_task("job-1/0"));
     // The command that was carried out long ago arrives once more.
-    assert_eq!(w.receive_commands(&direct_commands(&pushed), 6000), 200);
-    assert_eq!(w.started.len(), 1);
+    assert_eq!(
+        worker.receive_commands(&direct_commands(&direct_start), 6000),
+        200
+    );
+    assert_eq!(worker.started.len(), 1);
     // Once the token has risen the exit need not be kept.
-    w.fencing_token.0 += 1;
-    assert_eq!(w.receive_commands(&direct_commands(&pushed), 6100), 409);
+    worker.fencing_token.0 += 1;
+    assert_eq!(
+        worker.receive_commands(&direct_commands(&direct_start), 6100),
+        409
+    );
 }
 
 #[test]
 fn a_response_to_direct_commands_does_not_prove_a_task_absent() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    c.exchange_heartbeat(&mut store, &mut w, 0);
-    c.submit(&mut store, job("job-1", 1), 100);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
+    controller.submit(&mut store, job("job-1", 1), 100);
     // The start is in the answer to this report, which is still on its way.
-    let r = w.heartbeat(500);
-    let answer = c.receive_heartbeat(&mut store, &r, 500).unwrap();
+    let r = worker.heartbeat(500);
+    let answer = controller.receive_heartbeat(&mut store, &r, 500).unwrap();
     assert_eq!(count_starts(&answer.commands), 1);
-    c.cancel(&mut store, "job-1", 600);
+    controller.cancel(&mut store, "job-1", 600);
     // A newer message without the task, sent before the answer arrived.
-    let other = w.heartbeat(700);
-    let mix = c.machine("m1");
-    heartbeats::take(&mut c.cluster, mix, &other, MonotonicMillis(700), None);
-    c.run_planner(&mut store, 700);
-    assert_eq!(c.job("job-1").placements.len(), 1);
-    assert!(w.receive_response(&answer, r.agent_epoch, 500, 800));
-    assert!(w.has_task("job-1/0"));
+    let other = worker.heartbeat(700);
+    let mix = controller.machine("m1");
+    heartbeats::take(
+        &mut controller.cluster,
+        mix,
+        &other,
+        MonotonicMillis(700),
+        None,
+    );
+    controller.run_planner(&mut store, 700);
+    assert_eq!(controller.job("job-1").placements.len(), 1);
+    assert!(worker.receive_response(&answer, r.agent_epoch, 500, 800));
+    assert!(worker.has_task("job-1/0"));
     // Then a report shows it, and it is stopped.
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 1000, 2500);
-    assert!(!w.has_task("job-1/0"));
-    assert!(c.job("job-1").is_settled());
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 1000, 2500);
+    assert!(!worker.has_task("job-1/0"));
+    assert!(controller.job("job-1").is_settled());
 }
 
 // A silent machine keeps the direct starts of older tokens until it goes. Counted like open ones
@@ -113,42 +152,45 @@
 #[test]
 fn only_direct_starts_that_may_still_run_raise_the_fencing_token() {
     use pointhook::state::machine::InFlightStart;
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    c.exchange_heartbeat(&mut store, &mut w, 0);
-    c.submit(&mut store, job("job-1", 1), 10);
-    let (ix, mix) = (c.job_index("job-1"), c.machine("m1"));
-    let shard = c.cluster.machine(mix).unwrap().shard;
-    let token = c.cluster.shards[shard.at()].record.fencing_token;
-    let kept = |c: &mut SimulatedController, token: u64| {
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
+    controller.submit(&mut store, job("job-1", 1), 10);
+    let (ix, mix) = (controller.job_index("job-1"), controller.machine("m1"));
+    let shard = controller.cluster.machine(mix).unwrap().shard;
+    let token = controller.cluster.shards[shard.at()].record.fencing_token;
+    let kept = |controller: &mut SimulatedController, token: u64| {
         let late = InFlightStart {
             fencing_token: FencingToken(token),
             agent_epoch: AgentEpoch(1),
             sent_at: MonotonicMillis(10),
             acknowledged: true,
         };
-        let m = c.cluster.machine_mut(mix).unwrap();
+        let m = controller.cluster.machine_mut(mix).unwrap();
         m.in_flight_starts = (0..250)
             .map(|i| (TaskAttempt::new(ix, 0, i), late))
             .collect();
     };
-    let raised = |c: &SimulatedController| {
+    let raised = |controller: &SimulatedController| {
         let known = pointhook::coordination::membership::MembershipView {
-            owned_since: c.owned_since_start(),
+            owned_since: controller.owned_since_start(),
             ..Default::default()
         };
         let moves = pointhook::coordination::membership::moves(
-            &c.cluster,
-            &c.config,
-            &c.zones,
+            &controller.cluster,
+            &controller.config,
+            &controller.zones,
             &known,
             true,
             MonotonicMillis(20_000),
         );
         moves.iter().any(|m| m.shard == shard)
     };
-    kept(&mut c, token.0);
-    assert!(raised(&c), "too many exits are kept with the worker");
-    kept(&mut c, token.0 - 1);
-    assert!(!raised(&c), "none of them can run any more");
+    kept(&mut controller, token.0);
+    assert!(
+        raised(&controller),
+        "too many exits are kept with the worker"
+    );
+    kept(&mut controller, token.0 - 1);
+    assert!(!raised(&controller), "none of them can run any more");
 }
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -24,12 +24,12 @@
 
 /// A world in the second form, whose tasks run for this long.
 fn world(run_ms: u64) -> SimulatedCluster {
-    let mut w = SimulatedCluster::new(4);
-    for h in &mut w.machines {
+    let mut cluster = SimulatedCluster::new(4);
+    for h in &mut cluster.machines {
         h.worker.run_ms = run_ms;
     }
-    w.begin_record_format_v2();
-    w
+    cluster.begin_record_format_v2();
+    cluster
 }
 
 fn submission(awaits: rmpv::Value) -> Vec<u8> {
@@ -63,54 +63,54 @@
         .collect();
     let mut spec = job("job-9", 1);
     spec.dependencies = many;
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     store.max_value_bytes = 2048;
     assert!(matches!(
-        c.submit(&mut store, spec, 0),
+        controller.submit(&mut store, spec, 0),
         CommitOutcome::Committed(_)
     ));
 }
 
 #[test]
 fn no_task_of_a_job_starts_before_all_its_dependencies_are_done() {
-    let mut w = world(3000);
+    let mut cluster = world(3000);
     for (id, awaits) in [
         ("job-1", vec![]),
         ("job-2", vec!["job-1"]),
         ("job-3", vec!["job-1"]),
         ("job-4", vec!["job-2", "job-3"]),
     ] {
-        assert!(w.submit(2, after(id, 2, &awaits)));
+        assert!(cluster.submit(2, after(id, 2, &awaits)));
     }
-    w.run_for(1500);
-    assert_eq!(w.query_status(0, "job-4"), Some("pending"));
-    w.run_for(40_000);
-    assert_eq!(w.finished_count(), 4);
-    w.assert_no_violations();
+    cluster.run_for(1500);
+    assert_eq!(cluster.query_status(0, "job-4"), Some("pending"));
+    cluster.run_for(40_000);
+    assert_eq!(cluster.finished_count(), 4);
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_gang_and_a_service_wait_for_dependencies_and_reserve_nothing_meanwhile() {
-    let mut w = world(30_000);
+    let mut cluster = world(30_000);
     let mut first = job("job-1", 1);
     first.team = "mixers".into();
-    assert!(w.submit(0, first));
+    assert!(cluster.submit(0, first));
     for (id, shape) in [("job-2", JobKind::Gang), ("job-3", JobKind::Service)] {
         let mut spec = after(id, 2, &["job-1"]);
         spec.kind = shape;
         spec.team = "mixers".into();
-        assert!(w.submit(1, spec));
+        assert!(cluster.submit(1, spec));
     }
     // What waits for others holds no part of its team's limit of two.
     let mut other = job("job-4", 1);
     other.team = "mixers".into();
-    assert!(w.submit(2, other));
-    w.run_for(8000);
-    assert!(w.runs("job-1") && w.runs("job-4"));
-    assert!(!w.has_started("job-2") && !w.has_started("job-3"));
-    w.run_for(60_000);
-    assert!(w.has_started("job-2") || w.has_started("job-3"));
-    w.assert_no_violations();
+    assert!(cluster.submit(2, other));
+    cluster.run_for(8000);
+    assert!(cluster.runs("job-1") && cluster.runs("job-4"));
+    assert!(!cluster.has_started("job-2") && !cluster.has_started("job-3"));
+    cluster.run_for(60_000);
+    assert!(cluster.has_started("job-2") || cluster.has_started("job-3"));
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -159,39 +159,39 @@
 
 #[test]
 fn a_cancellation_that_is_answered_with_done_cancels_nothing() {
-    let mut w = world(2000);
-    assert!(w.submit(0, job("job-1", 1)));
-    w.run_for(8000);
-    assert_eq!(w.query_status(1, "job-1"), Some("done"));
-    assert!(w.submit(1, after("job-2", 1, &["job-1"])));
-    assert!(!w.cancel(2, "job-1"));
-    w.run_for(12_000);
-    assert_eq!(w.query_status(0, "job-2"), Some("done"));
-    w.assert_no_violations();
+    let mut cluster = world(2000);
+    assert!(cluster.submit(0, job("job-1", 1)));
+    cluster.run_for(8000);
+    assert_eq!(cluster.query_status(1, "job-1"), Some("done"));
+    assert!(cluster.submit(1, after("job-2", 1, &["job-1"])));
+    assert!(!cluster.cancel(2, "job-1"));
+    cluster.run_for(12_000);
+    assert_eq!(cluster.query_status(0, "job-2"), Some("done"));
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_dependent_submitted_concurrently_with_the_cancellation_is_cancelled_in_either_order() {
     for cancel_first in [true, false] {
-        let mut w = world(20_000);
-        assert!(w.submit(0, job("job-1", 1)));
-        w.run_for(3000);
+        let mut cluster = world(20_000);
+        assert!(cluster.submit(0, job("job-1", 1)));
+        cluster.run_for(3000);
         if cancel_first {
             // The node that takes the dependent has not heard of it.
-            w.controller_faults[1].isolated_from_peers = true;
-            assert!(w.cancel(0, "job-1"));
-            assert!(w.submit(1, after("job-2", 1, &["job-1"])));
+            cluster.controller_faults[1].isolated_from_peers = true;
+            assert!(cluster.cancel(0, "job-1"));
+            assert!(cluster.submit(1, after("job-2", 1, &["job-1"])));
         } else {
-            assert!(w.submit(1, after("job-2", 1, &["job-1"])));
-            assert!(w.cancel(0, "job-1"));
+            assert!(cluster.submit(1, after("job-2", 1, &["job-1"])));
+            assert!(cluster.cancel(0, "job-1"));
         }
         for at in 0..3 {
-            assert_eq!(w.query_status(at, "job-2"), Some("aborted"));
+            assert_eq!(cluster.query_status(at, "job-2"), Some("aborted"));
         }
-        w.controller_faults[1].isolated_from_peers = false;
-        w.run_for(40_000);
-        assert!(!w.has_started("job-2"));
-        w.assert_no_violations();
+        cluster.controller_faults[1].isolated_from_peers = false;
+        cluster.run_for(40_000);
+        assert!(!cluster.has_started("job-2"));
+        cluster.assert_no_violations();
     }
 }
 
@@ -199,72 +199,76 @@
 fn the_answer_to_a_submission_is_no_older_than_the_cancellation_it_follows() {
     use pointhook::coordination::job_api::accepted;
     use pointhook::protocol::users::JobStatus;
-    let (mut store, mut c) = start_single_controller();
-    let status = |c: &SimulatedController, id: &str| {
-        let answer = accepted(&c.cluster, id, c.job(id).version);
+    let (mut store, mut controller) = start_single_controller();
+    let status = |controller: &SimulatedController, id: &str| {
+        let answer = accepted(&controller.cluster, id, controller.job(id).version);
         assert_eq!(answer.status, 201);
         let body: JobStatus = rmp_serde::from_slice(&answer.body).unwrap();
         body.status
     };
-    c.submit(&mut store, job("job-1", 1), 0);
-    c.submit(&mut store, after("job-2", 1, &["job-1"]), 100);
-    assert_eq!(status(&c, "job-2"), "pending");
-    c.cancel(&mut store, "job-1", 200);
-    c.submit(&mut store, after("job-3", 1, &["job-1"]), 300);
-    c.submit(&mut store, after("job-4", 1, &["job-3"]), 400);
-    assert_eq!(status(&c, "job-3"), "aborted");
-    assert_eq!(status(&c, "job-4"), "aborted");
+    controller.submit(&mut store, job("job-1", 1), 0);
+    controller.submit(&mut store, after("job-2", 1, &["job-1"]), 100);
+    assert_eq!(status(&controller, "job-2"), "pending");
+    controller.cancel(&mut store, "job-1", 200);
+    controller.submit(&mut store, after("job-3", 1, &["job-1"]), 300);
+    controller.submit(&mut store, after("job-4", 1, &["job-3"]), 400);
+    assert_eq!(status(&controller, "job-3"), "aborted");
+    assert_eq!(status(&controller, "job-4"), "aborted");
 }
 
 #[test]
 fn readiness_holds_across_stale_views_delayed_writes_outages_and_failovers() {
-    let mut w = world(6000);
-    assert!(w.submit(0, job("job-1", 3)));
-    assert!(w.submit(1, after("job-2", 3, &["job-1"])));
-    assert!(w.submit(2, after("job-3", 3, &["job-2"])));
-    w.run_for(3000);
-    w.store.execution_delay_ms = Some(3000);
-    w.run_for(6000);
-    w.store.execution_delay_ms = None;
-    w.controller_faults[1].kv_refused = true;
-    w.run_for(4000);
-    w.stop_controller(0);
-    w.run_for(8000);
-    w.kv_outage = true;
-    w.run_for(6000);
-    w.kv_outage = false;
-    w.controller_faults[1].kv_refused = false;
-    w.start_controller(0);
-    w.run_for(90_000);
-    assert_eq!(w.finished_count(), 3);
-    w.assert_no_violations();
+    let mut cluster = world(6000);
+    assert!(cluster.submit(0, job("job-1", 3)));
+    assert!(cluster.submit(1, after("job-2", 3, &["job-1"])));
+    assert!(cluster.submit(2, after("job-3", 3, &["job-2"])));
+    cluster.run_for(3000);
+    cluster.store.execution_delay_ms = Some(3000);
+    cluster.run_for(6000);
+    cluster.store.execution_delay_ms = None;
+    cluster.controller_faults[1].kv_refused = true;
+    cluster.run_for(4000);
+    cluster.stop_controller(0);
+    cluster.run_for(8000);
+    cluster.kv_outage = true;
+    cluster.run_for(6000);
+    cluster.kv_outage = false;
+    cluster.controller_faults[1].kv_refused = false;
+    cluster.start_controller(0);
+    cluster.run_for(90_000);
+    assert_eq!(cluster.finished_count(), 3);
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn times_count_from_the_end_of_the_last_dependency_even_after_a_restart_of_all() {
-    let mut w = world(4000);
-    assert!(w.submit(0, job("job-1", 1)));
+    let mut cluster = world(4000);
+    assert!(cluster.submit(0, job("job-1", 1)));
     let mut second = after("job-2", 1, &["job-1"]);
     second.vcpus = 1000.0;
-    assert!(w.submit(0, second));
-    w.run_for(20_000);
-    let job = w.controller(1).job("job-1").clone();
+    assert!(cluster.submit(0, second));
+    cluster.run_for(20_000);
+    let job = cluster.controller(1).job("job-1").clone();
     assert!(job.finished_at > 0);
     assert_eq!(
-        w.controller(1).job("job-2").dependency_state.eligible_since,
+        cluster
+            .controller(1)
+            .job("job-2")
+            .dependency_state
+            .eligible_since,
         job.finished_at
     );
     let mut wide = after("job-3", 1, &["job-1"]);
     wide.vcpus = 1000.0;
-    assert!(w.submit(0, wide));
+    assert!(cluster.submit(0, wide));
     for at in 0..3 {
-        w.stop_controller(at);
+        cluster.stop_controller(at);
     }
-    w.run_for(3000);
+    cluster.run_for(3000);
     for at in 0..3 {
-        w.start_controller(at);
+        cluster.start_controller(at);
         // It was submitted after that end, so that counts.
-        let node = w.controller(at);
+        let node = cluster.controller(at);
         let own = node.job("job-3").submitted_at;
         assert_eq!(node.job("job-3").dependency_state.eligible_since, own);
         assert_eq!(node.job("job-1").finished_at, job.finished_at);
@@ -273,32 +277,40 @@
 
 #[test]
 fn dependencies_inherit_priority_and_deadline_even_of_a_late_dependent() {
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     let mut first = job("job-1", 1);
     first.priority = Priority::Low;
     let mut second = after("job-2", 1, &["job-1"]);
     second.priority = Priority::Normal;
-    c.submit(&mut store, first, 1000);
-    c.submit(&mut store, second, 2000);
-    assert_eq!(c.job("job-1").dependency_state.priority, Priority::Normal);
-    assert_eq!(c.job("job-1").dependency_state.deadline, None);
+    controller.submit(&mut store, first, 1000);
+    controller.submit(&mut store, second, 2000);
+    assert_eq!(
+        controller.job("job-1").dependency_state.priority,
+        Priority::Normal
+    );
+    assert_eq!(controller.job("job-1").dependency_state.deadline, None);
     let mut last = after("job-3", 1, &["job-2"]);
     last.priority = Priority::High;
     last.deadline_s = Some(100.0);
     last.estimated_run_s = 20.0;
-    c.submit(&mut store, last, 3000);
+    controller.submit(&mut store, last, 3000);
     for id in ["job-1", "job-2", "job-3"] {
-        assert_eq!(c.job(id).dependency_state.priority, Priority::High);
+        assert_eq!(controller.job(id).dependency_state.priority, Priority::High);
     }
-    let due = |c: &SimulatedController, id: &str| c.job(id).dependency_state.deadline.unwrap();
-    assert_eq!(due(&c, "job-3"), 103_000);
+    let due = |controller: &SimulatedController, id: &str| {
+        controller.job(id).dependency_state.deadline.unwrap()
+    };
+    assert_eq!(due(&controller, "job-3"), 103_000);
     // The end less what it takes, and a little for each stage.
-    assert!((75_000..83_000).contains(&due(&c, "job-2")));
-    assert!(due(&c, "job-1") < due(&c, "job-2") - 10_000);
+    assert!((75_000..83_000).contains(&due(&controller, "job-2")));
+    assert!(due(&controller, "job-1") < due(&controller, "job-2") - 10_000);
     // Once the last is cancelled nothing of it is lent any more.
-    c.cancel(&mut store, "job-3", 4000);
-    assert_eq!(c.job("job-1").dependency_state.priority, Priority::Normal);
-    assert_eq!(c.job("job-1").dependency_state.deadline, None);
+    controller.cancel(&mut store, "job-3", 4000);
+    assert_eq!(
+        controller.job("job-1").dependency_state.priority,
+        Priority::Normal
+    );
+    assert_eq!(controller.job("job-1").dependency_state.deadline, None);
 }
 
 #[test]
@@ -306,24 +318,30 @@
     use pointhook::state::names::ShardIndex;
     use pointhook::state::units::MonotonicMillis;
     for needed in [false, true] {
-        let (mut store, mut c) = start_single_controller();
+        let (mut store, mut controller) = start_single_controller();
         let mut w = support::worker::FakeWorker::new("m1", "north", 0);
         w.run_ms = 100_000;
         let mut low = job("job-1", 1);
         (low.priority, low.gpus, low.checkpoint_s) = (Priority::Low, 4.0, 10.0);
-        c.submit(&mut store, low, 0);
-        support::simulated_controller::run_heartbeats(&mut c, &mut store, &mut [&mut w], 0, 4000);
+        controller.submit(&mut store, low, 0);
+        support::simulated_controller::run_heartbeats(
+            &mut controller,
+            &mut store,
+            &mut [&mut w],
+            0,
+            4000,
+        );
         assert!(w.has_task("job-1/0"));
         if needed {
             let mut last = after("job-2", 1, &["job-1"]);
             last.priority = Priority::High;
-            c.submit(&mut store, last, 4000);
+            controller.submit(&mut store, last, 4000);
         }
         let mut other = job("job-3", 1);
         (other.priority, other.gpus) = (Priority::High, 4.0);
-        c.submit(&mut store, other, 4000);
+        controller.submit(&mut store, other, 4000);
         support::simulated_controller::run_heartbeats(
-            &mut c,
+            &mut controller,
             &mut store,
             &mut [&mut w],
             4000,
@@ -331,9 +349,9 @@
         );
         let turn = ShardIndex(0);
         let stops = preemption::preempt(
-            &c.cluster,
-            &c.config,
-            c.failovers.permits(),
+            &controller.cluster,
+            &controller.config,
+            controller.failovers.permits(),
             turn,
             MonotonicMillis(12_000),
             12_000,
@@ -344,14 +362,14 @@
 
 #[test]
 fn record_format_v2_begins_when_all_controllers_live_and_support_it() {
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     assert!(
-        begin_record_format_v2(&c.cluster, &["n1", "s1"]).is_none(),
+        begin_record_format_v2(&controller.cluster, &["n1", "s1"]).is_none(),
         "one is away"
     );
     let s1 = SimulatedController::start("s1", 2, &mut store, 0);
-    c.sync(&store);
-    let txn = begin_record_format_v2(&c.cluster, &["n1", "s1"]).unwrap();
+    controller.sync(&store);
+    let txn = begin_record_format_v2(&controller.cluster, &["n1", "s1"]).unwrap();
     // One of them comes back with the old version before that is carried out.
     store.revoke_lease(s1.lease);
     let key = format!("{ROOT}node/s1");
@@ -368,15 +386,15 @@
     };
     store.commit(&write, 0);
     assert_eq!(store.commit(&txn, 0).status, 409);
-    c.sync(&store);
-    assert!(begin_record_format_v2(&c.cluster, &["n1", "s1"]).is_none());
-    assert!(begin_record_format_v2(&c.cluster, &["n1"]).is_some());
-    assert!(!c.cluster.record_format_v2);
-    let txn = begin_record_format_v2(&c.cluster, &["n1"]).unwrap();
+    controller.sync(&store);
+    assert!(begin_record_format_v2(&controller.cluster, &["n1", "s1"]).is_none());
+    assert!(begin_record_format_v2(&controller.cluster, &["n1"]).is_some());
+    assert!(!controller.cluster.record_format_v2);
+    let txn = begin_record_format_v2(&controller.cluster, &["n1"]).unwrap();
     assert_eq!(store.commit(&txn, 0).status, 200);
-    c.sync(&store);
-    assert!(c.cluster.record_format_v2);
-    assert!(begin_record_format_v2(&c.cluster, &["n1"]).is_none());
+    controller.sync(&store);
+    assert!(controller.cluster.record_format_v2);
+    assert!(begin_record_format_v2(&controller.cluster, &["n1"]).is_none());
     assert_eq!(RECORD_FORMAT_V2, 2);
     // And a node that starts later reads so.
     assert!(
@@ -387,9 +405,9 @@
 }
 
 /// Sets what the settings say of the limits to come.
-fn expect(w: &mut SimulatedCluster, next: Limits) {
-    for c in w.controllers.iter_mut().flatten() {
-        c.config.limits_next = next;
+fn expect(cluster: &mut SimulatedCluster, next: Limits) {
+    for controller in cluster.controllers.iter_mut().flatten() {
+        controller.config.limits_next = next;
     }
 }
 
@@ -467,17 +485,17 @@
     assert_eq!((seen.txn_ops, seen.value_bytes), (7, 3000));
     // What is small anyway was refused for something else.
     assert_eq!(seen.refused(1, 100).value_bytes, 1024);
-    let (_, mut c) = start_single_controller();
-    c.config.limits_observed.set(seen);
-    assert_eq!(c.config.limits(&c.cluster).txn_ops, 7);
-    c.config.limits_next.txn_ops = 5;
+    let (_, mut controller) = start_single_controller();
+    controller.config.limits_observed.set(seen);
+    assert_eq!(controller.config.limits(&controller.cluster).txn_ops, 7);
+    controller.config.limits_next.txn_ops = 5;
     assert_eq!(
-        c.config.limits(&c.cluster).txn_ops,
+        controller.config.limits(&controller.cluster).txn_ops,
         7,
         "all may not know it yet"
     );
-    c.cluster.record_format_v2 = true;
-    assert_eq!(c.config.limits(&c.cluster).txn_ops, 5);
+    controller.cluster.record_format_v2 = true;
+    assert_eq!(controller.config.limits(&controller.cluster).txn_ops, 5);
 }
 
 #[test]
@@ -501,7 +519,7 @@
     let (mut cascades, mut ended) = (0, 0);
     for seed in 1..=24u64 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut w = world(3000);
+        let mut cluster = world(3000);
         let mut ids: Vec<String> = Vec::new();
         for i in 0..40 {
             let id = format!("job-{}", i + 1);
@@ -511,53 +529,60 @@
             let at = rng.usize(..3);
             let mut spec = after(&id, rng.u32(1..4), &awaits);
             spec.priority = [Priority::High, Priority::Normal, Priority::Low][rng.usize(..3)];
-            if w.submit(at, spec) {
+            if cluster.submit(at, spec) {
                 ids.push(id);
             }
-            w.run_for(500 * rng.u64(1..4));
+            cluster.run_for(500 * rng.u64(1..4));
             match rng.u32(..10) {
                 0 if !ids.is_empty() => {
                     let id = ids[rng.usize(..ids.len())].clone();
-                    w.cancel(at, &id);
+                    cluster.cancel(at, &id);
+                }
+                1 => cluster.kv_outage = true,
+                2 | 3 => cluster.kv_outage = false,
+                4 => {
+                    cluster.controller_faults[at].kv_refused =
+                        !cluster.controller_faults[at].kv_refused
                 }
-                1 => w.kv_outage = true,
-                2 | 3 => w.kv_outage = false,
-                4 => w.controller_faults[at].kv_refused = !w.controller_faults[at].kv_refused,
-                5 => w.stop_controller(at),
-                6 | 7 if w.controllers[at].is_none() => w.start_controller(at),
-                8 => w.store.execution_delay_ms = rng.bool().then_some(3000),
+                5 => cluster.stop_controller(at),
+                6 | 7 if cluster.controllers[at].is_none() => cluster.start_controller(at),
+                8 => cluster.store.execution_delay_ms = rng.bool().then_some(3000),
                 _ => {}
             }
             for id in &ids {
-                w.query_status(rng.usize(..3), id);
+                cluster.query_status(rng.usize(..3), id);
             }
         }
-        w.kv_outage = false;
-        w.controller_faults = Default::default();
-        w.store.execution_delay_ms = None;
-        w.run_for(6000);
+        cluster.kv_outage = false;
+        cluster.controller_faults = Default::default();
+        cluster.store.execution_delay_ms = None;
+        cluster.run_for(6000);
         for at in 0..3 {
-            if w.controllers[at].is_none() {
-                w.start_controller(at);
+            if cluster.controllers[at].is_none() {
+                cluster.start_controller(at);
             }
         }
-        w.run_for(150_000);
-        let broken = std::mem::take(&mut w.violations);
+        cluster.run_for(150_000);
+        let broken = std::mem::take(&mut cluster.violations);
         assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
         assert_eq!(
-            w.finished_count(),
-            w.accepted_count(),
+            cluster.finished_count(),
+            cluster.accepted_count(),
             "seed {seed}: jobs are left"
         );
         for id in &ids {
-            let state = w.controller(0).job(id).state;
+            let state = cluster.controller(0).job(id).state;
             for at in 1..3 {
-                assert_eq!(w.controller(at).job(id).state, state, "seed {seed}: {id}");
+                assert_eq!(
+                    cluster.controller(at).job(id).state,
+                    state,
+                    "seed {seed}: {id}"
+                );
             }
-            cascades += usize::from(state == JobState::Cancelled && !w.cancelled_by_user(id));
+            cascades += usize::from(state == JobState::Cancelled && !cluster.cancelled_by_user(id));
             ended += usize::from(state == JobState::Done);
         }
-        w.assert_no_violations();
+        cluster.assert_no_violations();
     }
     assert!(cascades > 20 && ended > 150, "{cascades} {ended}");
 }
--- a/tests/kv_consistency.rs
+++ b/tests/kv_consistency.rs
@@ -17,35 +17,37 @@
 
 #[test]
 fn an_old_watch_does_not_revive_a_deleted_controller() {
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     let other = SimulatedController::start("s1", 2, &mut store, 0);
     let old = store.watch(ROOT, 0).body.unwrap();
     store.revoke_lease(other.lease);
-    c.sync(&store);
-    assert!(!c.cluster.controllers.contains_key("s1"));
-    c.cluster.take_changes(0, old.revision, &old.events);
-    assert!(!c.cluster.controllers.contains_key("s1"));
+    controller.sync(&store);
+    assert!(!controller.cluster.controllers.contains_key("s1"));
+    controller
+        .cluster
+        .take_changes(0, old.revision, &old.events);
+    assert!(!controller.cluster.controllers.contains_key("s1"));
 }
 
 #[test]
 fn a_compacted_watch_is_replaced_by_a_full_read() {
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     store.max_logged_changes = 2;
     let mut b = SimulatedController::start("s1", 2, &mut store, 0);
     for i in 0..6 {
         b.submit(&mut store, job(&format!("job-{i}"), 1), 0);
     }
-    assert_eq!(store.watch(ROOT, c.cluster.revision).status, 410);
-    assert!(c.sync(&store));
-    assert_eq!(c.cluster.active.len(), 6);
+    assert_eq!(store.watch(ROOT, controller.cluster.revision).status, 410);
+    assert!(controller.sync(&store));
+    assert_eq!(controller.cluster.active.len(), 6);
 }
 
 #[test]
 fn a_controller_far_behind_reads_pages_instead_of_all_missed_changes() {
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     let dead = SimulatedController::start("s1", 2, &mut store, 0);
-    c.sync(&store);
-    assert!(c.cluster.controllers.contains_key("s1"));
+    controller.sync(&store);
+    assert!(controller.cluster.controllers.contains_key("s1"));
     // It misses hundreds of changes in a cut, one of them the other's end.
     store.revoke_lease(dead.lease);
     let mut other = SimulatedController::start("s2", 3, &mut store, 0);
@@ -65,7 +67,7 @@
         let page = store.read_page(ROOT, &from, 50);
         assert!(page.entries.len() <= 50);
         revision.get_or_insert(page.revision);
-        c.cluster.take_page(&page.entries, &mut fleeting);
+        controller.cluster.take_page(&page.entries, &mut fleeting);
         match page.entries.last() {
             Some(last) if page.more => from.clone_from(&last.key),
             _ => break,
@@ -77,59 +79,64 @@
     let newer = SimulatedController::start("s3", 9, &mut store, 0);
     let key = format!("{ROOT}node/s3");
     let page = store.read_page(&key, "", 1);
-    c.cluster
+    controller
+        .cluster
         .put(&key, page.entries[0].version, &page.entries[0].v);
-    c.cluster.end_read(&fleeting, revision.unwrap());
-    assert!((0..200).all(|i| c.cluster.job(&format!("job-{i}")).is_some()));
-    assert!(!c.cluster.controllers.contains_key("s1") && c.cluster.controllers.contains_key("n1"));
+    controller.cluster.end_read(&fleeting, revision.unwrap());
+    assert!((0..200).all(|i| controller.cluster.job(&format!("job-{i}")).is_some()));
     assert!(
-        newer.cluster.controllers.contains_key("s3") && c.cluster.controllers.contains_key("s3")
+        !controller.cluster.controllers.contains_key("s1")
+            && controller.cluster.controllers.contains_key("n1")
+    );
+    assert!(
+        newer.cluster.controllers.contains_key("s3")
+            && controller.cluster.controllers.contains_key("s3")
     );
 }
 
 #[test]
 fn writes_above_the_rate_limit_are_refused_and_change_nothing() {
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     store.max_writes_per_s = 1.0;
-    let first = c.submit(&mut store, job("job-1", 1), 1000);
-    let second = c.submit(&mut store, job("job-2", 1), 1000);
+    let first = controller.submit(&mut store, job("job-1", 1), 1000);
+    let second = controller.submit(&mut store, job("job-2", 1), 1000);
     assert!(matches!(first, CommitOutcome::Committed(_)));
     assert_eq!(second, CommitOutcome::Refused(429));
-    assert!(c.cluster.job("job-2").is_none());
+    assert!(controller.cluster.job("job-2").is_none());
     assert!(matches!(
-        c.submit(&mut store, job("job-2", 1), 2500),
+        controller.submit(&mut store, job("job-2", 1), 2500),
         CommitOutcome::Committed(_)
     ));
 }
 
 #[test]
 fn repeats_of_executed_requests_change_nothing() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    c.submit(&mut store, job("job-1", 1), 0);
-    c.exchange_heartbeat(&mut store, &mut w, 0);
-    let draft = c.draft_plan(10);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    controller.submit(&mut store, job("job-1", 1), 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
+    let draft = controller.draft_plan(10);
     assert!(draft.is_empty());
-    let accepted = c.job("job-1").version;
+    let accepted = controller.job("job-1").version;
     assert!(!matches!(
-        c.submit(&mut store, job("job-1", 1), 20),
+        controller.submit(&mut store, job("job-1", 1), 20),
         pointhook::coordination::kv::CommitOutcome::Committed(_)
     ));
-    assert_eq!(c.job("job-1").version, accepted);
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 500, 12_000);
-    assert_eq!(c.job("job-1").state, JobState::Done);
+    assert_eq!(controller.job("job-1").version, accepted);
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 500, 12_000);
+    assert_eq!(controller.job("job-1").state, JobState::Done);
     // A repeated start after the end of a job has no placement to rest on.
-    let mix = c.machine("m1");
+    let mix = controller.machine("m1");
     assert!(commands::orders(
-        &mut c.cluster,
-        &c.config,
-        c.failovers.permits(),
+        &mut controller.cluster,
+        &controller.config,
+        controller.failovers.permits(),
         mix,
         MonotonicMillis(0)
     )
     .iter()
     .all(|o| !matches!(o, Command::Start { .. })));
-    assert_eq!(w.started.len(), 1);
+    assert_eq!(worker.started.len(), 1);
 }
 
 #[test]
@@ -138,8 +145,8 @@
     let mut waiting: Vec<_> = (0..50)
         .map(|_| Box::pin(fresh.request_round(60_000)))
         .collect();
-    for w in &mut waiting {
-        assert!(block_on(poll_once(w)).is_none());
+    for worker in &mut waiting {
+        assert!(block_on(poll_once(worker)).is_none());
     }
     // None is left for a second read, whoever came first.
     let taken = fresh.take_waiters();
@@ -148,7 +155,7 @@
     for t in taken {
         t.try_send(true).unwrap();
     }
-    for w in &mut waiting {
-        assert_eq!(block_on(poll_once(w)), Some(Some(true)));
+    for worker in &mut waiting {
+        assert_eq!(block_on(poll_once(worker)), Some(Some(true)));
     }
 }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -29,16 +29,20 @@
 
 /// One controller that owns all shards and has heard all machines of both zones.
 fn large_fleet() -> (FakeKvStore, SimulatedController) {
-    let (store, mut c) = start_single_controller();
+    let (store, mut controller) = start_single_controller();
     for i in 0..MACHINES {
         let zone = ["north", "south"][i % 2];
-        let learnt =
-            c.cluster
-                .learn_machine(&machine_name(i), "oven", zone, true, MonotonicMillis(0));
-        let machine = c.cluster.machine_mut(learnt.unwrap()).unwrap();
+        let learnt = controller.cluster.learn_machine(
+            &machine_name(i),
+            "oven",
+            zone,
+            true,
+            MonotonicMillis(0),
+        );
+        let machine = controller.cluster.machine_mut(learnt.unwrap()).unwrap();
         machine.last_heartbeat = Some(MonotonicMillis(0));
     }
-    (store, c)
+    (store, controller)
 }
 
 fn assert_fits_a_frame(ask: &PeerRequest) {
@@ -48,11 +52,13 @@
 
 #[test]
 fn status_updates_of_all_machines_fit_frames_that_are_accepted() {
-    let (_, c) = large_fleet();
-    let news =
-        peer_messages::own_machine_statuses(&c.cluster, &c.config, MonotonicMillis(10), |_| {
-            Some(MonotonicMillis(0))
-        });
+    let (_, controller) = large_fleet();
+    let news = peer_messages::own_machine_statuses(
+        &controller.cluster,
+        &controller.config,
+        MonotonicMillis(10),
+        |_| Some(MonotonicMillis(0)),
+    );
     assert_eq!(news.len(), MACHINES);
     let mut told = BTreeSet::new();
     for ask in peer_messages::tell("n1", true, true, news) {
@@ -99,37 +105,37 @@
 
 #[test]
 fn one_owner_claims_work_for_all_machines() {
-    let (mut store, mut c) = large_fleet();
+    let (mut store, mut controller) = large_fleet();
     // Each machine holds four of these tasks; a record and its parts hold a job's 1,000.
-    c.cluster.record_format_v2 = true;
+    controller.cluster.record_format_v2 = true;
     for i in 0..MACHINES * 4 / 1000 {
-        c.submit(&mut store, job(&format!("job-{i}"), 1000), 0);
+        controller.submit(&mut store, job(&format!("job-{i}"), 1000), 0);
     }
     let mut before = usize::MAX;
-    let waiting = |c: &SimulatedController| -> usize {
-        let jobs = c.cluster.active_jobs();
+    let waiting = |controller: &SimulatedController| -> usize {
+        let jobs = controller.cluster.active_jobs();
         jobs.map(|(_, j)| j.waiting_count() as usize).sum()
     };
-    while waiting(&c) < before {
-        before = waiting(&c);
-        let draft = c.draft_plan(10);
-        let transaction = pointhook::coordination::kv::transaction(&c.cluster, &draft);
+    while waiting(&controller) < before {
+        before = waiting(&controller);
+        let draft = controller.draft_plan(10);
+        let transaction = pointhook::coordination::kv::transaction(&controller.cluster, &draft);
         let outcome = SimulatedController::commit(&mut store, &transaction, 10);
-        pointhook::coordination::kv::apply_outcome(&mut c.cluster, &draft, &outcome);
+        pointhook::coordination::kv::apply_outcome(&mut controller.cluster, &draft, &outcome);
     }
     assert_eq!(before, 0);
-    assert_eq!(c.cluster.occupied().count(), MACHINES);
+    assert_eq!(controller.cluster.occupied().count(), MACHINES);
 }
 
 #[test]
 fn one_owner_receives_the_heartbeats_of_all_machines() {
-    let (_, mut c) = large_fleet();
+    let (_, mut controller) = large_fleet();
     for i in 0..MACHINES {
         let zone = ["north", "south"][i % 2];
         let report = FakeWorker::new(&machine_name(i), zone, 0).heartbeat(1000);
         let received = heartbeats::receive(
-            &mut c.cluster,
-            &c.config,
+            &mut controller.cluster,
+            &controller.config,
             &report,
             10_000,
             MonotonicMillis(1000),
@@ -139,12 +145,12 @@
             heartbeats::HeartbeatOutcome::Accepted(..)
         ));
     }
-    let reported = c
+    let reported = controller
         .cluster
         .all_machines()
         .filter(|(_, m)| m.message_version.agent_epoch > AgentEpoch(0));
     assert_eq!(reported.count(), MACHINES);
-    let shards: BTreeSet<usize> = c
+    let shards: BTreeSet<usize> = controller
         .cluster
         .all_machines()
         .map(|(_, m)| m.shard.at())
--- a/tests/machine_quarantine.rs
+++ b/tests/machine_quarantine.rs
@@ -28,38 +28,47 @@
 
 #[test]
 fn a_machine_that_fails_several_jobs_is_quarantined() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    w.fails_tasks = true;
-    w.run_ms = 100;
-    w.image_pull_ms = 0;
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    worker.fails_tasks = true;
+    worker.run_ms = 100;
+    worker.image_pull_ms = 0;
     for id in ["job-1", "job-2", "job-3"] {
         let mut spec = job(id, 1);
         spec.gpus = 4.0;
-        c.submit(&mut store, spec, 0);
+        controller.submit(&mut store, spec, 0);
     }
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 0, 6000);
-    assert_eq!(w.started.len(), 2);
-    assert!(c.cluster.machine(c.machine("m1")).unwrap().quarantined);
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 6000);
+    assert_eq!(worker.started.len(), 2);
+    assert!(
+        controller
+            .cluster
+            .machine(controller.machine("m1"))
+            .unwrap()
+            .quarantined
+    );
 }
 
 #[test]
 fn a_job_that_fails_on_every_machine_is_backed_off() {
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     let mut workers: Vec<FakeWorker> = (0..4)
         .map(|i| FakeWorker::new(&format!("m{i}"), "north", 0))
         .collect();
-    for w in &mut workers {
-        w.fails_tasks = true;
-        w.run_ms = 100;
-        w.image_pull_ms = 0;
+    for worker in &mut workers {
+        worker.fails_tasks = true;
+        worker.run_ms = 100;
+        worker.image_pull_ms = 0;
     }
     let mut all: Vec<&mut FakeWorker> = workers.iter_mut().collect();
-    c.submit(&mut store, job("job-1", 1), 0);
-    run_heartbeats(&mut c, &mut store, &mut all, 0, 5000);
-    let tries: usize = workers.iter().map(|w| w.started.len()).sum();
+    controller.submit(&mut store, job("job-1", 1), 0);
+    run_heartbeats(&mut controller, &mut store, &mut all, 0, 5000);
+    let tries: usize = workers.iter().map(|worker| worker.started.len()).sum();
     assert_eq!(tries, 3);
-    assert!(c.cluster.all_machines().all(|(_, m)| !m.quarantined));
+    assert!(controller
+        .cluster
+        .all_machines()
+        .all(|(_, m)| !m.quarantined));
 }
 
 #[test]
--- a/tests/outages_and_restarts.rs
+++ b/tests/outages_and_restarts.rs
@@ -14,101 +14,110 @@
 
 #[test]
 fn a_done_job_stays_done_after_a_crash_of_all_controllers() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    c.submit(&mut store, job("job-1", 1), 0);
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 0, 9000);
-    assert_eq!(c.job("job-1").state, JobState::Done);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    controller.submit(&mut store, job("job-1", 1), 0);
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 9000);
+    assert_eq!(controller.job("job-1").state, JobState::Done);
     let mut next = SimulatedController::start("n1", 2, &mut store, 9000);
     next.apply_membership_moves(&mut store, 9000);
-    run_heartbeats(&mut next, &mut store, &mut [&mut w], 9500, 12_000);
+    run_heartbeats(&mut next, &mut store, &mut [&mut worker], 9500, 12_000);
     assert_eq!(ClusterState::status(next.job("job-1")).0, "done");
-    assert_eq!(w.started.len(), 1);
+    assert_eq!(worker.started.len(), 1);
 }
 
 #[test]
 fn an_unfinished_job_continues_after_a_crash_of_all_controllers() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    c.submit(&mut store, job("job-1", 6), 0);
-    c.exchange_heartbeat(&mut store, &mut w, 0);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    controller.submit(&mut store, job("job-1", 6), 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
     let mut next = SimulatedController::start("n1", 2, &mut store, 1000);
     next.apply_membership_moves(&mut store, 1000);
-    run_heartbeats(&mut next, &mut store, &mut [&mut w], 1500, 16_000);
+    run_heartbeats(&mut next, &mut store, &mut [&mut worker], 1500, 16_000);
     assert_eq!(next.job("job-1").state, JobState::Done);
-    assert_eq!(w.started.len(), 6);
+    assert_eq!(worker.started.len(), 6);
 }
 
 #[test]
 fn during_a_kv_outage_the_owner_answers_heartbeats_and_starts_nothing_new() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    c.submit(&mut store, job("job-1", 1), 0);
-    c.exchange_heartbeat(&mut store, &mut w, 0);
-    c.submit(&mut store, job("job-2", 1), 100);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    controller.submit(&mut store, job("job-1", 1), 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
+    controller.submit(&mut store, job("job-2", 1), 100);
     store.unavailable = true;
     for now in (500..20_000).step_by(500) {
         assert!(
-            c.exchange_heartbeat(&mut store, &mut w, now),
+            controller.exchange_heartbeat(&mut store, &mut worker, now),
             "not answered at {now}"
         );
     }
-    assert_eq!(w.agent_epoch, AgentEpoch(1));
-    assert_eq!(w.started.len(), 1);
+    assert_eq!(worker.agent_epoch, AgentEpoch(1));
+    assert_eq!(worker.started.len(), 1);
     store.unavailable = false;
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 20_000, 28_000);
-    assert_eq!(c.job("job-1").state, JobState::Done);
-    assert_eq!(c.job("job-2").state, JobState::Done);
+    run_heartbeats(
+        &mut controller,
+        &mut store,
+        &mut [&mut worker],
+        20_000,
+        28_000,
+    );
+    assert_eq!(controller.job("job-1").state, JobState::Done);
+    assert_eq!(controller.job("job-2").state, JobState::Done);
 }
 
 #[test]
 fn a_kv_outage_with_a_restart_of_all_controllers_loses_no_job() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    c.submit(&mut store, job("job-1", 2), 0);
-    c.exchange_heartbeat(&mut store, &mut w, 0);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    controller.submit(&mut store, job("job-1", 2), 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
     store.unavailable = true;
-    assert!(!c.sync(&store));
+    assert!(!controller.sync(&store));
     for now in (500..7500).step_by(500) {
         // No process answers while all restart; the worker's lease runs on.
-        w.advance(now);
+        worker.advance(now);
     }
     store.unavailable = false;
     let mut next = SimulatedController::start("n1", 2, &mut store, 8000);
     next.apply_membership_moves(&mut store, 8000);
-    run_heartbeats(&mut next, &mut store, &mut [&mut w], 8500, 20_000);
+    run_heartbeats(&mut next, &mut store, &mut [&mut worker], 8500, 20_000);
     assert_eq!(next.job("job-1").state, JobState::Done);
 }
 
 #[test]
 fn a_controller_partitioned_from_kv_starts_nothing_and_steps_down_at_a_higher_fencing_token() {
     let (mut store, mut old) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    w.run_ms = 60_000;
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    worker.run_ms = 60_000;
     old.submit(&mut store, job("job-1", 1), 0);
-    old.exchange_heartbeat(&mut store, &mut w, 0);
-    old.exchange_heartbeat(&mut store, &mut w, 1000);
-    assert!(w.has_task("job-1/0"));
+    old.exchange_heartbeat(&mut store, &mut worker, 0);
+    old.exchange_heartbeat(&mut store, &mut worker, 1000);
+    assert!(worker.has_task("job-1/0"));
     // It loses the store and its peers; its key ends and another takes its shards.
     store.revoke_lease(old.lease);
     let mut new = SimulatedController::start("s1", 2, &mut store, 5000);
     new.apply_membership_moves(&mut store, 5000);
     new.submit(&mut store, job("job-2", 1), 5100);
     // It goes on answering its worker, which keeps its task and gets nothing new.
-    let r = w.heartbeat(6000);
+    let r = worker.heartbeat(6000);
     let a = old.receive_heartbeat_without_kv(&r, 6000).unwrap();
     assert!(!a
         .commands
         .iter()
         .any(|o| matches!(o, Command::Start { .. })));
-    assert!(w.receive_response(&a, r.agent_epoch, 6000, 6000));
+    assert!(worker.receive_response(&a, r.agent_epoch, 6000, 6000));
     // The new owner shows its token; the worker reports it, and the old one stands down.
-    w.fencing_token = new.cluster.shards[0].record.fencing_token;
-    let r = w.heartbeat(7000);
+    worker.fencing_token = new.cluster.shards[0].record.fencing_token;
+    let r = worker.heartbeat(7000);
     assert!(old.receive_heartbeat_without_kv(&r, 7000).is_none());
     // The task stays where it is, once: its placement is as good as before.
-    new.exchange_heartbeat(&mut store, &mut w, 7500);
-    assert_eq!(w.started.iter().filter(|s| s.0 == "job-1/0").count(), 1);
+    new.exchange_heartbeat(&mut store, &mut worker, 7500);
+    assert_eq!(
+        worker.started.iter().filter(|s| s.0 == "job-1/0").count(),
+        1
+    );
     assert_eq!(new.job("job-1").placements.len(), 1);
     old.sync(&store);
     assert!(!old.owns(0) && new.owns(0));
@@ -116,13 +125,13 @@
 
 #[test]
 fn a_machine_deleted_while_all_controllers_were_down_does_not_keep_its_tasks() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    c.submit(&mut store, job("job-1", 1), 0);
-    c.exchange_heartbeat(&mut store, &mut w, 0);
-    assert_eq!(c.job("job-1").placements.len(), 1);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    controller.submit(&mut store, job("job-1", 1), 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
+    assert_eq!(controller.job("job-1").placements.len(), 1);
     // All nodes restart, and the cloud takes the machine before any of them hears it.
-    store.revoke_lease(c.lease);
+    store.revoke_lease(controller.lease);
     let mut new = SimulatedController::start("n1", 2, &mut store, 5000);
     new.apply_membership_moves(&mut store, 5000);
     new.run_planner(&mut store, 200_000);
@@ -141,16 +150,16 @@
 #[test]
 fn every_controller_knows_every_job_after_a_kv_outage_with_a_restart_of_all() {
     let (mut store, mut a) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
+    let mut worker = FakeWorker::new("m1", "north", 0);
     for i in 1..=30 {
         a.submit(&mut store, job(&format!("job-{i}"), 1), 0);
     }
-    a.exchange_heartbeat(&mut store, &mut w, 0);
+    a.exchange_heartbeat(&mut store, &mut worker, 0);
     store.revoke_lease(a.lease);
     let nodes = ["n1", "s1"].map(|n| SimulatedController::start(n, 7, &mut store, 60_000));
-    for c in &nodes {
-        assert!(c.cluster.loaded);
-        assert!((1..=30).all(|i| c.cluster.job(&format!("job-{i}")).is_some()));
+    for controller in &nodes {
+        assert!(controller.cluster.loaded);
+        assert!((1..=30).all(|i| controller.cluster.job(&format!("job-{i}")).is_some()));
     }
 }
 
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -62,20 +62,26 @@
 
 #[test]
 fn an_old_heartbeat_with_a_gang_timeout_proves_nothing_to_a_new_owner() {
-    let (mut store, mut c) = support::simulated_controller::start_single_controller();
+    let (mut store, mut controller) = support::simulated_controller::start_single_controller();
     let mut worker = support::worker::FakeWorker::new("m1", "north", 0);
     let mut gang = job("job-1", 1);
     gang.kind = pointhook::protocol::users::JobKind::Gang;
-    c.submit(&mut store, gang, 0);
-    support::simulated_controller::run_heartbeats(&mut c, &mut store, &mut [&mut worker], 0, 1500);
+    controller.submit(&mut store, gang, 0);
+    support::simulated_controller::run_heartbeats(
+        &mut controller,
+        &mut store,
+        &mut [&mut worker],
+        0,
+        1500,
+    );
     assert!(worker.has_task("job-1/0"));
     worker.time_out_gang_wait();
     let old = worker.heartbeat(1500);
     // It waits again in its place, under the same attempt.
-    c.exchange_heartbeat(&mut store, &mut worker, 2000);
+    controller.exchange_heartbeat(&mut store, &mut worker, 2000);
     assert!(worker.has_task("job-1/0"));
     // A new owner gets a copy of the report from before; the job has been cancelled.
-    store.revoke_lease(c.lease);
+    store.revoke_lease(controller.lease);
     let mut new =
         support::simulated_controller::SimulatedController::start("s1", 2, &mut store, 2500);
     assert_eq!(new.apply_membership_moves(&mut store, 2500), 3);
@@ -86,61 +92,73 @@
 
 #[test]
 fn a_gang_lost_while_a_member_is_restarted_in_its_wait_keeps_that_member_placed() {
-    let (mut store, mut c) = support::simulated_controller::start_single_controller();
+    let (mut store, mut controller) = support::simulated_controller::start_single_controller();
     let mut hosts = [("m1", 0), ("m2", 0)].map(|(n, t)| {
         let mut w = support::worker::FakeWorker::new(n, "north", t);
         w.image_pull_ms = 60_000;
         w
     });
     for w in &mut hosts {
-        c.exchange_heartbeat(&mut store, w, 0);
-        c.exchange_heartbeat(&mut store, w, 500);
+        controller.exchange_heartbeat(&mut store, w, 0);
+        controller.exchange_heartbeat(&mut store, w, 500);
     }
     let mut gang = job("job-1", 2);
     gang.kind = JobKind::Gang;
     gang.gpus = 3.0;
-    c.submit(&mut store, gang, 600);
-    c.run_planner(&mut store, 600);
+    controller.submit(&mut store, gang, 600);
+    controller.run_planner(&mut store, 600);
     for w in &mut hosts {
-        c.exchange_heartbeat(&mut store, w, 1000);
+        controller.exchange_heartbeat(&mut store, w, 1000);
     }
     let [first, second] = &mut hosts;
     assert!(first.has_task("job-1/0") && second.has_task("job-1/1"));
     first.time_out_gang_wait();
     let r = first.heartbeat(1500);
-    let answer = c.receive_heartbeat(&mut store, &r, 1500).unwrap();
+    let answer = controller.receive_heartbeat(&mut store, &r, 1500).unwrap();
     assert_eq!(answer.commands.len(), 2, "forget and start");
     // The answer is on its way when the other's machine is deleted.
-    let other = c.machine("m2");
-    c.cluster.mark_deleted(other);
-    c.run_planner(&mut store, 1600);
-    let job = c.job("job-1");
+    let other = controller.machine("m2");
+    controller.cluster.mark_deleted(other);
+    controller.run_planner(&mut store, 1600);
+    let job = controller.job("job-1");
     assert!(job.placement(0).is_some(), "its end is not for good");
     assert!(first.receive_response(&answer, r.agent_epoch, 1500, 2500));
     assert!(first.has_task("job-1/0"));
     // It is stopped there, and then the gang begins anew.
-    support::simulated_controller::run_heartbeats(&mut c, &mut store, &mut [first], 3000, 6000);
+    support::simulated_controller::run_heartbeats(
+        &mut controller,
+        &mut store,
+        &mut [first],
+        3000,
+        6000,
+    );
     assert!(!first.has_task("job-1/0"));
-    assert!(c.job("job-1").placements.is_empty());
+    assert!(controller.job("job-1").placements.is_empty());
 }
 
 #[test]
 fn an_exit_of_an_earlier_agent_epoch_proves_nothing_once_the_shard_is_regained() {
-    let (mut store, mut c) = support::simulated_controller::start_single_controller();
+    let (mut store, mut controller) = support::simulated_controller::start_single_controller();
     let mut worker = support::worker::FakeWorker::new("m1", "north", 0);
     worker.run_ms = 60_000;
     let mut two = job("job-1", 1);
     two.kind = JobKind::Gang;
-    c.submit(&mut store, two, 0);
-    support::simulated_controller::run_heartbeats(&mut c, &mut store, &mut [&mut worker], 0, 3000);
+    controller.submit(&mut store, two, 0);
+    support::simulated_controller::run_heartbeats(
+        &mut controller,
+        &mut store,
+        &mut [&mut worker],
+        0,
+        3000,
+    );
     assert!(worker.has_task("job-1/0"));
     // Its owner reads of its end, cut off from the state service.
     let mut r = worker.heartbeat(3000);
     r.tasks[0].state = pointhook::protocol::workers::TaskState::Exited;
     r.tasks[0].exit_reason = Some(pointhook::protocol::workers::ExitReason::GangMemberLost);
-    let _ = c.receive_heartbeat_without_kv(&r, 3000);
+    let _ = controller.receive_heartbeat_without_kv(&r, 3000);
     // Another takes the shard; the session has ended, and the attempt is started once more.
-    store.revoke_lease(c.lease);
+    store.revoke_lease(controller.lease);
     let mut other =
         support::simulated_controller::SimulatedController::start("s1", 2, &mut store, 9000);
     assert_eq!(other.apply_membership_moves(&mut store, 9000), 3);
@@ -157,423 +175,445 @@
     store.revoke_lease(other.lease);
     let key = format!("{}node/n1", pointhook::state::cluster_state::ROOT);
     assert_eq!(store.version(&key), 0);
-    c.sync(&store);
-    c.run_membership_tick(&mut store, 17_000);
-    c.run_membership_tick(&mut store, 17_500);
-    assert!(c.owns(0));
-    c.run_planner(&mut store, 18_000);
-    assert_eq!(c.job("job-1").placements.len(), 1);
-    assert_eq!(c.job("job-1").next_attempt, 2);
+    controller.sync(&store);
+    controller.run_membership_tick(&mut store, 17_000);
+    controller.run_membership_tick(&mut store, 17_500);
+    assert!(controller.owns(0));
+    controller.run_planner(&mut store, 18_000);
+    assert_eq!(controller.job("job-1").placements.len(), 1);
+    assert_eq!(controller.job("job-1").next_attempt, 2);
 }
 
 /// A world whose small team is at its limit, with a job that waits for it.
 fn at_the_limit() -> SimulatedCluster {
-    let mut w = SimulatedCluster::new(4);
-    for h in &mut w.machines {
+    let mut cluster = SimulatedCluster::new(4);
+    for h in &mut cluster.machines {
         h.worker.run_ms = 60_000;
     }
     for (id, zone) in [("job-1", "north"), ("job-2", "south")] {
         let mut spec = job(id, 1);
         spec.team = "mixers".into();
         spec.zone = Some(zone.into());
-        assert!(w.submit(0, spec));
+        assert!(cluster.submit(0, spec));
     }
-    w.run_for(4000);
+    cluster.run_for(4000);
     let mut waits = job("job-3", 2);
     waits.team = "mixers".into();
-    assert!(w.submit(1, waits));
-    w.run_for(5000);
-    assert!(w.runs("job-1") && w.runs("job-2") && !w.runs("job-3"));
-    w
+    assert!(cluster.submit(1, waits));
+    cluster.run_for(5000);
+    assert!(cluster.runs("job-1") && cluster.runs("job-2") && !cluster.runs("job-3"));
+    cluster
 }
 
 #[test]
 fn a_team_stays_within_its_quota_while_cancelled_tasks_are_partitioned_and_the_leader_changes() {
     for ill in 0..3 {
-        let mut w = at_the_limit();
-        let host = w.machines.iter().position(|h| h.worker.has_task("job-1/0"));
+        let mut cluster = at_the_limit();
+        let host = cluster
+            .machines
+            .iter()
+            .position(|h| h.worker.has_task("job-1/0"));
         let host = host.unwrap();
-        let leader = w.owner_of(host).unwrap();
-        let h = &mut w.machines[host].faults;
+        let leader = cluster.owner_of(host).unwrap();
+        let h = &mut cluster.machines[host].faults;
         match ill {
             0 => h.drops_heartbeats = true,
             1 => h.frozen = true,
             _ => (h.drops_incoming, h.drops_command_responses) = (true, true),
         }
-        w.stop_controller(leader);
-        w.run_for(1000);
+        cluster.stop_controller(leader);
+        cluster.run_for(1000);
         let other = (leader + 1) % 3;
-        assert!(w.cancel(other, "job-1"));
-        w.run_for(8000);
-        w.start_controller(leader);
-        w.run_for(CANCEL_MS);
-        w.machines[host].faults = Default::default();
-        w.run_for(160_000);
-        assert_eq!(w.finished_count(), 3, "{ill}: work is left");
-        w.assert_no_violations();
+        assert!(cluster.cancel(other, "job-1"));
+        cluster.run_for(8000);
+        cluster.start_controller(leader);
+        cluster.run_for(CANCEL_MS);
+        cluster.machines[host].faults = Default::default();
+        cluster.run_for(160_000);
+        assert_eq!(cluster.finished_count(), 3, "{ill}: work is left");
+        cluster.assert_no_violations();
     }
 }
 
 #[test]
 fn new_machines_get_work_once_while_writes_lag_and_the_leader_stops() {
-    let mut w = SimulatedCluster::new(2);
-    w.store.execution_delay_ms = Some(3000);
-    assert!(!w.submit(0, job("job-1", 4)), "its answer is lost");
-    w.run_for(4000);
-    let host = w.add_machine("north");
-    w.run_for(1000);
-    w.add_machine("north");
-    w.run_for(2000);
-    let leader = w.owner_of(host).unwrap_or(0);
-    w.stop_controller(leader);
-    w.run_for(3000);
-    w.store.execution_delay_ms = None;
+    let mut cluster = SimulatedCluster::new(2);
+    cluster.store.execution_delay_ms = Some(3000);
+    assert!(!cluster.submit(0, job("job-1", 4)), "its answer is lost");
+    cluster.run_for(4000);
+    let host = cluster.add_machine("north");
+    cluster.run_for(1000);
+    cluster.add_machine("north");
+    cluster.run_for(2000);
+    let leader = cluster.owner_of(host).unwrap_or(0);
+    cluster.stop_controller(leader);
+    cluster.run_for(3000);
+    cluster.store.execution_delay_ms = None;
     let other = (leader + 1) % 3;
     // The user sends it again, and it is known.
-    assert!(!w.submit(other, job("job-1", 4)));
-    w.resubmit("job-1", job("job-1", 4));
-    w.run_for(9000);
-    w.start_controller(leader);
-    w.run_for(40_000);
-    assert_eq!(w.query_status(other, "job-1"), Some("done"));
-    w.assert_no_violations();
+    assert!(!cluster.submit(other, job("job-1", 4)));
+    cluster.resubmit("job-1", job("job-1", 4));
+    cluster.run_for(9000);
+    cluster.start_controller(leader);
+    cluster.run_for(40_000);
+    assert_eq!(cluster.query_status(other, "job-1"), Some("done"));
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn commands_delayed_for_seconds_start_nothing_twice_and_nothing_cancelled() {
-    let mut w = SimulatedCluster::new(4);
-    for h in &mut w.machines {
+    let mut cluster = SimulatedCluster::new(4);
+    for h in &mut cluster.machines {
         h.faults.delays_commands = true;
         h.worker.run_ms = 8000;
     }
     for i in 1..=6 {
-        assert!(w.submit(i % 3, job(&format!("job-{i}"), 3)));
-        w.run_for(1500);
+        assert!(cluster.submit(i % 3, job(&format!("job-{i}"), 3)));
+        cluster.run_for(1500);
         if i % 2 == 0 {
-            assert!(w.cancel((i + 1) % 3, &format!("job-{i}")));
+            assert!(cluster.cancel((i + 1) % 3, &format!("job-{i}")));
         }
-        let h = &mut w.machines[i % 4].faults;
+        let h = &mut cluster.machines[i % 4].faults;
         h.frozen = !h.frozen;
     }
-    w.run_for(8000);
-    for h in &mut w.machines {
+    cluster.run_for(8000);
+    for h in &mut cluster.machines {
         h.faults = Default::default();
     }
-    w.run_for(60_000);
-    assert_eq!(w.finished_count(), 6);
-    w.assert_no_violations();
+    cluster.run_for(60_000);
+    assert_eq!(cluster.finished_count(), 6);
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn jobs_bound_to_one_zone_stay_in_it_when_their_machines_are_lost() {
-    let mut w = SimulatedCluster::new(4);
-    for h in &mut w.machines {
+    let mut cluster = SimulatedCluster::new(4);
+    for h in &mut cluster.machines {
         h.worker.run_ms = 20_000;
     }
     for (id, shape) in [("job-1", JobKind::Array), ("job-2", JobKind::Gang)] {
         let mut spec = job(id, 3);
         spec.one_zone = true;
         spec.kind = shape;
-        assert!(w.submit(0, spec));
+        assert!(cluster.submit(0, spec));
     }
-    w.run_for(5000);
-    let on = |w: &SimulatedCluster, t: &str| w.machines.iter().position(|h| h.worker.has_task(t));
-    let lost = on(&w, "job-1/0").unwrap();
-    w.machines[lost].faults.frozen = true;
-    w.machines[lost].faults.drops_heartbeats = true;
-    w.run_for(15_000);
-    w.machines[lost].faults = Default::default();
-    w.run_for(120_000);
-    assert_eq!(w.finished_count(), 2);
-    w.assert_no_violations();
+    cluster.run_for(5000);
+    let on = |cluster: &SimulatedCluster, t: &str| {
+        cluster.machines.iter().position(|h| h.worker.has_task(t))
+    };
+    let lost = on(&cluster, "job-1/0").unwrap();
+    cluster.machines[lost].faults.frozen = true;
+    cluster.machines[lost].faults.drops_heartbeats = true;
+    cluster.run_for(15_000);
+    cluster.machines[lost].faults = Default::default();
+    cluster.run_for(120_000);
+    assert_eq!(cluster.finished_count(), 2);
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn users_of_a_partitioned_leader_get_no_stale_answers() {
-    let (mut w, leader, other) = two_long_jobs();
-    w.controller_faults[leader].kv_refused = true;
-    w.controller_faults[leader].isolated_from_peers = true;
-    w.run_for(3000);
-    assert!(w.cancel(other, "job-1"));
+    let (mut cluster, leader, other) = two_long_jobs();
+    cluster.controller_faults[leader].kv_refused = true;
+    cluster.controller_faults[leader].isolated_from_peers = true;
+    cluster.run_for(3000);
+    assert!(cluster.cancel(other, "job-1"));
     for _ in 0..40 {
-        assert_eq!(w.query_status(other, "job-1"), Some("aborted"));
-        assert_eq!(w.query_status(leader, "job-1"), None);
-        assert!(!w.cancel(leader, "job-2"));
-        w.run_for(1000);
-    }
-    assert!(w.runs("job-2"));
-    recover(&mut w);
-    w.assert_no_violations();
+        assert_eq!(cluster.query_status(other, "job-1"), Some("aborted"));
+        assert_eq!(cluster.query_status(leader, "job-1"), None);
+        assert!(!cluster.cancel(leader, "job-2"));
+        cluster.run_for(1000);
+    }
+    assert!(cluster.runs("job-2"));
+    recover(&mut cluster);
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn ten_leader_changes_in_two_minutes_lose_nothing_even_in_an_outage() {
-    let mut w = SimulatedCluster::new(4);
-    for h in &mut w.machines {
+    let mut cluster = SimulatedCluster::new(4);
+    for h in &mut cluster.machines {
         h.worker.run_ms = 15_000;
     }
     for i in 0..10 {
         let at = i % 3;
         let next = (at + 1) % 3;
         let id = format!("job-{}", i + 1);
-        w.submit(at, job(&id, 3));
-        w.run_for(3000);
-        w.kv_outage = i % 4 == 2;
-        w.stop_controller(at);
-        w.run_for(4000);
+        cluster.submit(at, job(&id, 3));
+        cluster.run_for(3000);
+        cluster.kv_outage = i % 4 == 2;
+        cluster.stop_controller(at);
+        cluster.run_for(4000);
         if i % 3 == 1 {
-            w.cancel(next, &id);
+            cluster.cancel(next, &id);
         }
-        w.run_for(2000);
-        w.kv_outage = false;
-        w.start_controller(at);
-        w.run_for(3000);
-    }
-    w.run_for(90_000);
-    assert_eq!(w.finished_count(), w.accepted_count());
-    w.assert_no_violations();
+        cluster.run_for(2000);
+        cluster.kv_outage = false;
+        cluster.start_controller(at);
+        cluster.run_for(3000);
+    }
+    cluster.run_for(90_000);
+    assert_eq!(cluster.finished_count(), cluster.accepted_count());
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn tasks_that_complete_far_apart_across_a_leader_change_complete_once() {
-    let mut w = SimulatedCluster::new(4);
-    for (h, ms) in w.machines.iter_mut().zip([4000, 12_000, 20_000, 28_000]) {
+    let mut cluster = SimulatedCluster::new(4);
+    for (h, ms) in cluster
+        .machines
+        .iter_mut()
+        .zip([4000, 12_000, 20_000, 28_000])
+    {
         h.worker.run_ms = ms;
         // One task each, so that the job's tasks are on different machines.
         h.worker.image_pull_ms = 500;
     }
     let mut spec = job("job-1", 3);
     spec.gpus = 4.0;
-    assert!(w.submit(0, spec));
-    w.run_for(6000);
-    let host = w.machines.iter().position(|h| h.worker.has_task("job-1/1"));
-    let leader = w.owner_of(host.unwrap()).unwrap();
-    w.stop_controller(leader);
-    w.run_for(8000);
-    w.start_controller(leader);
-    w.run_for(60_000);
-    assert_eq!(w.query_status((leader + 1) % 3, "job-1"), Some("done"));
-    assert_eq!(w.start_count(), 3);
-    w.assert_no_violations();
+    assert!(cluster.submit(0, spec));
+    cluster.run_for(6000);
+    let host = cluster
+        .machines
+        .iter()
+        .position(|h| h.worker.has_task("job-1/1"));
+    let leader = cluster.owner_of(host.unwrap()).unwrap();
+    cluster.stop_controller(leader);
+    cluster.run_for(8000);
+    cluster.start_controller(leader);
+    cluster.run_for(60_000);
+    assert_eq!(
+        cluster.query_status((leader + 1) % 3, "job-1"),
+        Some("done")
+    );
+    assert_eq!(cluster.start_count(), 3);
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn old_heartbeats_that_reach_every_controller_at_a_leader_change_prove_nothing() {
-    let mut w = SimulatedCluster::new(4);
-    for h in &mut w.machines {
+    let mut cluster = SimulatedCluster::new(4);
+    for h in &mut cluster.machines {
         h.worker.run_ms = 12_000;
     }
     for i in 1..=4 {
-        assert!(w.submit(i % 3, job(&format!("job-{i}"), 4)));
-        w.run_for(2000);
+        assert!(cluster.submit(i % 3, job(&format!("job-{i}"), 4)));
+        cluster.run_for(2000);
     }
-    let leader = w.owner_of(0).unwrap();
-    w.stop_controller(leader);
+    let leader = cluster.owner_of(0).unwrap();
+    cluster.stop_controller(leader);
     for _ in 0..24 {
-        w.run_for(500);
+        cluster.run_for(500);
         for host in 0..4 {
-            let sent = w.machines[host].sent_heartbeats.len();
+            let sent = cluster.machines[host].sent_heartbeats.len();
             for at in 0..3 {
                 // One from long ago, and the newest that went to the old leader.
-                w.redeliver_heartbeat(host, sent / 3, at);
-                w.redeliver_heartbeat(host, sent - 1, at);
+                cluster.redeliver_heartbeat(host, sent / 3, at);
+                cluster.redeliver_heartbeat(host, sent - 1, at);
             }
         }
     }
-    w.start_controller(leader);
-    w.run_for(90_000);
-    assert_eq!(w.finished_count(), 4);
-    assert_eq!(w.start_count(), 16, "a task started anew for an old report");
-    w.assert_no_violations();
+    cluster.start_controller(leader);
+    cluster.run_for(90_000);
+    assert_eq!(cluster.finished_count(), 4);
+    assert_eq!(
+        cluster.start_count(),
+        16,
+        "a task started anew for an old report"
+    );
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn transactions_with_lost_responses_contradict_nothing_that_others_have_read() {
-    let mut w = SimulatedCluster::new(4);
-    for h in &mut w.machines {
+    let mut cluster = SimulatedCluster::new(4);
+    for h in &mut cluster.machines {
         h.worker.run_ms = 4000;
     }
-    w.store.drops_responses = true;
+    cluster.store.drops_responses = true;
     for i in 1..=9 {
         let id = format!("job-{i}");
         let at = i % 3;
-        assert!(!w.submit(at, job(&id, 2)), "no answer");
+        assert!(!cluster.submit(at, job(&id, 2)), "no answer");
         // Another has read it, and the user sends it once more to the first.
-        w.resubmit(&id, job(&id, 2));
+        cluster.resubmit(&id, job(&id, 2));
         for step in 0..6 {
-            w.run_for(500);
+            cluster.run_for(500);
             for node in 0..3 {
-                w.query_status(node, &id);
+                cluster.query_status(node, &id);
             }
             if step == 3 && i % 3 == 0 {
-                assert!(!w.cancel(at, &id), "no answer");
-                assert_eq!(w.query_status((at + 1) % 3, &id), Some("aborted"));
-                assert_eq!(w.query_status(at, &id), Some("aborted"));
+                assert!(!cluster.cancel(at, &id), "no answer");
+                assert_eq!(cluster.query_status((at + 1) % 3, &id), Some("aborted"));
+                assert_eq!(cluster.query_status(at, &id), Some("aborted"));
             }
         }
     }
-    w.store.drops_responses = false;
-    w.run_for(40_000);
-    assert_eq!(w.finished_count(), 9);
-    w.assert_no_violations();
+    cluster.store.drops_responses = false;
+    cluster.run_for(40_000);
+    assert_eq!(cluster.finished_count(), 9);
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn work_continues_after_all_controllers_were_down_for_longer_than_a_lease() {
-    let (mut w, ..) = two_long_jobs();
-    for h in &mut w.machines {
+    let (mut cluster, ..) = two_long_jobs();
+    for h in &mut cluster.machines {
         h.worker.run_ms = 10_000;
     }
     for at in 0..3 {
-        w.stop_controller(at);
+        cluster.stop_controller(at);
     }
-    w.run_for(2 * LEASE_MS);
-    assert!(!w.runs("job-1"));
+    cluster.run_for(2 * LEASE_MS);
+    assert!(!cluster.runs("job-1"));
     for at in [2, 0, 1] {
-        w.start_controller(at);
-        w.run_for(700);
+        cluster.start_controller(at);
+        cluster.run_for(700);
     }
-    assert!(w.cancel(1, "job-2"));
-    w.run_for(60_000);
-    assert_eq!(w.query_status(0, "job-1"), Some("done"));
-    w.assert_no_violations();
+    assert!(cluster.cancel(1, "job-2"));
+    cluster.run_for(60_000);
+    assert_eq!(cluster.query_status(0, "job-1"), Some("done"));
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn four_one_task_jobs_a_second_stay_within_the_limits() {
-    let mut w = SimulatedCluster::new(8);
-    for h in &mut w.machines {
+    let mut cluster = SimulatedCluster::new(8);
+    for h in &mut cluster.machines {
         h.worker.run_ms = 1500;
         h.worker.image_pull_ms = 500;
     }
-    w.store.max_writes_per_s = 20.0;
+    cluster.store.max_writes_per_s = 20.0;
     let (mut sent, mut refused) = (0, 0);
     for _ in 0..120 {
         for _ in 0..2 {
             sent += 1;
             let id = format!("job-{sent}");
-            if !w.submit(sent % 3, job(&id, 1)) {
+            if !cluster.submit(sent % 3, job(&id, 1)) {
                 refused += 1;
                 continue;
             }
             if sent % 4 == 0 {
-                w.cancel((sent + 1) % 3, &id);
+                cluster.cancel((sent + 1) % 3, &id);
             }
         }
-        w.run_for(500);
+        cluster.run_for(500);
     }
     // What was refused was told so at once; there is little of it.
     assert!(refused < sent / 10, "{refused} of {sent}");
-    w.run_for(60_000);
-    assert_eq!(w.finished_count(), w.accepted_count());
-    w.assert_no_violations();
+    cluster.run_for(60_000);
+    assert_eq!(cluster.finished_count(), cluster.accepted_count());
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn users_who_query_all_controllers_at_once_see_nothing_older() {
-    let mut w = SimulatedCluster::new(4);
-    for h in &mut w.machines {
+    let mut cluster = SimulatedCluster::new(4);
+    for h in &mut cluster.machines {
         h.worker.run_ms = 2000;
     }
     for i in 0..12 {
         let id = format!("job-{i}1");
         let at = i % 3;
-        assert!(w.submit(at, job(&id, 2)));
+        assert!(cluster.submit(at, job(&id, 2)));
         if i % 3 == 0 {
-            assert!(w.cancel((at + 1) % 3, &id));
+            assert!(cluster.cancel((at + 1) % 3, &id));
         }
         for step in 0..16 {
             for node in 0..3 {
-                assert!(w.query_status((node + step) % 3, &id).is_some());
+                assert!(cluster.query_status((node + step) % 3, &id).is_some());
                 // The same submission again makes no second job.
-                assert!(!w.submit(node, job(&id, 2)));
+                assert!(!cluster.submit(node, job(&id, 2)));
             }
-            w.run_for(500);
+            cluster.run_for(500);
         }
     }
-    w.run_for(20_000);
-    assert_eq!(w.finished_count(), 12);
-    w.assert_no_violations();
+    cluster.run_for(20_000);
+    assert_eq!(cluster.finished_count(), 12);
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn a_leader_stops_while_machines_with_long_tasks_lose_messages() {
     for mute in [true, false] {
-        let (mut w, leader, other) = two_long_jobs();
-        let host = w.machines.iter().position(|h| h.worker.has_task("job-1/0"));
-        let ill = &mut w.machines[host.unwrap()].faults;
+        let (mut cluster, leader, other) = two_long_jobs();
+        let host = cluster
+            .machines
+            .iter()
+            .position(|h| h.worker.has_task("job-1/0"));
+        let ill = &mut cluster.machines[host.unwrap()].faults;
         (ill.drops_heartbeats, ill.drops_incoming) = (mute, !mute);
-        w.stop_controller(leader);
-        w.run_for(4000);
-        assert!(w.cancel(other, "job-1"));
-        w.run_for(8000);
-        w.start_controller(leader);
-        w.run_for(CANCEL_MS - 8000);
-        w.assert_nothing_runs_of("job-1");
-        w.machines[host.unwrap()].faults = Default::default();
-        for h in &mut w.machines {
+        cluster.stop_controller(leader);
+        cluster.run_for(4000);
+        assert!(cluster.cancel(other, "job-1"));
+        cluster.run_for(8000);
+        cluster.start_controller(leader);
+        cluster.run_for(CANCEL_MS - 8000);
+        cluster.assert_nothing_runs_of("job-1");
+        cluster.machines[host.unwrap()].faults = Default::default();
+        for h in &mut cluster.machines {
             h.worker.run_ms = 5000;
         }
-        w.run_for(250_000);
-        assert_eq!(w.finished_count(), 2);
-        w.assert_no_violations();
+        cluster.run_for(250_000);
+        assert_eq!(cluster.finished_count(), 2);
+        cluster.assert_no_violations();
     }
 }
 
 #[test]
 fn controllers_hand_over_and_back_then_all_stop_and_one_returns_within_a_second() {
-    let mut w = SimulatedCluster::new(4);
-    for h in &mut w.machines {
+    let mut cluster = SimulatedCluster::new(4);
+    for h in &mut cluster.machines {
         h.worker.run_ms = 9000;
     }
     for round in 0..4 {
         let id = format!("job-{}", round + 1);
-        assert!(w.submit(round % 3, job(&id, 4)));
-        w.run_for(2500);
+        assert!(cluster.submit(round % 3, job(&id, 4)));
+        cluster.run_for(2500);
         for at in 0..3 {
-            w.stop_controller(at);
+            cluster.stop_controller(at);
         }
         // Back amid what the others' keys still say.
-        w.run_for(500);
-        w.start_controller(round % 3);
-        w.run_for(1500);
+        cluster.run_for(500);
+        cluster.start_controller(round % 3);
+        cluster.run_for(1500);
         if round % 2 == 0 {
-            assert!(w.cancel(round % 3, &id));
+            assert!(cluster.cancel(round % 3, &id));
         }
         for at in 0..3 {
-            if w.controllers[at].is_none() {
-                w.start_controller(at);
+            if cluster.controllers[at].is_none() {
+                cluster.start_controller(at);
             }
-            w.run_for(1000);
+            cluster.run_for(1000);
         }
     }
-    w.run_for(90_000);
-    assert_eq!(w.finished_count(), 4);
-    w.assert_no_violations();
+    cluster.run_for(90_000);
+    assert_eq!(cluster.finished_count(), 4);
+    cluster.assert_no_violations();
 }
 
 #[test]
 fn more_work_than_capacity_over_slow_links_runs_by_priority() {
-    let mut w = SimulatedCluster::new(2);
-    for h in &mut w.machines {
+    let mut cluster = SimulatedCluster::new(2);
+    for h in &mut cluster.machines {
         h.worker.run_ms = 12_000;
         h.faults.delays_commands = true;
     }
     for i in 1..=4 {
         let mut spec = job(&format!("job-{i}"), 4);
         spec.priority = pointhook::protocol::users::Priority::Low;
-        assert!(w.submit(i % 3, spec));
+        assert!(cluster.submit(i % 3, spec));
     }
-    w.run_for(6000);
+    cluster.run_for(6000);
     let mut urgent = job("job-9", 4);
     urgent.priority = pointhook::protocol::users::Priority::Production;
-    assert!(w.submit(0, urgent));
-    w.run_for(30_000);
+    assert!(cluster.submit(0, urgent));
+    cluster.run_for(30_000);
     assert!(
-        w.has_started("job-9"),
+        cluster.has_started("job-9"),
         "the urgent job waits behind the rest"
     );
-    w.run_for(160_000);
-    assert_eq!(w.finished_count(), 5);
-    w.assert_no_violations();
+    cluster.run_for(160_000);
+    assert_eq!(cluster.finished_count(), 5);
+    cluster.assert_no_violations();
 }
--- a/tests/preemption.rs
+++ b/tests/preemption.rs
@@ -15,67 +15,67 @@
 
 #[test]
 fn production_work_without_free_capacity_preempts_the_cheapest_lower_priority_work() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    w.run_ms = 100_000;
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    worker.run_ms = 100_000;
     let mut saving = job("job-1", 1);
     saving.checkpoint_s = 5.0;
     saving.checkpoint_grace_s = 2.0;
     saving.vcpus = 8.0;
     let mut losing = job("job-2", 1);
     losing.vcpus = 8.0;
-    c.submit(&mut store, saving, 0);
-    c.submit(&mut store, losing, 0);
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 0, 3000);
+    controller.submit(&mut store, saving, 0);
+    controller.submit(&mut store, losing, 0);
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 3000);
     let mut prod = job("job-3", 1);
     prod.priority = Priority::Production;
     prod.vcpus = 8.0;
-    c.submit(&mut store, prod, 3000);
+    controller.submit(&mut store, prod, 3000);
     assert!(preemption::preempt(
-        &c.cluster,
-        &c.config,
-        c.failovers.permits(),
+        &controller.cluster,
+        &controller.config,
+        controller.failovers.permits(),
         ShardIndex(1),
         MonotonicMillis(5000),
         5000
     )
     .is_empty());
     let stops = preemption::preempt(
-        &c.cluster,
-        &c.config,
-        c.failovers.permits(),
+        &controller.cluster,
+        &controller.config,
+        controller.failovers.permits(),
         ShardIndex(0),
         MonotonicMillis(5000),
         5000,
     );
     assert_eq!(stops.len(), 1);
-    assert_eq!(stops[0].1.job, c.job_index("job-1"));
+    assert_eq!(stops[0].1.job, controller.job_index("job-1"));
     assert!(stops[0].2 >= 2.0);
     // For two tasks two are stopped, and not one of them twice.
     let mut second = job("job-5", 1);
     second.priority = Priority::Production;
     second.vcpus = 8.0;
-    c.submit(&mut store, second, 3000);
+    controller.submit(&mut store, second, 3000);
     let stops = preemption::preempt(
-        &c.cluster,
-        &c.config,
-        c.failovers.permits(),
+        &controller.cluster,
+        &controller.config,
+        controller.failovers.permits(),
         ShardIndex(0),
         MonotonicMillis(5000),
         5000,
     );
     let stopped: HashSet<_> = stops.iter().map(|s| s.1).collect();
     assert_eq!((stops.len(), stopped.len()), (2, 2));
-    c.cancel(&mut store, "job-5", 5000);
+    controller.cancel(&mut store, "job-5", 5000);
     // Work of the same priority stops nothing.
     let mut same = job("job-4", 1);
     same.vcpus = 8.0;
-    c.cancel(&mut store, "job-3", 5000);
-    c.submit(&mut store, same, 5000);
+    controller.cancel(&mut store, "job-3", 5000);
+    controller.submit(&mut store, same, 5000);
     assert!(preemption::preempt(
-        &c.cluster,
-        &c.config,
-        c.failovers.permits(),
+        &controller.cluster,
+        &controller.config,
+        controller.failovers.permits(),
         ShardIndex(0),
         MonotonicMillis(6000),
         9000
@@ -85,18 +85,18 @@
 
 #[test]
 fn a_machine_with_a_preemption_notice_gets_no_work_and_checkpoints_its_tasks() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    w.run_ms = 100_000;
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    worker.run_ms = 100_000;
     let mut spec = job("job-1", 1);
     spec.checkpoint_s = 5.0;
     spec.checkpoint_grace_s = 2.0;
-    c.submit(&mut store, spec, 0);
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 0, 3000);
-    c.submit(&mut store, job("job-2", 1), 3000);
-    let mut r = w.heartbeat(3000);
+    controller.submit(&mut store, spec, 0);
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 3000);
+    controller.submit(&mut store, job("job-2", 1), 3000);
+    let mut r = worker.heartbeat(3000);
     r.preemption_notice_s = Some(12.0);
-    let a = c.receive_heartbeat(&mut store, &r, 3000).unwrap();
+    let a = controller.receive_heartbeat(&mut store, &r, 3000).unwrap();
     assert_eq!(count_starts(&a.commands), 0);
     assert!(matches!(a.commands[0], Command::Stop { grace_s, .. } if grace_s >= 2.0));
 }
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -42,16 +42,16 @@
     spec.team = "mixers".into();
     north.submit(&mut store, spec, 0);
     south.sync(&store);
-    let (mut w1, mut w2) = (
+    let (mut worker1, mut worker2) = (
         FakeWorker::new("m1", "north", 0),
         FakeWorker::new("m2", "south", 0),
     );
     let tokens = (0..2).map(|s| north.cluster.shards[s].record.fencing_token);
     let tokens: Vec<FencingToken> = tokens.collect();
-    (w1.fencing_token, w2.fencing_token) = (tokens[0], tokens[1]);
-    let r1 = w1.heartbeat(10);
-    let r2 = w2.heartbeat(10);
-    let (m1, m2) = (
+    (worker1.fencing_token, worker2.fencing_token) = (tokens[0], tokens[1]);
+    let heartbeat1 = worker1.heartbeat(10);
+    let heartbeat2 = worker2.heartbeat(10);
+    let (machine1, machine2) = (
         north
             .cluster
             .learn_machine("m1", "oven", "north", true, MonotonicMillis(10))
@@ -63,31 +63,31 @@
     );
     heartbeats::take(
         &mut north.cluster,
-        m1,
-        &r1,
+        machine1,
+        &heartbeat1,
         MonotonicMillis(10),
         Some((tokens[0], 10_000)),
     );
     heartbeats::take(
         &mut south.cluster,
-        m2,
-        &r2,
+        machine2,
+        &heartbeat2,
         MonotonicMillis(10),
         Some((tokens[1], 10_000)),
     );
     // Both decide on the same view; only one of the raises can be applied.
     let (a, b) = (north.draft_plan(10), south.draft_plan(10));
     assert!(a.claims.len() == 2 && b.claims.len() == 2);
-    let (ta, tb) = (
+    let (transaction_a, transaction_b) = (
         transaction(&north.cluster, &a),
         transaction(&south.cluster, &b),
     );
     assert!(matches!(
-        SimulatedController::commit(&mut store, &ta, 11),
+        SimulatedController::commit(&mut store, &transaction_a, 11),
         CommitOutcome::Committed(_)
     ));
     assert!(matches!(
-        SimulatedController::commit(&mut store, &tb, 11),
+        SimulatedController::commit(&mut store, &transaction_b, 11),
         CommitOutcome::Conflict(_)
     ));
     south.sync(&store);
@@ -96,57 +96,69 @@
 
 #[test]
 fn an_unused_quota_share_is_released_and_a_used_one_is_not() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
     let mut spec = job("job-1", 3);
     spec.team = "mixers".into();
-    c.submit(&mut store, spec, 0);
-    c.exchange_heartbeat(&mut store, &mut w, 0);
+    controller.submit(&mut store, spec, 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
     let team = TeamIndex(1);
     assert_eq!(
-        c.cluster.team_quotas[1].record.share(ShardIndex(0)),
+        controller.cluster.team_quotas[1]
+            .record
+            .share(ShardIndex(0)),
         quota_usage(8000, 2000)
     );
-    let mut d = DraftTransaction::default();
-    quota::lower_unused_quota(&c.cluster, &c.config, c.failovers.permits(), &mut d);
-    assert!(d.team_quotas.is_empty());
+    let mut draft = DraftTransaction::default();
+    quota::lower_unused_quota(
+        &controller.cluster,
+        &controller.config,
+        controller.failovers.permits(),
+        &mut draft,
+    );
+    assert!(draft.team_quotas.is_empty());
     // Another shard's share that nothing uses goes, since a task waits.
-    let mut rec = c.cluster.team_quotas[1].record.clone();
+    let mut rec = controller.cluster.team_quotas[1].record.clone();
     rec.set(ShardIndex(0), quota_usage(8000, 2500));
-    c.cluster.team_quotas[1].record = rec;
-    quota::lower_unused_quota(&c.cluster, &c.config, c.failovers.permits(), &mut d);
+    controller.cluster.team_quotas[1].record = rec;
+    quota::lower_unused_quota(
+        &controller.cluster,
+        &controller.config,
+        controller.failovers.permits(),
+        &mut draft,
+    );
     assert_eq!(
-        d.team_quotas[&team].share(ShardIndex(0)),
+        draft.team_quotas[&team].share(ShardIndex(0)),
         quota_usage(8000, 2000)
     );
 }
 
 #[test]
 fn a_claim_with_unknown_outcome_blocks_its_team_until_it_can_no_longer_commit() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    c.exchange_heartbeat(&mut store, &mut w, 0);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
     let mut spec = job("job-1", 2);
     spec.team = "mixers".into();
-    c.submit(&mut store, spec.clone(), 0);
-    let first = c.draft_plan(10);
+    controller.submit(&mut store, spec.clone(), 0);
+    let first = controller.draft_plan(10);
     assert_eq!(first.claims.len(), 2);
-    let late = transaction(&c.cluster, &first);
-    apply_outcome(&mut c.cluster, &first, &CommitOutcome::Unknown);
+    let late = transaction(&controller.cluster, &first);
+    apply_outcome(&mut controller.cluster, &first, &CommitOutcome::Unknown);
     spec.id = "job-2".into();
-    c.submit(&mut store, spec, 20);
-    let d = c.draft_plan(30);
-    assert_eq!(d.claims.len(), 0);
+    controller.submit(&mut store, spec, 20);
+    let draft = controller.draft_plan(30);
+    assert_eq!(draft.claims.len(), 0);
     // The pass writes the doubtful record once more; then the late one can't be applied.
-    assert!(d.jobs.contains_key(&c.job_index("job-1")));
-    c.run_planner(&mut store, 30);
+    assert!(draft.jobs.contains_key(&controller.job_index("job-1")));
+    controller.run_planner(&mut store, 30);
     assert!(matches!(
         SimulatedController::commit(&mut store, &late, 40),
         CommitOutcome::Conflict(_)
     ));
     let placed: usize = ["job-1", "job-2"]
         .iter()
-        .map(|j| c.job(j).placements.len())
+        .map(|j| controller.job(j).placements.len())
         .sum();
     assert_eq!(placed, 2);
 }
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -23,32 +23,43 @@
 use support::worker::FakeWorker;
 
 /// Adds machines that were just heard.
-fn fleet(c: &mut SimulatedController, n: usize) {
+fn fleet(controller: &mut SimulatedController, n: usize) {
     for i in 0..n {
         let name = format!("m{i:03}");
-        let mix = c
+        let machine = controller
             .cluster
             .learn_machine(&name, "oven", "north", true, MonotonicMillis(0))
             .unwrap();
-        c.cluster.machine_mut(mix).unwrap().last_heartbeat = Some(MonotonicMillis(0));
+        controller
+            .cluster
+            .machine_mut(machine)
+            .unwrap()
+            .last_heartbeat = Some(MonotonicMillis(0));
     }
 }
 
 #[test]
 fn a_task_finds_the_one_machine_of_hundreds_that_has_its_image() {
-    let (mut store, mut c) = start_single_controller();
-    fleet(&mut c, 400);
-    c.submit(&mut store, job("job-1", 1), 0);
-    let image = c.job("job-1").spec.as_ref().unwrap().image;
-    let warm = c.machine("m333");
-    c.cluster
+    let (mut store, mut controller) = start_single_controller();
+    fleet(&mut controller, 400);
+    controller.submit(&mut store, job("job-1", 1), 0);
+    let image = controller.job("job-1").spec.as_ref().unwrap().image;
+    let warm = controller.machine("m333");
+    controller
+        .cluster
         .machine_mut(warm)
         .unwrap()
         .use_image(image, 1.0, 100.0);
-    let ix = c.job_index("job-1");
+    let ix = controller.job_index("job-1");
     for _ in 0..20 {
         assert_eq!(
-            claims::bind(&c.cluster, &c.config, ix, MonotonicMillis(10), 10),
+            claims::bind(
+                &controller.cluster,
+                &controller.config,
+                ix,
+                MonotonicMillis(10),
+                10
+            ),
             [(0, warm)]
         );
     }
@@ -57,56 +68,65 @@
 #[test]
 fn incremental_totals_equal_those_of_the_records() {
     let mut store = FakeKvStore::default();
-    let mut c = SimulatedController::start("n1", 1, &mut store, 0);
-    c.apply_membership_moves(&mut store, 0);
-    fleet(&mut c, 8);
+    let mut controller = SimulatedController::start("n1", 1, &mut store, 0);
+    controller.apply_membership_moves(&mut store, 0);
+    fleet(&mut controller, 8);
     let mut spec = job("job-1", 12);
     spec.team = "mixers".into();
-    c.submit(&mut store, spec, 0);
-    c.submit(&mut store, job("job-2", 20), 0);
-    c.run_planner(&mut store, 10);
-    c.cancel(&mut store, "job-2", 20);
+    controller.submit(&mut store, spec, 0);
+    controller.submit(&mut store, job("job-2", 20), 0);
+    controller.run_planner(&mut store, 10);
+    controller.cancel(&mut store, "job-2", 20);
     let mut placed = 0;
-    for (mix, m) in c.cluster.all_machines() {
-        let mut free = c.cluster.machine_types[&m.machine_type].capacity;
-        for (ix, j) in c.cluster.active_jobs() {
+    for (mix, m) in controller.cluster.all_machines() {
+        let mut free = controller.cluster.machine_types[&m.machine_type].capacity;
+        for (job_index, j) in controller.cluster.active_jobs() {
             for p in j.placements.iter().filter(|p| p.machine == mix) {
                 free = free.minus(j.spec.as_ref().unwrap().need);
-                assert!(c
+                assert!(controller
                     .cluster
                     .placed_on(mix)
-                    .contains(&TaskAttempt::new(ix, p.task, p.attempt)));
+                    .contains(&TaskAttempt::new(job_index, p.task, p.attempt)));
                 placed += 1;
             }
         }
-        assert_eq!(c.cluster.free_capacity()[mix.0 as usize], Some(free));
+        assert_eq!(
+            controller.cluster.free_capacity()[mix.0 as usize],
+            Some(free)
+        );
     }
     assert!(placed > 10);
     let need = Resources::new(4.0, 1.0, 8.0);
-    let team = c.cluster.team_names.find("mixers").unwrap();
-    let n = c.job("job-1").placements.len() as i64;
-    assert_eq!(c.cluster.quota_used(team), need.quota().times(n));
+    let team = controller.cluster.team_names.find("mixers").unwrap();
+    let n = controller.job("job-1").placements.len() as i64;
+    assert_eq!(controller.cluster.quota_used(team), need.quota().times(n));
     assert_eq!(n, 2);
 }
 
 #[test]
 fn a_wide_job_with_time_left_starts_within_two_minutes_of_smaller_ones() {
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     // Its deadline is far off, so it is in time all the while; smaller jobs keep coming.
-    c.submit(&mut store, due("job-1", 200, 900.0), 0);
+    controller.submit(&mut store, due("job-1", 200, 900.0), 0);
     for t in 100..130u64 {
-        c.submit(&mut store, due(&format!("job-{t}"), 2, 900.0), t * 1000);
-        let first = order(&c, t * 1000).swap_remove(0);
+        controller.submit(&mut store, due(&format!("job-{t}"), 2, 900.0), t * 1000);
+        let first = order(&controller, t * 1000).swap_remove(0);
         assert_eq!(first == "job-1", t >= 120, "at {t} s");
     }
 }
 
-fn order(c: &SimulatedController, wall: u64) -> Vec<String> {
+fn order(controller: &SimulatedController, wall: u64) -> Vec<String> {
     let draft = draft::DraftTransaction::default();
-    let jobs = job_order::waiting_jobs(&c.cluster, &c.config, &draft, MonotonicMillis(wall), wall);
+    let jobs = job_order::waiting_jobs(
+        &controller.cluster,
+        &controller.config,
+        &draft,
+        MonotonicMillis(wall),
+        wall,
+    );
     let names = jobs
         .iter()
-        .map(|w| c.cluster.jobs[w.ix.0 as usize].id.to_string());
+        .map(|worker| controller.cluster.jobs[worker.ix.0 as usize].id.to_string());
     names.collect()
 }
 
@@ -118,44 +138,44 @@
 
 #[test]
 fn among_jobs_that_can_meet_their_deadline_the_smaller_goes_first() {
-    let (mut store, mut c) = start_single_controller();
-    c.submit(&mut store, due("job-1", 100, 100.0), 0);
-    c.submit(&mut store, due("job-2", 5, 100.0), 1000);
-    c.submit(&mut store, due("job-3", 6, 100.0), 2000);
-    assert_eq!(order(&c, 3000), ["job-2", "job-3", "job-1"]);
+    let (mut store, mut controller) = start_single_controller();
+    controller.submit(&mut store, due("job-1", 100, 100.0), 0);
+    controller.submit(&mut store, due("job-2", 5, 100.0), 1000);
+    controller.submit(&mut store, due("job-3", 6, 100.0), 2000);
+    assert_eq!(order(&controller, 3000), ["job-2", "job-3", "job-1"]);
 }
 
 #[test]
 fn a_late_wide_job_is_not_starved_by_younger_and_smaller_ones() {
-    let (mut store, mut c) = start_single_controller();
-    c.submit(&mut store, due("job-1", 200, 60.0), 0);
+    let (mut store, mut controller) = start_single_controller();
+    controller.submit(&mut store, due("job-1", 200, 60.0), 0);
     // Every second a small job comes that can be in time.
     let mut first = 0;
     for t in 1..=40u64 {
-        c.submit(
+        controller.submit(
             &mut store,
             due(&format!("job-{}", t + 1), 2, 60.0),
             55_000 + t * 1000,
         );
-        let turn = order(&c, 55_000 + t * 1000);
+        let turn = order(&controller, 55_000 + t * 1000);
         first += u32::from(turn[0] == "job-1");
     }
     // One second of five is its own although it is late all the while.
     assert_eq!(first, 8);
     // Before two minutes are over its first task goes first in any second.
     for t in 120..125u64 {
-        c.submit(
+        controller.submit(
             &mut store,
             due(&format!("job-{}", t + 1), 2, 60.0),
             t * 1000,
         );
-        assert_eq!(order(&c, t * 1000)[0], "job-1");
+        assert_eq!(order(&controller, t * 1000)[0], "job-1");
     }
 }
 
 #[test]
 fn a_wide_gang_starts_amid_steady_small_jobs() {
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     let mut workers: Vec<FakeWorker> = (0..4)
         .map(|i| FakeWorker::new(&format!("m{i}"), "north", 0))
         .collect();
@@ -165,24 +185,30 @@
     let mut begun = None;
     for now in (0..120_000u64).step_by(500) {
         // More small work than the machines can run, all the time.
-        c.submit(&mut store, job(&format!("job-{}", now / 500), 2), now);
+        controller.submit(&mut store, job(&format!("job-{}", now / 500), 2), now);
         if now == 10_000 {
-            c.submit(&mut store, gang.clone(), now);
+            controller.submit(&mut store, gang.clone(), now);
         }
-        for (ix, machines) in
-            gangs::gang_reservations(&c.cluster, &c.config, MonotonicMillis(now), now)
-        {
+        for (job_index, machines) in gangs::gang_reservations(
+            &controller.cluster,
+            &controller.config,
+            MonotonicMillis(now),
+            now,
+        ) {
             for m in machines {
-                c.cluster.machine_mut(m).unwrap().reservation =
-                    Some((ix, MonotonicMillis(now + 4000)));
+                controller.cluster.machine_mut(m).unwrap().reservation =
+                    Some((job_index, MonotonicMillis(now + 4000)));
             }
         }
-        for (i, w) in workers.iter_mut().enumerate() {
+        for (i, worker) in workers.iter_mut().enumerate() {
             // No two tasks end together, so that a machine is never empty by chance.
-            w.run_ms = 3000 + (now / 500 * 7 + i as u64 * 3) % 11 * 500;
-            c.exchange_heartbeat(&mut store, w, now);
+            worker.run_ms = 3000 + (now / 500 * 7 + i as u64 * 3) % 11 * 500;
+            controller.exchange_heartbeat(&mut store, worker, now);
         }
-        let placed = c.cluster.job("job-1000").map(|j| j.1.placements.len());
+        let placed = controller
+            .cluster
+            .job("job-1000")
+            .map(|j| j.1.placements.len());
         if begun.is_none() && placed == Some(3) {
             begun = Some(now);
         }
@@ -195,12 +221,12 @@
 fn a_job_as_wide_as_the_largest_arrays_runs_whole_within_one_record() {
     let mut store = FakeKvStore::default();
     store.max_value_bytes = 8 * 1024;
-    let mut c = SimulatedController::start("n1", 1, &mut store, 0);
-    c.apply_membership_moves(&mut store, 0);
-    fleet(&mut c, 40);
-    c.submit(&mut store, job("job-1", 80), 0);
-    c.run_planner(&mut store, 10);
-    assert_eq!(c.job("job-1").placements.len(), 80);
+    let mut controller = SimulatedController::start("n1", 1, &mut store, 0);
+    controller.apply_membership_moves(&mut store, 0);
+    fleet(&mut controller, 40);
+    controller.submit(&mut store, job("job-1", 80), 0);
+    controller.run_planner(&mut store, 10);
+    assert_eq!(controller.job("job-1").placements.len(), 80);
 }
 
 #[test]
@@ -235,31 +261,32 @@
 
 #[test]
 fn the_loss_of_hundreds_of_machines_costs_one_write_per_job() {
-    let (mut store, mut c) = start_single_controller();
-    fleet(&mut c, 300);
+    let (mut store, mut controller) = start_single_controller();
+    fleet(&mut controller, 300);
     for i in 0..12 {
-        c.submit(&mut store, job(&format!("job-{i}"), 60), 0);
+        controller.submit(&mut store, job(&format!("job-{i}"), 60), 0);
     }
-    c.run_planner(&mut store, 10);
-    let placed = |c: &SimulatedController| -> usize {
-        c.cluster
+    controller.run_planner(&mut store, 10);
+    let placed = |controller: &SimulatedController| -> usize {
+        controller
+            .cluster
             .active_jobs()
             .map(|(_, j)| j.placements.len())
             .sum()
     };
-    assert_eq!(placed(&c), 720);
-    let machines: Vec<_> = c.cluster.occupied().collect();
+    assert_eq!(placed(&controller), 720);
+    let machines: Vec<_> = controller.cluster.occupied().collect();
     assert!(machines.len() >= 180);
     for m in &machines {
-        c.cluster.mark_deleted(*m);
+        controller.cluster.mark_deleted(*m);
     }
     let mut changes = 0;
     loop {
         let mut d = draft::DraftTransaction::default();
         reconciliation::reconcile(
-            &c.cluster,
-            &c.config,
-            c.failovers.permits(),
+            &controller.cluster,
+            &controller.config,
+            controller.failovers.permits(),
             &mut d,
             MonotonicMillis(20),
         );
@@ -267,34 +294,34 @@
             break;
         }
         changes += d.jobs.len();
-        let txn = pointhook::coordination::kv::transaction(&c.cluster, &d);
+        let txn = pointhook::coordination::kv::transaction(&controller.cluster, &d);
         let out = SimulatedController::commit(&mut store, &txn, 20);
-        pointhook::coordination::kv::apply_outcome(&mut c.cluster, &d, &out);
+        pointhook::coordination::kv::apply_outcome(&mut controller.cluster, &d, &out);
     }
-    assert_eq!((placed(&c), changes), (0, 12));
+    assert_eq!((placed(&controller), changes), (0, 12));
 }
 
 #[test]
 fn array_exits_are_batched_except_the_last_and_their_capacity_is_free_at_once() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    w.run_ms = 2000;
-    c.submit(&mut store, job("job-1", 4), 0);
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 0, 1500);
-    assert_eq!(c.job("job-1").placements.len(), 4);
-    let later = |c: &SimulatedController, now| {
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    worker.run_ms = 2000;
+    controller.submit(&mut store, job("job-1", 4), 0);
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 1500);
+    assert_eq!(controller.job("job-1").placements.len(), 4);
+    let later = |controller: &SimulatedController, now| {
         let mut d = draft::DraftTransaction::batching(true, 0);
         reconciliation::reconcile(
-            &c.cluster,
-            &c.config,
-            c.failovers.permits(),
+            &controller.cluster,
+            &controller.config,
+            controller.failovers.permits(),
             &mut d,
             MonotonicMillis(now),
         );
         claims::claim(
-            &c.cluster,
-            &c.config,
-            c.failovers.permits(),
+            &controller.cluster,
+            &controller.config,
+            controller.failovers.permits(),
             &mut d,
             MonotonicMillis(now),
             now,
@@ -302,26 +329,35 @@
         d
     };
     // Three of four are done: nothing is written yet, but what is urgent has their room.
-    let mut r = w.heartbeat(4000);
+    let mut r = worker.heartbeat(4000);
     r.tasks[3].state = TaskState::Running;
     r.tasks[3].exit_reason = None;
-    let take = |c: &mut SimulatedController, r| {
-        heartbeats::receive(&mut c.cluster, &c.config, r, 10_000, MonotonicMillis(4000))
+    let take = |controller: &mut SimulatedController, r| {
+        heartbeats::receive(
+            &mut controller.cluster,
+            &controller.config,
+            r,
+            10_000,
+            MonotonicMillis(4000),
+        )
     };
-    take(&mut c, &r);
-    assert!(later(&c, 4000).is_empty());
+    take(&mut controller, &r);
+    assert!(later(&controller, 4000).is_empty());
     let mut urgent = job("job-2", 3);
     urgent.priority = Priority::High;
-    c.submit(&mut store, urgent, 4000);
-    c.submit(&mut store, job("job-3", 1), 4000);
-    let d = later(&c, 4010);
+    controller.submit(&mut store, urgent, 4000);
+    controller.submit(&mut store, job("job-3", 1), 4000);
+    let d = later(&controller, 4010);
     assert_eq!(d.claims.len(), 3);
-    assert!(d.claims.iter().all(|(ix, _)| *ix == c.job_index("job-2")));
+    assert!(d
+        .claims
+        .iter()
+        .all(|(ix, _)| *ix == controller.job_index("job-2")));
     // Once the last is done as well, the job's end is written at once, with all of them.
-    let r = w.heartbeat(5000);
-    take(&mut c, &r);
-    let d = later(&c, 5000);
-    assert_eq!(d.jobs[&c.job_index("job-1")].state, JobState::Done);
+    let r = worker.heartbeat(5000);
+    take(&mut controller, &r);
+    let d = later(&controller, 5000);
+    assert_eq!(d.jobs[&controller.job_index("job-1")].state, JobState::Done);
 }
 
 #[test]
@@ -345,72 +381,84 @@
 
 #[test]
 fn a_deleted_machine_leaves_nothing_behind_but_its_name() {
-    let (_, mut c) = start_single_controller();
-    fleet(&mut c, 2000);
+    let (_, mut controller) = start_single_controller();
+    fleet(&mut controller, 2000);
     for i in 0..1990 {
-        let mix = c.machine(&format!("m{i:03}"));
-        c.cluster.mark_deleted(mix);
+        let mix = controller.machine(&format!("m{i:03}"));
+        controller.cluster.mark_deleted(mix);
     }
-    assert_eq!(c.cluster.all_machines().count(), 10);
+    assert_eq!(controller.cluster.all_machines().count(), 10);
     // Late lists and reports bring none back.
-    let again = c
+    let again = controller
         .cluster
         .learn_machine("m005", "oven", "north", true, MonotonicMillis(9));
     assert!(again.is_none());
-    assert_eq!(c.cluster.all_machines().count(), 10);
+    assert_eq!(controller.cluster.all_machines().count(), 10);
 }
 
 #[test]
 fn a_job_that_missed_one_of_several_deadlines_still_meets_the_last() {
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     let times = [350.0, 150.0, 250.0].map(|t| Objective {
         kind: "finished".into(),
         class: Some("bake".into()),
         within_s: Some(t),
     });
-    c.config.completion_targets = finish_times(&times);
+    controller.config.completion_targets = finish_times(&times);
     assert_eq!(
-        c.config.completion_targets["bake"],
+        controller.config.completion_targets["bake"],
         [150_000, 250_000, 350_000]
     );
-    let mut c = begun_at_once(c, &mut store, "job-1", 40);
+    let mut controller = begun_at_once(controller, &mut store, "job-1", 40);
     // Younger work keeps coming that can make the first time.
-    let back = |c: &SimulatedController, age: u64| {
-        let job = c.job("job-1");
-        job_order::put_back(&c.config, job, job.spec.as_ref().unwrap(), age * 1000 + 1)
+    let back = |controller: &SimulatedController, age: u64| {
+        let job = controller.job("job-1");
+        job_order::put_back(
+            &controller.config,
+            job,
+            job.spec.as_ref().unwrap(),
+            age * 1000 + 1,
+        )
     };
-    assert_eq!(back(&c, 100), 1);
+    assert_eq!(back(&controller, 100), 1);
     // It can't make 150 s any more, but the last: it goes first before that is in doubt.
-    assert_eq!(back(&c, 141), 0);
-    assert_eq!(back(&c, 300), 0);
+    assert_eq!(back(&controller, 141), 0);
+    assert_eq!(back(&controller, 300), 0);
     // Once that is gone too, it goes behind, but for one second of five.
-    assert_eq!(back(&c, 341), 3);
-    assert_eq!(back(&c, 345), 0);
+    assert_eq!(back(&controller, 341), 3);
+    assert_eq!(back(&controller, 345), 0);
     // With a deadline of its own that it missed early, it is patient for a while.
-    c.config
+    controller
+        .config
         .completion_targets
         .insert("bake".into(), vec![350_000]);
     let mut spec = due("job-2", 40, 60.0);
     spec.class = "bake".into();
-    c.submit(&mut store, spec, 1);
-    c.run_planner(&mut store, 10);
-    let job = c.job("job-2");
-    let at =
-        |age: u64| job_order::put_back(&c.config, job, job.spec.as_ref().unwrap(), age * 1000 + 1);
+    controller.submit(&mut store, spec, 1);
+    controller.run_planner(&mut store, 10);
+    let job = controller.job("job-2");
+    let at = |age: u64| {
+        job_order::put_back(
+            &controller.config,
+            job,
+            job.spec.as_ref().unwrap(),
+            age * 1000 + 1,
+        )
+    };
     assert!(!job.placements.is_empty());
     assert_eq!((at(40), at(61), at(139), at(140)), (1, 2, 2, 0));
 }
 
 /// Adds machines and a job of which some tasks have begun.
 fn begun_at_once(
-    mut c: SimulatedController,
+    mut controller: SimulatedController,
     store: &mut FakeKvStore,
     id: &str,
     tasks: u32,
 ) -> SimulatedController {
-    fleet(&mut c, 15);
-    c.submit(store, job(id, tasks), 1);
-    c.run_planner(store, 10);
-    assert!(!c.job(id).placements.is_empty());
-    c
+    fleet(&mut controller, 15);
+    controller.submit(store, job(id, tasks), 1);
+    controller.run_planner(store, 10);
+    assert!(!controller.job(id).placements.is_empty());
+    controller
 }
--- a/tests/shard_ownership.rs
+++ b/tests/shard_ownership.rs
@@ -15,8 +15,8 @@
 #[test]
 fn a_transaction_of_a_deposed_owner_fails_after_failover() {
     let (mut store, mut old) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    old.exchange_heartbeat(&mut store, &mut w, 0);
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    old.exchange_heartbeat(&mut store, &mut worker, 0);
     old.submit(&mut store, job("job-1", 1), 10);
     let draft = old.draft_plan(20);
     assert_eq!(draft.claims.len(), 1);
@@ -45,15 +45,16 @@
 
 #[test]
 fn a_shard_move_fails_if_its_target_has_restarted() {
-    let (mut store, c) = start_single_controller();
+    let (mut store, controller) = start_single_controller();
     let target = SimulatedController::start("s1", 5, &mut store, 0);
-    let mut c = c;
-    c.sync(&store);
+    let mut controller = controller;
+    controller.sync(&store);
     let m = pointhook::coordination::membership::Move {
         shard: ShardIndex(1),
         to: "s1".into(),
     };
-    let (txn, _) = pointhook::coordination::membership::move_transaction(&c.cluster, &m).unwrap();
+    let (txn, _) =
+        pointhook::coordination::membership::move_transaction(&controller.cluster, &m).unwrap();
     store.revoke_lease(target.lease);
     SimulatedController::start("s1", 6, &mut store, 10);
     assert!(matches!(
@@ -64,11 +65,11 @@
 
 #[test]
 fn a_controller_that_sees_a_higher_fencing_token_steps_down() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    w.fencing_token = FencingToken(9);
-    assert!(!c.exchange_heartbeat(&mut store, &mut w, 0));
-    assert_eq!(w.started.len(), 0);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    worker.fencing_token = FencingToken(9);
+    assert!(!controller.exchange_heartbeat(&mut store, &mut worker, 0));
+    assert_eq!(worker.started.len(), 0);
 }
 
 #[test]
@@ -105,15 +106,18 @@
 #[test]
 fn a_new_owner_gives_machines_time_to_learn_its_fencing_token() {
     let (mut store, mut old) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    old.exchange_heartbeat(&mut store, &mut w, 0);
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    old.exchange_heartbeat(&mut store, &mut worker, 0);
     let limits = autoscaler::Silence {
         sure_ms: 10_000,
         lease_ms: 10_000,
     };
-    let at = |c: &SimulatedController| {
-        let m = c.cluster.machine(c.machine("m1")).unwrap();
-        limits.of(&c.cluster, &c.config, m)
+    let at = |controller: &SimulatedController| {
+        let m = controller
+            .cluster
+            .machine(controller.machine("m1"))
+            .unwrap();
+        limits.of(&controller.cluster, &controller.config, m)
     };
     assert_eq!(at(&old), 10_000);
     // The new owner knows it from status updates; the worker still talks to the old one.
@@ -126,7 +130,7 @@
     new.cluster.machine_mut(known).unwrap().last_heartbeat = Some(MonotonicMillis(5000));
     new.apply_membership_moves(&mut store, 5000);
     assert_eq!(at(&new), 15_000);
-    new.exchange_heartbeat(&mut store, &mut w, 6000);
+    new.exchange_heartbeat(&mut store, &mut worker, 6000);
     assert_eq!(at(&new), 10_000);
 }
 
@@ -157,22 +161,22 @@
 
 #[test]
 fn unreachable_machines_do_not_keep_the_fencing_token_from_others() {
-    let (_, mut c) = start_single_controller();
+    let (_, mut controller) = start_single_controller();
     for i in 0..300 {
         let name = format!("m{i:03}");
-        let mix = c
+        let mix = controller
             .cluster
             .learn_machine(&name, "oven", "north", true, MonotonicMillis(0))
             .unwrap();
-        c.cluster.machine_mut(mix).unwrap().addr = "127.0.0.1:1".into();
+        controller.cluster.machine_mut(mix).unwrap().addr = "127.0.0.1:1".into();
     }
     // Nobody answers, and sixty connections are open at a time.
     let mut tried = HashMap::new();
     let mut reached = std::collections::HashSet::new();
     for now in [10_000u64, 11_500, 13_000, 14_500, 16_000] {
         let due = worker_connectivity::machines_with_stale_token(
-            &c.cluster,
-            &c.config,
+            &controller.cluster,
+            &controller.config,
             &mut tried,
             MonotonicMillis(now),
             |_| Some(()),
@@ -184,14 +188,14 @@
     }
     assert_eq!(reached.len(), 300);
     // One that has shown the token is left alone, and one in vain is tried again only later.
-    let mix = c.machine("m299");
-    c.cluster.machine_mut(mix).unwrap().fencing_token = c.cluster.shards[0]
+    let mix = controller.machine("m299");
+    controller.cluster.machine_mut(mix).unwrap().fencing_token = controller.cluster.shards[0]
         .record
         .fencing_token
-        .max(c.cluster.shards[1].record.fencing_token);
+        .max(controller.cluster.shards[1].record.fencing_token);
     let due = worker_connectivity::machines_with_stale_token(
-        &c.cluster,
-        &c.config,
+        &controller.cluster,
+        &controller.config,
         &mut tried,
         MonotonicMillis(16_500),
         |_| Some(()),
@@ -203,11 +207,11 @@
 #[test]
 fn a_draft_from_before_a_pause_is_refused_after_failover() {
     let (mut store, mut old) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    w.run_ms = 600_000;
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    worker.run_ms = 600_000;
     old.submit(&mut store, job("job-0", 1), 0);
-    run_heartbeats(&mut old, &mut store, &mut [&mut w], 0, 1500);
-    assert!(w.has_task("job-0/0"));
+    run_heartbeats(&mut old, &mut store, &mut [&mut worker], 0, 1500);
+    assert!(worker.has_task("job-0/0"));
     old.submit(&mut store, job("job-1", 1), 1500);
     let draft = old.draft_plan(1600);
     assert_eq!(draft.claims.len(), 1);
@@ -223,7 +227,7 @@
         SimulatedController::commit(&mut store, &late, 40_000),
         pointhook::coordination::kv::CommitOutcome::Committed(_)
     ));
-    let r = w.heartbeat(40_000);
+    let r = worker.heartbeat(40_000);
     let held = old.receive_heartbeat_without_kv(&r, 40_000).unwrap();
     assert!(!held
         .commands
@@ -237,28 +241,28 @@
         pointhook::coordination::kv::CommitOutcome::Committed(_)
     ));
     assert_eq!(other.started.len(), 1);
-    assert_eq!(w.started.len(), 1);
+    assert_eq!(worker.started.len(), 1);
 }
 
 #[test]
 fn a_controller_unreachable_from_workers_hands_over_its_shards_and_regains_them() {
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     SimulatedController::start("s1", 2, &mut store, 0);
-    c.sync(&store);
+    controller.sync(&store);
     let seen = HashMap::from(
         [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), Incarnation(i)), MonotonicMillis(0))),
     );
-    let moves = |c: &SimulatedController, deaf: &[&str]| {
+    let moves = |controller: &SimulatedController, deaf: &[&str]| {
         let known = membership::MembershipView {
             first_seen: seen.clone(),
             unreachable_from_workers: deaf.iter().map(|n| n.to_string()).collect(),
-            owned_since: c.owned_since_start(),
+            owned_since: controller.owned_since_start(),
             ..membership::MembershipView::default()
         };
         membership::moves(
-            &c.cluster,
-            &c.config,
-            &c.zones,
+            &controller.cluster,
+            &controller.config,
+            &controller.zones,
             &known,
             false,
             MonotonicMillis(10_000),
@@ -268,40 +272,40 @@
     let to =
         |m: Vec<membership::Move>| m.into_iter().map(|m| (m.shard.0, m.to)).collect::<Vec<_>>();
     let s1 = |shard: u32| (shard, "s1".to_string());
-    assert_eq!(to(moves(&c, &[])), [s1(1)]);
-    assert_eq!(to(moves(&c, &["n1"])), [s1(0), s1(1)]);
+    assert_eq!(to(moves(&controller, &[])), [s1(1)]);
+    assert_eq!(to(moves(&controller, &["n1"])), [s1(0), s1(1)]);
     // Where no node hears any worker, giving shards away helps nobody.
-    assert_eq!(to(moves(&c, &["n1", "s1"])), [s1(1)]);
-    assert_eq!(to(moves(&c, &["s1"])), []);
+    assert_eq!(to(moves(&controller, &["n1", "s1"])), [s1(1)]);
+    assert_eq!(to(moves(&controller, &["s1"])), []);
 }
 
 #[test]
 fn two_controllers_that_disagree_do_not_move_a_shard_back_and_forth() {
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     SimulatedController::start("s1", 2, &mut store, 0);
-    c.sync(&store);
+    controller.sync(&store);
     let seen = HashMap::from(
         [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), Incarnation(i)), MonotonicMillis(0))),
     );
     // This node has just got the shard, and does not know yet that the other is deaf.
     let south = ZoneIndex(1);
-    assert_eq!(c.cluster.shard_zone(ShardIndex(1)), Some(south));
-    let moves = |c: &SimulatedController, now: u64| {
+    assert_eq!(controller.cluster.shard_zone(ShardIndex(1)), Some(south));
+    let moves = |controller: &SimulatedController, now: u64| {
         let known = membership::MembershipView {
             first_seen: seen.clone(),
             owned_since: HashMap::from([(ShardIndex(1), MonotonicMillis(10_000))]),
             ..Default::default()
         };
         membership::moves(
-            &c.cluster,
-            &c.config,
-            &c.zones,
+            &controller.cluster,
+            &controller.config,
+            &controller.zones,
             &known,
             false,
             MonotonicMillis(now),
         )
     };
-    assert!(moves(&c, 10_300).is_empty());
-    assert!(moves(&c, 12_000).is_empty());
-    assert_eq!(moves(&c, 12_500).len(), 1);
+    assert!(moves(&controller, 10_300).is_empty());
+    assert!(moves(&controller, 12_000).is_empty());
+    assert_eq!(moves(&controller, 12_500).len(), 1);
 }
