--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -61,15 +61,19 @@
     }
 }
 
-fn take_north(c: &mut SimulatedController, store: &mut FakeKvStore, now: u64) -> CommitOutcome {
-    let to = c.config.controller_name.clone();
+fn take_north(
+    controller: &mut SimulatedController,
+    store: &mut FakeKvStore,
+    now: u64,
+) -> CommitOutcome {
+    let to = controller.config.controller_name.clone();
     let wanted = Move { shard: NORTH, to };
-    c.execute_moves(store, &wanted, now)
+    controller.execute_moves(store, &wanted, now)
 }
 
 /// Takes the northern shard over, which succeeds.
-fn take_over(c: &mut SimulatedController, store: &mut FakeKvStore, now: u64) {
-    let outcome = take_north(c, store, now);
+fn take_over(controller: &mut SimulatedController, store: &mut FakeKvStore, now: u64) {
+    let outcome = take_north(controller, store, now);
     assert!(
         matches!(outcome, CommitOutcome::Committed(_)),
         "{outcome:?}"
@@ -78,91 +82,112 @@
 
 #[test]
 fn nothing_starts_before_the_records_are_known_as_of_the_fence() {
-    let mut d = deposed();
+    let mut deployment = deposed();
     // The owner, late but alive, records the end of the attempt and starts the next elsewhere.
     let mut other = FakeWorker::new("m2", "north", 0);
-    d.owner.exchange_heartbeat(&mut d.store, &mut other, 3000);
-    d.owner
-        .exchange_heartbeat(&mut d.store, &mut d.worker, 3500);
-    d.owner.exchange_heartbeat(&mut d.store, &mut other, 4000);
-    assert!(!d.worker.has_task("job-1/0") && other.has_task("job-1/0"));
+    deployment
+        .owner
+        .exchange_heartbeat(&mut deployment.store, &mut other, 3000);
+    deployment
+        .owner
+        .exchange_heartbeat(&mut deployment.store, &mut deployment.worker, 3500);
+    deployment
+        .owner
+        .exchange_heartbeat(&mut deployment.store, &mut other, 4000);
+    assert!(!deployment.worker.has_task("job-1/0") && other.has_task("job-1/0"));
     // The standby takes over without having read that: by its view the attempt is still due here.
-    take_over(&mut d.standby, &mut d.store, 4000);
-    let report = d.worker.heartbeat(4500);
-    let answer = d
+    take_over(&mut deployment.standby, &mut deployment.store, 4000);
+    let report = deployment.worker.heartbeat(4500);
+    let answer = deployment
         .standby
         .receive_heartbeat_without_kv(&report, 4500)
         .unwrap();
     assert!(answer.commands.is_empty(), "{:?}", answer.commands);
-    assert!(d.standby.direct_starts(4500).is_empty());
+    assert!(deployment.standby.direct_starts(4500).is_empty());
     assert!(matches!(
-        d.standby.failovers.state(ShardId(0)),
+        deployment.standby.failovers.state(ShardId(0)),
         State::CatchingUp { .. }
     ));
     // Once it has read the records it decides, and the task runs where it is.
-    d.standby.sync(&d.store);
-    d.standby
-        .exchange_heartbeat(&mut d.store, &mut d.worker, 5000);
+    deployment.standby.sync(&deployment.store);
+    deployment
+        .standby
+        .exchange_heartbeat(&mut deployment.store, &mut deployment.worker, 5000);
     assert!(matches!(
-        d.standby.failovers.state(ShardId(0)),
+        deployment.standby.failovers.state(ShardId(0)),
         State::Active { .. }
     ));
-    assert_eq!(d.worker.started.len(), 1);
+    assert_eq!(deployment.worker.started.len(), 1);
     assert!(other.has_task("job-1/0"));
 }
 
 #[test]
 fn a_kv_outage_between_fence_and_catch_up_only_delays_the_first_decision() {
-    let mut d = deposed();
-    d.owner.submit(&mut d.store, job("job-2", 1), 600);
-    take_over(&mut d.standby, &mut d.store, 700);
-    d.store.unavailable = true;
+    let mut deployment = deposed();
+    deployment
+        .owner
+        .submit(&mut deployment.store, job("job-2", 1), 600);
+    take_over(&mut deployment.standby, &mut deployment.store, 700);
+    deployment.store.unavailable = true;
     for now in (1000..20_000).step_by(1000) {
-        assert!(!d.standby.sync(&d.store));
-        let draft = d.standby.draft_plan(now);
-        assert!(draft.is_empty() && d.standby.direct_starts(now).is_empty());
+        assert!(!deployment.standby.sync(&deployment.store));
+        let draft = deployment.standby.draft_plan(now);
+        assert!(draft.is_empty() && deployment.standby.direct_starts(now).is_empty());
     }
-    d.store.unavailable = false;
-    d.standby.sync(&d.store);
+    deployment.store.unavailable = false;
+    deployment.standby.sync(&deployment.store);
     let mut fresh = FakeWorker::new("m3", "north", 0);
-    d.standby
-        .exchange_heartbeat(&mut d.store, &mut fresh, 20_500);
+    deployment
+        .standby
+        .exchange_heartbeat(&mut deployment.store, &mut fresh, 20_500);
     assert!(fresh.has_task("job-2/0"));
 }
 
 #[test]
 fn a_delayed_claim_of_the_old_owner_is_refused_by_the_fence() {
-    let mut d = deposed();
-    d.owner.submit(&mut d.store, job("job-2", 1), 600);
+    let mut deployment = deposed();
+    deployment
+        .owner
+        .submit(&mut deployment.store, job("job-2", 1), 600);
     let mut other = FakeWorker::new("m2", "north", 0);
     // Its claim gets no answer and is on its way while the standby takes over.
-    d.store.execution_delay_ms = Some(3000);
-    d.owner.exchange_heartbeat(&mut d.store, &mut other, 1000);
-    d.store.execution_delay_ms = None;
-    take_over(&mut d.standby, &mut d.store, 2000);
-    d.store.execute_delayed(4000);
-    d.standby.sync(&d.store);
-    assert!(d.standby.job("job-2").placements.is_empty());
-    d.standby.exchange_heartbeat(&mut d.store, &mut other, 4500);
+    deployment.store.execution_delay_ms = Some(3000);
+    deployment
+        .owner
+        .exchange_heartbeat(&mut deployment.store, &mut other, 1000);
+    deployment.store.execution_delay_ms = None;
+    take_over(&mut deployment.standby, &mut deployment.store, 2000);
+    deployment.store.execute_delayed(4000);
+    deployment.standby.sync(&deployment.store);
+    assert!(deployment.standby.job("job-2").placements.is_empty());
+    deployment
+        .standby
+        .exchange_heartbeat(&mut deployment.store, &mut other, 4500);
     assert_eq!(other.started.iter().filter(|s| s.0 == "job-2/0").count(), 1);
 }
 
 #[test]
 fn a_claim_committed_without_a_response_is_known_to_the_next_owner() {
-    let mut d = deposed();
-    d.owner.submit(&mut d.store, job("job-2", 1), 600);
+    let mut deployment = deposed();
+    deployment
+        .owner
+        .submit(&mut deployment.store, job("job-2", 1), 600);
     let mut other = FakeWorker::new("m2", "north", 0);
-    d.store.drops_responses = true;
-    d.owner.exchange_heartbeat(&mut d.store, &mut other, 1000);
-    d.store.drops_responses = false;
-    take_over(&mut d.standby, &mut d.store, 2000);
-    d.standby.sync(&d.store);
-    let claimed = d.standby.job("job-2").placements.clone();
+    deployment.store.drops_responses = true;
+    deployment
+        .owner
+        .exchange_heartbeat(&mut deployment.store, &mut other, 1000);
+    deployment.store.drops_responses = false;
+    take_over(&mut deployment.standby, &mut deployment.store, 2000);
+    deployment.standby.sync(&deployment.store);
+    let claimed = deployment.standby.job("job-2").placements.clone();
     assert_eq!(claimed.len(), 1);
-    for worker in [&mut d.worker, &mut other] {
-        d.standby.exchange_heartbeat(&mut d.store, worker, 2500);
+    for worker in [&mut deployment.worker, &mut other] {
+        deployment
+            .standby
+            .exchange_heartbeat(&mut deployment.store, worker, 2500);
     }
-    let starts = d.worker.started.iter().chain(&other.started);
+    let starts = deployment.worker.started.iter().chain(&other.started);
     let attempts: Vec<u64> = starts
         .filter(|(task, _)| task == "job-2/0")
         .map(|(_, attempt)| *attempt)
@@ -172,60 +197,81 @@
 
 #[test]
 fn a_deposed_owner_steps_down_once_and_decides_nothing_more() {
-    let mut d = deposed();
-    take_over(&mut d.standby, &mut d.store, 700);
-    d.standby.sync(&d.store);
-    d.standby
-        .exchange_heartbeat(&mut d.store, &mut d.worker, 1000);
-    d.owner.submit(&mut d.store, job("job-2", 1), 1100);
+    let mut deployment = deposed();
+    take_over(&mut deployment.standby, &mut deployment.store, 700);
+    deployment.standby.sync(&deployment.store);
+    deployment
+        .standby
+        .exchange_heartbeat(&mut deployment.store, &mut deployment.worker, 1000);
+    deployment
+        .owner
+        .submit(&mut deployment.store, job("job-2", 1), 1100);
     // A worker that has seen the new token tells the old owner, which has read nothing since.
-    let report = d.worker.heartbeat(1200);
-    let before = d.owner.failovers.permits().get(ShardId(0)).is_some();
+    let report = deployment.worker.heartbeat(1200);
+    let before = deployment
+        .owner
+        .failovers
+        .permits()
+        .get(ShardId(0))
+        .is_some();
     assert!(before);
     for now in [1200, 1300, 1400] {
-        d.owner
+        deployment
+            .owner
             .reject_stale_token(NORTH, report.fencing_token.0, now);
     }
-    assert_eq!(d.owner.stepped_down, [NORTH]);
-    assert!(d.owner.failovers.permits().get(ShardId(0)).is_none());
+    assert_eq!(deployment.owner.stepped_down, [NORTH]);
+    assert!(deployment
+        .owner
+        .failovers
+        .permits()
+        .get(ShardId(0))
+        .is_none());
     // It reads the records and follows; the shard stays with the new owner.
-    d.owner.sync(&d.store);
-    d.owner.observe_failovers(1500);
-    assert_eq!(d.owner.failovers.state(ShardId(0)), State::Idle);
-    assert_eq!(d.owner.stepped_down, [NORTH]);
+    deployment.owner.sync(&deployment.store);
+    deployment.owner.observe_failovers(1500);
+    assert_eq!(deployment.owner.failovers.state(ShardId(0)), State::Idle);
+    assert_eq!(deployment.owner.stepped_down, [NORTH]);
 }
 
 #[test]
 fn of_two_concurrent_failovers_one_wins_and_the_other_follows() {
-    let mut d = deposed();
-    let mut third = SimulatedController::start_as("n3", 3, Standby::SameZone, &mut d.store, 0);
-    d.standby.sync(&d.store);
-    take_over(&mut d.standby, &mut d.store, 700);
+    let mut deployment = deposed();
+    let mut third =
+        SimulatedController::start_as("n3", 3, Standby::SameZone, &mut deployment.store, 0);
+    deployment.standby.sync(&deployment.store);
+    take_over(&mut deployment.standby, &mut deployment.store, 700);
     assert!(matches!(
-        take_north(&mut third, &mut d.store, 700),
+        take_north(&mut third, &mut deployment.store, 700),
         CommitOutcome::Conflict(_)
     ));
     assert_eq!(third.failovers.state(ShardId(0)), State::Suspecting);
-    for c in [&mut d.standby, &mut third] {
-        c.sync(&d.store);
-        c.observe_failovers(800);
+    for controller in [&mut deployment.standby, &mut third] {
+        controller.sync(&deployment.store);
+        controller.observe_failovers(800);
     }
-    assert!(d.standby.failovers.permits().get(ShardId(0)).is_some());
+    assert!(deployment
+        .standby
+        .failovers
+        .permits()
+        .get(ShardId(0))
+        .is_some());
     assert!(third.failovers.permits().get(ShardId(0)).is_none());
 }
 
 #[test]
 fn a_standby_that_stops_between_fence_and_catch_up_is_replaced_by_another() {
-    let mut d = deposed();
-    let mut third = SimulatedController::start_as("n3", 3, Standby::SameZone, &mut d.store, 0);
-    d.standby.sync(&d.store);
-    take_over(&mut d.standby, &mut d.store, 700);
-    d.store.revoke_lease(d.standby.lease);
-    third.sync(&d.store);
-    take_over(&mut third, &mut d.store, 900);
-    third.sync(&d.store);
-    third.exchange_heartbeat(&mut d.store, &mut d.worker, 1000);
-    assert_eq!(d.worker.started.len(), 1);
+    let mut deployment = deposed();
+    let mut third =
+        SimulatedController::start_as("n3", 3, Standby::SameZone, &mut deployment.store, 0);
+    deployment.standby.sync(&deployment.store);
+    take_over(&mut deployment.standby, &mut deployment.store, 700);
+    deployment.store.revoke_lease(deployment.standby.lease);
+    third.sync(&deployment.store);
+    take_over(&mut third, &mut deployment.store, 900);
+    third.sync(&deployment.store);
+    third.exchange_heartbeat(&mut deployment.store, &mut deployment.worker, 1000);
+    assert_eq!(deployment.worker.started.len(), 1);
     let permit = third.failovers.permits().get(ShardId(0)).expect("a permit");
     assert_eq!(permit.token(), third.cluster.shards[0].record.fencing_token);
 }
@@ -236,12 +282,12 @@
     let names = ZONES.map(|(name, _)| name);
     let mut store = FakeKvStore::default();
     let mut start = |name, incarnation| {
-        let c = SimulatedController::start_as(name, incarnation, standby, &mut store, 0);
-        c.with_peers(&names, &ZONES)
+        let controller = SimulatedController::start_as(name, incarnation, standby, &mut store, 0);
+        controller.with_peers(&names, &ZONES)
     };
     let mut nodes = [start("n1", 1), start("n2", 2), start("s1", 3)];
-    for c in &mut nodes {
-        c.sync(&store);
+    for controller in &mut nodes {
+        controller.sync(&store);
     }
     let seen = names.iter().zip(1..).map(|(name, incarnation)| {
         let at = MonotonicMillis(0);
@@ -257,12 +303,21 @@
 
 fn takers(nodes: &[SimulatedController], known: &MembershipView, now: u64) -> Vec<String> {
     let now = MonotonicMillis(now);
-    let takes = |c: &&SimulatedController| {
-        let all = moves(&c.cluster, &c.config, &c.zones, known, false, now);
+    let takes = |controller: &&SimulatedController| {
+        let all = moves(
+            &controller.cluster,
+            &controller.config,
+            &controller.zones,
+            known,
+            false,
+            now,
+        );
         all.iter().any(|m| m.shard == NORTH)
     };
     let takers = nodes.iter().filter(takes);
-    takers.map(|c| c.config.controller_name.clone()).collect()
+    takers
+        .map(|controller| controller.config.controller_name.clone())
+        .collect()
 }
 
 /// Lets `n1` own the northern shard and end.
@@ -272,8 +327,8 @@
         CommitOutcome::Committed(_)
     ));
     store.revoke_lease(nodes[0].lease);
-    for c in nodes {
-        c.sync(store);
+    for controller in nodes {
+        controller.sync(store);
     }
 }
 
@@ -338,31 +393,35 @@
 }
 
 /// A batch of arrays, a gang and a pipeline on machines of both zones.
-fn submit_batch(w: &mut SimulatedCluster) -> Vec<String> {
+fn submit_batch(cluster: &mut SimulatedCluster) -> Vec<String> {
     let mut ids = Vec::new();
-    let mut add = |w: &mut SimulatedCluster, spec: JobSpec| {
+    let mut add = |cluster: &mut SimulatedCluster, spec: JobSpec| {
         ids.push(spec.id.clone());
-        assert!(w.submit(0, spec));
+        assert!(cluster.submit(0, spec));
     };
     for i in 0..4 {
-        add(w, job(&format!("job-{i}"), 6));
+        add(cluster, job(&format!("job-{i}"), 6));
     }
     let mut gang = job("job-10", 4);
     gang.kind = JobKind::Gang;
-    add(w, gang);
+    add(cluster, gang);
     let mut last = job("job-11", 2);
     last.dependencies = vec!["job-0".into(), "job-10".into()];
-    add(w, last);
+    add(cluster, last);
     ids
 }
 
 /// Gives the jobs time to end, and checks that all did and no rule was broken.
-fn all_complete(w: &mut SimulatedCluster, ids: &[String], what: &str) {
-    w.run_for(90_000);
-    assert!(w.unfinished().is_empty(), "{what}: {:#?}", w.unfinished());
-    w.assert_no_violations();
+fn all_complete(cluster: &mut SimulatedCluster, ids: &[String], what: &str) {
+    cluster.run_for(90_000);
+    assert!(
+        cluster.unfinished().is_empty(),
+        "{what}: {:#?}",
+        cluster.unfinished()
+    );
+    cluster.assert_no_violations();
     for id in ids {
-        assert!(w.completed(id), "{what}: {id}");
+        assert!(cluster.completed(id), "{what}: {id}");
     }
 }
 
@@ -370,21 +429,21 @@
 fn an_owner_lost_at_any_step_of_a_batch_loses_and_repeats_nothing() {
     for standby in [Standby::Off, Standby::SameZone, Standby::OtherZone] {
         for step in 0..24u64 {
-            let mut w = SimulatedCluster::with_standby(4, standby);
-            w.begin_record_format_v2();
-            let ids = submit_batch(&mut w);
-            w.run_for(step * 500);
-            let active = w.owner_of_zone("north");
-            w.stop_controller(active);
-            w.run_for(15_000);
+            let mut cluster = SimulatedCluster::with_standby(4, standby);
+            cluster.begin_record_format_v2();
+            let ids = submit_batch(&mut cluster);
+            cluster.run_for(step * 500);
+            let active = cluster.owner_of_zone("north");
+            cluster.stop_controller(active);
+            cluster.run_for(15_000);
             // Twice in a row: whoever took over ends as well.
-            let next = w.owner_of_zone("north");
+            let next = cluster.owner_of_zone("north");
             assert_ne!(next, active);
-            w.stop_controller(next);
-            w.run_for(15_000);
-            w.start_controller(active);
-            w.start_controller(next);
-            all_complete(&mut w, &ids, &format!("{standby:?}, step {step}"));
+            cluster.stop_controller(next);
+            cluster.run_for(15_000);
+            cluster.start_controller(active);
+            cluster.start_controller(next);
+            all_complete(&mut cluster, &ids, &format!("{standby:?}, step {step}"));
         }
     }
 }
@@ -392,30 +451,32 @@
 #[test]
 fn an_owner_paused_beyond_its_lease_resumes_after_failover_and_steps_down() {
     for pause_ms in (1000..14_000).step_by(1000) {
-        let mut w = SimulatedCluster::with_standby(4, Standby::SameZone);
-        w.begin_record_format_v2();
-        let ids = submit_batch(&mut w);
-        w.run_for(2000);
-        let active = w.owner_of_zone("north");
+        let mut cluster = SimulatedCluster::with_standby(4, Standby::SameZone);
+        cluster.begin_record_format_v2();
+        let ids = submit_batch(&mut cluster);
+        cluster.run_for(2000);
+        let active = cluster.owner_of_zone("north");
         // It stands still: neither reads nor renews, and wakes with the view of then.
-        let asleep = w.controllers[active].take();
-        w.run_for(pause_ms);
-        w.controllers[active] = asleep;
-        all_complete(&mut w, &ids, &format!("paused for {pause_ms} ms"));
+        let asleep = cluster.controllers[active].take();
+        cluster.run_for(pause_ms);
+        cluster.controllers[active] = asleep;
+        all_complete(&mut cluster, &ids, &format!("paused for {pause_ms} ms"));
     }
 }
 
 #[test]
 fn a_permit_from_before_a_failover_decides_nothing_even_if_unobserved() {
-    let mut d = deposed();
-    d.owner.submit(&mut d.store, job("job-2", 1), 600);
-    d.owner.observe_failovers(650);
-    take_over(&mut d.standby, &mut d.store, 700);
-    d.owner.sync(&d.store);
-    let permits = d.owner.failovers.permits();
+    let mut deployment = deposed();
+    deployment
+        .owner
+        .submit(&mut deployment.store, job("job-2", 1), 600);
+    deployment.owner.observe_failovers(650);
+    take_over(&mut deployment.standby, &mut deployment.store, 700);
+    deployment.owner.sync(&deployment.store);
+    let permits = deployment.owner.failovers.permits();
     assert!(permits.get(ShardId(0)).is_some());
     let mut draft = DraftTransaction::default();
-    let (cluster, config) = (&d.owner.cluster, &d.owner.config);
+    let (cluster, config) = (&deployment.owner.cluster, &deployment.owner.config);
     reconciliation::reconcile(cluster, config, permits, &mut draft, MonotonicMillis(800));
     claims::claim(
         cluster,
@@ -430,20 +491,22 @@
 
 #[test]
 fn a_failover_continues_with_the_streamed_queues_and_reservations() {
-    let mut d = deposed();
+    let mut deployment = deposed();
     for (id, tasks) in [("job-2", 20), ("job-3", 2)] {
-        d.owner.submit(&mut d.store, job(id, tasks), 600);
+        deployment
+            .owner
+            .submit(&mut deployment.store, job(id, tasks), 600);
     }
     let mut gang = job("job-4", 8);
     gang.kind = JobKind::Gang;
-    d.owner.submit(&mut d.store, gang, 600);
+    deployment.owner.submit(&mut deployment.store, gang, 600);
     let (queued, done, held) = (
-        d.owner.job_index("job-2"),
-        d.owner.job_index("job-3"),
-        d.owner.job_index("job-4"),
+        deployment.owner.job_index("job-2"),
+        deployment.owner.job_index("job-3"),
+        deployment.owner.job_index("job-4"),
     );
-    let m1 = d.owner.machine("m1");
-    let machine = d.owner.cluster.machine_mut(m1).unwrap();
+    let m1 = deployment.owner.machine("m1");
+    let machine = deployment.owner.cluster.machine_mut(m1).unwrap();
     machine.queue.extend([
         (queued, 7, MonotonicMillis(600)),
         (done, 0, MonotonicMillis(600)),
@@ -460,42 +523,50 @@
         }
         follower.clone()
     };
-    tell(&d.owner, &mut publisher, 700);
-    let machine = d.owner.cluster.machine_mut(m1).unwrap();
+    tell(&deployment.owner, &mut publisher, 700);
+    let machine = deployment.owner.cluster.machine_mut(m1).unwrap();
     machine.queue.push_back((queued, 9, MonotonicMillis(800)));
-    let follower = tell(&d.owner, &mut publisher, 800);
+    let follower = tell(&deployment.owner, &mut publisher, 800);
     // One of the queued tasks is no longer to run, and one is queued with the standby already.
-    d.owner.cancel(&mut d.store, "job-3", 850);
-    d.standby.sync(&d.store);
-    d.standby
+    deployment.owner.cancel(&mut deployment.store, "job-3", 850);
+    deployment.standby.sync(&deployment.store);
+    deployment
+        .standby
         .cluster
         .learn_machine("m1", "oven", "north", true, MonotonicMillis(0));
-    let (m1, queued) = (d.standby.machine("m1"), d.standby.job_index("job-2"));
-    let machine = d.standby.cluster.machine_mut(m1).unwrap();
+    let (m1, queued) = (
+        deployment.standby.machine("m1"),
+        deployment.standby.job_index("job-2"),
+    );
+    let machine = deployment.standby.cluster.machine_mut(m1).unwrap();
     machine.queue.push_back((queued, 5, MonotonicMillis(100)));
     let shadow = follower.shadow().expect("no gap");
-    let restored =
-        replication::restore_replica(&mut d.standby.cluster, NORTH, shadow, MonotonicMillis(900));
+    let restored = replication::restore_replica(
+        &mut deployment.standby.cluster,
+        NORTH,
+        shadow,
+        MonotonicMillis(900),
+    );
     assert_eq!((restored.queued, restored.held), (2, 1));
-    let machine = d.standby.cluster.machine(m1).unwrap();
+    let machine = deployment.standby.cluster.machine(m1).unwrap();
     let tasks: Vec<u32> = machine.queue.iter().map(|(_, task, _)| *task).collect();
     assert_eq!(tasks, [5, 7, 9]);
     assert_eq!(
         machine.reservation.map(|h| h.0),
-        Some(d.standby.job_index("job-4"))
+        Some(deployment.standby.job_index("job-4"))
     );
     // What is unchanged is not told again, and a machine that goes is.
     replication::publish_changes(
-        &d.owner.cluster,
+        &deployment.owner.cluster,
         NORTH,
         MonotonicMillis(900),
         &mut publisher,
     );
     assert_eq!(publisher.lag(), Some(0));
-    let m1 = d.owner.machine("m1");
-    d.owner.cluster.mark_deleted(m1);
+    let m1 = deployment.owner.machine("m1");
+    deployment.owner.cluster.mark_deleted(m1);
     replication::publish_changes(
-        &d.owner.cluster,
+        &deployment.owner.cluster,
         NORTH,
         MonotonicMillis(900),
         &mut publisher,
@@ -507,23 +578,23 @@
 #[test]
 fn enabling_it_controller_by_controller_and_rolling_back_at_any_step_loses_nothing() {
     for back_after in 0..=3 {
-        let mut w = SimulatedCluster::with_standby(4, Standby::Off);
-        w.begin_record_format_v2();
-        let mut ids = submit_batch(&mut w);
+        let mut cluster = SimulatedCluster::with_standby(4, Standby::Off);
+        cluster.begin_record_format_v2();
+        let mut ids = submit_batch(&mut cluster);
         let on = (0..back_after).map(|at| (at, Standby::OtherZone));
         let off = (0..back_after).rev().map(|at| (at, Standby::Off));
         for (number, (at, standby)) in on.chain(off).enumerate() {
-            w.run_for(2000);
-            w.standby = standby;
-            w.stop_controller(at);
-            w.run_for(1000);
-            w.start_controller(at);
+            cluster.run_for(2000);
+            cluster.standby = standby;
+            cluster.stop_controller(at);
+            cluster.run_for(1000);
+            cluster.start_controller(at);
             let id = format!("job-2{number}");
-            assert!(w.submit((at + 1) % 3, job(&id, 3)));
+            assert!(cluster.submit((at + 1) % 3, job(&id, 3)));
             ids.push(id);
-            w.run_for(3000);
+            cluster.run_for(3000);
         }
-        all_complete(&mut w, &ids, &format!("back after {back_after}"));
+        all_complete(&mut cluster, &ids, &format!("back after {back_after}"));
     }
 }
 
--- a/tests/worker_reachability.rs
+++ b/tests/worker_reachability.rs
@@ -14,81 +14,94 @@
 
 #[test]
 fn an_unreachable_machine_gets_no_work_and_its_tasks_move_elsewhere() {
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     let mut deaf = FakeWorker::new("m1", "north", 0);
-    c.exchange_heartbeat(&mut store, &mut deaf, 0);
-    c.submit(&mut store, job("job-1", 1), 100);
+    controller.exchange_heartbeat(&mut store, &mut deaf, 0);
+    controller.submit(&mut store, job("job-1", 1), 100);
     // Its reports arrive, the answers do not.
     for now in (500..4000).step_by(500) {
         let r = deaf.heartbeat(now);
-        c.receive_heartbeat(&mut store, &r, now).unwrap();
+        controller.receive_heartbeat(&mut store, &r, now).unwrap();
     }
-    assert!(c
+    assert!(controller
         .cluster
-        .machine(c.machine("m1"))
+        .machine(controller.machine("m1"))
         .unwrap()
         .unreachable_since
         .is_some());
-    assert!(c.job("job-1").placements.is_empty());
+    assert!(controller.job("job-1").placements.is_empty());
     let mut other = FakeWorker::new("m2", "north", 4000);
-    c.exchange_heartbeat(&mut store, &mut other, 4000);
+    controller.exchange_heartbeat(&mut store, &mut other, 4000);
     assert_eq!(other.started.len(), 1);
     assert!(deaf.started.is_empty());
 }
 
 #[test]
 fn an_unreachable_machine_is_scaled_in_unless_it_is_reached_again() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    c.exchange_heartbeat(&mut store, &mut w, 0);
-    let mix = c.machine("m1");
-    c.cluster.machine_mut(mix).unwrap().unreachable_since = Some(MonotonicMillis(1000));
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
+    let mix = controller.machine("m1");
+    controller
+        .cluster
+        .machine_mut(mix)
+        .unwrap()
+        .unreachable_since = Some(MonotonicMillis(1000));
     let asked = worker_connectivity::unreachable_machines(
-        &mut c.cluster,
-        &c.config,
+        &mut controller.cluster,
+        &controller.config,
         10_000,
         MonotonicMillis(5000),
     );
     assert_eq!(asked.len(), 1);
-    assert!(!c.cluster.machine(mix).unwrap().quarantined);
-    let mut reached = c.cluster.machine(mix).unwrap().clone();
+    assert!(!controller.cluster.machine(mix).unwrap().quarantined);
+    let mut reached = controller.cluster.machine(mix).unwrap().clone();
     reached.mark_reachable(MonotonicMillis(5000));
     assert!(reached.is_schedulable(MonotonicMillis(500), 4000));
     worker_connectivity::unreachable_machines(
-        &mut c.cluster,
-        &c.config,
+        &mut controller.cluster,
+        &controller.config,
         10_000,
         MonotonicMillis(11_500),
     );
-    assert!(c.cluster.machine(mix).unwrap().quarantined);
+    assert!(controller.cluster.machine(mix).unwrap().quarantined);
 }
 
 #[test]
 fn an_agent_epoch_that_ends_under_steady_responses_shows_that_they_are_lost() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    c.exchange_heartbeat(&mut store, &mut w, 0);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
     for now in (500..12_000).step_by(500) {
-        let r = w.heartbeat(now);
-        c.receive_heartbeat(&mut store, &r, now).unwrap();
+        let r = worker.heartbeat(now);
+        controller.receive_heartbeat(&mut store, &r, now).unwrap();
     }
-    assert!(w.agent_epoch > AgentEpoch(1));
-    let m = c.cluster.machine(c.machine("m1")).unwrap();
+    assert!(worker.agent_epoch > AgentEpoch(1));
+    let m = controller
+        .cluster
+        .machine(controller.machine("m1"))
+        .unwrap();
     assert!(m.unreachable_since.is_some() && !m.is_schedulable(MonotonicMillis(12_000), 4000));
 }
 
 #[test]
 fn an_agent_epoch_that_ends_without_responses_shows_nothing() {
-    let (mut store, mut c) = start_single_controller();
-    let mut w = FakeWorker::new("m1", "north", 0);
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 0, 12_000);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 12_000);
     // No node answers for longer than its lease; then all is as before.
-    w.advance(30_000);
-    run_heartbeats(&mut c, &mut store, &mut [&mut w], 30_000, 31_000);
-    assert!(w.agent_epoch > AgentEpoch(1));
-    assert!(c
+    worker.advance(30_000);
+    run_heartbeats(
+        &mut controller,
+        &mut store,
+        &mut [&mut worker],
+        30_000,
+        31_000,
+    );
+    assert!(worker.agent_epoch > AgentEpoch(1));
+    assert!(controller
         .cluster
-        .machine(c.machine("m1"))
+        .machine(controller.machine("m1"))
         .unwrap()
         .unreachable_since
         .is_none());
