--- a/crates/testkit/tests/checker.rs
+++ b/crates/testkit/tests/checker.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_good_history_has_no_violations() {
+fn a_valid_history_has_no_violations() {
     assert_eq!(kinds(good()), []);
 }
 
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -186,28 +186,31 @@
 
 #[test]
 fn a_gossiped_cancellation_outlives_older_records() {
-    let (mut w, leader, other) = two_long_jobs();
-    w.controller_faults[leader].kv_refused = true;
-    w.run_for(500);
-    let before = w.controller(leader).job("job-1").version;
-    assert!(w.cancel(other, "job-1"));
-    let c = w.controller(leader);
-    assert_eq!(c.job("job-1").state, JobState::Cancelled);
-    assert_eq!(c.job("job-1").version, before);
+    let (mut cluster, leader, other) = two_long_jobs();
+    cluster.controller_faults[leader].kv_refused = true;
+    cluster.run_for(500);
+    let before = cluster.controller(leader).job("job-1").version;
+    assert!(cluster.cancel(other, "job-1"));
+    let controller = cluster.controller(leader);
+    assert_eq!(controller.job("job-1").state, JobState::Cancelled);
+    assert_eq!(controller.job("job-1").version, before);
     // A newer record that is still open, from a read that began before.
     let rec = pointhook::state::job::JobRecord {
         state: JobState::Open,
-        ..c.cluster.record(&c.job("job-1").clone())
+        ..controller.cluster.record(&controller.job("job-1").clone())
     };
-    c.cluster.put_job("job-1", before + 1, &rec);
-    assert_eq!(c.job("job-1").state, JobState::Cancelled);
-    assert_eq!(c.job("job-1").version, before + 1);
+    controller.cluster.put_job("job-1", before + 1, &rec);
+    assert_eq!(controller.job("job-1").state, JobState::Cancelled);
+    assert_eq!(controller.job("job-1").version, before + 1);
     // A job whose record was not read here yet.
-    assert!(c.cluster.learn_cancelled("job-77"));
-    assert!(!c.cluster.learn_cancelled("job-77"));
-    c.cluster.put_job("job-77", 1, &rec);
-    assert_eq!(c.job("job-77").state, JobState::Cancelled);
-    assert!(c.cluster.cancelled_names().contains(&"job-77".to_string()));
+    assert!(controller.cluster.learn_cancelled("job-77"));
+    assert!(!controller.cluster.learn_cancelled("job-77"));
+    controller.cluster.put_job("job-77", 1, &rec);
+    assert_eq!(controller.job("job-77").state, JobState::Cancelled);
+    assert!(controller
+        .cluster
+        .cancelled_names()
+        .contains(&"job-77".to_string()));
 }
 
 #[test]
--- a/tests/claims_and_binding.rs
+++ b/tests/claims_and_binding.rs
@@ -68,13 +68,15 @@
     let mut worker = FakeWorker::new("m1", "north", 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     controller.submit(&mut store, job("job-1", 2), 100);
-    let r = worker.heartbeat(500);
-    let answer = controller.receive_heartbeat(&mut store, &r, 500).unwrap();
+    let heartbeat = worker.heartbeat(500);
+    let answer = controller
+        .receive_heartbeat(&mut store, &heartbeat, 500)
+        .unwrap();
     assert!(matches!(
         controller.cancel(&mut store, "job-1", 550),
         CommitOutcome::Committed(_)
     ));
-    worker.receive_response(&answer, r.agent_epoch, 500, 600);
+    worker.receive_response(&answer, heartbeat.agent_epoch, 500, 600);
     assert!(worker.has_task("job-1/1"));
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 1000, 3000);
     assert!(!worker.has_task("job-1/0") && !worker.has_task("job-1/1"));
@@ -133,8 +135,10 @@
     let mut worker = FakeWorker::new("m1", "north", 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     controller.submit(&mut store, job("job-1", 1), 100);
-    let r = worker.heartbeat(500);
-    let lost = controller.receive_heartbeat(&mut store, &r, 500).unwrap();
+    let heartbeat = worker.heartbeat(500);
+    let lost = controller
+        .receive_heartbeat(&mut store, &heartbeat, 500)
+        .unwrap();
     assert_eq!(
         count_starts(&lost.commands),
         1,
@@ -143,16 +147,16 @@
     // Nobody answers the machine for longer than a lease: its tasks are proven dead.
     let now = 500 + controller.config.lease_expiry_ms + 10;
     let draft = controller.draft_plan(now);
-    let ix = controller.job_index("job-1");
-    assert!(draft.jobs[&ix].placements.is_empty());
+    let job_index = controller.job_index("job-1");
+    assert!(draft.jobs[&job_index].placements.is_empty());
     reconciliation::mark_abandoned(&mut controller.cluster, &draft);
     let on_its_way = transaction(&controller.cluster, &draft);
-    let r = worker.heartbeat(now + 20);
-    assert_eq!(r.agent_epoch, AgentEpoch(2));
+    let heartbeat = worker.heartbeat(now + 20);
+    assert_eq!(heartbeat.agent_epoch, AgentEpoch(2));
     let got = heartbeats::receive(
         &mut controller.cluster,
         &controller.config,
-        &r,
+        &heartbeat,
         10_000,
         MonotonicMillis(now + 20),
     );
@@ -164,7 +168,7 @@
         &mut controller.cluster,
         &controller.config,
         controller.failovers.permits(),
-        &r,
+        &heartbeat,
         taken,
         MonotonicMillis(now + 20),
     )
--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -143,9 +143,9 @@
 }
 
 /// Keeps machines for gangs that have waited for long, as the duty does.
-fn reserve_for_gangs(w: &mut SimulatedCluster) {
-    let now = w.now;
-    for controller in w.controllers.iter_mut().flatten() {
+fn reserve_for_gangs(cluster: &mut SimulatedCluster) {
+    let now = cluster.now;
+    for controller in cluster.controllers.iter_mut().flatten() {
         for (ix, machines) in gangs::gang_reservations(
             &controller.cluster,
             &controller.config,
@@ -170,29 +170,29 @@
 
 /// The order in which each controller would serve the jobs that wait, and the machines at which
 /// it would queue their tasks.
-fn note_order_and_queues(w: &SimulatedCluster) {
+fn note_order_and_queues(cluster: &SimulatedCluster) {
     let draft = DraftTransaction::default();
-    for controller in w.controllers.iter().flatten() {
+    for controller in cluster.controllers.iter().flatten() {
         for job in job_order::waiting_jobs(
             &controller.cluster,
             &controller.config,
             &draft,
-            MonotonicMillis(w.now),
-            w.now,
+            MonotonicMillis(cluster.now),
+            cluster.now,
         ) {
             let id = controller.cluster.jobs[job.ix.at()].id.to_string();
             let queues = claims::bind(
                 &controller.cluster,
                 &controller.config,
                 job.ix,
-                MonotonicMillis(w.now),
-                w.now,
+                MonotonicMillis(cluster.now),
+                cluster.now,
             );
             let name = |m: MachineIndex| controller.cluster.machine_names.name(m).to_string();
             let queues: Vec<_> = queues.into_iter().map(|(t, m)| (t, name(m))).collect();
             digest::note(
                 "queued",
-                w.now,
+                cluster.now,
                 &(&controller.config.controller_name, id, queues),
             );
         }
@@ -351,28 +351,28 @@
                 workers.push(worker);
             }
         }
-        for w in &mut workers {
-            controller.exchange_heartbeat(&mut store, w, now);
+        for cluster in &mut workers {
+            controller.exchange_heartbeat(&mut store, cluster, now);
         }
         // A rule of this test: what is empty and not needed goes back every four seconds.
-        let idle = |w: &FakeWorker| {
+        let idle = |cluster: &FakeWorker| {
             let empty = controller
                 .cluster
-                .placed_on(controller.machine(&w.name))
+                .placed_on(controller.machine(&cluster.name))
                 .is_empty();
-            empty && now % 4000 == 0 && !needed.contains(&w.name)
+            empty && now % 4000 == 0 && !needed.contains(&cluster.name)
         };
         let idle: Vec<String> = workers
             .iter()
-            .filter(|w| idle(w))
-            .map(|w| w.name.clone())
+            .filter(|cluster| idle(cluster))
+            .map(|cluster| cluster.name.clone())
             .collect();
         digest::note("returned", now, &idle);
         cloud.delete_machines(&idle);
-        workers.retain(|w| !idle.contains(&w.name));
+        workers.retain(|cluster| !idle.contains(&cluster.name));
         for name in &idle {
-            let mix = controller.machine(name);
-            controller.cluster.mark_deleted(mix);
+            let machine = controller.machine(name);
+            controller.cluster.mark_deleted(machine);
         }
     }
     for (_, j) in controller
--- a/tests/direct_starts.rs
+++ b/tests/direct_starts.rs
@@ -72,11 +72,11 @@
         worker.receive_commands(&direct_commands(&direct_start), 700),
         200
     );
-    let mix = controller.machine("m1");
+    let machine = controller.machine("m1");
     let a = direct_start.attempts[0];
     controller
         .cluster
-        .machine_mut(mix)
+        .machine_mut(machine)
         .unwrap()
         .in_flight_starts
         .get_mut(&a)
@@ -86,11 +86,11 @@
     // It is stopped, and the task moves to another machine.
     controller
         .cluster
-        .machine_mut(mix)
+        .machine_mut(machine)
         .unwrap()
         .stopping
         .insert(a, 0.0);
-    controller.cluster.machine_mut(mix).unwrap().cordoned = true;
+    controller.cluster.machine_mut(machine).unwrap().cordoned = true;
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 1500, 4000);
     let mut other = FakeWorker::new("m2", "north", 4000);
     other.run_ms = 60_000;
@@ -123,23 +123,25 @@
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     controller.submit(&mut store, job("job-1", 1), 100);
     // The start is in the answer to this report, which is still on its way.
-    let r = worker.heartbeat(500);
-    let answer = controller.receive_heartbeat(&mut store, &r, 500).unwrap();
+    let heartbeat = worker.heartbeat(500);
+    let answer = controller
+        .receive_heartbeat(&mut store, &heartbeat, 500)
+        .unwrap();
     assert_eq!(count_starts(&answer.commands), 1);
     controller.cancel(&mut store, "job-1", 600);
     // A newer message without the task, sent before the answer arrived.
     let other = worker.heartbeat(700);
-    let mix = controller.machine("m1");
+    let machine = controller.machine("m1");
     heartbeats::take(
         &mut controller.cluster,
-        mix,
+        machine,
         &other,
         MonotonicMillis(700),
         None,
     );
     controller.run_planner(&mut store, 700);
     assert_eq!(controller.job("job-1").placements.len(), 1);
-    assert!(worker.receive_response(&answer, r.agent_epoch, 500, 800));
+    assert!(worker.receive_response(&answer, heartbeat.agent_epoch, 500, 800));
     assert!(worker.has_task("job-1/0"));
     // Then a report shows it, and it is stopped.
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 1000, 2500);
@@ -156,7 +158,7 @@
     let mut worker = FakeWorker::new("m1", "north", 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     controller.submit(&mut store, job("job-1", 1), 10);
-    let (ix, mix) = (controller.job_index("job-1"), controller.machine("m1"));
+    let (job_index, mix) = (controller.job_index("job-1"), controller.machine("m1"));
     let shard = controller.cluster.machine(mix).unwrap().shard;
     let token = controller.cluster.shards[shard.at()].record.fencing_token;
     let kept = |controller: &mut SimulatedController, token: u64| {
@@ -168,7 +170,7 @@
         };
         let m = controller.cluster.machine_mut(mix).unwrap();
         m.in_flight_starts = (0..250)
-            .map(|i| (TaskAttempt::new(ix, 0, i), late))
+            .map(|i| (TaskAttempt::new(job_index, 0, i), late))
             .collect();
     };
     let raised = |controller: &SimulatedController| {
--- a/tests/gang_scheduling.rs
+++ b/tests/gang_scheduling.rs
@@ -20,13 +20,13 @@
 
 /// A team's limit of two of which a long job of this shape holds one, with a gang waiting that
 /// needs both.
-fn gang_behind(shape: JobKind) -> (FakeKvStore, SimulatedController, FakeWorker) {
+fn gang_behind(kind: JobKind) -> (FakeKvStore, SimulatedController, FakeWorker) {
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     worker.run_ms = 500_000;
     let mut holder = job("job-1", 1);
     holder.team = "mixers".into();
-    holder.kind = shape;
+    holder.kind = kind;
     controller.submit(&mut store, holder, 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     let mut gang = job("job-2", 2);
@@ -76,8 +76,8 @@
         3000,
     );
     assert_eq!(controller.job("job-1").placements.len(), 2);
-    let mix = controller.machine("m1");
-    controller.cluster.mark_deleted(mix);
+    let machine = controller.machine("m1");
+    controller.cluster.mark_deleted(machine);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker2], 3000, 5000);
     assert!(!worker2.has_task("job-1/0") && !worker2.has_task("job-1/1"));
     assert!(controller.job("job-1").placements.is_empty());
@@ -139,8 +139,9 @@
     let mut worker = FakeWorker::new("m1", "north", 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     controller.submit(&mut store, job("job-1", 1), 100);
-    let (ix, mix) = (controller.job_index("job-1"), controller.machine("m1"));
-    controller.cluster.machine_mut(mix).unwrap().reservation = Some((ix, MonotonicMillis(5000)));
+    let (job_index, machine) = (controller.job_index("job-1"), controller.machine("m1"));
+    controller.cluster.machine_mut(machine).unwrap().reservation =
+        Some((job_index, MonotonicMillis(5000)));
     assert_eq!(controller.draft_plan(1000).claims.len(), 0);
     assert_eq!(controller.draft_plan(3900).claims.len(), 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 5000);
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -115,7 +115,7 @@
     worker.run_ms = 60_000;
     controller.submit(&mut store, job("job-1", 1), 0);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 1500);
-    let ix = controller.job_index("job-1");
+    let job_index = controller.job_index("job-1");
     let heard = controller
         .cluster
         .machine(controller.machine("m1"))
@@ -125,10 +125,10 @@
     // The report waits in a socket while an answer to a direct command is read.
     let late = worker.heartbeat(9000);
     let newer = worker.heartbeat(9100);
-    let mix = controller.machine("m1");
+    let machine = controller.machine("m1");
     heartbeats::take(
         &mut controller.cluster,
-        mix,
+        machine,
         &newer,
         MonotonicMillis(9100),
         None,
@@ -138,13 +138,13 @@
         .is_some());
     let over = heard.plus(controller.config.lease_expiry_ms + 10).0;
     assert!(
-        !controller.draft_plan(over).jobs.contains_key(&ix),
+        !controller.draft_plan(over).jobs.contains_key(&job_index),
         "answered since"
     );
     assert!(controller
         .draft_plan(9200 + controller.config.lease_expiry_ms + 10)
         .jobs
-        .contains_key(&ix));
+        .contains_key(&job_index));
 }
 
 #[test]
@@ -194,11 +194,15 @@
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
-    let r = worker.heartbeat(500);
-    controller.receive_heartbeat(&mut store, &r, 500).unwrap();
+    let heartbeat = worker.heartbeat(500);
+    controller
+        .receive_heartbeat(&mut store, &heartbeat, 500)
+        .unwrap();
     controller.submit(&mut store, job("job-1", 1), 600);
     // The copy comes first after the claim: its answer goes nowhere.
-    let answer = controller.receive_heartbeat(&mut store, &r, 700).unwrap();
+    let answer = controller
+        .receive_heartbeat(&mut store, &heartbeat, 700)
+        .unwrap();
     assert!(answer.commands.is_empty());
     assert!(controller
         .cluster
@@ -223,8 +227,8 @@
     new.submit(&mut store, job("job-1", 1), 300);
     // The machine is long gone; only copies of its reports still come.
     new.receive_heartbeat(&mut store, &copy, 40_000).unwrap();
-    let mix = new.machine("m1");
-    assert_eq!(new.cluster.machine(mix).unwrap().last_heartbeat, None);
+    let machine = new.machine("m1");
+    assert_eq!(new.cluster.machine(machine).unwrap().last_heartbeat, None);
     assert!(new.draft_plan(40_000).claims.is_empty());
     // The machine itself, once it has the new token, is heard and gets the work.
     let mut alive = FakeWorker::new("m2", "north", 40_000);
@@ -238,8 +242,8 @@
     let mut worker = FakeWorker::new("m1", "north", 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     let copy = worker.heartbeat(100);
-    let mix = controller.machine("m1");
-    controller.cluster.mark_deleted(mix);
+    let machine = controller.machine("m1");
+    controller.cluster.mark_deleted(machine);
     controller.submit(&mut store, job("job-1", 1), 200);
     assert!(controller
         .receive_heartbeat(&mut store, &copy, 20_000)
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -115,46 +115,50 @@
 
 #[test]
 fn a_cancellation_cascades_to_all_transitive_dependents() {
-    let mut w = world(20_000);
-    assert!(w.submit(0, job("job-1", 1)));
-    assert!(w.submit(0, after("job-2", 1, &["job-1"])));
-    assert!(w.submit(1, after("job-3", 1, &["job-1"])));
-    assert!(w.submit(2, after("job-4", 1, &["job-2", "job-3"])));
+    let mut cluster = world(20_000);
+    assert!(cluster.submit(0, job("job-1", 1)));
+    assert!(cluster.submit(0, after("job-2", 1, &["job-1"])));
+    assert!(cluster.submit(1, after("job-3", 1, &["job-1"])));
+    assert!(cluster.submit(2, after("job-4", 1, &["job-2", "job-3"])));
     let mut last = "job-4".to_string();
     for i in 10..310 {
         let id = format!("job-{i}");
-        assert!(w.submit(i % 3, after(&id, 1, &[&last])));
+        assert!(cluster.submit(i % 3, after(&id, 1, &[&last])));
         last = id;
     }
-    assert!(w.submit(0, job("job-5", 1)));
-    w.run_for(4000);
-    assert!(w.cancel(1, "job-2"));
+    assert!(cluster.submit(0, job("job-5", 1)));
+    cluster.run_for(4000);
+    assert!(cluster.cancel(1, "job-2"));
     // Every node says so of all of them at once, before any record does.
     for at in 0..3 {
         for id in ["job-4", "job-10", "job-200", last.as_str()] {
-            assert_eq!(w.query_status(at, id), Some("aborted"), "{id} at {at}");
+            assert_eq!(
+                cluster.query_status(at, id),
+                Some("aborted"),
+                "{id} at {at}"
+            );
         }
-        assert_ne!(w.query_status(at, "job-1"), Some("aborted"));
-        assert_ne!(w.query_status(at, "job-3"), Some("aborted"));
+        assert_ne!(cluster.query_status(at, "job-1"), Some("aborted"));
+        assert_ne!(cluster.query_status(at, "job-3"), Some("aborted"));
     }
     // One that comes later, and names a cancelled job, is accepted and cancelled.
-    assert!(w.submit(2, after("job-999", 1, &["job-5", "job-4"])));
+    assert!(cluster.submit(2, after("job-999", 1, &["job-5", "job-4"])));
     for at in 0..3 {
-        assert_eq!(w.query_status(at, "job-999"), Some("aborted"));
+        assert_eq!(cluster.query_status(at, "job-999"), Some("aborted"));
     }
-    w.run_for(CANCEL_MS);
-    assert!(!w.has_started("job-4") && !w.has_started(&last));
+    cluster.run_for(CANCEL_MS);
+    assert!(!cluster.has_started("job-4") && !cluster.has_started(&last));
     // The records follow, a few at a time.
-    w.run_for(200_000);
+    cluster.run_for(200_000);
     for at in 0..3 {
-        assert!(w
+        assert!(cluster
             .controller(at)
             .cluster
             .dependency_graph
             .unwritten
             .is_empty());
     }
-    w.assert_no_violations();
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -319,19 +323,19 @@
     use pointhook::state::units::MonotonicMillis;
     for needed in [false, true] {
         let (mut store, mut controller) = start_single_controller();
-        let mut w = support::worker::FakeWorker::new("m1", "north", 0);
-        w.run_ms = 100_000;
+        let mut cluster = support::worker::FakeWorker::new("m1", "north", 0);
+        cluster.run_ms = 100_000;
         let mut low = job("job-1", 1);
         (low.priority, low.gpus, low.checkpoint_s) = (Priority::Low, 4.0, 10.0);
         controller.submit(&mut store, low, 0);
         support::simulated_controller::run_heartbeats(
             &mut controller,
             &mut store,
-            &mut [&mut w],
+            &mut [&mut cluster],
             0,
             4000,
         );
-        assert!(w.has_task("job-1/0"));
+        assert!(cluster.has_task("job-1/0"));
         if needed {
             let mut last = after("job-2", 1, &["job-1"]);
             last.priority = Priority::High;
@@ -343,7 +347,7 @@
         support::simulated_controller::run_heartbeats(
             &mut controller,
             &mut store,
-            &mut [&mut w],
+            &mut [&mut cluster],
             4000,
             12_000,
         );
@@ -418,10 +422,10 @@
         value_bytes: 2048 * 9 / 10,
         write_rps: 15.0,
     };
-    let mut w = SimulatedCluster::new(16);
-    w.store.max_txn_ops = 12;
-    expect(&mut w, next);
-    for h in &mut w.machines {
+    let mut cluster = SimulatedCluster::new(16);
+    cluster.store.max_txn_ops = 12;
+    expect(&mut cluster, next);
+    for h in &mut cluster.machines {
         h.worker.run_ms = 40_000;
     }
     // Wide while the old version may still live: as wide as one record holds.
@@ -433,48 +437,50 @@
         spec.kind = shape;
         spec
     };
-    assert!(w.submit(0, slim("job-1", 150, JobKind::Array)));
-    w.run_for(20_000);
-    let widest = |w: &SimulatedCluster| {
-        let entries = w.store.read_page(ROOT, "", 10_000).entries;
+    assert!(cluster.submit(0, slim("job-1", 150, JobKind::Array)));
+    cluster.run_for(20_000);
+    let widest = |cluster: &SimulatedCluster| {
+        let entries = cluster.store.read_page(ROOT, "", 10_000).entries;
         let size = |e: &pointhook::protocol::kv::Entry| e.v.to_string().len();
         entries.iter().map(size).max().unwrap()
     };
-    assert!(widest(&w) > 2048);
-    assert!(w.controller(0).job("job-1").placements.len() > 100);
+    assert!(widest(&cluster) > 2048);
+    assert!(cluster.controller(0).job("job-1").placements.len() > 100);
     // All know the second form: what is too large is split before it is caught.
-    w.begin_record_format_v2();
-    w.run_for(10_000);
-    assert!(widest(&w) <= 2048, "{}", widest(&w));
-    w.store.max_value_bytes = 2048;
-    w.store.max_txn_ops = 5;
-    w.store.max_writes_per_s = 15.0;
-    assert!(w.submit(1, slim("job-2", 200, JobKind::Array)));
-    assert!(w.submit(2, slim("job-3", 16, JobKind::Gang)));
-    assert!(w.submit(2, slim("job-4", 90, JobKind::Gang)));
-    w.run_for(30_000);
-    let node = w.controller(1);
+    cluster.begin_record_format_v2();
+    cluster.run_for(10_000);
+    assert!(widest(&cluster) <= 2048, "{}", widest(&cluster));
+    cluster.store.max_value_bytes = 2048;
+    cluster.store.max_txn_ops = 5;
+    cluster.store.max_writes_per_s = 15.0;
+    assert!(cluster.submit(1, slim("job-2", 200, JobKind::Array)));
+    assert!(cluster.submit(2, slim("job-3", 16, JobKind::Gang)));
+    assert!(cluster.submit(2, slim("job-4", 90, JobKind::Gang)));
+    cluster.run_for(30_000);
+    let node = cluster.controller(1);
     assert!(node.job("job-2").placements.len() > 150);
     assert_eq!(node.job("job-3").placements.len(), 16);
     assert_eq!(node.job("job-4").placements.len(), 90);
-    assert!(w.cancel(0, "job-2"));
-    w.run_for(CANCEL_MS);
-    w.assert_nothing_runs_of("job-2");
+    assert!(cluster.cancel(0, "job-2"));
+    cluster.run_for(CANCEL_MS);
+    cluster.assert_nothing_runs_of("job-2");
     // A node that starts now reads the same placements out of all parts.
-    w.stop_controller(0);
-    w.start_controller(0);
-    let placed = |c: &SimulatedController| c.cluster.job("job-4").unwrap().1.placements.len();
-    let (a, b) = (placed(w.controller(0)), placed(w.controller(2)));
+    cluster.stop_controller(0);
+    cluster.start_controller(0);
+    let placed = |controller: &SimulatedController| {
+        controller.cluster.job("job-4").unwrap().1.placements.len()
+    };
+    let (a, b) = (placed(cluster.controller(0)), placed(cluster.controller(2)));
     assert_eq!(a, b);
-    w.run_for(400_000);
-    assert_eq!(w.finished_count(), 4);
+    cluster.run_for(400_000);
+    assert_eq!(cluster.finished_count(), 4);
     // Nothing is left of the parts.
-    assert!(w
+    assert!(cluster
         .store
         .read_page(&format!("{ROOT}more/"), "", 10)
         .entries
         .is_empty());
-    w.assert_no_violations();
+    cluster.assert_no_violations();
 }
 
 #[test]
--- a/tests/kv_consistency.rs
+++ b/tests/kv_consistency.rs
@@ -126,12 +126,12 @@
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 500, 12_000);
     assert_eq!(controller.job("job-1").state, JobState::Done);
     // A repeated start after the end of a job has no placement to rest on.
-    let mix = controller.machine("m1");
+    let machine = controller.machine("m1");
     assert!(commands::orders(
         &mut controller.cluster,
         &controller.config,
         controller.failovers.permits(),
-        mix,
+        machine,
         MonotonicMillis(0)
     )
     .iter()
--- a/tests/machine_quarantine.rs
+++ b/tests/machine_quarantine.rs
@@ -79,7 +79,7 @@
     let mut third = SimulatedController::start("s2", 3, &mut store, 5000);
     new.apply_membership_moves(&mut store, 5000);
     third.sync(&store);
-    let mix = third
+    let machine = third
         .cluster
         .learn_machine("m1", "oven", "north", true, MonotonicMillis(0))
         .unwrap();
@@ -99,7 +99,7 @@
         MonotonicMillis(30_100),
     );
     assert_eq!(
-        third.cluster.machine(mix).unwrap().last_heartbeat,
+        third.cluster.machine(machine).unwrap().last_heartbeat,
         Some(MonotonicMillis(30_000))
     );
 }
@@ -122,10 +122,10 @@
         vec![closed],
         MonotonicMillis(5000),
     );
-    let mix = new.machine("m1");
+    let machine = new.machine("m1");
     assert!(!new
         .cluster
-        .machine(mix)
+        .machine(machine)
         .unwrap()
         .is_schedulable(MonotonicMillis(5000), 4000));
     new.apply_membership_moves(&mut store, 5000);
@@ -133,11 +133,11 @@
     run_heartbeats(&mut new, &mut store, &mut [&mut worker], 5500, 8000);
     assert!(worker.has_task("job-1/0"));
     // What the owner itself has closed, to return it, stays so.
-    new.cluster.machine_mut(mix).unwrap().cordoned = true;
+    new.cluster.machine_mut(machine).unwrap().cordoned = true;
     run_heartbeats(&mut new, &mut store, &mut [&mut worker], 8000, 10_000);
     assert!(!new
         .cluster
-        .machine(mix)
+        .machine(machine)
         .unwrap()
         .is_schedulable(MonotonicMillis(10_000), 4000));
 }
--- a/tests/outages_and_restarts.rs
+++ b/tests/outages_and_restarts.rs
@@ -101,17 +101,17 @@
     new.apply_membership_moves(&mut store, 5000);
     new.submit(&mut store, job("job-2", 1), 5100);
     // It goes on answering its worker, which keeps its task and gets nothing new.
-    let r = worker.heartbeat(6000);
-    let a = old.receive_heartbeat_without_kv(&r, 6000).unwrap();
+    let heartbeat = worker.heartbeat(6000);
+    let a = old.receive_heartbeat_without_kv(&heartbeat, 6000).unwrap();
     assert!(!a
         .commands
         .iter()
         .any(|o| matches!(o, Command::Start { .. })));
-    assert!(worker.receive_response(&a, r.agent_epoch, 6000, 6000));
+    assert!(worker.receive_response(&a, heartbeat.agent_epoch, 6000, 6000));
     // The new owner shows its token; the worker reports it, and the old one stands down.
     worker.fencing_token = new.cluster.shards[0].record.fencing_token;
-    let r = worker.heartbeat(7000);
-    assert!(old.receive_heartbeat_without_kv(&r, 7000).is_none());
+    let heartbeat = worker.heartbeat(7000);
+    assert!(old.receive_heartbeat_without_kv(&heartbeat, 7000).is_none());
     // The task stays where it is, once: its placement is as good as before.
     new.exchange_heartbeat(&mut store, &mut worker, 7500);
     assert_eq!(
@@ -140,8 +140,8 @@
     let names = autoscaler::lost(&new.cluster, &HashMap::new(), |_| true);
     assert_eq!(names, ["m1"]);
     assert!(autoscaler::lost(&new.cluster, &HashMap::new(), |_| false).is_empty());
-    let mix = new.machine("m1");
-    new.cluster.mark_deleted(mix);
+    let machine = new.machine("m1");
+    new.cluster.mark_deleted(machine);
     new.run_planner(&mut store, 200_000);
     assert!(new.job("job-1").placements.is_empty());
     assert!(autoscaler::lost(&new.cluster, &HashMap::new(), |_| true).is_empty());
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -13,8 +13,8 @@
 
 #[test]
 fn a_quota_share_whose_lowering_is_delayed_is_not_claimed_from_meanwhile() {
-    let mut w = SimulatedCluster::new(4);
-    for h in &mut w.machines {
+    let mut cluster = SimulatedCluster::new(4);
+    for h in &mut cluster.machines {
         h.worker.run_ms = 200_000;
         h.worker.image_pull_ms = 500;
     }
@@ -26,38 +26,48 @@
     let (north, south) = (0, 2);
     let mut first = small("job-1", 2);
     first.zone = Some("north".into());
-    assert!(w.submit(north, first));
-    w.run_for(5000);
-    assert!(w.runs("job-1"));
-    assert!(w.cancel(north, "job-1"));
-    w.run_for(6000);
-    assert!(!w.runs("job-1"));
+    assert!(cluster.submit(north, first));
+    cluster.run_for(5000);
+    assert!(cluster.runs("job-1"));
+    assert!(cluster.cancel(north, "job-1"));
+    cluster.run_for(6000);
+    assert!(!cluster.runs("job-1"));
     // Something of the team waits, so that shares are lowered.
     let mut waits = small("job-9", 1);
     waits.vcpus = 1000.0;
-    let c = w.owner_of_zone("north");
-    assert!(w.submit(c, waits));
+    let controller = cluster.owner_of_zone("north");
+    assert!(cluster.submit(controller, waits));
     let team = pointhook::state::names::TeamIndex(1);
     let lowered = {
-        let c = w.controller(c);
+        let controller = cluster.controller(controller);
         let mut d = draft::DraftTransaction::default();
-        quota::lower_unused_quota(&c.cluster, &c.config, c.failovers.permits(), &mut d);
+        quota::lower_unused_quota(
+            &controller.cluster,
+            &controller.config,
+            controller.failovers.permits(),
+            &mut d,
+        );
         assert!(d.team_quotas.contains_key(&team));
         d
     };
     // Nothing is heard of it, and it is carried out after what comes next.
-    let late = pointhook::coordination::kv::transaction(&w.controller(c).cluster, &lowered);
+    let late =
+        pointhook::coordination::kv::transaction(&cluster.controller(controller).cluster, &lowered);
     let unknown = pointhook::coordination::kv::CommitOutcome::Unknown;
-    pointhook::coordination::kv::apply_outcome(&mut w.controller(c).cluster, &lowered, &unknown);
+    pointhook::coordination::kv::apply_outcome(
+        &mut cluster.controller(controller).cluster,
+        &lowered,
+        &unknown,
+    );
     let mut second = small("job-2", 2);
     second.zone = Some("north".into());
-    assert!(w.submit(north, second));
-    w.run_for(3000);
-    w.store.commit(&late, w.now);
-    assert!(w.submit(south, small("job-3", 2)));
-    w.run_for(10_000);
-    assert!(w.runs("job-2"));
-    w.assert_no_violations();
+    assert!(cluster.submit(north, second));
+    cluster.run_for(3000);
+    cluster.store.commit(&late, cluster.now);
+    assert!(cluster.submit(south, small("job-3", 2)));
+    cluster.run_for(10_000);
+    assert!(cluster.runs("job-2"));
+    cluster.assert_no_violations();
 }
 
 #[test]
@@ -94,27 +104,29 @@
 fn a_gang_lost_while_a_member_is_restarted_in_its_wait_keeps_that_member_placed() {
     let (mut store, mut controller) = support::simulated_controller::start_single_controller();
     let mut hosts = [("m1", 0), ("m2", 0)].map(|(n, t)| {
-        let mut w = support::worker::FakeWorker::new(n, "north", t);
-        w.image_pull_ms = 60_000;
-        w
+        let mut cluster = support::worker::FakeWorker::new(n, "north", t);
+        cluster.image_pull_ms = 60_000;
+        cluster
     });
-    for w in &mut hosts {
-        controller.exchange_heartbeat(&mut store, w, 0);
-        controller.exchange_heartbeat(&mut store, w, 500);
+    for cluster in &mut hosts {
+        controller.exchange_heartbeat(&mut store, cluster, 0);
+        controller.exchange_heartbeat(&mut store, cluster, 500);
     }
     let mut gang = job("job-1", 2);
     gang.kind = JobKind::Gang;
     gang.gpus = 3.0;
     controller.submit(&mut store, gang, 600);
     controller.run_planner(&mut store, 600);
-    for w in &mut hosts {
-        controller.exchange_heartbeat(&mut store, w, 1000);
+    for cluster in &mut hosts {
+        controller.exchange_heartbeat(&mut store, cluster, 1000);
     }
     let [first, second] = &mut hosts;
     assert!(first.has_task("job-1/0") && second.has_task("job-1/1"));
     first.time_out_gang_wait();
-    let r = first.heartbeat(1500);
-    let answer = controller.receive_heartbeat(&mut store, &r, 1500).unwrap();
+    let heartbeat = first.heartbeat(1500);
+    let answer = controller
+        .receive_heartbeat(&mut store, &heartbeat, 1500)
+        .unwrap();
     assert_eq!(answer.commands.len(), 2, "forget and start");
     // The answer is on its way when the other's machine is deleted.
     let other = controller.machine("m2");
@@ -122,7 +134,7 @@
     controller.run_planner(&mut store, 1600);
     let job = controller.job("job-1");
     assert!(job.placement(0).is_some(), "its end is not for good");
-    assert!(first.receive_response(&answer, r.agent_epoch, 1500, 2500));
+    assert!(first.receive_response(&answer, heartbeat.agent_epoch, 1500, 2500));
     assert!(first.has_task("job-1/0"));
     // It is stopped there, and then the gang begins anew.
     support::simulated_controller::run_heartbeats(
@@ -153,10 +165,10 @@
     );
     assert!(worker.has_task("job-1/0"));
     // Its owner reads of its end, cut off from the state service.
-    let mut r = worker.heartbeat(3000);
-    r.tasks[0].state = pointhook::protocol::workers::TaskState::Exited;
-    r.tasks[0].exit_reason = Some(pointhook::protocol::workers::ExitReason::GangMemberLost);
-    let _ = controller.receive_heartbeat_without_kv(&r, 3000);
+    let mut heartbeat = worker.heartbeat(3000);
+    heartbeat.tasks[0].state = pointhook::protocol::workers::TaskState::Exited;
+    heartbeat.tasks[0].exit_reason = Some(pointhook::protocol::workers::ExitReason::GangMemberLost);
+    let _ = controller.receive_heartbeat_without_kv(&heartbeat, 3000);
     // Another takes the shard; the session has ended, and the attempt is started once more.
     store.revoke_lease(controller.lease);
     let mut other =
--- a/tests/preemption.rs
+++ b/tests/preemption.rs
@@ -94,9 +94,11 @@
     controller.submit(&mut store, spec, 0);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 3000);
     controller.submit(&mut store, job("job-2", 1), 3000);
-    let mut r = worker.heartbeat(3000);
-    r.preemption_notice_s = Some(12.0);
-    let a = controller.receive_heartbeat(&mut store, &r, 3000).unwrap();
+    let mut heartbeat = worker.heartbeat(3000);
+    heartbeat.preemption_notice_s = Some(12.0);
+    let a = controller
+        .receive_heartbeat(&mut store, &heartbeat, 3000)
+        .unwrap();
     assert_eq!(count_starts(&a.commands), 0);
     assert!(matches!(a.commands[0], Command::Stop { grace_s, .. } if grace_s >= 2.0));
 }
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -50,13 +50,13 @@
         .machine_mut(warm)
         .unwrap()
         .use_image(image, 1.0, 100.0);
-    let ix = controller.job_index("job-1");
+    let job_index = controller.job_index("job-1");
     for _ in 0..20 {
         assert_eq!(
             claims::bind(
                 &controller.cluster,
                 &controller.config,
-                ix,
+                job_index,
                 MonotonicMillis(10),
                 10
             ),
@@ -78,20 +78,20 @@
     controller.run_planner(&mut store, 10);
     controller.cancel(&mut store, "job-2", 20);
     let mut placed = 0;
-    for (mix, m) in controller.cluster.all_machines() {
+    for (machine, m) in controller.cluster.all_machines() {
         let mut free = controller.cluster.machine_types[&m.machine_type].capacity;
         for (job_index, j) in controller.cluster.active_jobs() {
-            for p in j.placements.iter().filter(|p| p.machine == mix) {
+            for p in j.placements.iter().filter(|p| p.machine == machine) {
                 free = free.minus(j.spec.as_ref().unwrap().need);
                 assert!(controller
                     .cluster
-                    .placed_on(mix)
+                    .placed_on(machine)
                     .contains(&TaskAttempt::new(job_index, p.task, p.attempt)));
                 placed += 1;
             }
         }
         assert_eq!(
-            controller.cluster.free_capacity()[mix.0 as usize],
+            controller.cluster.free_capacity()[machine.0 as usize],
             Some(free)
         );
     }
@@ -329,19 +329,19 @@
         d
     };
     // Three of four are done: nothing is written yet, but what is urgent has their room.
-    let mut r = worker.heartbeat(4000);
-    r.tasks[3].state = TaskState::Running;
-    r.tasks[3].exit_reason = None;
-    let take = |controller: &mut SimulatedController, r| {
+    let mut heartbeat = worker.heartbeat(4000);
+    heartbeat.tasks[3].state = TaskState::Running;
+    heartbeat.tasks[3].exit_reason = None;
+    let take = |controller: &mut SimulatedController, heartbeat| {
         heartbeats::receive(
             &mut controller.cluster,
             &controller.config,
-            r,
+            heartbeat,
             10_000,
             MonotonicMillis(4000),
         )
     };
-    take(&mut controller, &r);
+    take(&mut controller, &heartbeat);
     assert!(later(&controller, 4000).is_empty());
     let mut urgent = job("job-2", 3);
     urgent.priority = Priority::High;
@@ -352,10 +352,10 @@
     assert!(d
         .claims
         .iter()
-        .all(|(ix, _)| *ix == controller.job_index("job-2")));
+        .all(|(job_index, _)| *job_index == controller.job_index("job-2")));
     // Once the last is done as well, the job's end is written at once, with all of them.
-    let r = worker.heartbeat(5000);
-    take(&mut controller, &r);
+    let heartbeat = worker.heartbeat(5000);
+    take(&mut controller, &heartbeat);
     let d = later(&controller, 5000);
     assert_eq!(d.jobs[&controller.job_index("job-1")].state, JobState::Done);
 }
@@ -384,8 +384,8 @@
     let (_, mut controller) = start_single_controller();
     fleet(&mut controller, 2000);
     for i in 0..1990 {
-        let mix = controller.machine(&format!("m{i:03}"));
-        controller.cluster.mark_deleted(mix);
+        let machine = controller.machine(&format!("m{i:03}"));
+        controller.cluster.mark_deleted(machine);
     }
     assert_eq!(controller.cluster.all_machines().count(), 10);
     // Late lists and reports bring none back.
--- a/tests/shard_ownership.rs
+++ b/tests/shard_ownership.rs
@@ -164,11 +164,11 @@
     let (_, mut controller) = start_single_controller();
     for i in 0..300 {
         let name = format!("m{i:03}");
-        let mix = controller
+        let machine = controller
             .cluster
             .learn_machine(&name, "oven", "north", true, MonotonicMillis(0))
             .unwrap();
-        controller.cluster.machine_mut(mix).unwrap().addr = "127.0.0.1:1".into();
+        controller.cluster.machine_mut(machine).unwrap().addr = "127.0.0.1:1".into();
     }
     // Nobody answers, and sixty connections are open at a time.
     let mut tried = HashMap::new();
@@ -181,15 +181,19 @@
             MonotonicMillis(now),
             |_| Some(()),
         );
-        for (mix, ..) in due.into_iter().take(60) {
-            tried.insert(mix, MonotonicMillis(now));
-            reached.insert(mix);
+        for (machine, ..) in due.into_iter().take(60) {
+            tried.insert(machine, MonotonicMillis(now));
+            reached.insert(machine);
         }
     }
     assert_eq!(reached.len(), 300);
     // One that has shown the token is left alone, and one in vain is tried again only later.
-    let mix = controller.machine("m299");
-    controller.cluster.machine_mut(mix).unwrap().fencing_token = controller.cluster.shards[0]
+    let machine = controller.machine("m299");
+    controller
+        .cluster
+        .machine_mut(machine)
+        .unwrap()
+        .fencing_token = controller.cluster.shards[0]
         .record
         .fencing_token
         .max(controller.cluster.shards[1].record.fencing_token);
@@ -200,7 +204,7 @@
         MonotonicMillis(16_500),
         |_| Some(()),
     );
-    assert!(due.iter().all(|(m, ..)| *m != mix));
+    assert!(due.iter().all(|(m, ..)| *m != machine));
     assert!(due.len() <= 240);
 }
 
@@ -227,8 +231,10 @@
         SimulatedController::commit(&mut store, &late, 40_000),
         pointhook::coordination::kv::CommitOutcome::Committed(_)
     ));
-    let r = worker.heartbeat(40_000);
-    let held = old.receive_heartbeat_without_kv(&r, 40_000).unwrap();
+    let heartbeat = worker.heartbeat(40_000);
+    let held = old
+        .receive_heartbeat_without_kv(&heartbeat, 40_000)
+        .unwrap();
     assert!(!held
         .commands
         .iter()
--- a/tests/worker_reachability.rs
+++ b/tests/worker_reachability.rs
@@ -20,8 +20,10 @@
     controller.submit(&mut store, job("job-1", 1), 100);
     // Its reports arrive, the answers do not.
     for now in (500..4000).step_by(500) {
-        let r = deaf.heartbeat(now);
-        controller.receive_heartbeat(&mut store, &r, now).unwrap();
+        let heartbeat = deaf.heartbeat(now);
+        controller
+            .receive_heartbeat(&mut store, &heartbeat, now)
+            .unwrap();
     }
     assert!(controller
         .cluster
@@ -41,10 +43,10 @@
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
-    let mix = controller.machine("m1");
+    let machine = controller.machine("m1");
     controller
         .cluster
-        .machine_mut(mix)
+        .machine_mut(machine)
         .unwrap()
         .unreachable_since = Some(MonotonicMillis(1000));
     let asked = worker_connectivity::unreachable_machines(
@@ -54,8 +56,8 @@
         MonotonicMillis(5000),
     );
     assert_eq!(asked.len(), 1);
-    assert!(!controller.cluster.machine(mix).unwrap().quarantined);
-    let mut reached = controller.cluster.machine(mix).unwrap().clone();
+    assert!(!controller.cluster.machine(machine).unwrap().quarantined);
+    let mut reached = controller.cluster.machine(machine).unwrap().clone();
     reached.mark_reachable(MonotonicMillis(5000));
     assert!(reached.is_schedulable(MonotonicMillis(500), 4000));
     worker_connectivity::unreachable_machines(
@@ -64,7 +66,7 @@
         10_000,
         MonotonicMillis(11_500),
     );
-    assert!(controller.cluster.machine(mix).unwrap().quarantined);
+    assert!(controller.cluster.machine(machine).unwrap().quarantined);
 }
 
 #[test]
@@ -73,8 +75,10 @@
     let mut worker = FakeWorker::new("m1", "north", 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     for now in (500..12_000).step_by(500) {
-        let r = worker.heartbeat(now);
-        controller.receive_heartbeat(&mut store, &r, now).unwrap();
+        let heartbeat = worker.heartbeat(now);
+        controller
+            .receive_heartbeat(&mut store, &heartbeat, now)
+            .unwrap();
     }
     assert!(worker.agent_epoch > AgentEpoch(1));
     let m = controller
