--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -68,7 +68,7 @@
 ) -> CommitOutcome {
     let to = controller.config.controller_name.clone();
     let wanted = Move { shard: NORTH, to };
-    controller.execute_moves(store, &wanted, now)
+    controller.execute_move(store, &wanted, now)
 }
 
 /// Takes the northern shard over, which succeeds.
--- /dev/null
+++ b/tests/support/simulated_controller/membership.rs
@@ -0,0 +1,224 @@
+//! A simulated controller's key, its shards and its peers.
+
+use super::{SimulatedController, Standby, KEY_LEASE_MS};
+use crate::support::kv_store::FakeKvStore;
+use pointhook::coordination::kv::CommitOutcome;
+use pointhook::coordination::membership::{self, MembershipView, Move, StandbyRule};
+use pointhook::coordination::{cancellations, failover};
+use pointhook::state::cancellation_watermark::CancellationWatermark;
+use pointhook::state::names::{Index, ShardIndex, ZoneIndex};
+use pointhook::state::units::{Incarnation, MonotonicMillis};
+use standby::failover::{Refusal, State};
+use standby::ids::{FencingToken, Revision, ShardId};
+use std::collections::HashMap;
+
+/// Time between two raises of fencing tokens.
+const TOKEN_RAISE_INTERVAL_MS: u64 = 5000;
+/// How long a controller must have been a member to become a standby.
+const STANDBY_SETTLE_MS: u64 = 2500;
+
+impl SimulatedController {
+    /// Makes it one of several controllers, with their zones.
+    pub fn with_peers(mut self, names: &[&str], zones: &[(&str, u32)]) -> SimulatedController {
+        let own_name = &self.config.controller_name;
+        let others = names.iter().filter(|name| **name != *own_name);
+        self.peers = others.map(|name| name.to_string()).collect();
+        self.cluster.cancellation_watermark =
+            CancellationWatermark::new(self.peers.len(), MonotonicMillis(self.started_at));
+        let zones = zones.iter();
+        self.zones = zones
+            .map(|(name, zone)| (name.to_string(), ZoneIndex(*zone)))
+            .collect();
+        if self.standby != Standby::Off {
+            self.membership.standby = Some(StandbyRule {
+                zones: self.zones.clone(),
+                prefer_other_zone: self.standby == Standby::OtherZone,
+                settle_ms: STANDBY_SETTLE_MS,
+            });
+        }
+        self
+    }
+
+    /// Takes and hands over shards as if all had been owned for long; how many moves were
+    /// committed.
+    pub fn apply_membership_moves(&mut self, store: &mut FakeKvStore, now: u64) -> usize {
+        let view = MembershipView {
+            owned_since: self.owned_since_start(),
+            ..Default::default()
+        };
+        let moves = membership::moves(
+            &self.cluster,
+            &self.config,
+            &self.zones,
+            &view,
+            true,
+            MonotonicMillis(now),
+        );
+        let mut committed = 0;
+        for shard_move in moves {
+            let transaction = membership::move_transaction(&self.cluster, &shard_move);
+            let (transaction, _) = transaction.expect("a live target");
+            let outcome = Self::commit(store, &transaction, now);
+            committed += usize::from(matches!(outcome, CommitOutcome::Committed(_)));
+        }
+        self.sync(store);
+        committed
+    }
+
+    /// All shards, as if they had been owned since the clock began.
+    pub fn owned_since_start(&self) -> HashMap<ShardIndex, MonotonicMillis> {
+        let shards = (0..self.cluster.shards.len()).map(ShardIndex::new);
+        shards.map(|shard| (shard, MonotonicMillis(0))).collect()
+    }
+
+    /// Keeps its key, and takes and hands over shards, at the pace of the background task.
+    pub fn run_membership_tick(&mut self, store: &mut FakeKvStore, now: u64) {
+        if !store.unavailable && !store.renew_lease(self.lease, now) {
+            self.lease = store.grant_lease(KEY_LEASE_MS, now);
+        }
+        let own_record = self.cluster.controllers.get(&self.config.controller_name);
+        let is_registered =
+            own_record.is_some_and(|r| r.record.incarnation == self.config.incarnation);
+        if !store.unavailable && !is_registered {
+            let version = own_record.map_or(0, |record| record.version);
+            Self::commit(store, &self.registration(version), now);
+            self.sync(store);
+            return;
+        }
+        self.update_membership_view(MonotonicMillis(now));
+        if is_registered {
+            self.move_shards(store, now);
+        }
+    }
+
+    /// Notes since when controllers are there and shards are owned.
+    fn update_membership_view(&mut self, now: MonotonicMillis) {
+        let controllers = &self.cluster.controllers;
+        let is_present = |name: &String, incarnation: Incarnation| {
+            let known = controllers.get(name);
+            known.is_some_and(|known| known.record.incarnation == incarnation)
+        };
+        let view = &mut self.membership;
+        view.first_seen
+            .retain(|(name, incarnation), _| is_present(name, *incarnation));
+        for (name, known) in controllers {
+            let key = (name.clone(), known.record.incarnation);
+            view.first_seen.entry(key).or_insert(now);
+        }
+        for shard in (0..self.cluster.shards.len()).map(ShardIndex::new) {
+            if self.config.owns(&self.cluster, shard) {
+                view.owned_since.entry(shard).or_insert(now);
+            } else {
+                view.owned_since.remove(&shard);
+            }
+            if self.cluster.live_owner(shard).is_some() {
+                view.ownerless_since.remove(&shard);
+            } else {
+                view.ownerless_since.entry(shard).or_insert(now);
+            }
+        }
+    }
+
+    fn move_shards(&mut self, store: &mut FakeKvStore, now: u64) {
+        let may_raise_tokens = now >= self.token_raised_at + TOKEN_RAISE_INTERVAL_MS;
+        if may_raise_tokens {
+            self.token_raised_at = now;
+        }
+        let moves = membership::moves(
+            &self.cluster,
+            &self.config,
+            &self.zones,
+            &self.membership,
+            may_raise_tokens,
+            MonotonicMillis(now),
+        );
+        for shard_move in moves {
+            self.execute_move(store, &shard_move, now);
+            self.sync(store);
+        }
+    }
+
+    /// Executes a move like the background task: what it recorded is known before any newer
+    /// change.
+    pub fn execute_move(
+        &mut self,
+        store: &mut FakeKvStore,
+        shard_move: &Move,
+        now: u64,
+    ) -> CommitOutcome {
+        let transaction = membership::move_transaction(&self.cluster, shard_move);
+        let Some((transaction, record)) = transaction else {
+            return CommitOutcome::Refused(0);
+        };
+        let shard = ShardId(shard_move.shard.0);
+        let at = failover::millis(MonotonicMillis(now));
+        if shard_move.to == self.config.controller_name {
+            self.failovers.fence_sent(shard, at);
+        }
+        let outcome = Self::commit(store, &transaction, now);
+        match &outcome {
+            CommitOutcome::Committed(revision) => {
+                let known = &mut self.cluster.shards[shard_move.shard.at()];
+                known.version = *revision;
+                known.record = record;
+            }
+            CommitOutcome::Conflict(_) | CommitOutcome::Refused(_) => {
+                self.failovers.fence_refused(shard, at);
+            }
+            CommitOutcome::Unknown => {}
+        }
+        outcome
+    }
+
+    /// Brings failovers up to date with what it knows.
+    pub fn observe_failovers(&mut self, now: u64) {
+        let now = MonotonicMillis(now);
+        for shard in (0..self.cluster.shards.len()).map(ShardIndex::new) {
+            let standby = membership::standby_of(&self.cluster, &self.membership, shard, now);
+            let is_standby = standby == Some(self.config.controller_name.as_str());
+            let last_contact = |_: &str| Some(now);
+            let observation = failover::observation(
+                &self.cluster,
+                &self.config,
+                shard,
+                is_standby,
+                last_contact,
+                now,
+            );
+            let at = failover::millis(now);
+            let changes = self.failovers.observe(ShardId(shard.0), observation, at);
+            for change in changes {
+                if change.to == State::SteppedDown {
+                    self.stepped_down.push(shard);
+                }
+            }
+        }
+    }
+
+    /// A worker has shown a higher fencing token than the one under which it owns the shard.
+    pub fn reject_stale_token(&mut self, shard: ShardIndex, seen: u64, now: u64) {
+        let refusal = Refusal::Worker {
+            seen: FencingToken(seen),
+        };
+        let known = Revision(self.cluster.revision);
+        let now = failover::millis(MonotonicMillis(now));
+        let change = self
+            .failovers
+            .refused(ShardId(shard.0), refusal, known, now);
+        if change.is_some() {
+            self.stepped_down.push(shard);
+        }
+    }
+
+    /// Tells a peer the cancellations known here, and learns those that the peer knows.
+    pub fn exchange_cancellations(&mut self, peer: &mut SimulatedController, now: u64) {
+        cancellations::learn(&mut peer.cluster, &cancellations::names(&self.cluster));
+        let uptime_ms = now - peer.started_at;
+        let now = MonotonicMillis(now);
+        let reply = cancellations::tells(&peer.cluster, now, uptime_ms);
+        let peer_name = &peer.config.controller_name;
+        let index = self.peers.iter().position(|name| name == peer_name);
+        let index = index.expect("one of its peers");
+        cancellations::take(&mut self.cluster, index, now, now, &reply);
+    }
+}
--- /dev/null
+++ b/tests/support/simulated_controller/mod.rs
@@ -0,0 +1,318 @@
+//! A controller without sockets: it makes the same decisions as a real one, commits them to a fake
+//! key-value store, and exchanges messages by function calls on a simulated clock.
+//!
+//! - this module: its state, its start, and what it reads and writes;
+//! - `membership`: its key, its shards and its peers;
+//! - `scheduling`: planning, heartbeats and direct starts.
+
+mod membership;
+mod scheduling;
+
+use super::cloud::machine_type;
+use super::digest;
+use super::kv_store::{FakeKvStore, NO_RESPONSE};
+use super::worker::FakeWorker;
+use pointhook::coordination::cancellations::CancelledTaskSweeper;
+use pointhook::coordination::kv::{apply_outcome, set, transaction, CommitOutcome};
+use pointhook::coordination::membership::MembershipView;
+use pointhook::coordination::scheduler::config::SchedulerConfig;
+use pointhook::coordination::scheduler::draft::DraftTransaction;
+use pointhook::protocol::cloud::MachineTypeCatalog;
+use pointhook::protocol::kv::{Condition, Limits, Transaction};
+use pointhook::protocol::users::JobSpec;
+use pointhook::settings::Team;
+use pointhook::state::cluster_state::{ClusterState, ControllerRecord, ROOT};
+use pointhook::state::job::{Job, JobRecord, JobState};
+use pointhook::state::names::{Index, JobIndex, MachineIndex, ShardIndex, ZoneIndex};
+use pointhook::state::records::{RECORD_FORMAT_V2, STANDBY_VERSION};
+use pointhook::state::units::Incarnation;
+use standby::failover::Failovers;
+use std::cell::Cell;
+use std::collections::{BTreeMap, HashMap};
+
+pub use scheduling::direct_commands;
+
+/// Time within which a cancelled job must have ended.
+pub const CANCEL_MS: u64 = 24_000;
+/// Workers' lease.
+pub const LEASE_MS: u64 = 10_000;
+/// How old the cancellation watermark may be while leases are renewed: what the settings compute
+/// from both.
+pub const RENEW_MS: u64 = CANCEL_MS - LEASE_MS - 1534;
+/// Lease of a controller's key.
+const KEY_LEASE_MS: u64 = 4000;
+/// Time between the heartbeats of [`run_heartbeats`].
+const HEARTBEAT_INTERVAL_MS: u64 = 500;
+const ZONES: [&str; 2] = ["north", "south"];
+const SHARDS_PER_ZONE: usize = 1;
+/// The shard of each zone, and the one of the whole cluster.
+const SHARDS: usize = 3;
+const MIXERS_GPU_LIMIT: f64 = 2.0;
+/// Keys that are read at once.
+const MAX_PAGE: usize = 1000;
+
+/// A controller without sockets.
+pub struct SimulatedController {
+    pub cluster: ClusterState,
+    pub config: SchedulerConfig,
+    /// Lease of its key.
+    pub lease: u64,
+    /// Zones of all controllers.
+    pub zones: BTreeMap<String, ZoneIndex>,
+    /// Names of the other controllers, by the index of their attestations.
+    pub peers: Vec<String>,
+    pub started_at: u64,
+    pub cancelled_task_sweeper: CancelledTaskSweeper,
+    /// Since when it knows its shards and the other controllers.
+    pub membership: MembershipView,
+    /// Whether it has the warm standby.
+    pub standby: Standby,
+    /// Failovers of its shards, and the permits that they issue.
+    pub failovers: Failovers,
+    /// Shards that it stepped down from, in order.
+    pub stepped_down: Vec<ShardIndex>,
+    token_raised_at: u64,
+    /// Cancellations were cascaded to dependents in this step already.
+    cascaded: bool,
+}
+
+/// Whether a controller has the warm standby.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
+pub enum Standby {
+    #[default]
+    Off,
+    /// Standbys in the owner's zone are preferred.
+    SameZone,
+    /// Standbys in another zone are preferred.
+    OtherZone,
+}
+
+impl Standby {
+    fn version(self) -> u32 {
+        match self {
+            Standby::Off => 0,
+            Standby::SameZone | Standby::OtherZone => STANDBY_VERSION,
+        }
+    }
+}
+
+/// A team with a limit on GPUs; zero stands for no limit.
+pub fn team(name: &str, gpus_max: f64) -> Team {
+    Team {
+        name: name.into(),
+        cpus: 0.0,
+        cpus_max: 0.0,
+        gpus: 0.0,
+        gpus_max,
+    }
+}
+
+fn scheduler_config(name: &str, incarnation: u64, store: &FakeKvStore) -> SchedulerConfig {
+    SchedulerConfig {
+        controller_name: name.into(),
+        incarnation: Incarnation(incarnation),
+        unresponsive_ms: 4000,
+        queue_cap: 2,
+        steal_after_ms: 2000,
+        gang_reservation_after_ms: 5000,
+        spot_patience_ms: 10_000,
+        capacity_buffer_spot: 0.0,
+        capacity_buffer_on_demand: 0.0,
+        lease_expiry_ms: 12_020,
+        max_watermark_age_ms: RENEW_MS,
+        cancel_ms: CANCEL_MS,
+        completion_targets: HashMap::new(),
+        limits_now: Limits {
+            txn_ops: store.max_txn_ops,
+            value_bytes: store.max_value_bytes * 9 / 10,
+            write_rps: f64::MAX,
+        },
+        limits_next: Limits::NONE,
+        limits_observed: Cell::new(Limits::NONE),
+    }
+}
+
+/// A store and one controller that owns all shards.
+pub fn start_single_controller() -> (FakeKvStore, SimulatedController) {
+    let mut store = FakeKvStore::default();
+    let mut controller = SimulatedController::start("n1", 1, &mut store, 0);
+    let taken_shards = controller.apply_membership_moves(&mut store, 0);
+    assert_eq!(taken_shards, SHARDS);
+    (store, controller)
+}
+
+/// Lets workers send a heartbeat every half second.
+pub fn run_heartbeats(
+    controller: &mut SimulatedController,
+    store: &mut FakeKvStore,
+    workers: &mut [&mut FakeWorker],
+    from: u64,
+    to: u64,
+) {
+    let interval = usize::try_from(HEARTBEAT_INTERVAL_MS).expect("a small number");
+    for now in (from..to).step_by(interval) {
+        for worker in workers.iter_mut() {
+            controller.exchange_heartbeat(store, worker, now);
+        }
+    }
+}
+
+impl SimulatedController {
+    /// A controller whose key is stored and that knows all records.
+    pub fn start(
+        name: &str,
+        incarnation: u64,
+        store: &mut FakeKvStore,
+        now: u64,
+    ) -> SimulatedController {
+        SimulatedController::start_as(name, incarnation, Standby::Off, store, now)
+    }
+
+    /// The same, with or without the warm standby.
+    pub fn start_as(
+        name: &str,
+        incarnation: u64,
+        standby: Standby,
+        store: &mut FakeKvStore,
+        now: u64,
+    ) -> SimulatedController {
+        let zones = ZONES.map(str::to_string);
+        let teams = [team("ovens", 0.0), team("mixers", MIXERS_GPU_LIMIT)];
+        let mut controller = SimulatedController {
+            zones: BTreeMap::from([
+                ("n1".to_string(), ZoneIndex(0)),
+                ("s1".to_string(), ZoneIndex(1)),
+            ]),
+            cluster: ClusterState::new(&zones, &teams, SHARDS_PER_ZONE),
+            config: scheduler_config(name, incarnation, store),
+            lease: store.grant_lease(KEY_LEASE_MS, now),
+            peers: Vec::new(),
+            started_at: now,
+            cancelled_task_sweeper: CancelledTaskSweeper::default(),
+            membership: MembershipView::default(),
+            failovers: Failovers::new(SHARDS),
+            standby,
+            stepped_down: Vec::new(),
+            token_raised_at: 0,
+            cascaded: false,
+        };
+        controller.cluster.set_machine_types(&MachineTypeCatalog {
+            types: vec![machine_type()],
+        });
+        controller.read_all(store);
+        let version = store.version(&controller.key());
+        let register = controller.registration(version);
+        let response = digest::commit(store, &register, now);
+        assert_eq!(response.status, 200);
+        controller.sync(store);
+        controller
+    }
+
+    fn key(&self) -> String {
+        format!("{ROOT}node/{}", self.config.controller_name)
+    }
+
+    /// The transaction that stores the controller's key under its lease, in place of this version.
+    fn registration(&self, version: u64) -> Transaction {
+        let record = ControllerRecord {
+            incarnation: self.config.incarnation,
+            record_format: RECORD_FORMAT_V2,
+            standby_version: self.standby.version(),
+        };
+        let key = self.key();
+        let condition = Condition {
+            key: key.clone(),
+            version,
+        };
+        Transaction {
+            conditions: vec![condition],
+            writes: set(key, &record, Some(self.lease)).into_iter().collect(),
+        }
+    }
+
+    fn read_all(&mut self, store: &FakeKvStore) {
+        let page = store.read_page(ROOT, "", MAX_PAGE);
+        self.cluster.take_all(&page.entries, page.revision);
+    }
+
+    /// Reads the newest changes; false while the store is unavailable.
+    pub fn sync(&mut self, store: &FakeKvStore) -> bool {
+        let from = self.cluster.revision;
+        let response = store.watch(ROOT, from);
+        match (response.status, response.body) {
+            (200, Some(changes)) => {
+                self.cluster
+                    .take_changes(from, changes.revision, &changes.events);
+                true
+            }
+            (410, _) => {
+                self.read_all(store);
+                true
+            }
+            _ => false,
+        }
+    }
+
+    /// Sends a transaction and reads its outcome.
+    pub fn commit(store: &mut FakeKvStore, transaction: &Transaction, now: u64) -> CommitOutcome {
+        let response = digest::commit(store, transaction, now);
+        match (response.status, response.body) {
+            (200, Some(committed)) => CommitOutcome::Committed(committed.revision),
+            (409, Some(conflict)) => CommitOutcome::Conflict(conflict.failed),
+            (NO_RESPONSE, _) => CommitOutcome::Unknown,
+            (status, _) => CommitOutcome::Refused(status),
+        }
+    }
+
+    /// Stores a job that a user submits.
+    pub fn submit(&mut self, store: &mut FakeKvStore, spec: JobSpec, now: u64) -> CommitOutcome {
+        let key = ClusterState::job_key(&spec.id);
+        let record = JobRecord::submitted(spec, now);
+        let is_new = Condition {
+            key: key.clone(),
+            version: 0,
+        };
+        let submission = Transaction {
+            conditions: vec![is_new],
+            writes: set(key, &record, None).into_iter().collect(),
+        };
+        let outcome = Self::commit(store, &submission, now);
+        self.sync(store);
+        outcome
+    }
+
+    /// Stores a user's cancellation of a job.
+    pub fn cancel(&mut self, store: &mut FakeKvStore, id: &str, now: u64) -> CommitOutcome {
+        let (index, job) = self.cluster.job(id).expect("known job");
+        let cancelled = Job {
+            state: JobState::Cancelled,
+            ..job.clone()
+        };
+        let mut draft = DraftTransaction::default();
+        draft.jobs.insert(index, cancelled);
+        let outcome = Self::commit(store, &transaction(&self.cluster, &draft), now);
+        apply_outcome(&mut self.cluster, &draft, &outcome);
+        outcome
+    }
+
+    /// True if it owns a shard, by its own view.
+    pub fn owns(&self, shard: usize) -> bool {
+        self.config.owns(&self.cluster, ShardIndex::new(shard))
+    }
+
+    /// Index of a machine that it knows.
+    pub fn machine(&self, name: &str) -> MachineIndex {
+        let index = self.cluster.machine_names.find(name);
+        index.expect("known machine")
+    }
+
+    /// Index of a job that it knows.
+    pub fn job_index(&self, id: &str) -> JobIndex {
+        self.cluster.job(id).expect("known job").0
+    }
+
+    /// A job that it knows.
+    pub fn job(&self, id: &str) -> &Job {
+        self.cluster.job(id).expect("known job").1
+    }
+}
--- /dev/null
+++ b/tests/support/simulated_controller/scheduling.rs
@@ -0,0 +1,158 @@
+//! A simulated controller's planning, heartbeats and direct starts.
+
+use super::{SimulatedController, LEASE_MS};
+use crate::support::digest;
+use crate::support::kv_store::FakeKvStore;
+use crate::support::worker::FakeWorker;
+use pointhook::coordination::heartbeats::{self, HeartbeatOutcome};
+use pointhook::coordination::kv::{apply_outcome, transaction, CommitOutcome};
+use pointhook::coordination::reconciliation;
+use pointhook::coordination::scheduler::commands::{self, DirectStart};
+use pointhook::coordination::scheduler::draft::DraftTransaction;
+use pointhook::coordination::scheduler::{claims, quota};
+use pointhook::protocol::workers::{DirectCommands, Heartbeat, HeartbeatResponse};
+use pointhook::state::units::MonotonicMillis;
+
+/// Rounds of planning after which it must have settled.
+const MAX_PLANNING_ROUNDS: u32 = 60;
+/// Time between cascades of cancellations to dependents.
+const CASCADE_INTERVAL_MS: u64 = 1000;
+/// Jobs that a cascade cancels in one transaction.
+const CASCADE_BUDGET: usize = 2;
+
+impl SimulatedController {
+    /// What the next round of planning would commit.
+    pub fn draft_plan(&mut self, now: u64) -> DraftTransaction {
+        self.observe_failovers(now);
+        let permits = self.failovers.permits();
+        let mut draft = DraftTransaction::batching(false, now);
+        if now.is_multiple_of(CASCADE_INTERVAL_MS) && !self.cascaded {
+            draft.cascade_budget = CASCADE_BUDGET;
+        }
+        let (cluster, config) = (&self.cluster, &self.config);
+        let at = MonotonicMillis(now);
+        reconciliation::reconcile(cluster, config, permits, &mut draft, at);
+        claims::claim(cluster, config, permits, &mut draft, at, now);
+        quota::lower_unused_quota(cluster, config, permits, &mut draft);
+        draft
+    }
+
+    /// Plans until nothing changes any more.
+    pub fn run_planner(&mut self, store: &mut FakeKvStore, now: u64) {
+        self.cascaded = false;
+        for _ in 0..MAX_PLANNING_ROUNDS {
+            let draft = self.draft_plan(now);
+            self.cascaded = true;
+            if draft.is_empty() {
+                return;
+            }
+            reconciliation::mark_abandoned(&mut self.cluster, &draft);
+            let outcome = Self::commit(store, &transaction(&self.cluster, &draft), now);
+            apply_outcome(&mut self.cluster, &draft, &outcome);
+            // Like the background task: what was refused is tried again in its next round.
+            let wait = matches!(outcome, CommitOutcome::Unknown | CommitOutcome::Refused(_));
+            if wait {
+                self.sync(store);
+                return;
+            }
+            if !matches!(outcome, CommitOutcome::Committed(_)) && !self.sync(store) {
+                return;
+            }
+        }
+        panic!("planning never settles");
+    }
+
+    /// The same as [`SimulatedController::receive_heartbeat`] while the key-value store can't be
+    /// reached.
+    pub fn receive_heartbeat_without_kv(
+        &mut self,
+        heartbeat: &Heartbeat,
+        now: u64,
+    ) -> Option<HeartbeatResponse> {
+        let mut unreachable = FakeKvStore::unreachable();
+        self.receive_heartbeat(&mut unreachable, heartbeat, now)
+    }
+
+    /// Answers a heartbeat; `None` stands for status 421.
+    pub fn receive_heartbeat(
+        &mut self,
+        store: &mut FakeKvStore,
+        heartbeat: &Heartbeat,
+        now: u64,
+    ) -> Option<HeartbeatResponse> {
+        let received = heartbeats::receive(
+            &mut self.cluster,
+            &self.config,
+            heartbeat,
+            LEASE_MS,
+            MonotonicMillis(now),
+        );
+        let HeartbeatOutcome::Accepted(machine, fencing_token, change) = received else {
+            digest::note("report not taken", now, &heartbeat.machine);
+            return None;
+        };
+        self.run_planner(store, now);
+        self.observe_failovers(now);
+        let response = heartbeats::reply(
+            &mut self.cluster,
+            &self.config,
+            self.failovers.permits(),
+            heartbeat,
+            (machine, fencing_token, change),
+            MonotonicMillis(now),
+        );
+        digest::note("answer to a report", now, &(&heartbeat.machine, &response));
+        response
+    }
+
+    /// A heartbeat of a worker, answered and executed at once; false for status 421. A worker that
+    /// learns a higher fencing token sends another heartbeat.
+    pub fn exchange_heartbeat(
+        &mut self,
+        store: &mut FakeKvStore,
+        worker: &mut FakeWorker,
+        now: u64,
+    ) -> bool {
+        let previous_token = worker.fencing_token;
+        let accepted = self.exchange_heartbeat_once(store, worker, now);
+        if accepted && worker.fencing_token > previous_token {
+            return self.exchange_heartbeat_once(store, worker, now);
+        }
+        accepted
+    }
+
+    fn exchange_heartbeat_once(
+        &mut self,
+        store: &mut FakeKvStore,
+        worker: &mut FakeWorker,
+        now: u64,
+    ) -> bool {
+        let heartbeat = worker.heartbeat(now);
+        let Some(response) = self.receive_heartbeat(store, &heartbeat, now) else {
+            return false;
+        };
+        worker.receive_response(&response, heartbeat.agent_epoch, now, now)
+    }
+
+    /// Starts that are sent to machines directly.
+    pub fn direct_starts(&mut self, now: u64) -> Vec<DirectStart> {
+        self.observe_failovers(now);
+        let permits = self.failovers.permits();
+        commands::direct_starts(
+            &mut self.cluster,
+            &self.config,
+            permits,
+            MonotonicMillis(now),
+            || true,
+        )
+    }
+}
+
+/// The message that carries a direct start.
+pub fn direct_commands(start: &DirectStart) -> DirectCommands {
+    DirectCommands {
+        fencing_token: start.fencing_token,
+        agent_epoch: start.agent_epoch,
+        commands: start.commands.clone(),
+    }
+}
