--- a/tests/autoscaling.rs
+++ b/tests/autoscaling.rs
@@ -1,4 +1,4 @@
-//! What is rented, and what is not rented twice.
+//! Autoscaling: which machines are requested, and that none is requested twice.
 
 mod support;
 
@@ -95,7 +95,7 @@
     spec.spot = false;
     spec.vcpus = 16.0;
     controller.submit(&mut store, spec, 0);
-    // Two fit in the north, but nothing more is to be had there.
+    // Two fit in the north, but nothing more is available there.
     let none = Pool {
         machine_type: oven(&controller),
         zone: ZoneIndex(0),
@@ -188,7 +188,7 @@
         ));
         controller.sync(store);
     };
-    // Asked for, but not answered: it may have rented all it asks for.
+    // Asked for, but not answered: it may have provisioned all it asks for.
     put(&mut controller, &mut store, &rec);
     let list = HashMap::new();
     let have = supply(&controller.cluster, &list, 4000, MonotonicMillis(1000));
@@ -239,7 +239,7 @@
     assert_eq!(pages.next(MonotonicMillis(1000), 3.5), "n-000499");
     assert!(pages.take(page(500, 500, true)).is_none());
     assert_eq!(pages.take(page(1000, 3, false)).unwrap().len(), 1003);
-    // A list that takes for ever would tell of long ago.
+    // A list that takes too long would show a state of long ago.
     assert!(pages.take(page(0, 500, true)).is_none());
     assert_eq!(pages.next(MonotonicMillis(2000), 3.5), "n-000499");
     assert_eq!(pages.next(MonotonicMillis(60_000), 3.5), "");
@@ -255,7 +255,7 @@
         assert_eq!(
             from.is_empty(),
             listed_names == 0,
-            "begun anew at turn {turn}"
+            "restarted in round {turn}"
         );
         if turn % 2 == 0 {
             continue;
@@ -269,7 +269,7 @@
             return;
         }
     }
-    panic!("the list was never whole");
+    panic!("the list was never complete");
 }
 
 #[test]
@@ -277,13 +277,13 @@
     let rate = 3.5;
     let mut pace = RateLimiter::new(rate);
     let (mut rented, mut returned) = (0u32, 0u32);
-    // Renting asks as often as it can, returns come once a second.
+    // Scale-out requests come as often as possible, scale-in requests once a second.
     for now in (0..60_000u64).step_by(50) {
         rented += u32::from(pace.take(MonotonicMillis(now), 1.0));
         if now % 1000 == 0 {
             assert!(
                 now == 0 || pace.take(MonotonicMillis(now), 0.0),
-                "a return waits at {now}"
+                "a scale-in request waits at {now}"
             );
             returned += 1;
         }
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -1,4 +1,4 @@
-//! Cancellations amid faults: what is told, stopped and proved, and in which time.
+//! Cancellations during faults: what is broadcast, stopped and proven, and within which time.
 
 mod support;
 
@@ -52,7 +52,7 @@
     cluster.controller_faults[leader].kv_refused = true;
     cluster.controller_faults[leader].isolated_from_peers = true;
     cluster.run_for(1000);
-    // Machines of the leader can't be reached from elsewhere; they go on reporting to it.
+    // Other controllers can't reach the leader's machines, which go on sending heartbeats to it.
     for h in &mut cluster.machines {
         h.faults.drops_command_responses = true;
     }
@@ -69,7 +69,7 @@
     let (mut cluster, leader, other) = two_long_jobs();
     cluster.controller_faults[leader].kv_refused = true;
     cluster.run_for(1000);
-    // Cut from all others, it confirms, and ends.
+    // Partitioned from all others, it confirms, and stops.
     cluster.controller_faults[other].isolated_from_peers = true;
     assert!(cluster.cancel(other, "job-1"));
     cluster.stop_controller(other);
@@ -89,7 +89,7 @@
     cluster.run_for(1000);
     cluster.controller_faults[other].isolated_from_peers = true;
     assert!(cluster.cancel(other, "job-1"));
-    // It is back at once and reaches its peers, but the state service is out for all.
+    // It is back at once and reaches its peers, but the key-value store is unavailable to all.
     cluster.stop_controller(other);
     cluster.kv_outage = true;
     cluster.start_controller_without_records(other);
@@ -154,7 +154,7 @@
     }
     assert!(cluster.submit(1, job("job-2", 2)));
     cluster.run_for(4000);
-    // The claims are carried out late, their starts get no answer.
+    // The claims are executed late, and their starts get no response.
     assert!(cluster.submit(0, job("job-1", 6)));
     cluster.store.execution_delay_ms = Some(3000);
     cluster.run_for(1500);
@@ -220,15 +220,15 @@
     assert_eq!(k.complete_until(at(5)), None);
     k.record_read(at(1000));
     assert_eq!(k.complete_until(at(2000)), Some(at(1000)));
-    // One peer alone vouches for nothing but its own read.
+    // One peer alone attests nothing but its own read.
     k.record_attestation(0, at(3000), at(3010), 60_000, None);
     assert_eq!(k.complete_until(at(4000)), Some(at(1000)));
     k.record_attestation(0, at(3000), at(3010), 60_000, Some(1500));
     assert_eq!(k.complete_until(at(4000)), Some(at(1498)));
-    // Both have told: complete up to when the first of them was asked.
+    // Both have attested: complete up to when the first of them was asked.
     k.record_attestation(1, at(3500), at(3510), 60_000, None);
     assert_eq!(k.complete_until(at(4000)), Some(at(3000)));
-    // One restarts after that and can't vouch for what it confirmed before.
+    // One restarts after that and can't attest what it confirmed before.
     k.record_attestation(0, at(6000), at(6010), 500, None);
     k.record_attestation(1, at(6000), at(6010), 60_000, None);
     assert_eq!(k.complete_until(at(7000)), Some(at(3000)));
@@ -238,14 +238,14 @@
     // Answers that cross take nothing back.
     k.record_attestation(0, at(5000), at(7000), 90_000, None);
     assert_eq!(k.complete_until(at(7000)), Some(at(6000)));
-    // What another knows of the time before this process began says nothing of what this node
+    // What another knows of the time before this process began says nothing of what this controller
     // confirmed itself before it restarted.
     let mut k = CancellationWatermark::new(1, at(5000));
     k.record_attestation(0, at(6000), at(6001), 60_000, Some(2000));
     assert_eq!(k.complete_until(at(7000)), None);
     k.record_attestation(0, at(8000), at(8001), 60_000, Some(2000));
     assert_eq!(k.complete_until(at(9000)), Some(at(8000)));
-    // A node without peers confirms everything itself.
+    // A controller without peers confirms everything itself.
     assert_eq!(
         CancellationWatermark::new(0, at(0)).complete_until(at(9)),
         Some(at(9))
@@ -264,7 +264,7 @@
     let cluster = workers(30.0, 55.0);
     assert!(cluster.warning().is_none());
     assert!((23_000..24_000).contains(&cluster.renew_ms()));
-    // A lease that leaves no room: told, and work still runs.
+    // A lease that leaves no time for cancellations: a warning, and work still runs.
     let cluster = workers(30.0, 30.0);
     assert!(cluster.warning().unwrap().to_string().contains("cancel_s"));
     assert!(cluster.renew_ms() > 6000);
@@ -296,7 +296,7 @@
 #[test]
 fn a_zone_partitioned_with_its_controller_keeps_its_work_only_while_cancellations_allow() {
     let (mut cluster, ..) = two_long_jobs();
-    // The south loses the rest, the state service included.
+    // The southern zone is partitioned from the rest and from the key-value store.
     cluster.controller_faults[2].isolated_from_peers = true;
     cluster.controller_faults[2].kv_refused = true;
     for h in &mut cluster.machines {
@@ -321,7 +321,7 @@
     for delay in 0..12 {
         let (mut cluster, leader, other) = two_long_jobs();
         cluster.stop_controller(leader);
-        // At any moment of the take-over, and of the hand-over back.
+        // At any moment of the failover, and of the handover back.
         cluster.run_for(delay * 1000);
         let third = 3 - leader - other;
         assert!(cluster.cancel(if delay % 2 == 0 { other } else { third }, "job-1"));
@@ -379,7 +379,7 @@
     ];
     let left: Vec<_> = (0..3).map(|t| (format!("job-1/{t}"), 2)).collect();
     let controller = pointhook::coordination::cancellations::stops(&status, &left).unwrap();
-    // Under the worker's own token: nobody's right to command it changes.
+    // Under the worker's own fencing token: ownership does not change.
     assert_eq!(
         (
             controller.fencing_token,
@@ -391,7 +391,7 @@
     assert!(
         matches!(&controller.commands[0], Command::Stop { task, grace_s, .. } if task == "job-1/0" && *grace_s == 0.0)
     );
-    // Another attempt is none of its business.
+    // Other attempts are not affected.
     let other = [("job-1/0".to_string(), 1)];
     assert!(pointhook::coordination::cancellations::stops(&status, &other).is_none());
 }
@@ -407,7 +407,7 @@
         cluster.run_for(1000);
         (cluster, 0, 1)
     };
-    // Claimed by its owner, which reaches no machine and then nobody else.
+    // Claimed by its owner, which reaches no machine and then no peer.
     for h in &mut cluster.machines {
         h.faults.drops_incoming = true;
     }
--- a/tests/claims_and_binding.rs
+++ b/tests/claims_and_binding.rs
@@ -128,7 +128,7 @@
 }
 
 // Seen when a controller was seconds late: while the removal of a placement was in flight, the
-// machine sent a heartbeat in a new agent epoch and was told to start what the record then gave up.
+// machine sent a heartbeat in a new agent epoch and was told to start what the record then abandoned.
 #[test]
 fn an_abandoned_attempt_is_not_started_while_its_transaction_is_in_flight() {
     let (mut store, mut controller) = start_single_controller();
@@ -142,7 +142,7 @@
     assert_eq!(
         count_starts(&lost.commands),
         1,
-        "an answer that never arrives"
+        "a response that never arrives"
     );
     // Nobody answers the machine for longer than a lease: its tasks are proven dead.
     let now = 500 + controller.config.lease_expiry_ms + 10;
@@ -161,7 +161,7 @@
         MonotonicMillis(now + 20),
     );
     let heartbeats::HeartbeatOutcome::Accepted(machine, token, taken) = got else {
-        panic!("not taken");
+        panic!("not accepted");
     };
     let taken = (machine, token, taken);
     let answer = heartbeats::reply(
--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -55,7 +55,7 @@
 fn random_day(seed: u64, standby: Standby) {
     let mut run = RandomizedRun::new(seed, standby);
     run.run();
-    end(run.world);
+    end(run.cluster);
 }
 
 /// Takes the end of a world into the digest: each job's state at each controller, and what each
--- a/tests/direct_starts.rs
+++ b/tests/direct_starts.rs
@@ -25,7 +25,7 @@
     controller.run_planner(&mut store, 600);
     let direct_start = controller.direct_starts(600);
     assert_eq!(direct_start.len(), 1);
-    // No answer comes. The next report's answer starts the task; it runs and ends.
+    // No response comes. The response to the next heartbeat starts the task; it runs and completes.
     run_heartbeats(
         &mut controller,
         &mut store,
@@ -34,14 +34,14 @@
         12_000,
     );
     assert_eq!(controller.job("job-1").state, JobState::Done);
-    // The exited attempt must still be known to the worker when the late start arrives.
+    // The exited attempt must still be known to the worker when the delayed start arrives.
     assert_eq!(
         worker.receive_commands(&direct_commands(&direct_start[0]), 12_000),
         200
     );
     assert!(!worker.has_task("job-1/0"));
     assert_eq!(worker.started.len(), 1);
-    // Raising the token shuts the late start out, and then the attempt may be forgotten.
+    // Raising the fencing token invalidates the delayed start; then the exit is acknowledged.
     assert_eq!(controller.apply_membership_moves(&mut store, 13_000), 1);
     run_heartbeats(
         &mut controller,
@@ -102,13 +102,13 @@
         6000,
     );
     assert!(other.has_task("job-1/0") && !worker.has_task("job-1/0"));
-    // The command that was carried out long ago arrives once more.
+    // The command that was executed long ago arrives once more.
     assert_eq!(
         worker.receive_commands(&direct_commands(&direct_start), 6000),
         200
     );
     assert_eq!(worker.started.len(), 1);
-    // Once the token has risen the exit need not be kept.
+    // Once the fencing token is raised the exit need not be kept.
     worker.fencing_token.0 += 1;
     assert_eq!(
         worker.receive_commands(&direct_commands(&direct_start), 6100),
@@ -122,14 +122,14 @@
     let mut worker = FakeWorker::new("m1", "north", 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     controller.submit(&mut store, job("job-1", 1), 100);
-    // The start is in the answer to this report, which is still on its way.
+    // The start is in the response to this heartbeat, which is still in flight.
     let heartbeat = worker.heartbeat(500);
     let answer = controller
         .receive_heartbeat(&mut store, &heartbeat, 500)
         .unwrap();
     assert_eq!(count_starts(&answer.commands), 1);
     controller.cancel(&mut store, "job-1", 600);
-    // A newer message without the task, sent before the answer arrived.
+    // A newer message without the task, sent before the response arrived.
     let other = worker.heartbeat(700);
     let machine = controller.machine("m1");
     heartbeats::take(
@@ -143,14 +143,14 @@
     assert_eq!(controller.job("job-1").placements.len(), 1);
     assert!(worker.receive_response(&answer, heartbeat.agent_epoch, 500, 800));
     assert!(worker.has_task("job-1/0"));
-    // Then a report shows it, and it is stopped.
+    // Then a heartbeat shows it, and it is stopped.
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 1000, 2500);
     assert!(!worker.has_task("job-1/0"));
     assert!(controller.job("job-1").is_settled());
 }
 
-// A silent machine keeps the direct starts of older tokens until it goes. Counted like open ones
-// they raised their shard's token every few seconds.
+// A silent machine keeps the direct starts of older fencing tokens until it is deleted. Counted like
+// open ones, they raised their shard's fencing token every few seconds.
 #[test]
 fn only_direct_starts_that_may_still_run_raise_the_fencing_token() {
     use pointhook::state::machine::InFlightStart;
--- a/tests/gang_scheduling.rs
+++ b/tests/gang_scheduling.rs
@@ -18,8 +18,8 @@
     spec
 }
 
-/// A team's limit of two of which a long job of this shape holds one, with a gang waiting that
-/// needs both.
+/// A team with a quota of two, of which a long job of this kind uses one while a gang that needs
+/// both waits.
 fn gang_behind(kind: JobKind) -> (FakeKvStore, SimulatedController, FakeWorker) {
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
@@ -162,7 +162,7 @@
     gang.kind = JobKind::Gang;
     controller.submit(&mut store, gang, 100);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 500, 6000);
-    // The limit is two: one runs, the gang needs both.
+    // The quota is two: one runs, the gang needs both.
     first.id = "job-3".into();
     first.tasks = 8;
     controller.submit(&mut store, first, 6000);
@@ -217,7 +217,7 @@
         )
     };
     assert!(reservations(&controller).is_empty());
-    // Once the service is cancelled the gang may come about, and machines are kept for it.
+    // Once the service is cancelled the gang can start, and machines are reserved for it.
     controller.cancel(&mut store, "job-1", 8000);
     assert_eq!(reservations(&controller).len(), 1);
 }
@@ -256,7 +256,7 @@
         FakeWorker::new("m2", "north", 0),
     );
     worker1.run_ms = 1_000_000;
-    // The second machine fetches for longer than the first one waits.
+    // The second machine pulls its image for longer than the first one waits.
     worker2.image_pull_ms = 1_000_000;
     run_heartbeats(
         &mut controller,
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -28,7 +28,7 @@
         controller.exchange_heartbeat(&mut store, &mut worker2, now);
         assert!(worker2.started.is_empty(), "started elsewhere at {now}");
     }
-    // Lease, drift and margin after the last answer.
+    // Lease, clock drift and margin after the last response.
     run_heartbeats(
         &mut controller,
         &mut store,
@@ -54,7 +54,7 @@
     let mut worker2 = FakeWorker::new("m2", "north", 0);
     run_heartbeats(&mut next, &mut store, &mut [&mut worker2], 1500, 60_000);
     assert!(worker2.started.is_empty());
-    // The cloud's word does.
+    // The deletion of the machine by the cloud does.
     let machine = next
         .cluster
         .learn_machine("m1", "oven", "north", true, MonotonicMillis(60_000))
@@ -122,7 +122,7 @@
         .unwrap()
         .last_heartbeat
         .unwrap();
-    // The report waits in a socket while an answer to a direct command is read.
+    // The heartbeat waits in a socket while the response to a direct command is read.
     let late = worker.heartbeat(9000);
     let newer = worker.heartbeat(9100);
     let machine = controller.machine("m1");
@@ -161,7 +161,7 @@
     controller.exchange_heartbeat(&mut store, &mut worker, 1000);
     controller.exchange_heartbeat(&mut store, &mut worker, 2000);
     assert!(worker.has_task("job-1/0"));
-    // A copy of the report from before the start, well over a lease later.
+    // A duplicate of the heartbeat from before the start, well over a lease later.
     run_heartbeats(
         &mut controller,
         &mut store,
@@ -199,7 +199,7 @@
         .receive_heartbeat(&mut store, &heartbeat, 500)
         .unwrap();
     controller.submit(&mut store, job("job-1", 1), 600);
-    // The copy comes first after the claim: its answer goes nowhere.
+    // The duplicate comes first after the claim: nobody receives its response.
     let answer = controller
         .receive_heartbeat(&mut store, &heartbeat, 700)
         .unwrap();
@@ -225,12 +225,12 @@
     let mut new = SimulatedController::start("s1", 2, &mut store, 200);
     new.apply_membership_moves(&mut store, 200);
     new.submit(&mut store, job("job-1", 1), 300);
-    // The machine is long gone; only copies of its reports still come.
+    // The machine was deleted long ago; only duplicates of its heartbeats still arrive.
     new.receive_heartbeat(&mut store, &copy, 40_000).unwrap();
     let machine = new.machine("m1");
     assert_eq!(new.cluster.machine(machine).unwrap().last_heartbeat, None);
     assert!(new.draft_plan(40_000).claims.is_empty());
-    // The machine itself, once it has the new token, is heard and gets the work.
+    // Heartbeats of the machine itself, once it has the new fencing token, count, and it gets work.
     let mut alive = FakeWorker::new("m2", "north", 40_000);
     new.exchange_heartbeat(&mut store, &mut alive, 40_000);
     assert_eq!(alive.started.len(), 1);
@@ -257,7 +257,7 @@
     let mut worker = FakeWorker::new("m1", "north", 0);
     c.exchange_heartbeat(&mut store, &mut worker, 0);
     let m = c.cluster.machine(c.machine("m1")).unwrap();
-    // It owned the shard from the start, and stood still from 1 s to 40 s.
+    // It owned the shard from the start, and was paused from 1 s to 40 s.
     let (owned, woke) = (Some(MonotonicMillis(0)), Some(MonotonicMillis(40_000)));
     let now = MonotonicMillis(41_000);
     assert_eq!(
--- a/tests/http_api.rs
+++ b/tests/http_api.rs
@@ -1,4 +1,4 @@
-//! Malformed input at each door, records, frames and settings.
+//! Malformed input of users, workers and controllers; records, frames and settings.
 
 mod support;
 
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -1,4 +1,4 @@
-//! Jobs that need others, limits that fall, and both forms of records.
+//! Job dependencies, falling limits of the key-value store, and both record formats.
 
 mod support;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// A world in the second form, whose tasks run for this long.
+/// A cluster in the second record format, whose tasks run for this long.
 fn world(run_ms: u64) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(4);
     for h in &mut cluster.machines {
@@ -101,7 +101,7 @@
         spec.team = "mixers".into();
         assert!(cluster.submit(1, spec));
     }
-    // What waits for others holds no part of its team's limit of two.
+    // What waits for dependencies uses none of its team's quota of two.
     let mut other = job("job-4", 1);
     other.team = "mixers".into();
     assert!(cluster.submit(2, other));
@@ -129,7 +129,7 @@
     assert!(cluster.submit(0, job("job-5", 1)));
     cluster.run_for(4000);
     assert!(cluster.cancel(1, "job-2"));
-    // Every node says so of all of them at once, before any record does.
+    // Every controller reports all of them as cancelled at once, before any record does.
     for at in 0..3 {
         for id in ["job-4", "job-10", "job-200", last.as_str()] {
             assert_eq!(
@@ -181,7 +181,7 @@
         assert!(cluster.submit(0, job("job-1", 1)));
         cluster.run_for(3000);
         if cancel_first {
-            // The node that takes the dependent has not heard of it.
+            // The controller that accepts the dependent does not know of the cancellation.
             cluster.controller_faults[1].isolated_from_peers = true;
             assert!(cluster.cancel(0, "job-1"));
             assert!(cluster.submit(1, after("job-2", 1, &["job-1"])));
@@ -308,7 +308,7 @@
     // The end less what it takes, and a little for each stage.
     assert!((75_000..83_000).contains(&due(&controller, "job-2")));
     assert!(due(&controller, "job-1") < due(&controller, "job-2") - 10_000);
-    // Once the last is cancelled nothing of it is lent any more.
+    // Once the last is cancelled nothing of it is inherited any more.
     controller.cancel(&mut store, "job-3", 4000);
     assert_eq!(
         controller.job("job-1").dependency_state.priority,
@@ -369,12 +369,12 @@
     let (mut store, mut controller) = start_single_controller();
     assert!(
         begin_record_format_v2(&controller.cluster, &["n1", "s1"]).is_none(),
-        "one is away"
+        "one is stopped"
     );
     let s1 = SimulatedController::start("s1", 2, &mut store, 0);
     controller.sync(&store);
     let txn = begin_record_format_v2(&controller.cluster, &["n1", "s1"]).unwrap();
-    // One of them comes back with the old version before that is carried out.
+    // One of them restarts with the old version before that is executed.
     store.revoke_lease(s1.lease);
     let key = format!("{ROOT}node/s1");
     let old = pointhook::state::records::ControllerRecord {
@@ -400,7 +400,7 @@
     assert!(controller.cluster.record_format_v2);
     assert!(begin_record_format_v2(&controller.cluster, &["n1"]).is_none());
     assert_eq!(RECORD_FORMAT_V2, 2);
-    // And a node that starts later reads so.
+    // A controller that starts later reads the same.
     assert!(
         SimulatedController::start("s1", 9, &mut store, 0)
             .cluster
@@ -408,7 +408,7 @@
     );
 }
 
-/// Sets what the settings say of the limits to come.
+/// Sets the limits that the settings announce.
 fn expect(cluster: &mut SimulatedCluster, next: Limits) {
     for controller in cluster.controllers.iter_mut().flatten() {
         controller.config.limits_next = next;
@@ -446,7 +446,7 @@
     };
     assert!(widest(&cluster) > 2048);
     assert!(cluster.controller(0).job("job-1").placements.len() > 100);
-    // All know the second form: what is too large is split before it is caught.
+    // All support the second record format: what is too large is split in advance.
     cluster.begin_record_format_v2();
     cluster.run_for(10_000);
     assert!(widest(&cluster) <= 2048, "{}", widest(&cluster));
@@ -464,7 +464,7 @@
     assert!(cluster.cancel(0, "job-2"));
     cluster.run_for(CANCEL_MS);
     cluster.assert_nothing_runs_of("job-2");
-    // A node that starts now reads the same placements out of all parts.
+    // A controller that starts now reads the same placements out of all overflow records.
     cluster.stop_controller(0);
     cluster.start_controller(0);
     let placed = |controller: &SimulatedController| {
@@ -474,7 +474,7 @@
     assert_eq!(a, b);
     cluster.run_for(400_000);
     assert_eq!(cluster.finished_count(), 4);
-    // Nothing is left of the parts.
+    // No overflow record is left.
     assert!(cluster
         .store
         .read_page(&format!("{ROOT}more/"), "", 10)
@@ -498,7 +498,7 @@
     assert_eq!(
         controller.config.limits(&controller.cluster).txn_ops,
         7,
-        "all may not know it yet"
+        "not all may support it yet"
     );
     controller.cluster.record_format_v2 = true;
     assert_eq!(controller.config.limits(&controller.cluster).txn_ops, 5);
@@ -574,7 +574,7 @@
         assert_eq!(
             cluster.finished_count(),
             cluster.accepted_count(),
-            "seed {seed}: jobs are left"
+            "seed {seed}: unfinished jobs"
         );
         for id in &ids {
             let state = cluster.controller(0).job(id).state;
--- a/tests/kv_consistency.rs
+++ b/tests/kv_consistency.rs
@@ -48,7 +48,7 @@
     let dead = SimulatedController::start("s1", 2, &mut store, 0);
     controller.sync(&store);
     assert!(controller.cluster.controllers.contains_key("s1"));
-    // It misses hundreds of changes in a cut, one of them the other's end.
+    // It misses hundreds of changes in a partition, one of them the other's stop.
     store.revoke_lease(dead.lease);
     let mut other = SimulatedController::start("s2", 3, &mut store, 0);
     for i in 0..200 {
@@ -73,9 +73,9 @@
             _ => break,
         }
     }
-    // Job records are not gathered, however many there are.
+    // Job records are not collected, however many there are.
     assert!(fleeting.len() < 5);
-    // A node that came while the pages were read is known by a watch and stays.
+    // A controller that started while the pages were read is known by a watch and stays.
     let newer = SimulatedController::start("s3", 9, &mut store, 0);
     let key = format!("{ROOT}node/s3");
     let page = store.read_page(&key, "", 1);
@@ -125,7 +125,7 @@
     assert_eq!(controller.job("job-1").version, accepted);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 500, 12_000);
     assert_eq!(controller.job("job-1").state, JobState::Done);
-    // A repeated start after the end of a job has no placement to rest on.
+    // A repeated start after the end of a job has no placement that it could refer to.
     let machine = controller.machine("m1");
     assert!(commands::orders(
         &mut controller.cluster,
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of 4,000 machines, all of them one controller's while its peers are gone: no fixed limit
-//! may stand in the way.
+//! A fleet of 4,000 machines that one controller owns while its peers are down: no fixed limit is
+//! too small for it.
 
 mod support;
 
@@ -17,7 +17,7 @@
 
 const MACHINES: usize = 4000;
 
-/// A name as the cloud gives it.
+/// A machine name like those of the cloud.
 fn machine_name(i: usize) -> String {
     format!("n-{i:06}")
 }
@@ -27,7 +27,7 @@
     format!("machine-in-a-large-fleet-{i:06}")
 }
 
-/// One controller that owns all shards and has heard all machines of both zones.
+/// One controller that owns all shards and has heartbeats of all machines of both zones.
 fn large_fleet() -> (FakeKvStore, SimulatedController) {
     let (store, mut controller) = start_single_controller();
     for i in 0..MACHINES {
@@ -106,7 +106,7 @@
 #[test]
 fn one_owner_claims_work_for_all_machines() {
     let (mut store, mut controller) = large_fleet();
-    // Each machine holds four of these tasks; a record and its parts hold a job's 1,000.
+    // Each machine holds four of these tasks; a record and its overflow records hold a job's 1,000.
     controller.cluster.record_format_v2 = true;
     for i in 0..MACHINES * 4 / 1000 {
         controller.submit(&mut store, job(&format!("job-{i}"), 1000), 0);
--- a/tests/machine_quarantine.rs
+++ b/tests/machine_quarantine.rs
@@ -90,7 +90,7 @@
         vec![machine_status("m1", 0)],
         MonotonicMillis(30_000),
     );
-    // The deposed owner has not heard the machine for a long time and does not know why.
+    // The deposed owner has had no heartbeat of the machine for a long time.
     peer_messages::apply_machine_statuses(
         &mut third.cluster,
         &third.config,
@@ -132,7 +132,7 @@
     new.submit(&mut store, job("job-1", 1), 5000);
     run_heartbeats(&mut new, &mut store, &mut [&mut worker], 5500, 8000);
     assert!(worker.has_task("job-1/0"));
-    // What the owner itself has closed, to return it, stays so.
+    // What the owner itself cordoned, to scale it in, stays cordoned.
     new.cluster.machine_mut(machine).unwrap().cordoned = true;
     run_heartbeats(&mut new, &mut store, &mut [&mut worker], 8000, 10_000);
     assert!(!new
--- a/tests/outages_and_restarts.rs
+++ b/tests/outages_and_restarts.rs
@@ -76,7 +76,7 @@
     store.unavailable = true;
     assert!(!controller.sync(&store));
     for now in (500..7500).step_by(500) {
-        // No process answers while all restart; the worker's lease runs on.
+        // No process answers while all restart; the worker's lease goes on running.
         worker.advance(now);
     }
     store.unavailable = false;
@@ -95,7 +95,7 @@
     old.exchange_heartbeat(&mut store, &mut worker, 0);
     old.exchange_heartbeat(&mut store, &mut worker, 1000);
     assert!(worker.has_task("job-1/0"));
-    // It loses the store and its peers; its key ends and another takes its shards.
+    // It loses the key-value store and its peers; its key expires and another takes its shards.
     store.revoke_lease(old.lease);
     let mut new = SimulatedController::start("s1", 2, &mut store, 5000);
     new.apply_membership_moves(&mut store, 5000);
@@ -108,11 +108,12 @@
         .iter()
         .any(|o| matches!(o, Command::Start { .. })));
     assert!(worker.receive_response(&a, heartbeat.agent_epoch, 6000, 6000));
-    // The new owner shows its token; the worker reports it, and the old one stands down.
+    // The new owner announces its fencing token; the worker's heartbeat shows it, and the old owner steps
+    // down.
     worker.fencing_token = new.cluster.shards[0].record.fencing_token;
     let heartbeat = worker.heartbeat(7000);
     assert!(old.receive_heartbeat_without_kv(&heartbeat, 7000).is_none());
-    // The task stays where it is, once: its placement is as good as before.
+    // The task stays where it is and runs once: its placement is still valid.
     new.exchange_heartbeat(&mut store, &mut worker, 7500);
     assert_eq!(
         worker.started.iter().filter(|s| s.0 == "job-1/0").count(),
@@ -130,13 +131,13 @@
     controller.submit(&mut store, job("job-1", 1), 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     assert_eq!(controller.job("job-1").placements.len(), 1);
-    // All nodes restart, and the cloud takes the machine before any of them hears it.
+    // All controllers restart, and the cloud deletes the machine before any has its heartbeat.
     store.revoke_lease(controller.lease);
     let mut new = SimulatedController::start("n1", 2, &mut store, 5000);
     new.apply_membership_moves(&mut store, 5000);
     new.run_planner(&mut store, 200_000);
     assert_eq!(new.job("job-1").placements.len(), 1);
-    // It is in no list and nobody hears it: it is deleted by name, which proves it gone.
+    // It is in no list and sends no heartbeat: it is deleted by name, which proves it absent.
     let names = autoscaler::lost(&new.cluster, &HashMap::new(), |_| true);
     assert_eq!(names, ["m1"]);
     assert!(autoscaler::lost(&new.cluster, &HashMap::new(), |_| false).is_empty());
@@ -170,15 +171,15 @@
         kv_reachable: store_ok,
         connection_refused: refuses,
     };
-    // The state service is down for all: being unhealthy would help nobody.
+    // The key-value store is unavailable to all: reporting itself unhealthy would help nobody.
     assert!(is_cluster_wide_outage(&[
         seen(true, false, false),
         seen(false, false, false)
     ]));
     assert!(is_cluster_wide_outage(&[]));
-    // A peer that ended or refuses connections shows that the way is open.
+    // A peer that ended or refuses connections shows that the network works.
     assert!(is_cluster_wide_outage(&[seen(false, false, true)]));
-    // Others are served, or nothing is heard from any side.
+    // Others are served, or no peer is reached.
     assert!(!is_cluster_wide_outage(&[
         seen(true, true, false),
         seen(true, false, false)
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -1,5 +1,5 @@
-//! Two troubles at a time: several controllers, scripted workers, a state service that fails in
-//! parts, and one checker of the rules.
+//! Two or more faults at a time: several controllers, fake workers, a key-value store that fails in
+//! parts, and one checker of the invariants.
 
 mod support;
 
@@ -22,7 +22,7 @@
         team: "mixers".into(),
         ..job(id, tasks)
     };
-    // One controller holds the whole of the team's limit, and its tasks end.
+    // One controller holds the team's whole quota, and its tasks complete.
     let (north, south) = (0, 2);
     let mut first = small("job-1", 2);
     first.zone = Some("north".into());
@@ -32,7 +32,7 @@
     assert!(cluster.cancel(north, "job-1"));
     cluster.run_for(6000);
     assert!(!cluster.runs("job-1"));
-    // Something of the team waits, so that shares are lowered.
+    // A task of the team waits, so that quota shares are lowered.
     let mut waits = small("job-9", 1);
     waits.vcpus = 1000.0;
     let controller = cluster.owner_of_zone("north");
@@ -50,7 +50,7 @@
         assert!(d.team_quotas.contains_key(&team));
         d
     };
-    // Nothing is heard of it, and it is carried out after what comes next.
+    // It gets no response, and is executed after what comes next.
     let late =
         pointhook::coordination::kv::transaction(&cluster.controller(controller).cluster, &lowered);
     let unknown = pointhook::coordination::kv::CommitOutcome::Unknown;
@@ -87,10 +87,10 @@
     assert!(worker.has_task("job-1/0"));
     worker.time_out_gang_wait();
     let old = worker.heartbeat(1500);
-    // It waits again in its place, under the same attempt.
+    // It waits again on its machine, under the same attempt.
     controller.exchange_heartbeat(&mut store, &mut worker, 2000);
     assert!(worker.has_task("job-1/0"));
-    // A new owner gets a copy of the report from before; the job has been cancelled.
+    // A new owner gets a duplicate of the earlier heartbeat; the job has been cancelled.
     store.revoke_lease(controller.lease);
     let mut new =
         support::simulated_controller::SimulatedController::start("s1", 2, &mut store, 2500);
@@ -127,16 +127,16 @@
     let answer = controller
         .receive_heartbeat(&mut store, &heartbeat, 1500)
         .unwrap();
-    assert_eq!(answer.commands.len(), 2, "forget and start");
-    // The answer is on its way when the other's machine is deleted.
+    assert_eq!(answer.commands.len(), 2, "acknowledgement and start");
+    // The response is in flight when the other's machine is deleted.
     let other = controller.machine("m2");
     controller.cluster.mark_deleted(other);
     controller.run_planner(&mut store, 1600);
     let job = controller.job("job-1");
-    assert!(job.placement(0).is_some(), "its end is not for good");
+    assert!(job.placement(0).is_some(), "its exit is not final");
     assert!(first.receive_response(&answer, heartbeat.agent_epoch, 1500, 2500));
     assert!(first.has_task("job-1/0"));
-    // It is stopped there, and then the gang begins anew.
+    // It is stopped there, and then the gang is retried.
     support::simulated_controller::run_heartbeats(
         &mut controller,
         &mut store,
@@ -164,12 +164,12 @@
         3000,
     );
     assert!(worker.has_task("job-1/0"));
-    // Its owner reads of its end, cut off from the state service.
+    // Its owner gets a heartbeat with its exit while the key-value store is unavailable to it.
     let mut heartbeat = worker.heartbeat(3000);
     heartbeat.tasks[0].state = pointhook::protocol::workers::TaskState::Exited;
     heartbeat.tasks[0].exit_reason = Some(pointhook::protocol::workers::ExitReason::GangMemberLost);
     let _ = controller.receive_heartbeat_without_kv(&heartbeat, 3000);
-    // Another takes the shard; the session has ended, and the attempt is started once more.
+    // Another takes the shard; the agent epoch has ended, and the attempt is started once more.
     store.revoke_lease(controller.lease);
     let mut other =
         support::simulated_controller::SimulatedController::start("s1", 2, &mut store, 9000);
@@ -183,7 +183,7 @@
         16_000,
     );
     assert!(worker.has_task("job-1/0"));
-    // The first has the shard back, and remembers that end.
+    // The first owns the shard again, and remembers that exit.
     store.revoke_lease(other.lease);
     let key = format!("{}node/n1", pointhook::state::cluster_state::ROOT);
     assert_eq!(store.version(&key), 0);
@@ -196,7 +196,7 @@
     assert_eq!(controller.job("job-1").next_attempt, 2);
 }
 
-/// A world whose small team is at its limit, with a job that waits for it.
+/// A cluster whose small team is at its quota, with a job that waits for it.
 fn at_the_limit() -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(4);
     for h in &mut cluster.machines {
@@ -242,7 +242,7 @@
         cluster.run_for(CANCEL_MS);
         cluster.machines[host].faults = Default::default();
         cluster.run_for(160_000);
-        assert_eq!(cluster.finished_count(), 3, "{ill}: work is left");
+        assert_eq!(cluster.finished_count(), 3, "{ill}: unfinished work");
         cluster.assert_no_violations();
     }
 }
@@ -419,7 +419,7 @@
         for host in 0..4 {
             let sent = cluster.machines[host].sent_heartbeats.len();
             for at in 0..3 {
-                // One from long ago, and the newest that went to the old leader.
+                // One from long ago, and the newest that was sent to the old leader.
                 cluster.redeliver_heartbeat(host, sent / 3, at);
                 cluster.redeliver_heartbeat(host, sent - 1, at);
             }
@@ -431,7 +431,7 @@
     assert_eq!(
         cluster.start_count(),
         16,
-        "a task started anew for an old report"
+        "a task started again for an old heartbeat"
     );
     cluster.assert_no_violations();
 }
@@ -446,7 +446,7 @@
     for i in 1..=9 {
         let id = format!("job-{i}");
         let at = i % 3;
-        assert!(!cluster.submit(at, job(&id, 2)), "no answer");
+        assert!(!cluster.submit(at, job(&id, 2)), "no response");
         // Another has read it, and the user sends it once more to the first.
         cluster.resubmit(&id, job(&id, 2));
         for step in 0..6 {
@@ -455,7 +455,7 @@
                 cluster.query_status(node, &id);
             }
             if step == 3 && i % 3 == 0 {
-                assert!(!cluster.cancel(at, &id), "no answer");
+                assert!(!cluster.cancel(at, &id), "no response");
                 assert_eq!(cluster.query_status((at + 1) % 3, &id), Some("aborted"));
                 assert_eq!(cluster.query_status(at, &id), Some("aborted"));
             }
@@ -511,7 +511,7 @@
         }
         cluster.run_for(500);
     }
-    // What was refused was told so at once; there is little of it.
+    // Refusals are answered at once; there are few.
     assert!(refused < sent / 10, "{refused} of {sent}");
     cluster.run_for(60_000);
     assert_eq!(cluster.finished_count(), cluster.accepted_count());
@@ -585,7 +585,7 @@
         for at in 0..3 {
             cluster.stop_controller(at);
         }
-        // Back amid what the others' keys still say.
+        // It returns while the others' keys still exist.
         cluster.run_for(500);
         cluster.start_controller(round % 3);
         cluster.run_for(1500);
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -25,7 +25,7 @@
     let (mut store, mut north) = start_single_controller();
     let mut south = SimulatedController::start("s1", 2, &mut store, 0);
     north.sync(&store);
-    // Settled for long: the south shard is handed over.
+    // The southern shard is handed over.
     let m = pointhook::coordination::membership::Move {
         shard: ShardIndex(1),
         to: "s1".into(),
@@ -75,7 +75,7 @@
         MonotonicMillis(10),
         Some((tokens[1], 10_000)),
     );
-    // Both decide on the same view; only one of the raises can be applied.
+    // Both decide on the same view; only one of the raised quota shares can be committed.
     let (a, b) = (north.draft_plan(10), south.draft_plan(10));
     assert!(a.claims.len() == 2 && b.claims.len() == 2);
     let (transaction_a, transaction_b) = (
@@ -117,7 +117,7 @@
         &mut draft,
     );
     assert!(draft.team_quotas.is_empty());
-    // Another shard's share that nothing uses goes, since a task waits.
+    // Another shard's unused quota share is released, since a task waits.
     let mut rec = controller.cluster.team_quotas[1].record.clone();
     rec.set(ShardIndex(0), quota_usage(8000, 2500));
     controller.cluster.team_quotas[1].record = rec;
@@ -149,7 +149,7 @@
     controller.submit(&mut store, spec, 20);
     let draft = controller.draft_plan(30);
     assert_eq!(draft.claims.len(), 0);
-    // The pass writes the doubtful record once more; then the late one can't be applied.
+    // Planning writes the record with unknown outcome once more; then the delayed one can't be committed.
     assert!(draft.jobs.contains_key(&controller.job_index("job-1")));
     controller.run_planner(&mut store, 30);
     assert!(matches!(
--- a/tests/randomized_faults.rs
+++ b/tests/randomized_faults.rs
@@ -1,35 +1,35 @@
-//! Seeded random days: jobs with dependencies, cancellations and overlapping faults of every kind,
-//! against the checker of rules in `support::world`.
+//! Seeded randomized runs: jobs with dependencies, cancellations and overlapping faults of every
+//! kind, against the invariants in `support::simulated_cluster`.
 
 mod support;
 
 use support::randomized_run::RandomizedRun;
 use support::simulated_controller::Standby;
 
-/// Days in CI; `POINTHOOK_RANDOM_DAYS` asks for more.
-const DAYS: u64 = 24;
+/// Runs in CI; `POINTHOOK_RANDOM_DAYS` asks for more.
+const RUNS: u64 = 24;
 
-/// How many days to play: more if asked for, never fewer.
-fn days() -> u64 {
+/// How many runs: more if asked for, never fewer.
+fn run_count() -> u64 {
     let wanted = std::env::var("POINTHOOK_RANDOM_DAYS").ok();
     let wanted = wanted.and_then(|n| n.parse().ok()).unwrap_or(0);
-    DAYS.max(wanted)
+    RUNS.max(wanted)
 }
 
 fn assert_no_violation_and_every_job_ends(standby: Standby) {
     let (mut confirmed, mut started, mut dependents) = (0, 0, 0);
-    for seed in 1..=days() {
+    for seed in 1..=run_count() {
         let mut run = RandomizedRun::new(seed, standby);
         run.run();
-        let mut world = run.world;
-        let broken = std::mem::take(&mut world.violations);
+        let mut cluster = run.cluster;
+        let broken = std::mem::take(&mut cluster.violations);
         assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
-        let unfinished = world.unfinished();
+        let unfinished = cluster.unfinished();
         assert!(unfinished.is_empty(), "seed {seed}: {unfinished:#?}");
-        world.assert_no_violations();
+        cluster.assert_no_violations();
         confirmed += run.confirmed;
-        started += world.start_count();
-        dependents += world.started_dependents();
+        started += cluster.start_count();
+        dependents += cluster.started_dependents();
     }
     assert!(started > 800, "too few starts: {started}");
     assert!(confirmed > 60, "too few cancellations: {confirmed}");
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -1,4 +1,4 @@
-//! What must hold in fleets of hundreds of machines and jobs of hundreds of tasks.
+//! Scalability: fleets of hundreds of machines and jobs of hundreds of tasks.
 
 mod support;
 
@@ -22,7 +22,7 @@
 use support::simulated_controller::{run_heartbeats, start_single_controller, SimulatedController};
 use support::worker::FakeWorker;
 
-/// Adds machines that were just heard.
+/// Adds machines that have just sent a heartbeat.
 fn fleet(controller: &mut SimulatedController, n: usize) {
     for i in 0..n {
         let name = format!("m{i:03}");
@@ -213,7 +213,7 @@
             begun = Some(now);
         }
     }
-    // It comes after ten seconds, its hold begins after five more, and what runs then ends.
+    // It comes after ten seconds, its reservation begins after five more, and what runs then ends.
     assert!(begun.is_some_and(|at| at < 30_000), "began at {begun:?}");
 }
 
@@ -255,7 +255,7 @@
         told += machines.len();
     }
     assert_eq!(told, 1000);
-    // A node without machines still tells that it is there.
+    // A controller without machines still broadcasts that it is there.
     assert_eq!(peer_messages::tell("node", true, true, Vec::new()).len(), 1);
 }
 
@@ -328,7 +328,7 @@
         );
         d
     };
-    // Three of four are done: nothing is written yet, but what is urgent has their room.
+    // Three of four are done: nothing is written yet, but urgent work has their capacity.
     let mut heartbeat = worker.heartbeat(4000);
     heartbeat.tasks[3].state = TaskState::Running;
     heartbeat.tasks[3].exit_reason = None;
@@ -388,7 +388,7 @@
         controller.cluster.mark_deleted(machine);
     }
     assert_eq!(controller.cluster.all_machines().count(), 10);
-    // Late lists and reports bring none back.
+    // Delayed lists and heartbeats revive none.
     let again = controller
         .cluster
         .learn_machine("m005", "oven", "north", true, MonotonicMillis(9));
--- a/tests/shard_ownership.rs
+++ b/tests/shard_ownership.rs
@@ -21,7 +21,7 @@
     let draft = old.draft_plan(20);
     assert_eq!(draft.claims.len(), 1);
     let late = transaction(&old.cluster, &draft);
-    // Its lease ends; another node takes the shards; then the packet arrives.
+    // Its lease expires; another controller takes the shards; then the transaction arrives.
     store.revoke_lease(old.lease);
     let mut new = SimulatedController::start("s1", 2, &mut store, 30);
     assert_eq!(new.apply_membership_moves(&mut store, 30), 3);
@@ -140,7 +140,7 @@
     let target = SimulatedController::start("s1", 2, &mut store, 0);
     let mut old = old;
     old.sync(&store);
-    // The hand-over of a shard to s1 is on its way when s1 is killed and back at once.
+    // The handover of a shard to s1 is in flight when s1 is killed and restarted at once.
     let m = pointhook::coordination::membership::Move {
         shard: ShardIndex(1),
         to: "s1".into(),
@@ -153,7 +153,7 @@
     assert!(back.owns(1) && back.cluster.shards[1].record.fencing_token >= FencingToken(3));
     old.sync(&store);
     assert!(!old.owns(1));
-    // The old incarnation's key ends later: that must not take the new one's along.
+    // The old incarnation's key expires later, which must not delete the new one's key.
     store.revoke_lease(target.lease);
     back.sync(&store);
     assert!(back.cluster.live_owner(ShardIndex(1)).is_some());
@@ -187,7 +187,7 @@
         }
     }
     assert_eq!(reached.len(), 300);
-    // One that has shown the token is left alone, and one in vain is tried again only later.
+    // A machine that has shown the fencing token is skipped; one that failed is tried again only later.
     let machine = controller.machine("m299");
     controller
         .cluster
@@ -220,13 +220,13 @@
     let draft = old.draft_plan(1600);
     assert_eq!(draft.claims.len(), 1);
     let late = pointhook::coordination::kv::transaction(&old.cluster, &draft);
-    // It stands still past its lease; another takes its shards and gives the task away.
+    // It is paused past its lease; another takes its shards and moves the task.
     store.revoke_lease(old.lease);
     let mut new = SimulatedController::start("s1", 2, &mut store, 20_000);
     new.apply_membership_moves(&mut store, 20_000);
     let mut other = FakeWorker::new("m2", "north", 20_000);
     new.exchange_heartbeat(&mut store, &mut other, 20_000);
-    // It goes on where it stood: the commit, an answer held back, a proof by time.
+    // It resumes where it was paused: the commit, a pending response, a proof by time.
     assert!(!matches!(
         SimulatedController::commit(&mut store, &late, 40_000),
         pointhook::coordination::kv::CommitOutcome::Committed(_)
@@ -274,13 +274,13 @@
             MonotonicMillis(10_000),
         )
     };
-    // It owns all; the shard of the other zone goes there in any case.
+    // It owns all shards; that of the other zone moves there in any case.
     let to =
         |m: Vec<membership::Move>| m.into_iter().map(|m| (m.shard.0, m.to)).collect::<Vec<_>>();
     let s1 = |shard: u32| (shard, "s1".to_string());
     assert_eq!(to(moves(&controller, &[])), [s1(1)]);
     assert_eq!(to(moves(&controller, &["n1"])), [s1(0), s1(1)]);
-    // Where no node hears any worker, giving shards away helps nobody.
+    // Where no controller is reached by any worker, handing shards over helps nobody.
     assert_eq!(to(moves(&controller, &["n1", "s1"])), [s1(1)]);
     assert_eq!(to(moves(&controller, &["s1"])), []);
 }
@@ -293,7 +293,7 @@
     let seen = HashMap::from(
         [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), Incarnation(i)), MonotonicMillis(0))),
     );
-    // This node has just got the shard, and does not know yet that the other is deaf.
+    // This controller has just got the shard, and does not know yet that the other is unreachable.
     let south = ZoneIndex(1);
     assert_eq!(controller.cluster.shard_zone(ShardIndex(1)), Some(south));
     let moves = |controller: &SimulatedController, now: u64| {
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -1,4 +1,4 @@
-//! The warm standby in the controller: a takeover decides nothing before it knows what its
+//! The warm standby in the controller: after a failover it decides nothing before it knows what its
 //! predecessor decided.
 
 mod support;
@@ -30,8 +30,8 @@
 
 const NORTH: ShardIndex = ShardIndex(0);
 
-/// An owner that the state service has given up, though it goes on working, and a standby that
-/// has seen that but nothing since.
+/// An owner whose key has expired though it goes on working, and a standby that has seen that but
+/// nothing since.
 struct Deposed {
     store: FakeKvStore,
     owner: SimulatedController,
@@ -39,7 +39,7 @@
     worker: FakeWorker,
 }
 
-/// The task of `job-1` has begun on `m1` under the owner.
+/// The task of `job-1` has started on `m1` under the owner.
 fn deposed() -> Deposed {
     let mut store = FakeKvStore::default();
     let mut owner = SimulatedController::start_as("n1", 1, Standby::SameZone, &mut store, 0);
@@ -71,7 +71,7 @@
     controller.execute_move(store, &wanted, now)
 }
 
-/// Takes the northern shard over, which succeeds.
+/// Takes the northern shard over successfully.
 fn take_over(controller: &mut SimulatedController, store: &mut FakeKvStore, now: u64) {
     let outcome = take_north(controller, store, now);
     assert!(
@@ -83,7 +83,7 @@
 #[test]
 fn nothing_starts_before_the_records_are_known_as_of_the_fence() {
     let mut deployment = deposed();
-    // The owner, late but alive, records the end of the attempt and starts the next elsewhere.
+    // The owner, slow but alive, records the exit of the attempt and starts the next elsewhere.
     let mut other = FakeWorker::new("m2", "north", 0);
     deployment
         .owner
@@ -150,7 +150,7 @@
         .owner
         .submit(&mut deployment.store, job("job-2", 1), 600);
     let mut other = FakeWorker::new("m2", "north", 0);
-    // Its claim gets no answer and is on its way while the standby takes over.
+    // Its claim gets no response and is in flight while the standby takes over.
     deployment.store.execution_delay_ms = Some(3000);
     deployment
         .owner
@@ -206,7 +206,7 @@
     deployment
         .owner
         .submit(&mut deployment.store, job("job-2", 1), 1100);
-    // A worker that has seen the new token tells the old owner, which has read nothing since.
+    // A worker that has seen the new fencing token shows it to the old owner, which has read nothing since.
     let report = deployment.worker.heartbeat(1200);
     let before = deployment
         .owner
@@ -276,7 +276,7 @@
     assert_eq!(permit.token(), third.cluster.shards[0].record.fencing_token);
 }
 
-/// Nodes n1 and n2 in the north, s1 in the south, all there for long.
+/// Controllers n1 and n2 in the north, s1 in the south, all running for long.
 fn three_nodes(standby: Standby) -> (FakeKvStore, [SimulatedController; 3], MembershipView) {
     const ZONES: [(&str, u32); 3] = [("n1", 0), ("n2", 0), ("s1", 1)];
     let names = ZONES.map(|(name, _)| name);
@@ -320,7 +320,7 @@
         .collect()
 }
 
-/// Lets `n1` own the northern shard and end.
+/// Lets `n1` own the northern shard and stop.
 fn without_n1(store: &mut FakeKvStore, nodes: &mut [SimulatedController; 3]) {
     assert!(matches!(
         take_north(&mut nodes[0], store, 0),
@@ -392,7 +392,7 @@
     assert!(long.to_string().contains("lease 5100"));
 }
 
-/// A batch of arrays, a gang and a pipeline on machines of both zones.
+/// A batch of arrays, a gang and jobs with dependencies on machines of both zones.
 fn submit_batch(cluster: &mut SimulatedCluster) -> Vec<String> {
     let mut ids = Vec::new();
     let mut add = |cluster: &mut SimulatedCluster, spec: JobSpec| {
@@ -411,7 +411,7 @@
     ids
 }
 
-/// Gives the jobs time to end, and checks that all did and no rule was broken.
+/// Gives the jobs time to end, and checks that all did and no invariant was broken.
 fn all_complete(cluster: &mut SimulatedCluster, ids: &[String], what: &str) {
     cluster.run_for(90_000);
     assert!(
@@ -436,7 +436,7 @@
             let active = cluster.owner_of_zone("north");
             cluster.stop_controller(active);
             cluster.run_for(15_000);
-            // Twice in a row: whoever took over ends as well.
+            // Twice in a row: whoever took over stops as well.
             let next = cluster.owner_of_zone("north");
             assert_ne!(next, active);
             cluster.stop_controller(next);
@@ -456,7 +456,7 @@
         let ids = submit_batch(&mut cluster);
         cluster.run_for(2000);
         let active = cluster.owner_of_zone("north");
-        // It stands still: neither reads nor renews, and wakes with the view of then.
+        // It is paused: it neither reads nor renews, and resumes with the view of then.
         let asleep = cluster.controllers[active].take();
         cluster.run_for(pause_ms);
         cluster.controllers[active] = asleep;
@@ -513,7 +513,7 @@
         (queued, 5, MonotonicMillis(600)),
     ]);
     machine.reservation = Some((held, MonotonicMillis(5000)));
-    // It is told in a snapshot, and what changes then in the tail.
+    // It is streamed in a snapshot, and later changes in the tail.
     let mut publisher = Publisher::new(0, FencingToken(1), StreamLimits::default());
     let mut follower = Follower::default();
     let mut tell = |owner: &SimulatedController, publisher: &mut Publisher, now| {
@@ -555,7 +555,7 @@
         machine.reservation.map(|h| h.0),
         Some(deployment.standby.job_index("job-4"))
     );
-    // What is unchanged is not told again, and a machine that goes is.
+    // What is unchanged is not streamed again; a deleted machine is.
     replication::publish_changes(
         &deployment.owner.cluster,
         NORTH,
@@ -638,7 +638,7 @@
 fn after_a_restart_of_all_shards_go_straight_to_their_designated_controllers() {
     let (mut store, mut nodes, mut known) = three_nodes(Standby::OtherZone);
     without_n1(&mut store, &mut nodes);
-    // Nobody has been there for long: no standby has followed anyone.
+    // No controller has been running for long: no standby has followed any owner.
     known.first_seen.clear();
     assert_eq!(takers(&nodes[1..], &known, 10_000), ["n2"]);
 }
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -19,15 +19,15 @@
 /// What a fresh read brings.
 #[derive(Clone, Copy, PartialEq)]
 enum FreshRead {
-    /// The state service is out of reach.
+    /// The key-value store can't be reached.
     Fails,
-    /// Nothing that was not known.
+    /// Nothing new.
     Nothing,
-    /// A job that another node has accepted a moment ago.
+    /// A job that another controller has accepted a moment ago.
     Job(&'static str),
 }
 
-/// A controller that knows the records and the machine types; nothing listens at its state service.
+/// A controller that knows the records and the machine types; nothing listens at the address of its key-value store.
 fn controller(second_form: bool) -> Rc<Controller> {
     let settings = include_str!("../examples/local_cluster.toml").replace("7483", "1");
     let platform: Platform = toml::from_str(&settings).expect("settings");
@@ -87,7 +87,7 @@
     let answer = submit(&node, &unknown, FreshRead::Fails);
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
-    // Another node has accepted it: all that fails now is the write, and that may be tried again.
+    // Another controller has accepted it: all that fails now is the write, and that may be tried again.
     let known = submit(&node, &unknown, FreshRead::Job("job-1"));
     assert_eq!(known.status, 503);
     assert!(node.cluster.borrow().job("job-1").is_some());
--- a/tests/support/liveness.rs
+++ b/tests/support/liveness.rs
@@ -1,11 +1,11 @@
-//! Checks that ready jobs do not wait while there is room for them.
+//! Checks that ready jobs do not wait while there is capacity for them.
 
 use super::simulated_cluster::SimulatedCluster;
 use pointhook::protocol::users::{JobKind, JobSpec};
 use pointhook::state::names::{Index, TeamIndex};
 use std::collections::BTreeMap;
 
-/// Longest time for which a ready job may wait although there is room for it.
+/// Longest time for which a ready job may wait although there is capacity for it.
 const LONGEST_WAIT_MS: u64 = 90_000;
 /// Tasks of the test's usual size that one machine holds.
 const MACHINE_SLOTS: usize = 4;
@@ -18,17 +18,17 @@
 
 impl Liveness {
     /// Looks at all jobs now; those that have waited too long.
-    pub fn check(&mut self, world: &SimulatedCluster) -> Vec<String> {
+    pub fn check(&mut self, cluster: &SimulatedCluster) -> Vec<String> {
         let mut waiting = BTreeMap::new();
         let mut late = Vec::new();
-        for (id, spec) in world.accepted_jobs() {
-            if !could_run(world, id, spec) {
+        for (id, spec) in cluster.accepted_jobs() {
+            if !could_run(cluster, id, spec) {
                 continue;
             }
-            let since = self.waiting_since.get(id).copied().unwrap_or(world.now);
-            if world.now - since > LONGEST_WAIT_MS {
+            let since = self.waiting_since.get(id).copied().unwrap_or(cluster.now);
+            if cluster.now - since > LONGEST_WAIT_MS {
                 late.push(format!(
-                    "{id} has waited since {since}, though there is room"
+                    "{id} has waited since {since}, though there is capacity"
                 ));
             }
             waiting.insert(id.to_string(), since);
@@ -39,36 +39,36 @@
 }
 
 /// True if the job is ready, nothing of it is on any machine, and its first tasks fit.
-fn could_run(world: &SimulatedCluster, id: &str, spec: &JobSpec) -> bool {
-    // A completion whose machine was lost before it told is known to nobody: that job runs anew.
-    let known = |needed: &String| world.is_finished(needed) || world.shows_completion(needed);
+fn could_run(cluster: &SimulatedCluster, id: &str, spec: &JobSpec) -> bool {
+    // A completion whose machine was lost before a heartbeat showed it is known to nobody: that job runs again.
+    let known = |needed: &String| cluster.is_finished(needed) || cluster.shows_completion(needed);
     let ready = spec.dependencies.iter().all(known);
-    if !ready || world.is_finished(id) || world.runs(id) {
+    if !ready || cluster.is_finished(id) || cluster.runs(id) {
         return false;
     }
     let tasks = match spec.kind {
         JobKind::Array => 1,
         JobKind::Gang | JobKind::Service => spec.tasks as usize,
     };
-    let north = free_slots(world, "north");
-    let south = free_slots(world, "south");
+    let north = free_slots(cluster, "north");
+    let south = free_slots(cluster, "south");
     let slots = if spec.one_zone {
         north.max(south)
     } else {
         north + south
     };
-    slots >= tasks && team_has_room(world, spec, tasks)
+    slots >= tasks && team_has_quota(cluster, spec, tasks)
 }
 
-fn free_slots(world: &SimulatedCluster, zone: &str) -> usize {
-    let hosts = world.machines.iter().filter(|h| h.worker.zone == zone);
-    let hosts = hosts.filter(|h| !world.is_leaving(h));
-    let free = hosts.map(|h| MACHINE_SLOTS.saturating_sub(h.worker.active_task_count()));
+fn free_slots(cluster: &SimulatedCluster, zone: &str) -> usize {
+    let machines = cluster.machines.iter().filter(|h| h.worker.zone == zone);
+    let machines = machines.filter(|h| !cluster.is_leaving(h));
+    let free = machines.map(|h| MACHINE_SLOTS.saturating_sub(h.worker.active_task_count()));
     free.sum()
 }
 
-fn team_has_room(world: &SimulatedCluster, spec: &JobSpec, tasks: usize) -> bool {
-    let controller = world.first_controller();
+fn team_has_quota(cluster: &SimulatedCluster, spec: &JobSpec, tasks: usize) -> bool {
+    let controller = cluster.first_controller();
     let team: TeamIndex = controller
         .cluster
         .team_names
@@ -80,7 +80,7 @@
     let active = active.filter_map(|(_, job)| Some((job, job.spec.as_ref()?)));
     let of_team = active.filter(|(_, other)| other.team == team);
     let used: f64 = of_team
-        .map(|(job, other)| world.tasks_on_machines(&job.id) as f64 * other.wire.gpus)
+        .map(|(job, other)| cluster.tasks_on_machines(&job.id) as f64 * other.wire.gpus)
         .sum();
     most == 0.0 || used + tasks as f64 * spec.gpus <= most
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins of the state service, the cloud and a worker, as the protocol describes
-//! them, with a clock that only the test moves; and a controller without sockets.
+//! What tests share: a fake key-value store, cloud and worker, a controller without sockets, and a
+//! whole simulated cluster, on a clock that only the test moves.
 #![allow(dead_code)]
 
 pub mod builders;
--- a/tests/support/randomized_run.rs
+++ b/tests/support/randomized_run.rs
@@ -1,4 +1,4 @@
-//! Random days: jobs with dependencies, cancellations and overlapping faults, by a seed.
+//! Randomized runs: jobs with dependencies, cancellations and overlapping faults, by a seed.
 
 use super::job;
 use super::liveness::Liveness;
@@ -14,10 +14,10 @@
 const FAULTY_STEPS: u32 = 240;
 /// Longest fault, in steps.
 const LONGEST_FAULT: u32 = 40;
-/// All jobs are over by then.
-const LONGEST_DAY_MS: u64 = 900_000;
+/// All jobs are finished by then.
+const LONGEST_RUN_MS: u64 = 900_000;
 
-/// A fault of the world, with what it strikes.
+/// A fault of the simulated cluster, with what it affects.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Fault {
     KvOutage,
@@ -54,32 +54,32 @@
         }
     }
 
-    fn set(self, world: &mut SimulatedCluster, on: bool) {
+    fn set(self, cluster: &mut SimulatedCluster, on: bool) {
         match self {
-            Fault::KvOutage => world.kv_outage = on,
-            Fault::KvRefuses(at) => world.controller_faults[at].kv_refused = on,
-            Fault::PeersUnreachable(at) => world.controller_faults[at].isolated_from_peers = on,
-            Fault::ControllerDown(at) if on => world.stop_controller(at),
+            Fault::KvOutage => cluster.kv_outage = on,
+            Fault::KvRefuses(at) => cluster.controller_faults[at].kv_refused = on,
+            Fault::PeersUnreachable(at) => cluster.controller_faults[at].isolated_from_peers = on,
+            Fault::ControllerDown(at) if on => cluster.stop_controller(at),
             // One that can't read the records yet is tried again at each step.
             Fault::ControllerDown(_) => {}
-            Fault::ZonePartition => world.partition_zone(on),
-            Fault::DelayedTransactions => world.store.execution_delay_ms = on.then_some(4000),
-            Fault::DroppedKvResponses => world.store.drops_responses = on,
-            Fault::MachineDropsIncoming(at) => world.machines[at].faults.drops_incoming = on,
-            Fault::MachineDropsHeartbeats(at) => world.machines[at].faults.drops_heartbeats = on,
-            Fault::MachineFrozen(at) => world.machines[at].faults.frozen = on,
+            Fault::ZonePartition => cluster.partition_zone(on),
+            Fault::DelayedTransactions => cluster.store.execution_delay_ms = on.then_some(4000),
+            Fault::DroppedKvResponses => cluster.store.drops_responses = on,
+            Fault::MachineDropsIncoming(at) => cluster.machines[at].faults.drops_incoming = on,
+            Fault::MachineDropsHeartbeats(at) => cluster.machines[at].faults.drops_heartbeats = on,
+            Fault::MachineFrozen(at) => cluster.machines[at].faults.frozen = on,
             Fault::MachineDropsCommandResponses(at) => {
-                world.machines[at].faults.drops_command_responses = on
+                cluster.machines[at].faults.drops_command_responses = on
             }
-            Fault::MachineDelaysCommands(at) => world.machines[at].faults.delays_commands = on,
+            Fault::MachineDelaysCommands(at) => cluster.machines[at].faults.delays_commands = on,
         }
     }
 }
 
-/// A day that is being played.
+/// A run in progress.
 pub struct RandomizedRun {
     rng: Rng,
-    pub world: SimulatedCluster,
+    pub cluster: SimulatedCluster,
     jobs: u32,
     /// Cancellations that were confirmed.
     pub confirmed: u32,
@@ -91,17 +91,17 @@
 impl RandomizedRun {
     pub fn new(seed: u64, standby: Standby) -> RandomizedRun {
         let mut rng = Rng::with_seed(seed);
-        let mut world = SimulatedCluster::with_standby(MACHINES, standby);
-        for host in &mut world.machines {
-            host.worker.run_ms = rng.u64(3000..15_000);
+        let mut cluster = SimulatedCluster::with_standby(MACHINES, standby);
+        for machine in &mut cluster.machines {
+            machine.worker.run_ms = rng.u64(3000..15_000);
         }
-        // Some days begin in the first form of records, which holds no dependencies.
+        // Some runs begin in the first record format, which holds no dependencies.
         if rng.u8(..4) > 0 {
-            world.begin_record_format_v2();
+            cluster.begin_record_format_v2();
         }
         RandomizedRun {
             rng,
-            world,
+            cluster,
             jobs: 0,
             confirmed: 0,
             faults: Vec::new(),
@@ -111,8 +111,8 @@
 
     pub fn run(&mut self) {
         for step in 0..FAULTY_STEPS {
-            self.world.run_for(STEP_MS);
-            self.world.try_begin_record_format_v2();
+            self.cluster.run_for(STEP_MS);
+            self.cluster.try_begin_record_format_v2();
             self.end_faults(step);
             self.start_controllers();
             if self.rng.u8(..6) == 0 {
@@ -122,7 +122,7 @@
             match self.rng.u8(..10) {
                 0..=3 => self.submit(at),
                 4 => self.cancel(at),
-                5 => self.deliver_old_report(at),
+                5 => self.redeliver_old_heartbeat(at),
                 _ => self.poll(at),
             }
         }
@@ -134,17 +134,17 @@
         if self.faults.iter().any(|(other, _)| *other == fault) {
             return;
         }
-        fault.set(&mut self.world, true);
+        fault.set(&mut self.cluster, true);
         let end = step + self.rng.u32(1..LONGEST_FAULT);
         self.faults.push((fault, end));
     }
 
     fn end_faults(&mut self, step: u32) {
-        let world = &mut self.world;
+        let cluster = &mut self.cluster;
         self.faults.retain(|(fault, end)| {
             let over = *end <= step;
             if over {
-                fault.set(world, false);
+                fault.set(cluster, false);
             }
             !over
         });
@@ -154,8 +154,8 @@
         for at in 0..CONTROLLERS {
             let down = Fault::ControllerDown(at);
             let kept_down = self.faults.iter().any(|(fault, _)| *fault == down);
-            if self.world.controllers[at].is_none() && !kept_down {
-                self.world.start_controller(at);
+            if self.cluster.controllers[at].is_none() && !kept_down {
+                self.cluster.start_controller(at);
             }
         }
     }
@@ -173,14 +173,14 @@
             2 => JobKind::Service,
             _ => JobKind::Array,
         };
-        if self.world.accepts_dependencies(at) && self.rng.bool() {
+        if self.cluster.accepts_dependencies(at) && self.rng.bool() {
             self.add_dependencies(&mut spec);
         }
-        self.world.submit(at, spec);
+        self.cluster.submit(at, spec);
     }
 
     fn add_dependencies(&mut self, spec: &mut JobSpec) {
-        let mut ids = self.world.accepted_finite_jobs();
+        let mut ids = self.cluster.accepted_finite_jobs();
         self.rng.shuffle(&mut ids);
         ids.truncate(self.rng.usize(1..3));
         spec.dependencies = ids;
@@ -193,50 +193,50 @@
 
     fn cancel(&mut self, at: usize) {
         let Some(id) = self.any_job() else { return };
-        self.confirmed += u32::from(self.world.cancel(at, &id));
+        self.confirmed += u32::from(self.cluster.cancel(at, &id));
         let other = self.rng.usize(..CONTROLLERS);
-        self.world.query_status(other, &id);
+        self.cluster.query_status(other, &id);
     }
 
     fn poll(&mut self, at: usize) {
         if let Some(id) = self.any_job() {
-            self.world.query_status(at, &id);
+            self.cluster.query_status(at, &id);
         }
     }
 
-    fn deliver_old_report(&mut self, at: usize) {
-        let host = self.rng.usize(..MACHINES);
-        let sent = self.world.machines[host].sent_heartbeats.len().max(1);
+    fn redeliver_old_heartbeat(&mut self, at: usize) {
+        let machine = self.rng.usize(..MACHINES);
+        let sent = self.cluster.machines[machine].sent_heartbeats.len().max(1);
         let which = self.rng.usize(..sent);
-        self.world.redeliver_heartbeat(host, which, at);
+        self.cluster.redeliver_heartbeat(machine, which, at);
     }
 
     /// Ends all faults and gives the jobs time to end; services are cancelled for that.
     fn recover(&mut self) {
         self.end_faults(u32::MAX);
         assert!(self
-            .world
+            .cluster
             .controller_faults
             .iter()
             .all(|t| *t == ControllerFaults::default()));
-        self.world.run_for(6000);
+        self.cluster.run_for(6000);
         self.start_controllers();
         self.run_calmly(120_000);
-        for id in self.world.open_services() {
-            self.world.cancel(0, &id);
+        for id in self.cluster.open_services() {
+            self.cluster.cancel(0, &id);
         }
-        while self.world.now < LONGEST_DAY_MS && !self.world.unfinished().is_empty() {
+        while self.cluster.now < LONGEST_RUN_MS && !self.cluster.unfinished().is_empty() {
             self.run_calmly(10_000);
         }
     }
 
-    /// Lets time pass without faults, in which no job may wait while there is room.
+    /// Lets time pass without faults, in which no job may wait while there is capacity.
     fn run_calmly(&mut self, ms: u64) {
-        let end = self.world.now + ms;
-        while self.world.now < end {
-            self.world.run_for(STEP_MS);
-            let late = self.liveness.check(&self.world);
-            self.world.violations.extend(late);
+        let end = self.cluster.now + ms;
+        while self.cluster.now < end {
+            self.cluster.run_for(STEP_MS);
+            let late = self.liveness.check(&self.cluster);
+            self.cluster.violations.extend(late);
         }
     }
 }
--- a/tests/transport_costs.rs
+++ b/tests/transport_costs.rs
@@ -1,4 +1,4 @@
-//! What connections, reports, passes and news may cost, by counts that repeat exactly.
+//! Memory and work that connections, heartbeats and planning may cost, by counts that repeat exactly.
 
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -30,7 +30,7 @@
 
 const CONNECTIONS: usize = 150;
 
-/// An executor, and a door on loopback with its address.
+/// An executor, and a listener on loopback with its address.
 fn open_door() -> (Rc<LocalExecutor<'static>>, Async<TcpListener>, SocketAddr) {
     let door = listen(([127, 0, 0, 1], 0).into()).unwrap();
     let addr = door.get_ref().local_addr().unwrap();
@@ -53,7 +53,7 @@
         .to_string()
 }
 
-// A busy node of a small machine was killed for memory at 837 connections of 51 KB each.
+// A busy controller on a small machine was killed for memory at 837 connections of 51 KB each.
 #[test]
 fn idle_connections_and_waiting_requests_hold_a_few_kilobytes() {
     let _alone = alone();
@@ -149,15 +149,15 @@
     assert_eq!(t.take_due(68).len(), 1);
     assert!(!t.is_waiting(early, &nobody()) && t.is_waiting(first, &nobody()));
     assert_eq!(t.to_arm(), Some(1024), "the next one");
-    // Duties of one rate tick together, whenever each of them ended.
+    // Background tasks of one rate tick together, whenever each of them ended.
     let ticks: Vec<u64> = [7000, 7001, 7999]
         .map(|t| DeadlineTable::next_tick(t, 1000))
         .into();
     assert_eq!(ticks, [8000, 8000, 8000]);
 }
 
-// A node that fell behind read the answer to its lease's renewal after hundreds of reports, lost
-// the lease, and its shards went from one late node to the next.
+// A controller that fell behind read the response to its lease's renewal after hundreds of
+// heartbeats, lost the lease, and its shards went from one slow controller to the next.
 #[test]
 fn a_response_to_a_background_task_is_read_amid_hundreds_of_requests() {
     let _alone = alone();
@@ -196,7 +196,7 @@
 fn a_request_of_a_disconnected_client_costs_its_handler_nothing() {
     let _alone = alone();
     let (ex, door, addr) = open_door();
-    // Sent and closed before the node gets to it.
+    // Sent and closed before the controller gets to it.
     let mut gone = TcpStream::connect(addr).unwrap();
     std::io::Write::write_all(&mut gone, b"GET /gone HTTP/1.1\r\nHost: here\r\n\r\n").unwrap();
     drop(gone);
--- a/tests/worker_reachability.rs
+++ b/tests/worker_reachability.rs
@@ -18,7 +18,7 @@
     let mut deaf = FakeWorker::new("m1", "north", 0);
     controller.exchange_heartbeat(&mut store, &mut deaf, 0);
     controller.submit(&mut store, job("job-1", 1), 100);
-    // Its reports arrive, the answers do not.
+    // Its heartbeats arrive, the responses do not.
     for now in (500..4000).step_by(500) {
         let heartbeat = deaf.heartbeat(now);
         controller
@@ -93,7 +93,7 @@
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 12_000);
-    // No node answers for longer than its lease; then all is as before.
+    // No controller answers for longer than its lease; then all is as before.
     worker.advance(30_000);
     run_heartbeats(
         &mut controller,
@@ -114,7 +114,7 @@
 #[test]
 fn worker_reachability_is_doubted_then_lost_and_regained_after_a_delay() {
     let mut worker_contact = WorkerReachability::new(30_000);
-    // The first machine comes up late; until a while after that nothing can be said.
+    // The first machine comes up late; until a while after that nothing is decided.
     assert!(worker_contact.update(false, None, MonotonicMillis(90_000)));
     assert!(worker_contact.update(true, None, MonotonicMillis(99_000)));
     worker_contact.record_contact(MonotonicMillis(100_000));
@@ -123,7 +123,7 @@
             && worker_contact.probe_needed(MonotonicMillis(106_000))
     );
     assert!(worker_contact.update(true, None, MonotonicMillis(109_000)));
-    // Without machines there is nothing to hear, and a halt is no silence.
+    // Without machines no heartbeats are expected, and a process pause is no silence.
     assert!(worker_contact
         .clone()
         .update(false, None, MonotonicMillis(111_000)));
