--- a/tests/autoscaling.rs
+++ b/tests/autoscaling.rs
@@ -262,9 +262,12 @@
         }
         let names = listed_names..listed_names + 500;
         listed_names += 500;
-        let hosts = names.map(|i| listed(&format!("n-{i:06}"))).collect();
+        let machines = names.map(|i| listed(&format!("n-{i:06}"))).collect();
         let more = listed_names < 4000;
-        if let Some(list) = pages.take(MachineListPage { hosts, more }) {
+        if let Some(list) = pages.take(MachineListPage {
+            hosts: machines,
+            more,
+        }) {
             assert_eq!(list.len(), 4000);
             return;
         }
@@ -305,8 +308,8 @@
         zone: ZoneIndex::new(zone),
         spot,
     };
-    let rent = BTreeMap::from([(pool(0, true), 700), (pool(1, true), 20)]);
-    let out = requests(rent);
+    let wanted = BTreeMap::from([(pool(0, true), 700), (pool(1, true), 20)]);
+    let out = requests(wanted);
     assert!(out.iter().all(|(_, n)| (1..=50).contains(n)));
     assert_eq!(out.len(), 4);
     assert_eq!(out[1], (pool(1, true), 20));
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -39,8 +39,8 @@
     let (mut cluster, ..) = two_long_jobs();
     cluster.kv_outage = true;
     cluster.run_for(5 * CANCEL_MS);
-    for host in &cluster.machines {
-        assert_eq!(host.worker.agent_epoch, AgentEpoch(1));
+    for machine in &cluster.machines {
+        assert_eq!(machine.worker.agent_epoch, AgentEpoch(1));
     }
     recover(&mut cluster);
     cluster.assert_no_violations();
@@ -105,24 +105,24 @@
 
 #[test]
 fn a_cancellation_is_carried_out_in_time_on_machines_that_lose_messages_or_freeze() {
-    for ill in 0..3 {
+    for faults in 0..3 {
         let (mut cluster, leader, other) = two_long_jobs();
-        let host = cluster
+        let machine = cluster
             .machines
             .iter()
             .position(|h| h.worker.has_task("job-1/0"));
-        let h = &mut cluster.machines[host.unwrap()];
-        match ill {
+        let h = &mut cluster.machines[machine.unwrap()];
+        match faults {
             0 => h.faults.drops_incoming = true,
             1 => h.faults.drops_heartbeats = true,
             _ => h.faults.frozen = true,
         }
         refuse_leader_then_all(&mut cluster, leader, other, "job-1");
         cluster.run_for(LEASE_MS / 2);
-        cluster.machines[host.unwrap()].faults.frozen = false;
+        cluster.machines[machine.unwrap()].faults.frozen = false;
         cluster.run_for(CANCEL_MS - LEASE_MS / 2);
         cluster.assert_nothing_runs_of("job-1");
-        cluster.machines[host.unwrap()].faults = Default::default();
+        cluster.machines[machine.unwrap()].faults = Default::default();
         recover(&mut cluster);
         cluster.assert_no_violations();
     }
@@ -131,14 +131,14 @@
 #[test]
 fn a_machine_whose_heartbeats_are_lost_is_stopped_by_any_controller_that_knows() {
     let (mut cluster, leader, other) = two_long_jobs();
-    let host = cluster
+    let machine = cluster
         .machines
         .iter()
         .position(|h| h.worker.has_task("job-1/0"));
-    let host = host.unwrap();
+    let machine = machine.unwrap();
     // Its lease is far longer than the time for cancellations, so that nothing else ends it.
-    cluster.machines[host].worker.lease_ms = 10 * CANCEL_MS;
-    cluster.machines[host].faults.drops_heartbeats = true;
+    cluster.machines[machine].worker.lease_ms = 10 * CANCEL_MS;
+    cluster.machines[machine].faults.drops_heartbeats = true;
     cluster.stop_controller(leader);
     assert!(cluster.cancel(other, "job-1"));
     cluster.run_for(CANCEL_MS);
@@ -345,14 +345,14 @@
         assert!(cluster.submit(0, job("job-1", 1)));
         cluster.run_for(1000 + delay * 500);
         let cancelled = cluster.cancel(1, "job-1");
-        for node in 0..3 {
-            let word = cluster.query_status(node, "job-1").unwrap();
+        for at in 0..3 {
+            let word = cluster.query_status(at, "job-1").unwrap();
             assert_eq!(word == "aborted", cancelled);
         }
         assert!(!cluster.submit(2, job("job-1", 1)));
         cluster.run_for(8000);
-        for node in 0..3 {
-            let word = cluster.query_status(node, "job-1").unwrap();
+        for at in 0..3 {
+            let word = cluster.query_status(at, "job-1").unwrap();
             assert_eq!(word, if cancelled { "aborted" } else { "done" });
         }
         cluster.assert_no_violations();
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -457,10 +457,10 @@
     assert!(cluster.submit(2, slim("job-3", 16, JobKind::Gang)));
     assert!(cluster.submit(2, slim("job-4", 90, JobKind::Gang)));
     cluster.run_for(30_000);
-    let node = cluster.controller(1);
-    assert!(node.job("job-2").placements.len() > 150);
-    assert_eq!(node.job("job-3").placements.len(), 16);
-    assert_eq!(node.job("job-4").placements.len(), 90);
+    let at = cluster.controller(1);
+    assert!(at.job("job-2").placements.len() > 150);
+    assert_eq!(at.job("job-3").placements.len(), 16);
+    assert_eq!(at.job("job-4").placements.len(), 90);
     assert!(cluster.cancel(0, "job-2"));
     cluster.run_for(CANCEL_MS);
     cluster.assert_nothing_runs_of("job-2");
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -45,29 +45,29 @@
     (store, controller)
 }
 
-fn assert_fits_a_frame(ask: &PeerRequest) {
-    let size = peers::encode(ask).unwrap().len();
+fn assert_fits_a_frame(request: &PeerRequest) {
+    let size = peers::encode(request).unwrap().len();
     assert!(size < peers::MAX_FRAME, "a frame of {size} bytes");
 }
 
 #[test]
 fn status_updates_of_all_machines_fit_frames_that_are_accepted() {
     let (_, controller) = large_fleet();
-    let news = peer_messages::own_machine_statuses(
+    let statuses = peer_messages::own_machine_statuses(
         &controller.cluster,
         &controller.config,
         MonotonicMillis(10),
         |_| Some(MonotonicMillis(0)),
     );
-    assert_eq!(news.len(), MACHINES);
-    let mut told = BTreeSet::new();
-    for ask in peer_messages::tell("n1", true, true, news) {
-        assert_fits_a_frame(&ask);
-        if let PeerRequest::Status { machines, .. } = ask {
-            told.extend(machines.into_iter().map(|m| m.name));
+    assert_eq!(statuses.len(), MACHINES);
+    let mut received = BTreeSet::new();
+    for request in peer_messages::tell("n1", true, true, statuses) {
+        assert_fits_a_frame(&request);
+        if let PeerRequest::Status { machines, .. } = request {
+            received.extend(machines.into_iter().map(|m| m.name));
         }
     }
-    assert_eq!(told.len(), MACHINES);
+    assert_eq!(received.len(), MACHINES);
 }
 
 #[test]
@@ -79,28 +79,28 @@
             (long_name(i / 2), TaskRef { job, task })
         })
         .collect();
-    let mut told = Vec::new();
-    for ask in planner::bind_requests(&bound) {
-        assert_fits_a_frame(&ask);
-        if let PeerRequest::Bind { tasks } = ask {
-            told.extend(tasks);
+    let mut received = Vec::new();
+    for request in planner::bind_requests(&bound) {
+        assert_fits_a_frame(&request);
+        if let PeerRequest::Bind { tasks } = request {
+            received.extend(tasks);
         }
     }
-    assert_eq!(told, bound);
+    assert_eq!(received, bound);
 }
 
 #[test]
 fn a_reservation_of_all_machines_fits_frames_that_are_accepted() {
     let names: Vec<String> = (0..MACHINES).map(long_name).collect();
-    let mut told = Vec::new();
-    for ask in peer_messages::reservation_requests("job-000001", &names) {
-        assert_fits_a_frame(&ask);
-        if let PeerRequest::ReserveMachines { job, machines } = ask {
+    let mut received = Vec::new();
+    for request in peer_messages::reservation_requests("job-000001", &names) {
+        assert_fits_a_frame(&request);
+        if let PeerRequest::ReserveMachines { job, machines } = request {
             assert_eq!(job, "job-000001");
-            told.extend(machines);
+            received.extend(machines);
         }
     }
-    assert_eq!(told, names);
+    assert_eq!(received, names);
 }
 
 #[test]
--- a/tests/outages_and_restarts.rs
+++ b/tests/outages_and_restarts.rs
@@ -157,8 +157,8 @@
     }
     a.exchange_heartbeat(&mut store, &mut worker, 0);
     store.revoke_lease(a.lease);
-    let nodes = ["n1", "s1"].map(|n| SimulatedController::start(n, 7, &mut store, 60_000));
-    for controller in &nodes {
+    let controllers = ["n1", "s1"].map(|n| SimulatedController::start(n, 7, &mut store, 60_000));
+    for controller in &controllers {
         assert!(controller.cluster.loaded);
         assert!((1..=30).all(|i| controller.cluster.job(&format!("job-{i}")).is_some()));
     }
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -103,12 +103,12 @@
 #[test]
 fn a_gang_lost_while_a_member_is_restarted_in_its_wait_keeps_that_member_placed() {
     let (mut store, mut controller) = support::simulated_controller::start_single_controller();
-    let mut hosts = [("m1", 0), ("m2", 0)].map(|(n, t)| {
+    let mut machines = [("m1", 0), ("m2", 0)].map(|(n, t)| {
         let mut cluster = support::worker::FakeWorker::new(n, "north", t);
         cluster.image_pull_ms = 60_000;
         cluster
     });
-    for cluster in &mut hosts {
+    for cluster in &mut machines {
         controller.exchange_heartbeat(&mut store, cluster, 0);
         controller.exchange_heartbeat(&mut store, cluster, 500);
     }
@@ -117,10 +117,10 @@
     gang.gpus = 3.0;
     controller.submit(&mut store, gang, 600);
     controller.run_planner(&mut store, 600);
-    for cluster in &mut hosts {
+    for cluster in &mut machines {
         controller.exchange_heartbeat(&mut store, cluster, 1000);
     }
-    let [first, second] = &mut hosts;
+    let [first, second] = &mut machines;
     assert!(first.has_task("job-1/0") && second.has_task("job-1/1"));
     first.time_out_gang_wait();
     let heartbeat = first.heartbeat(1500);
@@ -219,16 +219,16 @@
 
 #[test]
 fn a_team_stays_within_its_quota_while_cancelled_tasks_are_partitioned_and_the_leader_changes() {
-    for ill in 0..3 {
+    for faults in 0..3 {
         let mut cluster = at_the_limit();
-        let host = cluster
+        let machine = cluster
             .machines
             .iter()
             .position(|h| h.worker.has_task("job-1/0"));
-        let host = host.unwrap();
-        let leader = cluster.owner_of(host).unwrap();
-        let h = &mut cluster.machines[host].faults;
-        match ill {
+        let machine = machine.unwrap();
+        let leader = cluster.owner_of(machine).unwrap();
+        let h = &mut cluster.machines[machine].faults;
+        match faults {
             0 => h.drops_heartbeats = true,
             1 => h.frozen = true,
             _ => (h.drops_incoming, h.drops_command_responses) = (true, true),
@@ -240,9 +240,9 @@
         cluster.run_for(8000);
         cluster.start_controller(leader);
         cluster.run_for(CANCEL_MS);
-        cluster.machines[host].faults = Default::default();
+        cluster.machines[machine].faults = Default::default();
         cluster.run_for(160_000);
-        assert_eq!(cluster.finished_count(), 3, "{ill}: unfinished work");
+        assert_eq!(cluster.finished_count(), 3, "{faults}: unfinished work");
         cluster.assert_no_violations();
     }
 }
@@ -253,11 +253,11 @@
     cluster.store.execution_delay_ms = Some(3000);
     assert!(!cluster.submit(0, job("job-1", 4)), "its answer is lost");
     cluster.run_for(4000);
-    let host = cluster.add_machine("north");
+    let machine = cluster.add_machine("north");
     cluster.run_for(1000);
     cluster.add_machine("north");
     cluster.run_for(2000);
-    let leader = cluster.owner_of(host).unwrap_or(0);
+    let leader = cluster.owner_of(machine).unwrap_or(0);
     cluster.stop_controller(leader);
     cluster.run_for(3000);
     cluster.store.execution_delay_ms = None;
@@ -385,11 +385,11 @@
     spec.gpus = 4.0;
     assert!(cluster.submit(0, spec));
     cluster.run_for(6000);
-    let host = cluster
+    let machine = cluster
         .machines
         .iter()
         .position(|h| h.worker.has_task("job-1/1"));
-    let leader = cluster.owner_of(host.unwrap()).unwrap();
+    let leader = cluster.owner_of(machine.unwrap()).unwrap();
     cluster.stop_controller(leader);
     cluster.run_for(8000);
     cluster.start_controller(leader);
@@ -416,12 +416,12 @@
     cluster.stop_controller(leader);
     for _ in 0..24 {
         cluster.run_for(500);
-        for host in 0..4 {
-            let sent = cluster.machines[host].sent_heartbeats.len();
+        for machine in 0..4 {
+            let sent = cluster.machines[machine].sent_heartbeats.len();
             for at in 0..3 {
                 // One from long ago, and the newest that was sent to the old leader.
-                cluster.redeliver_heartbeat(host, sent / 3, at);
-                cluster.redeliver_heartbeat(host, sent - 1, at);
+                cluster.redeliver_heartbeat(machine, sent / 3, at);
+                cluster.redeliver_heartbeat(machine, sent - 1, at);
             }
         }
     }
@@ -547,14 +547,14 @@
 
 #[test]
 fn a_leader_stops_while_machines_with_long_tasks_lose_messages() {
-    for mute in [true, false] {
+    for drops_heartbeats in [true, false] {
         let (mut cluster, leader, other) = two_long_jobs();
-        let host = cluster
+        let machine = cluster
             .machines
             .iter()
             .position(|h| h.worker.has_task("job-1/0"));
-        let ill = &mut cluster.machines[host.unwrap()].faults;
-        (ill.drops_heartbeats, ill.drops_incoming) = (mute, !mute);
+        let faults = &mut cluster.machines[machine.unwrap()].faults;
+        (faults.drops_heartbeats, faults.drops_incoming) = (drops_heartbeats, !drops_heartbeats);
         cluster.stop_controller(leader);
         cluster.run_for(4000);
         assert!(cluster.cancel(other, "job-1"));
@@ -562,7 +562,7 @@
         cluster.start_controller(leader);
         cluster.run_for(CANCEL_MS - 8000);
         cluster.assert_nothing_runs_of("job-1");
-        cluster.machines[host.unwrap()].faults = Default::default();
+        cluster.machines[machine.unwrap()].faults = Default::default();
         for h in &mut cluster.machines {
             h.worker.run_ms = 5000;
         }
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -245,16 +245,16 @@
         quarantined: false,
     };
     let all: Vec<MachineStatus> = (0..1000).map(machine).collect();
-    let asks = peer_messages::tell("node", true, true, all);
-    let mut told = 0;
-    for a in &asks {
+    let requests = peer_messages::tell("node", true, true, all);
+    let mut received = 0;
+    for a in &requests {
         assert!(peers::encode(a).unwrap().len() < peers::MAX_FRAME);
         let PeerRequest::Status { machines, .. } = a else {
             panic!("news")
         };
-        told += machines.len();
+        received += machines.len();
     }
-    assert_eq!(told, 1000);
+    assert_eq!(received, 1000);
     // A controller without machines still broadcasts that it is there.
     assert_eq!(peer_messages::tell("node", true, true, Vec::new()).len(), 1);
 }
--- a/tests/shard_ownership.rs
+++ b/tests/shard_ownership.rs
@@ -258,10 +258,10 @@
     let seen = HashMap::from(
         [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), Incarnation(i)), MonotonicMillis(0))),
     );
-    let moves = |controller: &SimulatedController, deaf: &[&str]| {
+    let moves = |controller: &SimulatedController, unreachable: &[&str]| {
         let known = membership::MembershipView {
             first_seen: seen.clone(),
-            unreachable_from_workers: deaf.iter().map(|n| n.to_string()).collect(),
+            unreachable_from_workers: unreachable.iter().map(|n| n.to_string()).collect(),
             owned_since: controller.owned_since_start(),
             ..membership::MembershipView::default()
         };
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -285,8 +285,8 @@
         let controller = SimulatedController::start_as(name, incarnation, standby, &mut store, 0);
         controller.with_peers(&names, &ZONES)
     };
-    let mut nodes = [start("n1", 1), start("n2", 2), start("s1", 3)];
-    for controller in &mut nodes {
+    let mut controllers = [start("n1", 1), start("n2", 2), start("s1", 3)];
+    for controller in &mut controllers {
         controller.sync(&store);
     }
     let seen = names.iter().zip(1..).map(|(name, incarnation)| {
@@ -295,13 +295,13 @@
     });
     let known = MembershipView {
         first_seen: seen.collect(),
-        standby: nodes[0].membership.standby.clone(),
+        standby: controllers[0].membership.standby.clone(),
         ..MembershipView::default()
     };
-    (store, nodes, known)
+    (store, controllers, known)
 }
 
-fn takers(nodes: &[SimulatedController], known: &MembershipView, now: u64) -> Vec<String> {
+fn takers(controllers: &[SimulatedController], known: &MembershipView, now: u64) -> Vec<String> {
     let now = MonotonicMillis(now);
     let takes = |controller: &&SimulatedController| {
         let all = moves(
@@ -314,20 +314,20 @@
         );
         all.iter().any(|m| m.shard == NORTH)
     };
-    let takers = nodes.iter().filter(takes);
+    let takers = controllers.iter().filter(takes);
     takers
         .map(|controller| controller.config.controller_name.clone())
         .collect()
 }
 
 /// Lets `n1` own the northern shard and stop.
-fn without_n1(store: &mut FakeKvStore, nodes: &mut [SimulatedController; 3]) {
+fn without_n1(store: &mut FakeKvStore, controllers: &mut [SimulatedController; 3]) {
     assert!(matches!(
-        take_north(&mut nodes[0], store, 0),
+        take_north(&mut controllers[0], store, 0),
         CommitOutcome::Committed(_)
     ));
-    store.revoke_lease(nodes[0].lease);
-    for controller in nodes {
+    store.revoke_lease(controllers[0].lease);
+    for controller in controllers {
         controller.sync(store);
     }
 }
@@ -335,31 +335,31 @@
 #[test]
 fn only_the_standby_takes_a_shard_over_by_zone_preference() {
     for (standby, name) in [(Standby::SameZone, "n2"), (Standby::OtherZone, "s1")] {
-        let (mut store, mut nodes, known) = three_nodes(standby);
-        without_n1(&mut store, &mut nodes);
-        assert_eq!(takers(&nodes[1..], &known, 10_000), [name]);
+        let (mut store, mut controllers, known) = three_nodes(standby);
+        without_n1(&mut store, &mut controllers);
+        assert_eq!(takers(&controllers[1..], &known, 10_000), [name]);
     }
 }
 
 #[test]
 fn a_shard_that_its_standby_does_not_take_goes_to_its_designated_controller() {
-    let (mut store, mut nodes, mut known) = three_nodes(Standby::OtherZone);
-    without_n1(&mut store, &mut nodes);
+    let (mut store, mut controllers, mut known) = three_nodes(Standby::OtherZone);
+    without_n1(&mut store, &mut controllers);
     // Its own view has another standby, for example since its settings differ.
     let since = MonotonicMillis(10_000);
     known.ownerless_since.insert(NORTH, since);
-    assert_eq!(takers(&nodes[1..], &known, 12_000), ["s1"]);
-    assert_eq!(takers(&nodes[1..], &known, 12_500), ["n2"]);
+    assert_eq!(takers(&controllers[1..], &known, 12_000), ["s1"]);
+    assert_eq!(takers(&controllers[1..], &known, 12_500), ["n2"]);
 }
 
 #[test]
 fn controllers_without_the_feature_are_not_standbys() {
-    let (mut store, mut nodes, known) = three_nodes(Standby::SameZone);
+    let (mut store, mut controllers, known) = three_nodes(Standby::SameZone);
     // n2 is replaced by a process of the version in production.
-    store.revoke_lease(nodes[1].lease);
-    nodes[1] = SimulatedController::start("n2", 9, &mut store, 0);
-    without_n1(&mut store, &mut nodes);
-    assert_eq!(takers(&nodes[2..], &known, 10_000), ["s1"]);
+    store.revoke_lease(controllers[1].lease);
+    controllers[1] = SimulatedController::start("n2", 9, &mut store, 0);
+    without_n1(&mut store, &mut controllers);
+    assert_eq!(takers(&controllers[2..], &known, 10_000), ["s1"]);
 }
 
 #[test]
@@ -636,9 +636,9 @@
 
 #[test]
 fn after_a_restart_of_all_shards_go_straight_to_their_designated_controllers() {
-    let (mut store, mut nodes, mut known) = three_nodes(Standby::OtherZone);
-    without_n1(&mut store, &mut nodes);
+    let (mut store, mut controllers, mut known) = three_nodes(Standby::OtherZone);
+    without_n1(&mut store, &mut controllers);
     // No controller has been running for long: no standby has followed any owner.
     known.first_seen.clear();
-    assert_eq!(takers(&nodes[1..], &known, 10_000), ["n2"]);
+    assert_eq!(takers(&controllers[1..], &known, 10_000), ["n2"]);
 }
