--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -34,7 +34,7 @@
         gpus: 4.0,
         mem_gb: 64.0,
         cache_gb: 100.0,
-        fetch_gb_per_s: 1.0,
+        pull_gb_per_s: 1.0,
         price: 8.0,
         spot_price: 2.0,
         boot_s: 20.0,
@@ -110,7 +110,7 @@
             ..machine.listing.clone()
         });
         MachineListPage {
-            hosts: listed.collect(),
+            machines: listed.collect(),
             more: false,
         }
     }
--- a/crates/testkit/src/network/cloud_service.rs
+++ b/crates/testkit/src/network/cloud_service.rs
@@ -32,10 +32,10 @@
     let limit = query_field(query, "most")
         .parse()
         .unwrap_or(DEFAULT_PAGE_LIMIT);
-    page.hosts
+    page.machines
         .retain(|machine| machine.name.as_str() > start_after);
-    page.more = page.hosts.len() > limit;
-    page.hosts.truncate(limit);
+    page.more = page.machines.len() > limit;
+    page.machines.truncate(limit);
     Answer::of(200, &page)
 }
 
@@ -45,16 +45,16 @@
         return Answer::bare(400);
     };
     let now = cluster.now();
-    let Some(hosts) = cluster.cloud.borrow_mut().provision(&request, now) else {
+    let Some(machines) = cluster.cloud.borrow_mut().provision(&request, now) else {
         return Answer::bare(503);
     };
-    for name in &hosts {
+    for name in &machines {
         let is_new = !cluster.workers.borrow().contains_key(name);
         if is_new {
             start_worker(cluster, executor, name, &request);
         }
     }
-    Answer::of(200, &MachineNames { hosts })
+    Answer::of(200, &MachineNames { machines })
 }
 
 fn start_worker(
@@ -86,8 +86,8 @@
     let Ok(names) = rmp_serde::from_slice::<MachineNames>(&body) else {
         return Answer::bare(400);
     };
-    cluster.cloud.borrow_mut().delete_machines(&names.hosts);
-    for name in &names.hosts {
+    cluster.cloud.borrow_mut().delete_machines(&names.machines);
+    for name in &names.machines {
         let existed = cluster.workers.borrow_mut().remove(name).is_some();
         if existed && cluster.worker_config.verbose {
             println!("machine deleted: machine={name}");
--- a/src/coordination/autoscaler/machine_list.rs
+++ b/src/coordination/autoscaler/machine_list.rs
@@ -1,6 +1,11 @@
 //! The cloud's list of machines, read page by page.
+//!
+//! The autoscaler's round calls [`read`] when a list is due.
+//!
+//! Invariant: only complete lists replace the last one, so that a machine is never taken for
+//! missing because its page was refused.
 
-use super::{AutoscalerState, CALL_MS};
+use super::{AutoscalerState, CLOUD_TIMEOUT_MS};
 use crate::coordination::controller::{Controller, ExternalService};
 use crate::protocol::cloud::{ListedMachine, MachineListPage};
 use crate::state::units::MonotonicMillis;
@@ -17,106 +22,135 @@
 const STALE_READS: u64 = 2;
 
 /// Machines in a page of the list, by the cloud's protocol at most.
-const PAGE: usize = 500;
+const PAGE_SIZE: usize = 500;
+
+/// Pause after a page that was refused.
+const RETRY_MS: u64 = 500;
+
+/// Requests in whose time a small list is read once.
+const REQUESTS_PER_LIST: f64 = 4.0;
 
 /// Time from one list of machines to the next: a large one takes no more than its part of the
-/// cloud's limit, so that renting and returning have the rest.
-pub fn list_every_ms(rps: f64, pages: usize) -> u64 {
-    let least = ((4000.0 / rps) as u64).clamp(1500, 4000);
-    least.max(read_ms(rps, pages))
+/// cloud's limit, so that scaling out and in have the rest.
+pub fn list_interval_ms(requests_per_s: f64, pages: usize) -> u64 {
+    let least = ((REQUESTS_PER_LIST * 1000.0 / requests_per_s) as u64).clamp(1500, 4000);
+    least.max(read_time_ms(requests_per_s, pages))
 }
 
 /// Time that reading so many pages takes at the list's part of the cloud's limit.
-fn read_ms(rps: f64, pages: usize) -> u64 {
-    (pages as f64 * 1000.0 / (rps * LIST_PART)) as u64
+fn read_time_ms(requests_per_s: f64, pages: usize) -> u64 {
+    (pages as f64 * 1000.0 / (requests_per_s * LIST_PART)) as u64
+}
+
+fn page_count(machines: usize) -> usize {
+    machines / PAGE_SIZE + 1
 }
 
 /// A machine list that is read page by page. What was read stays when a page is refused, and
-/// the next turn goes on from there.
+/// the next round goes on from there.
 #[derive(Default)]
-pub struct Pages {
-    list: Vec<ListedMachine>,
-    since: Option<MonotonicMillis>,
+pub struct MachineListReader {
+    machines: Vec<ListedMachine>,
+    started_at: Option<MonotonicMillis>,
 }
 
-impl Pages {
+impl MachineListReader {
     /// The name after which the next page begins; a list that took too long is begun anew.
     ///
     /// The time allowed grows with what was read: a fixed one would begin the list of a large
     /// fleet anew for ever where the cloud serves few requests a second.
-    pub fn next(&mut self, now: MonotonicMillis, rps: f64) -> &str {
-        let pages = self.list.len() / PAGE + 1;
-        let stale_ms = STALE_MS.max(STALE_READS * read_ms(rps, pages));
-        if self.since.is_some_and(|t| now.since(t) >= stale_ms) {
-            *self = Pages::default();
+    pub fn next_page_after(&mut self, now: MonotonicMillis, requests_per_s: f64) -> &str {
+        let pages = page_count(self.machines.len());
+        let stale_ms = STALE_MS.max(STALE_READS * read_time_ms(requests_per_s, pages));
+        if self.started_at.is_some_and(|t| now.since(t) >= stale_ms) {
+            *self = MachineListReader::default();
         }
-        self.since.get_or_insert(now);
-        self.list.last().map_or("", |h| h.name.as_str())
+        self.started_at.get_or_insert(now);
+        self.machines.last().map_or("", |last| last.name.as_str())
     }
-    /// Takes a page; the whole list if it was the last.
-    pub fn take(&mut self, page: MachineListPage) -> Option<Vec<ListedMachine>> {
-        let more = page.more && !page.hosts.is_empty();
-        self.list.extend(page.hosts);
-        (!more).then(|| std::mem::take(self).list)
+
+    /// Adds a page; the complete list if it was the last.
+    pub fn add_page(&mut self, page: MachineListPage) -> Option<Vec<ListedMachine>> {
+        let more = page.more && !page.machines.is_empty();
+        self.machines.extend(page.machines);
+        (!more).then(|| std::mem::take(self).machines)
     }
 }
 
-/// Reads pages of the machine list as far as the cloud's limit lets it.
-pub(super) async fn read_list(controller: &Rc<Controller>, duty: &mut AutoscalerState) {
-    let rps = controller.platform.settings.cloud.rps;
-    let list = loop {
+/// Reads pages of the machine list as far as the cloud's limit lets it, and takes over a list
+/// that is complete.
+pub(super) async fn read(controller: &Rc<Controller>, state: &mut AutoscalerState) {
+    let requests_per_s = controller.platform.settings.cloud.rps;
+    let machines = loop {
         let now = controller.now();
-        if !duty.rate_limiter.take(now, 0.0) {
+        if !state.rate_limiter.try_acquire(now, 0.0) {
             return;
         }
-        let Some(page) = read_page(controller, duty.pages.next(now, rps)).await else {
-            duty.list_due = controller.now().plus(500);
+        let after = state.list_reader.next_page_after(now, requests_per_s);
+        let Some(page) = fetch_page(controller, after).await else {
+            state.next_list_at = controller.now().plus(RETRY_MS);
             return;
         };
-        if let Some(list) = duty.pages.take(page) {
-            break list;
+        if let Some(machines) = state.list_reader.add_page(page) {
+            break machines;
         }
     };
     let now = controller.now();
-    let pages = list.len() / PAGE + 1;
-    duty.list_due = now.plus(list_every_ms(rps, pages));
-    duty.listed_at = Some(now);
+    let interval_ms = list_interval_ms(requests_per_s, page_count(machines.len()));
+    state.next_list_at = now.plus(interval_ms);
+    state.list_complete = true;
+    learn_machines(controller, &machines, now);
+    state.listed = machines
+        .into_iter()
+        .map(|listed| (listed.name.clone(), listed))
+        .collect();
+    let listed = &state.listed;
+    // The list lags behind: a deleted machine may leave it and show up once more.
+    state
+        .deletion_requested_at
+        .retain(|name, at| listed.contains_key(name) || now.since(*at) < STALE_MS);
+}
+
+/// Adds listed machines to the view, and addresses that it lacks.
+fn learn_machines(controller: &Controller, machines: &[ListedMachine], now: MonotonicMillis) {
     let mut cluster = controller.cluster.borrow_mut();
-    for h in &list {
-        if let Some(machine_index) =
-            cluster.learn_machine(&h.name, &h.machine_type, &h.zone, h.spot, now)
-        {
-            if let Some(m) = cluster
-                .machine_mut(machine_index)
-                .filter(|m| m.addr.is_empty())
-            {
-                m.addr.clone_from(&h.addr);
-            }
+    for listed in machines {
+        let machine_index = cluster.learn_machine(
+            &listed.name,
+            &listed.machine_type,
+            &listed.zone,
+            listed.spot,
+            now,
+        );
+        let machine = machine_index.and_then(|index| cluster.machine_mut(index));
+        if let Some(machine) = machine.filter(|machine| machine.addr.is_empty()) {
+            machine.addr.clone_from(&listed.addr);
         }
     }
-    duty.listed = list.into_iter().map(|h| (h.name.clone(), h)).collect();
-    duty.released
-        .retain(|n, t| duty.listed.contains_key(n) || now.since(*t) < STALE_MS);
 }
 
-async fn read_page(controller: &Rc<Controller>, from: &str) -> Option<MachineListPage> {
-    let path = format!("/hosts?from={from}&most={PAGE}");
+/// One page; `None`, with a log line, if the cloud does not serve it.
+async fn fetch_page(controller: &Controller, after: &str) -> Option<MachineListPage> {
+    let path = format!("/hosts?from={after}&most={PAGE_SIZE}");
     let answer = controller
         .cloud
-        .call(Method::Get, &path, Vec::new(), CALL_MS);
-    match answer.await {
-        Ok(f) if f.status == 200 => {
+        .call(Method::Get, &path, Vec::new(), CLOUD_TIMEOUT_MS)
+        .await;
+    match answer {
+        Ok(answer) if answer.status == 200 => {
             controller.record_availability(ExternalService::Cloud, true);
-            rmp_serde::from_slice(&f.body).ok()
+            let page = rmp_serde::from_slice(&answer.body);
+            page.inspect_err(|e| log::debug!("machine list unreadable: error={e}"))
+                .ok()
         }
-        Ok(f) => {
-            log::debug!("machine list refused with {}", f.status);
+        Ok(answer) => {
+            log::debug!("machine list refused: status={}", answer.status);
             // 429 is our own haste, not the cloud's trouble.
-            controller.record_availability(ExternalService::Cloud, f.status == 429);
+            controller.record_availability(ExternalService::Cloud, answer.status == 429);
             None
         }
         Err(e) => {
-            log::debug!("machine list: {e}");
+            log::debug!("machine list not read: error={e}");
             controller.record_availability(ExternalService::Cloud, false);
             controller.cloud.reset();
             None
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -1,4 +1,22 @@
-//! Renting and returning machines: one duty with one fenced owner.
+//! Scales the fleet out and in: requests machines from the cloud for tasks that wait or are
+//! expected, and deletes those that are idle or have failed.
+//!
+//! A background task of each controller; the owner of the autoscaler's shard alone acts. A round
+//! is: read the list of machines, repeat unanswered requests, drop completed ones, scale out,
+//! scale in.
+//!
+//! | module | owns |
+//! | --- | --- |
+//! | `machine_list` | the cloud's list of machines, read page by page |
+//! | `supply` | machines that waiting tasks can count on |
+//! | `demand` | tasks that wait or are expected |
+//! | `placement` | on which machines that demand would go, and which machines it lacks |
+//! | `provisioning` | requests for machines, from the record to the answer |
+//! | `scale_in` | which machines are deleted, and the deletion |
+//!
+//! Invariant: an intent to request machines is on record, fenced by the shard's fencing token,
+//! before the request is sent. A new owner repeats it under the same name, and the cloud answers
+//! a repeated request as it did the first.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::{set, CommitOutcome};
@@ -9,166 +27,210 @@
 use crate::state::names::MachineIndex;
 use crate::state::units::{millis_from_seconds, MonotonicMillis};
 use http_types::Method;
+use provisioning::Backoff;
 use standby::ids::FencingToken;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
 mod demand;
 mod machine_list;
+mod placement;
 mod provisioning;
 mod scale_in;
+mod supply;
 
-use machine_list::read_list;
-use provisioning::{remove_completed_requests, rent, retry_provisioning};
-use scale_in::release;
-
-pub use demand::*;
-pub use machine_list::*;
-pub use scale_in::*;
+pub use machine_list::{list_interval_ms, MachineListReader};
+pub use placement::{ScaleOutPlan, ScaleOutPlanner};
+pub use provisioning::{split_into_requests, PoolRequest};
+pub use scale_in::{
+    partitioned_zones, presumed_lost, ScaleInReason, SilenceLimits, ZoneMachineCounts,
+};
+pub use supply::{supply, Pool, Supply};
 
+/// Time between two rounds of the owner.
 const TICK_MS: u64 = 250;
-/// Time between two looks of a node that does not own the duty; a change of owner rings.
-const OTHERS_MS: u64 = 1000;
-
-const CALL_MS: u64 = 3000;
-
-/// Most requests side by side.
+/// Time between two looks of a controller that does not own the autoscaler's shard; a change of
+/// owner notifies it.
+const IDLE_TICK_MS: u64 = 1000;
+/// Time for an answer of the cloud.
+const CLOUD_TIMEOUT_MS: u64 = 3000;
+/// Time for a fresh read of the key-value store.
+const REFRESH_MS: u64 = 1500;
+/// Most provisioning requests side by side.
 const MAX_CONCURRENT_REQUESTS: usize = 4;
 
-/// What the duty remembers between turns; lost at a change of owner, which only costs time.
+/// What the owner remembers between rounds; lost at a change of owner, which only costs time.
 struct AutoscalerState {
+    fencing_token: FencingToken,
+    owner_since: MonotonicMillis,
     rate_limiter: RateLimiter,
-    pages: Pages,
+    list_reader: MachineListReader,
+    /// The last complete list, by name.
     listed: HashMap<String, ListedMachine>,
-    listed_at: Option<MonotonicMillis>,
-    list_due: MonotonicMillis,
-    backoff: HashMap<Pool, (MonotonicMillis, u64)>,
-    counter: u64,
-    released: HashMap<String, MonotonicMillis>,
+    /// This owner has read a complete list.
+    list_complete: bool,
+    next_list_at: MonotonicMillis,
+    /// Pools that lately had fewer machines than were asked for.
+    backoffs: HashMap<Pool, Backoff>,
+    /// Requests made by this owner, for their names.
+    request_count: u64,
+    /// When each request on record was last sent or first seen.
     requested_at: HashMap<String, MonotonicMillis>,
-    /// The last turn had machines to return.
+    /// When the deletion of a machine was last requested.
+    deletion_requested_at: HashMap<String, MonotonicMillis>,
+    /// The last round had machines to delete.
     scale_in_pending: bool,
-    owner_since: Option<MonotonicMillis>,
-    fencing_token: FencingToken,
-    needed: HashSet<MachineIndex>,
+    /// Machines that waiting or expected tasks need, by the last plan.
+    needed_machines: HashSet<MachineIndex>,
 }
 
 impl AutoscalerState {
-    fn new(rps: f64, token: FencingToken, owner_since: Option<MonotonicMillis>) -> AutoscalerState {
+    fn new(
+        requests_per_s: f64,
+        fencing_token: FencingToken,
+        owner_since: MonotonicMillis,
+    ) -> AutoscalerState {
         AutoscalerState {
-            rate_limiter: RateLimiter::new(rps),
-            pages: Pages::default(),
+            fencing_token,
+            owner_since,
+            rate_limiter: RateLimiter::new(requests_per_s),
+            list_reader: MachineListReader::default(),
             listed: HashMap::new(),
-            listed_at: None,
-            list_due: MonotonicMillis(0),
-            backoff: HashMap::new(),
-            counter: 0,
-            released: HashMap::new(),
+            list_complete: false,
+            next_list_at: MonotonicMillis(0),
+            backoffs: HashMap::new(),
+            request_count: 0,
             requested_at: HashMap::new(),
+            deletion_requested_at: HashMap::new(),
             scale_in_pending: false,
-            owner_since,
-            fencing_token: token,
-            needed: HashSet::new(),
+            needed_machines: HashSet::new(),
         }
     }
 }
 
-/// Duty: rents and returns machines while this node owns the renting shard.
+/// Background task: scales out and in while this controller owns the autoscaler's shard.
 pub async fn run(controller: Rc<Controller>) {
-    let rps = controller.platform.settings.cloud.rps;
-    let mut duty = AutoscalerState::new(rps, FencingToken::default(), None);
+    let requests_per_s = controller.platform.settings.cloud.rps;
+    let mut state: Option<AutoscalerState> = None;
     loop {
-        let idle = duty.owner_since.is_none() && {
-            let cluster = controller.cluster.borrow();
-            cluster.loaded && !cluster.machine_types.is_empty() && cluster.machine_types_version > 0
-        };
-        if idle {
-            controller
-                .tick(OTHERS_MS, Some(&controller.autoscaling))
-                .await;
-        } else {
-            controller.pause(TICK_MS).await;
-        }
+        wait_for_round(&controller, state.is_some()).await;
         if !controller.cluster.borrow().loaded {
             continue;
         }
         load_machine_types(&controller).await;
-        // Not before its predecessor's rentals are known: they would be made once more.
-        let token = {
-            let permits = controller.permits();
-            let cluster = controller.cluster.borrow();
-            let permit = controller
-                .config
-                .permit(&cluster, &permits, cluster.autoscaler_shard());
-            permit.map(|permit| permit.token())
-        };
-        let Some(token) = token else {
-            duty.owner_since = None;
+        let Some(fencing_token) = owned_fencing_token(&controller) else {
+            state = None;
             continue;
         };
         let now = controller.now();
-        if duty.owner_since.is_none() || duty.fencing_token != token {
-            duty = AutoscalerState::new(rps, token, Some(now));
-        }
-        turn(&controller, &mut duty).await;
+        let state = match &mut state {
+            Some(state) if state.fencing_token == fencing_token => state,
+            newly_owned => {
+                newly_owned.insert(AutoscalerState::new(requests_per_s, fencing_token, now))
+            }
+        };
+        run_round(&controller, state).await;
     }
 }
 
-/// Machine types: from the state service, or from the cloud, then shared through the state service.
+/// Waits for the next round: a short time for the owner, and for one that has yet to learn the
+/// machine types; until it is notified, or for longer, for all others.
+async fn wait_for_round(controller: &Controller, is_owner: bool) {
+    let idle = !is_owner && {
+        let cluster = controller.cluster.borrow();
+        cluster.loaded && !cluster.machine_types.is_empty() && cluster.machine_types_version > 0
+    };
+    if idle {
+        controller
+            .tick(IDLE_TICK_MS, Some(&controller.autoscaling))
+            .await;
+    } else {
+        controller.pause(TICK_MS).await;
+    }
+}
+
+/// The fencing token if this controller owns the autoscaler's shard and may decide for it.
+///
+/// There is no permit before the predecessor's requests are known: they would be made once more.
+fn owned_fencing_token(controller: &Controller) -> Option<FencingToken> {
+    let permits = controller.permits();
+    let cluster = controller.cluster.borrow();
+    let shard = cluster.autoscaler_shard();
+    let permit = controller.config.permit(&cluster, &permits, shard);
+    permit.map(|permit| permit.token())
+}
+
+/// Learns the machine types from the cloud unless the key-value store has them, and shares them
+/// through the store.
 async fn load_machine_types(controller: &Rc<Controller>) {
-    let (known, version) = {
+    let loaded = {
         let cluster = controller.cluster.borrow();
-        (
-            !cluster.machine_types.is_empty(),
-            cluster.machine_types_version,
-        )
+        !cluster.machine_types.is_empty() && cluster.machine_types_version > 0
     };
-    if known && version > 0 {
+    if loaded {
         return;
     }
-    let Ok(f) = controller
-        .cloud
-        .call(Method::Get, "/flavors", Vec::new(), CALL_MS)
-        .await
-    else {
-        controller.cloud.reset();
+    let Some(catalog) = fetch_machine_types(controller).await else {
         return;
     };
-    let Ok(flavors) = rmp_serde::from_slice::<MachineTypeCatalog>(&f.body) else {
-        return;
+    controller.cluster.borrow_mut().set_machine_types(&catalog);
+    store_machine_types(controller, &catalog).await;
+}
+
+async fn fetch_machine_types(controller: &Controller) -> Option<MachineTypeCatalog> {
+    let answer = controller
+        .cloud
+        .call(Method::Get, "/flavors", Vec::new(), CLOUD_TIMEOUT_MS)
+        .await;
+    let answer = match answer {
+        Ok(answer) => answer,
+        Err(e) => {
+            log::debug!("machine types not read: error={e}");
+            controller.cloud.reset();
+            return None;
+        }
     };
-    if f.status != 200 || flavors.types.is_empty() {
-        return;
+    if answer.status != 200 {
+        log::debug!("machine types refused: status={}", answer.status);
+        return None;
     }
-    controller.cluster.borrow_mut().set_machine_types(&flavors);
+    match rmp_serde::from_slice::<MachineTypeCatalog>(&answer.body) {
+        Ok(catalog) => Some(catalog).filter(|catalog| !catalog.types.is_empty()),
+        Err(e) => {
+            log::debug!("machine types unreadable: error={e}");
+            None
+        }
+    }
+}
+
+/// Stores the machine types unless another controller has done so.
+async fn store_machine_types(controller: &Controller, catalog: &MachineTypeCatalog) {
     let key = format!("{ROOT}flavors/all");
     let txn = Transaction {
         conditions: vec![Condition {
             key: key.clone(),
             version: 0,
         }],
-        writes: set(key, &flavors, None).into_iter().collect(),
+        writes: set(key, catalog, None).into_iter().collect(),
     };
-    if let CommitOutcome::Committed(r) = controller.commit(&txn).await {
-        controller.cluster.borrow_mut().machine_types_version = r;
+    if let CommitOutcome::Committed(revision) = controller.commit(&txn).await {
+        controller.cluster.borrow_mut().machine_types_version = revision;
     } else {
-        controller.refresh(1500).await;
+        controller.refresh(REFRESH_MS).await;
     }
 }
 
-async fn turn(controller: &Rc<Controller>, duty: &mut AutoscalerState) {
+async fn run_round(controller: &Rc<Controller>, state: &mut AutoscalerState) {
     if !controller.kv_reachable() {
-        // Whether the duty is still ours can't be known, and nothing could be recorded.
+        // Whether the shard is still ours can't be known, and nothing could be recorded.
         return;
     }
-    let s = &controller.platform.settings;
-    let lag_ms = millis_from_seconds(s.cloud.list_lag_s);
-    let now = controller.now();
-    if now >= duty.list_due {
-        read_list(controller, duty).await;
+    let list_lag_ms = millis_from_seconds(controller.platform.settings.cloud.list_lag_s);
+    if controller.now() >= state.next_list_at {
+        machine_list::read(controller, state).await;
     }
-    retry_provisioning(controller, duty).await;
-    remove_completed_requests(controller, duty, lag_ms).await;
-    rent(controller, duty).await;
-    release(controller, duty).await;
+    provisioning::retry_unanswered(controller, state).await;
+    provisioning::remove_completed(controller, state, list_lag_ms).await;
+    provisioning::scale_out(controller, state).await;
+    scale_in::scale_in(controller, state).await;
 }
--- a/src/coordination/metrics.rs
+++ b/src/coordination/metrics.rs
@@ -1,96 +1,108 @@
-//! Where turns of the one thread go: how often, how long in all, and the longest, by duty.
+//! Where the time of the one thread goes: how often tasks are polled, how long in all, and the
+//! longest poll, by name of the task.
 //!
-//! Kept and told at level debug only; see docs/operations.md.
+//! The controller owns one [`Metrics`]; background tasks and request handlers are timed by it.
+//! Kept and logged at level debug only; see `docs/operations.md`.
 
 use std::cell::RefCell;
+use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::pin::Pin;
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// What turns of one name took.
+/// What the polls of one name took.
 #[derive(Clone, Copy, Default, Debug, PartialEq)]
-pub struct Row {
-    /// Turns.
-    pub turns: u64,
-    /// Their time.
-    pub sum: Duration,
-    /// The longest.
-    pub longest: Duration,
+struct PollTimes {
+    count: u64,
+    total: Duration,
+    longest: Duration,
 }
 
-impl Row {
-    /// Adds a turn.
-    pub fn add(&mut self, took: Duration) {
-        self.turns += 1;
-        self.sum += took;
-        self.longest = self.longest.max(took);
+impl PollTimes {
+    fn record(&mut self, elapsed: Duration) {
+        self.count += 1;
+        self.total += elapsed;
+        self.longest = self.longest.max(elapsed);
     }
 }
 
-/// Turns by name since they were last told.
+/// Poll times by name, since they were last logged.
 pub struct Metrics {
-    on: bool,
-    rows: RefCell<BTreeMap<&'static str, Row>>,
+    enabled: bool,
+    times: RefCell<BTreeMap<&'static str, PollTimes>>,
 }
 
 impl Metrics {
-    /// A metrics; one that is off costs nothing.
-    pub fn new(on: bool) -> Metrics {
+    /// No times yet; metrics that are not enabled cost nothing.
+    pub fn new(enabled: bool) -> Metrics {
         Metrics {
-            on,
-            rows: RefCell::default(),
+            enabled,
+            times: RefCell::default(),
         }
     }
+
     /// Times a piece of work that does not wait.
     pub fn time<T>(&self, name: &'static str, work: impl FnOnce() -> T) -> T {
-        if !self.on {
+        if !self.enabled {
             return work();
         }
-        let began = Instant::now();
-        let out = work();
-        self.add(name, began.elapsed());
-        out
+        let started = Instant::now();
+        let result = work();
+        self.record(name, started.elapsed());
+        result
     }
-    /// Times each turn of a routine, and not what it waits for in between.
-    pub fn routine<F: Future>(&self, name: &'static str, work: F) -> Metered<'_, F> {
-        Metered {
+
+    /// Times each poll of a future, and not what it waits for in between.
+    pub fn routine<F: Future>(&self, name: &'static str, work: F) -> TimedFuture<'_, F> {
+        TimedFuture {
             metrics: self,
             name,
             work: Box::pin(work),
         }
     }
-    fn add(&self, name: &'static str, took: Duration) {
-        self.rows.borrow_mut().entry(name).or_default().add(took);
+
+    fn record(&self, name: &'static str, elapsed: Duration) {
+        self.times
+            .borrow_mut()
+            .entry(name)
+            .or_default()
+            .record(elapsed);
     }
-    /// One line on all names, the dearest first, and begins anew; `None` if there is nothing.
+
+    /// One line on all names, the largest total first, and begins anew; `None` if there is
+    /// nothing.
     pub fn line(&self) -> Option<String> {
-        let mut rows: Vec<_> = std::mem::take(&mut *self.rows.borrow_mut())
-            .into_iter()
-            .collect();
-        rows.sort_by_key(|(name, r)| (std::cmp::Reverse(r.sum), *name));
-        let ms = |d: Duration| d.as_secs_f64() * 1000.0;
-        let told = rows.iter().map(|(name, r)| {
-            format!(
-                "{name} {} in {:.1} ms, longest {:.1}",
-                r.turns,
-                ms(r.sum),
-                ms(r.longest)
-            )
-        });
-        (!rows.is_empty()).then(|| told.collect::<Vec<_>>().join("; "))
+        let times = std::mem::take(&mut *self.times.borrow_mut());
+        if times.is_empty() {
+            return None;
+        }
+        let mut times: Vec<_> = times.into_iter().collect();
+        times.sort_by_key(|(name, t)| (Reverse(t.total), *name));
+        let parts: Vec<String> = times.iter().map(|(name, t)| describe(name, t)).collect();
+        Some(parts.join("; "))
     }
 }
 
-/// A routine whose turns are timed.
-pub struct Metered<'a, F> {
+fn describe(name: &str, times: &PollTimes) -> String {
+    let ms = |duration: Duration| duration.as_secs_f64() * 1000.0;
+    format!(
+        "{name} {} in {:.1} ms, longest {:.1}",
+        times.count,
+        ms(times.total),
+        ms(times.longest)
+    )
+}
+
+/// A future whose polls are timed.
+pub struct TimedFuture<'a, F> {
     metrics: &'a Metrics,
     name: &'static str,
     work: Pin<Box<F>>,
 }
 
-impl<F: Future> Future for Metered<'_, F> {
+impl<F: Future> Future for TimedFuture<'_, F> {
     type Output = F::Output;
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<F::Output> {
         let (metrics, name) = (self.metrics, self.name);
--- a/src/coordination/rate_limiter.rs
+++ b/src/coordination/rate_limiter.rs
@@ -1,41 +1,52 @@
-//! Requests kept within a limit that others set, instead of finding it by refusals.
+//! A token bucket: keeps requests within a limit that another service sets, instead of finding
+//! that limit by refusals.
+//!
+//! The autoscaler owns one for its requests to the cloud.
 
 use crate::state::units::MonotonicMillis;
 
 /// A budget of requests that fills with time.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
-    rate: f64,
-    left: f64,
-    at: Option<MonotonicMillis>,
+    requests_per_s: f64,
+    available: f64,
+    refilled_at: Option<MonotonicMillis>,
 }
 
 /// Requests that may be saved up, in seconds' worth, as the cloud's protocol allows.
 const BURST_S: f64 = 2.0;
+/// Requests that may be saved up at least.
+const MIN_BURST: f64 = 2.0;
 
 impl RateLimiter {
-    /// A budget of `rate` requests a second. It begins full: what another may have spent just
-    /// before is refused at worst, and asked for again.
-    pub fn new(rate: f64) -> RateLimiter {
+    /// A budget of so many requests a second. It begins full: what another controller may have
+    /// spent just before is refused at worst, and asked for again.
+    pub fn new(requests_per_s: f64) -> RateLimiter {
         RateLimiter {
-            rate,
-            left: RateLimiter::most(rate),
-            at: None,
+            requests_per_s,
+            available: RateLimiter::burst(requests_per_s),
+            refilled_at: None,
         }
     }
-    fn most(rate: f64) -> f64 {
-        (rate * BURST_S).max(2.0)
+
+    fn burst(requests_per_s: f64) -> f64 {
+        (requests_per_s * BURST_S).max(MIN_BURST)
     }
-    /// Takes a request if that leaves `keep` for what matters more.
-    pub fn take(&mut self, now: MonotonicMillis, keep: f64) -> bool {
-        let passed = self.at.map_or(0, |at| now.since(at));
-        self.at = Some(now);
-        let filled = self.left + self.rate * passed as f64 / 1000.0;
-        self.left = filled.min(RateLimiter::most(self.rate));
-        let good = self.left >= 1.0 + keep;
-        if good {
-            self.left -= 1.0;
+
+    /// Takes one request if that leaves `reserve` of them for what matters more.
+    pub fn try_acquire(&mut self, now: MonotonicMillis, reserve: f64) -> bool {
+        self.refill(now);
+        let allowed = self.available >= 1.0 + reserve;
+        if allowed {
+            self.available -= 1.0;
         }
-        good
+        allowed
+    }
+
+    fn refill(&mut self, now: MonotonicMillis) {
+        let elapsed_ms = self.refilled_at.map_or(0, |at| now.since(at));
+        self.refilled_at = Some(now);
+        let filled = self.available + self.requests_per_s * elapsed_ms as f64 / 1000.0;
+        self.available = filled.min(RateLimiter::burst(self.requests_per_s));
     }
 }
--- a/src/coordination/scheduler/bin_packing.rs
+++ b/src/coordination/scheduler/bin_packing.rs
@@ -105,7 +105,7 @@
     let rate = cluster
         .machine_types
         .get(&m.machine_type)
-        .map(|r| r.description.fetch_gb_per_s);
+        .map(|r| r.description.pull_gb_per_s);
     millis_from_seconds(spec.wire.image_gb / rate.unwrap_or(0.0).max(0.01))
 }
 
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,4 +1,7 @@
-//! What the cloud offers.
+//! The cloud's protocol: what it offers, requests for machines, and the list of machines.
+//!
+//! The autoscaler alone speaks it. Its words stand in `serde(rename)`; Rust has those of
+//! `docs/architecture.md`, section "Glossary".
 
 use serde::{Deserialize, Serialize};
 
@@ -14,13 +17,13 @@
     pub gpus: f64,
     /// Memory.
     pub mem_gb: f64,
-    /// Room for images.
+    /// Disk space for images.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
-    /// Speed of image fetches.
-    #[serde(rename = "pull_gb_per_s", default)]
-    pub fetch_gb_per_s: f64,
-    /// Price of an ordinary machine, an hour.
+    /// Rate at which images are pulled.
+    #[serde(default)]
+    pub pull_gb_per_s: f64,
+    /// Price of an on-demand machine, an hour.
     #[serde(rename = "hourly")]
     pub price: f64,
     /// Price of a spot machine, an hour.
@@ -42,7 +45,7 @@
     pub types: Vec<CloudMachineType>,
 }
 
-/// A rental request.
+/// A request for machines. The cloud answers a repeated one as it did the first.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct ProvisioningRequest {
     /// Name of the request, never reused.
@@ -61,13 +64,19 @@
     pub count: u32,
 }
 
-/// Names of machines: answer to a rental, body of a release.
+/// Names of machines: answer to a request for machines, body of a request to delete them.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct MachineNames {
     /// Machines.
-    pub hosts: Vec<String>,
+    #[serde(rename = "hosts")]
+    pub machines: Vec<String>,
 }
 
+/// Status of a machine that boots.
+const BOOTING: &str = "booting";
+/// Status of a machine that the cloud has given up.
+const FAILED: &str = "failed";
+
 /// A machine in the list.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct ListedMachine {
@@ -93,11 +102,24 @@
     pub age_s: f64,
 }
 
+impl ListedMachine {
+    /// True if it has not come up yet.
+    pub fn is_booting(&self) -> bool {
+        self.status == BOOTING
+    }
+
+    /// True if it will never come up or has broken down.
+    pub fn has_failed(&self) -> bool {
+        self.status == FAILED
+    }
+}
+
 /// A page of the list.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct MachineListPage {
     /// Machines by name.
-    pub hosts: Vec<ListedMachine>,
+    #[serde(rename = "hosts")]
+    pub machines: Vec<ListedMachine>,
     /// There are more.
     #[serde(default)]
     pub more: bool,
--- a/tests/autoscaling.rs
+++ b/tests/autoscaling.rs
@@ -3,7 +3,8 @@
 mod support;
 
 use pointhook::coordination::autoscaler::{
-    list_every_ms, plan_scale_out, requests, supply, Pages, Pool, ScaleOutPlan, Supply,
+    list_interval_ms, split_into_requests, supply, MachineListReader, Pool, PoolRequest,
+    ScaleOutPlan, ScaleOutPlanner, Supply,
 };
 use pointhook::coordination::kv::{set, CommitOutcome};
 use pointhook::coordination::rate_limiter::RateLimiter;
@@ -43,15 +44,14 @@
 }
 
 fn plan(c: &Controller, mut supply: Vec<Supply>, blocked: &[Pool]) -> ScaleOutPlan {
-    let blocked: HashSet<Pool> = blocked.iter().copied().collect();
-    plan_scale_out(
-        &c.cluster,
-        &c.config,
-        &mut supply,
-        &blocked,
-        MonotonicMillis(1000),
-        1000,
-    )
+    let planner = ScaleOutPlanner {
+        cluster: &c.cluster,
+        config: &c.config,
+        backed_off: &blocked.iter().copied().collect(),
+        now: MonotonicMillis(1000),
+        wall_ms: 1000,
+    };
+    planner.plan(&mut supply)
 }
 
 #[test]
@@ -59,8 +59,8 @@
     let (mut store, mut c) = ready();
     c.submit(&mut store, job("job-1", 10), 0);
     let w = plan(&c, Vec::new(), &[]);
-    assert_eq!(w.machines_to_rent.values().sum::<u32>(), 3);
-    assert!(w.machines_to_rent.keys().all(|p| p.spot));
+    assert_eq!(w.machines_to_request.values().sum::<u32>(), 3);
+    assert!(w.machines_to_request.keys().all(|p| p.spot));
 }
 
 #[test]
@@ -68,7 +68,7 @@
     let (mut store, mut c) = ready();
     c.submit(&mut store, job("job-1", 4), 0);
     let coming = vec![empty(&c, 0, true)];
-    assert!(plan(&c, coming, &[]).machines_to_rent.is_empty());
+    assert!(plan(&c, coming, &[]).machines_to_request.is_empty());
 }
 
 #[test]
@@ -78,8 +78,8 @@
     spec.spot = false;
     c.submit(&mut store, spec, 0);
     let w = plan(&c, vec![empty(&c, 0, true)], &[]);
-    assert_eq!(w.machines_to_rent.len(), 1);
-    assert!(w.machines_to_rent.keys().all(|p| !p.spot));
+    assert_eq!(w.machines_to_request.len(), 1);
+    assert!(w.machines_to_request.keys().all(|p| !p.spot));
 }
 
 #[test]
@@ -98,8 +98,8 @@
         spot: false,
     };
     let w = plan(&c, vec![empty(&c, 0, false), empty(&c, 0, false)], &[none]);
-    assert_eq!(w.machines_to_rent.values().sum::<u32>(), 3);
-    assert!(w.machines_to_rent.keys().all(|p| p.zone == ZoneIndex(1)));
+    assert_eq!(w.machines_to_request.values().sum::<u32>(), 3);
+    assert!(w.machines_to_request.keys().all(|p| p.zone == ZoneIndex(1)));
 }
 
 #[test]
@@ -109,7 +109,7 @@
     spec.team = "mixers".into();
     c.submit(&mut store, spec, 0);
     let w = plan(&c, Vec::new(), &[]);
-    assert_eq!(w.machines_to_rent.values().sum::<u32>(), 1);
+    assert_eq!(w.machines_to_request.values().sum::<u32>(), 1);
 }
 
 #[test]
@@ -128,7 +128,7 @@
     c.submit(&mut store, of_mixers("job-3", 1, JobKind::Array), 200);
     assert_eq!(
         plan(&c, Vec::new(), &[])
-            .machines_to_rent
+            .machines_to_request
             .values()
             .sum::<u32>(),
         1
@@ -144,7 +144,7 @@
     spec.spot = false;
     c.submit(&mut store, spec, 0);
     let zones: HashSet<ZoneIndex> = plan(&c, Vec::new(), &[])
-        .machines_to_rent
+        .machines_to_request
         .keys()
         .map(|p| p.zone)
         .collect();
@@ -180,7 +180,7 @@
     let list = HashMap::new();
     let have = supply(&c.cluster, &list, 4000, MonotonicMillis(1000));
     assert_eq!(have.len(), 2);
-    assert!(plan(&c, have, &[]).machines_to_rent.is_empty());
+    assert!(plan(&c, have, &[]).machines_to_request.is_empty());
     // Answered with one machine, which the list does not show yet.
     rec.machines = vec!["n-000007".into()];
     put(&mut c, &mut store, &rec);
@@ -189,7 +189,10 @@
     let have = supply(&c.cluster, &list, 4000, MonotonicMillis(1000));
     assert_eq!(have.len(), 1);
     assert_eq!(
-        plan(&c, have, &[]).machines_to_rent.values().sum::<u32>(),
+        plan(&c, have, &[])
+            .machines_to_request
+            .values()
+            .sum::<u32>(),
         1
     );
 }
@@ -209,32 +212,38 @@
 #[test]
 fn a_refused_page_of_the_list_loses_none_that_were_read() {
     let page = |from: usize, n: usize, more| MachineListPage {
-        hosts: (from..from + n)
+        machines: (from..from + n)
             .map(|i| listed(&format!("n-{i:06}")))
             .collect(),
         more,
     };
-    let mut pages = Pages::default();
-    assert_eq!(pages.next(MonotonicMillis(0), 3.5), "");
-    assert!(pages.take(page(0, 500, true)).is_none());
+    let mut pages = MachineListReader::default();
+    assert_eq!(pages.next_page_after(MonotonicMillis(0), 3.5), "");
+    assert!(pages.add_page(page(0, 500, true)).is_none());
     // The next page is refused twice; it is asked for again, not the first.
-    assert_eq!(pages.next(MonotonicMillis(500), 3.5), "n-000499");
-    assert_eq!(pages.next(MonotonicMillis(1000), 3.5), "n-000499");
-    assert!(pages.take(page(500, 500, true)).is_none());
-    assert_eq!(pages.take(page(1000, 3, false)).unwrap().len(), 1003);
+    assert_eq!(pages.next_page_after(MonotonicMillis(500), 3.5), "n-000499");
+    assert_eq!(
+        pages.next_page_after(MonotonicMillis(1000), 3.5),
+        "n-000499"
+    );
+    assert!(pages.add_page(page(500, 500, true)).is_none());
+    assert_eq!(pages.add_page(page(1000, 3, false)).unwrap().len(), 1003);
     // A list that takes for ever would tell of long ago.
-    assert!(pages.take(page(0, 500, true)).is_none());
-    assert_eq!(pages.next(MonotonicMillis(2000), 3.5), "n-000499");
-    assert_eq!(pages.next(MonotonicMillis(60_000), 3.5), "");
+    assert!(pages.add_page(page(0, 500, true)).is_none());
+    assert_eq!(
+        pages.next_page_after(MonotonicMillis(2000), 3.5),
+        "n-000499"
+    );
+    assert_eq!(pages.next_page_after(MonotonicMillis(60_000), 3.5), "");
 }
 
 #[test]
 fn the_list_of_a_large_fleet_is_finished_where_the_cloud_serves_few_requests() {
     // Eight pages of 500, one in three seconds, half of the requests refused.
-    let mut pages = Pages::default();
+    let mut pages = MachineListReader::default();
     let mut listed_names = 0;
     for turn in 0..16u64 {
-        let from = pages.next(MonotonicMillis(turn * 3000), 0.5);
+        let from = pages.next_page_after(MonotonicMillis(turn * 3000), 0.5);
         assert_eq!(
             from.is_empty(),
             listed_names == 0,
@@ -245,9 +254,9 @@
         }
         let names = listed_names..listed_names + 500;
         listed_names += 500;
-        let hosts = names.map(|i| listed(&format!("n-{i:06}"))).collect();
+        let machines = names.map(|i| listed(&format!("n-{i:06}"))).collect();
         let more = listed_names < 4000;
-        if let Some(list) = pages.take(MachineListPage { hosts, more }) {
+        if let Some(list) = pages.add_page(MachineListPage { machines, more }) {
             assert_eq!(list.len(), 4000);
             return;
         }
@@ -262,10 +271,10 @@
     let (mut rented, mut returned) = (0u32, 0u32);
     // Renting asks as often as it can, returns come once a second.
     for now in (0..60_000u64).step_by(50) {
-        rented += u32::from(pace.take(MonotonicMillis(now), 1.0));
+        rented += u32::from(pace.try_acquire(MonotonicMillis(now), 1.0));
         if now % 1000 == 0 {
             assert!(
-                now == 0 || pace.take(MonotonicMillis(now), 0.0),
+                now == 0 || pace.try_acquire(MonotonicMillis(now), 0.0),
                 "a return waits at {now}"
             );
             returned += 1;
@@ -274,10 +283,10 @@
     assert!(f64::from(rented + returned) <= 60.0 * rate + 2.0 * rate);
     assert!(rented > 100);
     // The list of two thousand machines takes less than half of the limit.
-    let every = list_every_ms(rate, 4);
+    let every = list_interval_ms(rate, 4);
     assert!(4.0 * 1000.0 / every as f64 <= rate / 2.0);
     // That of a small deployment is as fresh as it can be.
-    assert_eq!(list_every_ms(4.0, 1), 1500);
+    assert_eq!(list_interval_ms(4.0, 1), 1500);
 }
 
 #[test]
@@ -289,11 +298,12 @@
         spot,
     };
     let rent = BTreeMap::from([(pool(0, true), 700), (pool(1, true), 20)]);
-    let out = requests(rent);
-    assert!(out.iter().all(|(_, n)| (1..=50).contains(n)));
+    let out = split_into_requests(rent);
+    assert!(out.iter().all(|r| (1..=50).contains(&r.count)));
     assert_eq!(out.len(), 4);
-    assert_eq!(out[1], (pool(1, true), 20));
-    assert!(requests(BTreeMap::new()).is_empty());
+    let pool = pool(1, true);
+    assert_eq!(out[1], PoolRequest { pool, count: 20 });
+    assert!(split_into_requests(BTreeMap::new()).is_empty());
 }
 
 #[test]
--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -20,7 +20,9 @@
 mod support;
 
 use fastrand::Rng;
-use pointhook::coordination::autoscaler::{plan_scale_out, requests, supply};
+use pointhook::coordination::autoscaler::{
+    split_into_requests, supply, PoolRequest, ScaleOutPlanner,
+};
 use pointhook::coordination::controller::finish_times;
 use pointhook::coordination::scheduler::draft::DraftTransaction;
 use pointhook::coordination::scheduler::{claims, gangs, job_order};
@@ -288,7 +290,7 @@
             spec.spot = rng.bool();
             c.submit(&mut store, spec, now);
         }
-        let listed = cloud.list_machines(now).hosts;
+        let listed = cloud.list_machines(now).machines;
         let list: HashMap<String, ListedMachine> =
             listed.into_iter().map(|h| (h.name.clone(), h)).collect();
         let mut have = supply(
@@ -297,20 +299,22 @@
             c.config.unresponsive_ms,
             MonotonicMillis(now),
         );
-        let blocked = HashSet::new();
-        let plan = plan_scale_out(
-            &c.cluster,
-            &c.config,
-            &mut have,
-            &blocked,
-            MonotonicMillis(now),
-            now,
-        );
+        let planner = ScaleOutPlanner {
+            cluster: &c.cluster,
+            config: &c.config,
+            backed_off: &HashSet::new(),
+            now: MonotonicMillis(now),
+            wall_ms: now,
+        };
+        let plan = planner.plan(&mut have);
         let name = |m: &MachineIndex| c.cluster.machine_names.name(*m).to_string();
         let mut needed: Vec<String> = plan.needed_machines.iter().map(name).collect();
         needed.sort_unstable();
         digest::note("needed", now, &needed);
-        for (n, (pool, count)) in requests(plan.machines_to_rent).into_iter().enumerate() {
+        for (n, PoolRequest { pool, count }) in split_into_requests(plan.machines_to_request)
+            .into_iter()
+            .enumerate()
+        {
             let names = &c.cluster.machine_type_names;
             let booking = ProvisioningRequest {
                 request_id: format!("b-{now}-{n}"),
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -283,14 +283,14 @@
     new.plan(&mut store, 200_000);
     assert_eq!(new.job("job-1").placements.len(), 1);
     // It is in no list and nobody hears it: it is deleted by name, which proves it gone.
-    let names = autoscaler::lost(&new.cluster, &HashMap::new(), |_| true);
+    let names = autoscaler::presumed_lost(&new.cluster, &HashMap::new(), |_| true);
     assert_eq!(names, ["m1"]);
-    assert!(autoscaler::lost(&new.cluster, &HashMap::new(), |_| false).is_empty());
+    assert!(autoscaler::presumed_lost(&new.cluster, &HashMap::new(), |_| false).is_empty());
     let mix = new.machine("m1");
     new.cluster.mark_deleted(mix);
     new.plan(&mut store, 200_000);
     assert!(new.job("job-1").placements.is_empty());
-    assert!(autoscaler::lost(&new.cluster, &HashMap::new(), |_| true).is_empty());
+    assert!(autoscaler::presumed_lost(&new.cluster, &HashMap::new(), |_| true).is_empty());
 }
 
 fn news(name: &str, silent_ms: u64) -> MachineStatus {
@@ -385,8 +385,8 @@
     let (mut store, mut old) = one();
     let mut w = FakeWorker::new("m1", "north", 0);
     old.visit(&mut store, &mut w, 0);
-    let limits = autoscaler::Silence {
-        sure_ms: 10_000,
+    let limits = autoscaler::SilenceLimits {
+        confirmed_ms: 10_000,
         lease_ms: 10_000,
     };
     let at = |c: &Controller| {
@@ -701,16 +701,21 @@
 #[test]
 fn machines_of_a_zone_that_is_cut_off_are_not_returned_at_once() {
     let (north, south, east) = (ZoneIndex(0), ZoneIndex(1), ZoneIndex(2));
-    let counts = HashMap::from([(north, (300, 30)), (south, (300, 280)), (east, (4, 4))]);
+    let counts = |total, silent| autoscaler::ZoneMachineCounts { total, silent };
+    let counts = HashMap::from([
+        (north, counts(300, 30)),
+        (south, counts(300, 280)),
+        (east, counts(4, 4)),
+    ]);
     // A tenth of a zone, or all of a handful of machines, may well have failed.
     assert!(autoscaler::partitioned_zones(&counts)
         .into_iter()
         .eq([south]));
-    let limits = autoscaler::Silence {
-        sure_ms: 20_000,
+    let limits = autoscaler::SilenceLimits {
+        confirmed_ms: 20_000,
         lease_ms: 22_000,
     };
-    assert_eq!(limits.of_cut_zone(), 44_000);
+    assert_eq!(limits.partition_allowance_ms(), 44_000);
 }
 
 #[test]
--- a/tests/golden_formats.rs
+++ b/tests/golden_formats.rs
@@ -666,7 +666,7 @@
 fn wire_names_of_outside_services_reach_their_fields() {
     let f = &read::<cloud::MachineTypeCatalog>(offered()).types[0];
     assert_eq!(
-        (f.name.as_str(), f.cache_gb, f.fetch_gb_per_s),
+        (f.name.as_str(), f.cache_gb, f.pull_gb_per_s),
         ("g8", 400.5, 0.5)
     );
     assert_eq!((f.vcpus, f.gpus, f.mem_gb), (96.0, 8.0, 768.0));
