--- a/tests/autoscaling.rs
+++ b/tests/autoscaling.rs
@@ -3,7 +3,8 @@
 mod support;
 
 use pointhook::coordination::autoscaler::{
-    list_every_ms, plan_scale_out, requests, supply, Pages, Pool, ScaleOutPlan, Supply,
+    list_interval_ms, split_into_requests, supply, MachineListReader, Pool, PoolRequest,
+    ScaleOutPlan, ScaleOutPlanner, Supply,
 };
 use pointhook::coordination::kv::{set, CommitOutcome};
 use pointhook::coordination::rate_limiter::RateLimiter;
@@ -47,24 +48,23 @@
     mut supply: Vec<Supply>,
     blocked: &[Pool],
 ) -> ScaleOutPlan {
-    let blocked: HashSet<Pool> = blocked.iter().copied().collect();
-    plan_scale_out(
-        &controller.cluster,
-        &controller.config,
-        &mut supply,
-        &blocked,
-        MonotonicMillis(1000),
-        1000,
-    )
+    let planner = ScaleOutPlanner {
+        cluster: &controller.cluster,
+        config: &controller.config,
+        backed_off: &blocked.iter().copied().collect(),
+        now: MonotonicMillis(1000),
+        wall_ms: 1000,
+    };
+    planner.plan(&mut supply)
 }
 
 #[test]
 fn waiting_tasks_scale_out_to_as_many_machines_as_they_fill() {
     let (mut store, mut controller) = ready();
     controller.submit(&mut store, job("job-1", 10), 0);
-    let worker = plan(&controller, Vec::new(), &[]);
-    assert_eq!(worker.machines_to_rent.values().sum::<u32>(), 3);
-    assert!(worker.machines_to_rent.keys().all(|p| p.spot));
+    let w = plan(&controller, Vec::new(), &[]);
+    assert_eq!(w.machines_to_request.values().sum::<u32>(), 3);
+    assert!(w.machines_to_request.keys().all(|p| p.spot));
 }
 
 #[test]
@@ -72,7 +72,9 @@
     let (mut store, mut controller) = ready();
     controller.submit(&mut store, job("job-1", 4), 0);
     let coming = vec![empty(&controller, 0, true)];
-    assert!(plan(&controller, coming, &[]).machines_to_rent.is_empty());
+    assert!(plan(&controller, coming, &[])
+        .machines_to_request
+        .is_empty());
 }
 
 #[test]
@@ -81,9 +83,9 @@
     let mut spec = job("job-1", 1);
     spec.spot = false;
     controller.submit(&mut store, spec, 0);
-    let worker = plan(&controller, vec![empty(&controller, 0, true)], &[]);
-    assert_eq!(worker.machines_to_rent.len(), 1);
-    assert!(worker.machines_to_rent.keys().all(|p| !p.spot));
+    let w = plan(&controller, vec![empty(&controller, 0, true)], &[]);
+    assert_eq!(w.machines_to_request.len(), 1);
+    assert!(w.machines_to_request.keys().all(|p| !p.spot));
 }
 
 #[test]
@@ -101,16 +103,13 @@
         zone: ZoneIndex(0),
         spot: false,
     };
-    let worker = plan(
+    let w = plan(
         &controller,
         vec![empty(&controller, 0, false), empty(&controller, 0, false)],
         &[none],
     );
-    assert_eq!(worker.machines_to_rent.values().sum::<u32>(), 3);
-    assert!(worker
-        .machines_to_rent
-        .keys()
-        .all(|p| p.zone == ZoneIndex(1)));
+    assert_eq!(w.machines_to_request.values().sum::<u32>(), 3);
+    assert!(w.machines_to_request.keys().all(|p| p.zone == ZoneIndex(1)));
 }
 
 #[test]
@@ -119,8 +118,8 @@
     let mut spec = job("job-1", 40);
     spec.team = "mixers".into();
     controller.submit(&mut store, spec, 0);
-    let worker = plan(&controller, Vec::new(), &[]);
-    assert_eq!(worker.machines_to_rent.values().sum::<u32>(), 1);
+    let w = plan(&controller, Vec::new(), &[]);
+    assert_eq!(w.machines_to_request.values().sum::<u32>(), 1);
 }
 
 #[test]
@@ -139,7 +138,7 @@
     controller.submit(&mut store, of_mixers("job-3", 1, JobKind::Array), 200);
     assert_eq!(
         plan(&controller, Vec::new(), &[])
-            .machines_to_rent
+            .machines_to_request
             .values()
             .sum::<u32>(),
         1
@@ -155,7 +154,7 @@
     spec.spot = false;
     controller.submit(&mut store, spec, 0);
     let zones: HashSet<ZoneIndex> = plan(&controller, Vec::new(), &[])
-        .machines_to_rent
+        .machines_to_request
         .keys()
         .map(|p| p.zone)
         .collect();
@@ -193,7 +192,7 @@
     let list = HashMap::new();
     let have = supply(&controller.cluster, &list, 4000, MonotonicMillis(1000));
     assert_eq!(have.len(), 2);
-    assert!(plan(&controller, have, &[]).machines_to_rent.is_empty());
+    assert!(plan(&controller, have, &[]).machines_to_request.is_empty());
     // Answered with one machine, which the list does not show yet.
     rec.machines = vec!["n-000007".into()];
     put(&mut controller, &mut store, &rec);
@@ -204,7 +203,7 @@
     assert_eq!(have.len(), 1);
     assert_eq!(
         plan(&controller, have, &[])
-            .machines_to_rent
+            .machines_to_request
             .values()
             .sum::<u32>(),
         1
@@ -226,32 +225,38 @@
 #[test]
 fn a_refused_page_of_the_machine_list_loses_no_page_that_was_read() {
     let page = |from: usize, n: usize, more| MachineListPage {
-        hosts: (from..from + n)
+        machines: (from..from + n)
             .map(|i| listed(&format!("n-{i:06}")))
             .collect(),
         more,
     };
-    let mut pages = Pages::default();
-    assert_eq!(pages.next(MonotonicMillis(0), 3.5), "");
-    assert!(pages.take(page(0, 500, true)).is_none());
+    let mut pages = MachineListReader::default();
+    assert_eq!(pages.next_page_after(MonotonicMillis(0), 3.5), "");
+    assert!(pages.add_page(page(0, 500, true)).is_none());
     // The next page is refused twice; it is asked for again, not the first.
-    assert_eq!(pages.next(MonotonicMillis(500), 3.5), "n-000499");
-    assert_eq!(pages.next(MonotonicMillis(1000), 3.5), "n-000499");
-    assert!(pages.take(page(500, 500, true)).is_none());
-    assert_eq!(pages.take(page(1000, 3, false)).unwrap().len(), 1003);
+    assert_eq!(pages.next_page_after(MonotonicMillis(500), 3.5), "n-000499");
+    assert_eq!(
+        pages.next_page_after(MonotonicMillis(1000), 3.5),
+        "n-000499"
+    );
+    assert!(pages.add_page(page(500, 500, true)).is_none());
+    assert_eq!(pages.add_page(page(1000, 3, false)).unwrap().len(), 1003);
     // A list that takes too long would show a state of long ago.
-    assert!(pages.take(page(0, 500, true)).is_none());
-    assert_eq!(pages.next(MonotonicMillis(2000), 3.5), "n-000499");
-    assert_eq!(pages.next(MonotonicMillis(60_000), 3.5), "");
+    assert!(pages.add_page(page(0, 500, true)).is_none());
+    assert_eq!(
+        pages.next_page_after(MonotonicMillis(2000), 3.5),
+        "n-000499"
+    );
+    assert_eq!(pages.next_page_after(MonotonicMillis(60_000), 3.5), "");
 }
 
 #[test]
 fn the_machine_list_of_a_large_fleet_is_completed_under_a_low_request_limit() {
     // Eight pages of 500, one in three seconds, half of the requests refused.
-    let mut pages = Pages::default();
+    let mut pages = MachineListReader::default();
     let mut listed_names = 0;
     for turn in 0..16u64 {
-        let from = pages.next(MonotonicMillis(turn * 3000), 0.5);
+        let from = pages.next_page_after(MonotonicMillis(turn * 3000), 0.5);
         assert_eq!(
             from.is_empty(),
             listed_names == 0,
@@ -264,10 +269,7 @@
         listed_names += 500;
         let machines = names.map(|i| listed(&format!("n-{i:06}"))).collect();
         let more = listed_names < 4000;
-        if let Some(list) = pages.take(MachineListPage {
-            hosts: machines,
-            more,
-        }) {
+        if let Some(list) = pages.add_page(MachineListPage { machines, more }) {
             assert_eq!(list.len(), 4000);
             return;
         }
@@ -282,10 +284,10 @@
     let (mut rented, mut returned) = (0u32, 0u32);
     // Scale-out requests come as often as possible, scale-in requests once a second.
     for now in (0..60_000u64).step_by(50) {
-        rented += u32::from(pace.take(MonotonicMillis(now), 1.0));
+        rented += u32::from(pace.try_acquire(MonotonicMillis(now), 1.0));
         if now % 1000 == 0 {
             assert!(
-                now == 0 || pace.take(MonotonicMillis(now), 0.0),
+                now == 0 || pace.try_acquire(MonotonicMillis(now), 0.0),
                 "a scale-in request waits at {now}"
             );
             returned += 1;
@@ -294,10 +296,10 @@
     assert!(f64::from(rented + returned) <= 60.0 * rate + 2.0 * rate);
     assert!(rented > 100);
     // The list of two thousand machines takes less than half of the limit.
-    let every = list_every_ms(rate, 4);
+    let every = list_interval_ms(rate, 4);
     assert!(4.0 * 1000.0 / every as f64 <= rate / 2.0);
     // That of a small deployment is as fresh as it can be.
-    assert_eq!(list_every_ms(4.0, 1), 1500);
+    assert_eq!(list_interval_ms(4.0, 1), 1500);
 }
 
 #[test]
@@ -309,11 +311,12 @@
         spot,
     };
     let wanted = BTreeMap::from([(pool(0, true), 700), (pool(1, true), 20)]);
-    let out = requests(wanted);
-    assert!(out.iter().all(|(_, n)| (1..=50).contains(n)));
+    let out = split_into_requests(wanted);
+    assert!(out.iter().all(|r| (1..=50).contains(&r.count)));
     assert_eq!(out.len(), 4);
-    assert_eq!(out[1], (pool(1, true), 20));
-    assert!(requests(BTreeMap::new()).is_empty());
+    let pool = pool(1, true);
+    assert_eq!(out[1], PoolRequest { pool, count: 20 });
+    assert!(split_into_requests(BTreeMap::new()).is_empty());
 }
 
 #[test]
--- a/tests/outages_and_restarts.rs
+++ b/tests/outages_and_restarts.rs
@@ -138,14 +138,14 @@
     new.run_planner(&mut store, 200_000);
     assert_eq!(new.job("job-1").placements.len(), 1);
     // It is in no list and sends no heartbeat: it is deleted by name, which proves it absent.
-    let names = autoscaler::lost(&new.cluster, &HashMap::new(), |_| true);
+    let names = autoscaler::presumed_lost(&new.cluster, &HashMap::new(), |_| true);
     assert_eq!(names, ["m1"]);
-    assert!(autoscaler::lost(&new.cluster, &HashMap::new(), |_| false).is_empty());
+    assert!(autoscaler::presumed_lost(&new.cluster, &HashMap::new(), |_| false).is_empty());
     let machine = new.machine("m1");
     new.cluster.mark_deleted(machine);
     new.run_planner(&mut store, 200_000);
     assert!(new.job("job-1").placements.is_empty());
-    assert!(autoscaler::lost(&new.cluster, &HashMap::new(), |_| true).is_empty());
+    assert!(autoscaler::presumed_lost(&new.cluster, &HashMap::new(), |_| true).is_empty());
 }
 
 #[test]
--- a/tests/shard_ownership.rs
+++ b/tests/shard_ownership.rs
@@ -108,8 +108,8 @@
     let (mut store, mut old) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     old.exchange_heartbeat(&mut store, &mut worker, 0);
-    let limits = autoscaler::Silence {
-        sure_ms: 10_000,
+    let limits = autoscaler::SilenceLimits {
+        confirmed_ms: 10_000,
         lease_ms: 10_000,
     };
     let at = |controller: &SimulatedController| {
--- a/tests/worker_reachability.rs
+++ b/tests/worker_reachability.rs
@@ -141,14 +141,19 @@
 #[test]
 fn machines_of_a_partitioned_zone_are_not_scaled_in_at_once() {
     let (north, south, east) = (ZoneIndex(0), ZoneIndex(1), ZoneIndex(2));
-    let counts = HashMap::from([(north, (300, 30)), (south, (300, 280)), (east, (4, 4))]);
+    let counts = |total, silent| autoscaler::ZoneMachineCounts { total, silent };
+    let counts = HashMap::from([
+        (north, counts(300, 30)),
+        (south, counts(300, 280)),
+        (east, counts(4, 4)),
+    ]);
     // A tenth of a zone, or all of a handful of machines, may well have failed.
     assert!(autoscaler::partitioned_zones(&counts)
         .into_iter()
         .eq([south]));
-    let limits = autoscaler::Silence {
-        sure_ms: 20_000,
+    let limits = autoscaler::SilenceLimits {
+        confirmed_ms: 20_000,
         lease_ms: 22_000,
     };
-    assert_eq!(limits.of_cut_zone(), 44_000);
+    assert_eq!(limits.partition_allowance_ms(), 44_000);
 }
