--- a/crates/standby/src/follower.rs
+++ b/crates/standby/src/follower.rs
@@ -1,137 +1,180 @@
 //! The standby's end of the stream: notices what is lost, doubled, reordered or of another token.
 
-use crate::ids::FencingToken;
-use crate::message::{Answer, Message};
+use crate::ids::{FencingToken, Revision};
+use crate::message::{Decision, FollowerResponse, MachineState, Message};
 use crate::replica_state::ReplicaState;
 
 /// Messages that were not simply the next one, by what was wrong.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
-pub struct Irregularities {
-    /// Decisions that were known already.
-    pub repeated: u64,
+pub struct StreamAnomalies {
+    /// Decisions and snapshots that were known already.
+    pub duplicates: u64,
     /// Messages after which something is missing.
     pub gaps: u64,
     /// Messages of an older owner.
-    pub outdated: u64,
+    pub stale: u64,
+}
+
+/// The owner's state without gaps.
+#[derive(Clone, Debug)]
+struct Replica {
+    state: ReplicaState,
+    /// Sequence number of the next decision that is wanted.
+    next_sequence: u64,
 }
 
 /// A snapshot that is being received.
 #[derive(Clone, Debug)]
-struct Receiving {
-    shadow: ReplicaState,
-    next: u64,
+struct IncompleteSnapshot {
+    state: ReplicaState,
+    /// Sequence number of the first decision that is not in it.
+    next_sequence: u64,
+    /// Part that is wanted next.
+    next_part: u32,
+}
+
+/// A part of a snapshot, as the message holds it.
+struct SnapshotPart<'a> {
+    next_sequence: u64,
+    last_decided: Revision,
     part: u32,
+    is_last: bool,
+    machines: &'a [(String, MachineState)],
 }
 
 /// The standby's end of a stream.
 #[derive(Clone, Debug, Default)]
 pub struct Follower {
-    token: FencingToken,
-    /// Complete state, and the next decision that is wanted.
-    complete: Option<(ReplicaState, u64)>,
-    receiving: Option<Receiving>,
-    irregularities: Irregularities,
+    fencing_token: FencingToken,
+    replica: Option<Replica>,
+    snapshot: Option<IncompleteSnapshot>,
+    anomalies: StreamAnomalies,
 }
 
 impl Follower {
-    /// Token of the owner that is followed.
-    pub fn token(&self) -> FencingToken {
-        self.token
+    /// Fencing token of the owner that is followed.
+    pub fn fencing_token(&self) -> FencingToken {
+        self.fencing_token
     }
 
     /// The owner's state without gaps; `None` before a snapshot is complete.
-    pub fn shadow(&self) -> Option<&ReplicaState> {
-        self.complete.as_ref().map(|(shadow, _)| shadow)
+    pub fn replica_state(&self) -> Option<&ReplicaState> {
+        self.replica.as_ref().map(|replica| &replica.state)
     }
 
     /// What was wrong with messages so far.
-    pub fn irregularities(&self) -> Irregularities {
-        self.irregularities
+    pub fn anomalies(&self) -> StreamAnomalies {
+        self.anomalies
     }
 
-    /// Takes a message of an owner; `recorded` is the highest token that is known otherwise.
-    pub fn take(&mut self, message: &Message, recorded: FencingToken) -> Answer {
-        let (_, token) = message.origin();
-        let highest = self.token.max(recorded);
-        if token < highest {
-            self.irregularities.outdated += 1;
-            return Answer::Outranked(highest.0);
+    /// Applies a message of an owner; `recorded` is the highest fencing token that is known
+    /// otherwise.
+    pub fn receive(&mut self, message: &Message, recorded: FencingToken) -> FollowerResponse {
+        let sender_token = message.origin().fencing_token;
+        let highest_token = self.fencing_token.max(recorded);
+        if sender_token < highest_token {
+            self.anomalies.stale += 1;
+            return FollowerResponse::StaleFencingToken(highest_token.0);
         }
-        if token > self.token {
-            // Another owner starts from its own state.
-            let irregularities = self.irregularities;
-            *self = Follower {
-                token,
-                irregularities,
-                ..Follower::default()
-            };
+        if sender_token > self.fencing_token {
+            self.follow_owner_with(sender_token);
         }
         match message {
-            Message::Tail {
-                first, decisions, ..
-            } => {
-                let Some((shadow, next)) = &mut self.complete else {
-                    return self.gap();
-                };
-                if *first > *next {
-                    return self.gap();
-                }
-                let known = (*next - first).min(decisions.len() as u64);
-                for decision in decisions.iter().skip(known as usize) {
-                    shadow.apply(decision);
-                    *next += 1;
-                }
-                self.irregularities.repeated += known;
-                Answer::Next(*next)
-            }
-            Message::Snapshot {
-                next,
-                decided,
+            Message::LogTail {
+                first_sequence,
+                decisions,
+                ..
+            } => self.receive_log_tail(*first_sequence, decisions),
+            Message::SnapshotPart {
+                next_sequence,
+                last_decided_revision,
                 part,
-                last,
+                is_last,
                 machines,
                 ..
-            } => {
-                if let Some((_, wanted)) = self.complete.as_ref().filter(|(_, n)| n >= next) {
-                    self.irregularities.repeated += 1;
-                    return Answer::Next(*wanted);
-                }
-                let Some(mut receiving) = self.receiving(*next, *part) else {
-                    return self.gap();
-                };
-                for (name, state) in machines {
-                    receiving.shadow.put(name, state);
-                }
-                receiving.shadow.note_decided(*decided);
-                if *last {
-                    self.complete = Some((receiving.shadow, *next));
-                    return Answer::Next(*next);
-                }
-                receiving.part = part.saturating_add(1);
-                let wanted = receiving.part;
-                self.receiving = Some(receiving);
-                Answer::NextPart(wanted)
+            } => self.receive_snapshot_part(SnapshotPart {
+                next_sequence: *next_sequence,
+                last_decided: Revision(*last_decided_revision),
+                part: *part,
+                is_last: *is_last,
+                machines,
+            }),
+        }
+    }
+
+    /// Drops what the former owner sent: another owner starts from its own state.
+    fn follow_owner_with(&mut self, fencing_token: FencingToken) {
+        *self = Follower {
+            fencing_token,
+            anomalies: self.anomalies,
+            ..Follower::default()
+        };
+    }
+
+    fn receive_log_tail(&mut self, first: u64, decisions: &[Decision]) -> FollowerResponse {
+        let Some(replica) = &mut self.replica else {
+            return self.gap();
+        };
+        if first > replica.next_sequence {
+            return self.gap();
+        }
+        // A message that was sent again begins with decisions that are applied already.
+        let known = (replica.next_sequence - first).min(decisions.len() as u64);
+        for decision in decisions.iter().skip(known as usize) {
+            replica.state.apply(decision);
+            replica.next_sequence += 1;
+        }
+        self.anomalies.duplicates += known;
+        FollowerResponse::NextSequence(replica.next_sequence)
+    }
+
+    fn receive_snapshot_part(&mut self, received: SnapshotPart) -> FollowerResponse {
+        // A late snapshot must not take newer decisions back.
+        if let Some(replica) = &self.replica {
+            if replica.next_sequence >= received.next_sequence {
+                self.anomalies.duplicates += 1;
+                return FollowerResponse::NextSequence(replica.next_sequence);
             }
         }
+        let Some(mut snapshot) = self.snapshot_before(&received) else {
+            return self.gap();
+        };
+        for (name, state) in received.machines {
+            snapshot.state.put_machine(name, state);
+        }
+        snapshot.state.record_decided(received.last_decided);
+        if received.is_last {
+            self.replica = Some(Replica {
+                state: snapshot.state,
+                next_sequence: received.next_sequence,
+            });
+            return FollowerResponse::NextSequence(received.next_sequence);
+        }
+        snapshot.next_part = received.part.saturating_add(1);
+        let wanted = snapshot.next_part;
+        self.snapshot = Some(snapshot);
+        FollowerResponse::NextPart(wanted)
     }
 
-    /// The snapshot that a part belongs to; `None` if parts before it are missing.
-    fn receiving(&mut self, next: u64, part: u32) -> Option<Receiving> {
-        if part == 0 {
-            self.complete = None;
-            return Some(Receiving {
-                shadow: ReplicaState::default(),
-                next,
-                part,
+    /// The snapshot that a part continues; `None` if parts before it are missing.
+    fn snapshot_before(&mut self, received: &SnapshotPart) -> Option<IncompleteSnapshot> {
+        if received.part == 0 {
+            self.replica = None;
+            return Some(IncompleteSnapshot {
+                state: ReplicaState::default(),
+                next_sequence: received.next_sequence,
+                next_part: 0,
             });
         }
-        let receiving = self.receiving.take()?;
-        (receiving.next == next && receiving.part == part).then_some(receiving)
+        let snapshot = self.snapshot.take()?;
+        let continues =
+            snapshot.next_sequence == received.next_sequence && snapshot.next_part == received.part;
+        continues.then_some(snapshot)
     }
 
-    fn gap(&mut self) -> Answer {
-        self.irregularities.gaps += 1;
-        self.receiving = None;
-        Answer::NeedsSnapshot
+    fn gap(&mut self) -> FollowerResponse {
+        self.anomalies.gaps += 1;
+        self.snapshot = None;
+        FollowerResponse::NeedsSnapshot
     }
 }
--- a/crates/standby/src/ids.rs
+++ b/crates/standby/src/ids.rs
@@ -1,4 +1,5 @@
-//! Identifiers and times that the other modules share.
+//! Identifiers and times that the other modules share. Inside the crate two of them can't be
+//! swapped; the messages alone carry plain numbers.
 
 use serde::{Deserialize, Serialize};
 
@@ -31,10 +32,16 @@
     }
 }
 
-/// Revision of the state service.
+/// Revision of the key-value store.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default)]
 pub struct Revision(pub u64);
 
+impl std::fmt::Display for Revision {
+    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+        self.0.fmt(f)
+    }
+}
+
 /// Time on the caller's steady clock, milliseconds.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct Millis(pub u64);
--- a/crates/standby/src/lib.rs
+++ b/crates/standby/src/lib.rs
@@ -1,17 +1,17 @@
-//! Warm standby: takeover of a shard by a standby controller.
+//! Warm standby: failover of a shard to a standby controller.
 //!
-//! Everything here is pure: no I/O, no clock, no knowledge of jobs. The controller tells what it
-//! observes and when, and carries out what follows.
+//! Everything here is pure: no I/O, no clock, no knowledge of jobs. The controller passes in what
+//! it observes and when, and carries out what follows (`src/coordination/{failover,replication}`).
 //!
 //! - [`role`]: which controller is the standby of a shard;
-//! - [`failover`]: the state machine of a takeover;
+//! - [`failover`]: the state machine of a failover;
 //! - [`permit`]: the permit to decide, which only that machine issues;
 //! - [`publisher`], [`follower`]: the two ends of the stream by which a standby follows an owner,
 //!   with [`message`] and [`replica_state`];
-//! - [`bound`]: how long a takeover may take.
+//! - [`failover_bound`]: how long a failover may take.
 
-pub mod bound;
 pub mod failover;
+pub mod failover_bound;
 pub mod follower;
 pub mod ids;
 pub mod message;
--- a/crates/standby/src/message.rs
+++ b/crates/standby/src/message.rs
@@ -1,15 +1,18 @@
 //! Messages between an owner and its standby, as `rkyv` archives that are validated before they
 //! are read. Everything in them is a hint: what is lost, late or false breaks nothing.
+//!
+//! Order and types of fields and variants are the stored form (`tests/golden_formats.rs` pins the
+//! bytes); names may change, since archives don't hold them.
 
 // rkyv's derive makes archived twins whose fields carry no docs of their own.
 #![allow(missing_docs)]
 
-use crate::ids::FencingToken;
+use crate::ids::{FencingToken, ShardId};
 use rkyv::rancor::Error;
 use rkyv::{Archive, Deserialize, Serialize};
 
 /// Longest archive that is read.
-pub const MAX_MESSAGE: usize = 60 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 60 * 1024;
 
 /// A task that waits in a machine's queue.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Eq, Debug)]
@@ -20,34 +23,34 @@
     pub task: u32,
 }
 
-/// What an owner has decided for a machine that no record tells.
+/// What an owner has decided for a machine that no record holds.
 ///
-/// What its reports have shown is not part of it: it proves nothing under the next token.
+/// What its heartbeats have shown is not part of it: it proves nothing under the next token.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Eq, Debug, Default)]
 pub struct MachineState {
     /// Tasks in its queue, in order.
     pub queue: Vec<QueuedTask>,
-    /// Gang that it is kept free for.
-    pub held_for: Option<String>,
+    /// Gang that it is reserved for.
+    pub reserved_for: Option<String>,
 }
 
 /// A decision of an owner.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Eq, Debug)]
 pub enum Decision {
     /// A machine's state has changed.
-    Machine {
+    MachineChanged {
         /// Machine.
         name: String,
         /// Its state now.
         state: MachineState,
     },
     /// A machine is no longer part of the shard.
-    Gone {
+    MachineRemoved {
         /// Machine.
         name: String,
     },
     /// A task was claimed for a machine.
-    Claimed {
+    TaskClaimed {
         /// Task.
         task: QueuedTask,
         /// Attempt.
@@ -58,7 +61,7 @@
         revision: u64,
     },
     /// An attempt was found to have ended.
-    Ended {
+    AttemptEnded {
         /// Task.
         task: QueuedTask,
         /// Attempt.
@@ -72,30 +75,30 @@
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Eq, Debug)]
 pub enum Message {
     /// Decisions in the order in which they were made.
-    Tail {
+    LogTail {
         /// Shard.
         shard: u32,
-        /// Token of the owner.
-        token: u64,
-        /// Sequence number of the first.
-        first: u64,
+        /// Fencing token of the owner.
+        fencing_token: u64,
+        /// Sequence number of the first decision.
+        first_sequence: u64,
         /// Decisions.
         decisions: Vec<Decision>,
     },
     /// A part of the state as of a moment.
-    Snapshot {
+    SnapshotPart {
         /// Shard.
         shard: u32,
-        /// Token of the owner.
-        token: u64,
-        /// Sequence number of the first decision that is not in it.
-        next: u64,
-        /// Highest revision at which a decision in it was recorded.
-        decided: u64,
+        /// Fencing token of the owner.
+        fencing_token: u64,
+        /// Sequence number of the first decision that is not in the snapshot.
+        next_sequence: u64,
+        /// Highest revision at which a decision in the snapshot was recorded.
+        last_decided_revision: u64,
         /// Number of this part, from 0.
         part: u32,
         /// It is the last part.
-        last: bool,
+        is_last: bool,
         /// Machines, in the order of their names over all parts.
         machines: Vec<(String, MachineState)>,
     },
@@ -103,24 +106,43 @@
 
 /// From a standby to the owner that it follows.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Answer {
-    /// The message was taken; this is the next sequence number that is wanted.
-    Next(u64),
+pub enum FollowerResponse {
+    /// The message was applied; this is the next sequence number that is wanted.
+    NextSequence(u64),
     /// The message was a part of a snapshot; this is the next part that is wanted.
     NextPart(u32),
     /// Something is missing: a snapshot is wanted.
     NeedsSnapshot,
-    /// A higher token is known: the sender is no longer the owner.
-    Outranked(u64),
+    /// This higher fencing token is known: the sender is no longer the owner.
+    StaleFencingToken(u64),
+}
+
+/// The stream that a message belongs to.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub struct StreamOrigin {
+    /// Shard.
+    pub shard: ShardId,
+    /// Fencing token of the owner.
+    pub fencing_token: FencingToken,
 }
 
 impl Message {
-    /// Shard and token that it is about.
-    pub fn origin(&self) -> (u32, FencingToken) {
+    /// Shard and fencing token that it is about.
+    pub fn origin(&self) -> StreamOrigin {
         match self {
-            Message::Tail { shard, token, .. } | Message::Snapshot { shard, token, .. } => {
-                (*shard, FencingToken(*token))
+            Message::LogTail {
+                shard,
+                fencing_token,
+                ..
             }
+            | Message::SnapshotPart {
+                shard,
+                fencing_token,
+                ..
+            } => StreamOrigin {
+                shard: ShardId(*shard),
+                fencing_token: FencingToken(*fencing_token),
+            },
         }
     }
 
@@ -132,14 +154,14 @@
 
     /// Reads an archive after validation.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
-        if bytes.len() > MAX_MESSAGE {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             return None;
         }
         rkyv::from_bytes::<Message, Error>(&aligned(bytes)).ok()
     }
 }
 
-impl Answer {
+impl FollowerResponse {
     /// The archive; `None` if it can't be made.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = rkyv::to_bytes::<Error>(self).ok()?;
@@ -147,14 +169,15 @@
     }
 
     /// Reads an archive after validation.
-    pub fn decode(bytes: &[u8]) -> Option<Answer> {
-        if bytes.len() > MAX_MESSAGE {
+    pub fn decode(bytes: &[u8]) -> Option<FollowerResponse> {
+        if bytes.len() > MAX_MESSAGE_BYTES {
             return None;
         }
-        rkyv::from_bytes::<Answer, Error>(&aligned(bytes)).ok()
+        rkyv::from_bytes::<FollowerResponse, Error>(&aligned(bytes)).ok()
     }
 }
 
+/// A copy at an address that archives may be read from: received bytes lie anywhere.
 fn aligned(bytes: &[u8]) -> rkyv::util::AlignedVec {
     let mut out = rkyv::util::AlignedVec::new();
     out.extend_from_slice(bytes);
--- a/crates/standby/src/permit.rs
+++ b/crates/standby/src/permit.rs
@@ -1,27 +1,31 @@
 //! The permit to decide for a shard.
 //!
-//! A permit is proof, in the type system, that its holder owns the shard under a token and knows
-//! every record as of the revision at which that token was recorded. Only the takeover's state
-//! machine issues permits; a decision that needs one can't be compiled without it.
+//! A permit is proof, in the type system, that its holder owns the shard under a fencing token and
+//! knows every record as of the revision at which that token was recorded. Only the failover's
+//! state machine issues permits; a decision that needs one can't be compiled without it.
 
 use crate::ids::{FencingToken, Revision, ShardId};
 
-/// Permit to decide for one shard under one token.
+/// Permit to decide for one shard under one fencing token.
 ///
 /// It can be neither built nor copied outside of this crate.
 #[derive(PartialEq, Eq, Debug)]
 pub struct Permit {
     shard: ShardId,
-    token: FencingToken,
-    fence: Revision,
+    fencing_token: FencingToken,
+    fence_revision: Revision,
 }
 
 impl Permit {
-    pub(crate) fn issue(shard: ShardId, token: FencingToken, fence: Revision) -> Permit {
+    pub(crate) fn issue(
+        shard: ShardId,
+        fencing_token: FencingToken,
+        fence_revision: Revision,
+    ) -> Permit {
         Permit {
             shard,
-            token,
-            fence,
+            fencing_token,
+            fence_revision,
         }
     }
 
@@ -30,14 +34,14 @@
         self.shard
     }
 
-    /// Token under which it was issued.
-    pub fn token(&self) -> FencingToken {
-        self.token
+    /// Fencing token under which it was issued.
+    pub fn fencing_token(&self) -> FencingToken {
+        self.fencing_token
     }
 
-    /// Revision at which the token was recorded.
-    pub fn fence(&self) -> Revision {
-        self.fence
+    /// Revision at which the fencing token was recorded.
+    pub fn fence_revision(&self) -> Revision {
+        self.fence_revision
     }
 }
 
@@ -59,7 +63,7 @@
         self.by_shard.get(shard.0 as usize)?.as_ref()
     }
 
-    pub(crate) fn put(&mut self, permit: Permit) {
+    pub(crate) fn insert(&mut self, permit: Permit) {
         if let Some(slot) = self.by_shard.get_mut(permit.shard.0 as usize) {
             *slot = Some(permit);
         }
--- a/crates/standby/src/publisher.rs
+++ b/crates/standby/src/publisher.rs
@@ -1,11 +1,11 @@
 //! The owner's end of the stream to a standby.
 //!
-//! Decisions get sequence numbers and stay in a bounded tail until the standby has them. One that
-//! falls behind the tail gets a snapshot: it never slows the owner. At most one message is on its
-//! way, so nothing accumulates between the two.
+//! Decisions get sequence numbers and stay in a bounded log tail until the standby has them. One
+//! that falls behind the log tail gets a snapshot: it never slows the owner. At most one message is
+//! on its way, so nothing accumulates between the two.
 
-use crate::ids::FencingToken;
-use crate::message::{Answer, Decision, MachineState, Message};
+use crate::ids::{FencingToken, ShardId};
+use crate::message::{Decision, FollowerResponse, MachineState, Message, StreamOrigin};
 use crate::replica_state::ReplicaState;
 use std::collections::VecDeque;
 
@@ -13,15 +13,15 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct StreamLimits {
     /// Decisions kept for a standby that is behind.
-    pub tail: usize,
-    /// Size of a message, as reckoned by [`size_of`] and [`size_of_machine`].
+    pub log_tail: usize,
+    /// Size of a message, as estimated by [`estimated_size`] and [`estimated_machine_size`].
     pub message_bytes: usize,
 }
 
 impl Default for StreamLimits {
     fn default() -> Self {
         StreamLimits {
-            tail: 4096,
+            log_tail: 4096,
             message_bytes: 32 * 1024,
         }
     }
@@ -31,248 +31,287 @@
 #[derive(Clone, Debug)]
 enum Progress {
     /// Nothing: a snapshot comes first.
-    Behind,
+    NeedsSnapshot,
     /// Parts of a snapshot.
-    Loading(Loading),
-    /// All decisions before this one.
-    Following { next: u64 },
+    ReceivingSnapshot(SnapshotTransfer),
+    /// All decisions before this sequence number.
+    Following { next_sequence: u64 },
 }
 
 /// A snapshot that is being sent.
 #[derive(Clone, Debug)]
-struct Loading {
-    shadow: ReplicaState,
-    next: u64,
+struct SnapshotTransfer {
+    state: ReplicaState,
+    /// Sequence number of the first decision that is not in it.
+    next_sequence: u64,
+    /// Number of the part that is sent next, or is on its way.
     part: u32,
-    /// Last machine of the parts that were taken.
-    taken: Option<String>,
-    /// Last machine of the part that was sent, and whether that is the last part.
-    sent: Option<(Option<String>, bool)>,
+    /// Last machine of the parts that the standby has.
+    acknowledged_up_to: Option<String>,
+    in_flight: Option<PartInFlight>,
+}
+
+/// The part of a snapshot that was sent and is not acknowledged.
+#[derive(Clone, Debug)]
+struct PartInFlight {
+    /// Last machine in it.
+    last_machine: Option<String>,
+    is_last: bool,
 }
 
 /// The owner's end of a stream.
 #[derive(Debug)]
 pub struct Publisher {
-    shard: u32,
-    token: FencingToken,
+    origin: StreamOrigin,
     limits: StreamLimits,
-    shadow: ReplicaState,
-    tail: VecDeque<Decision>,
-    /// Sequence number of the first decision in the tail.
-    first: u64,
+    state: ReplicaState,
+    log_tail: VecDeque<Decision>,
+    /// Sequence number of the first decision in the log tail.
+    first_sequence: u64,
     progress: Progress,
-    waiting: bool,
-    outranked: bool,
+    awaiting_response: bool,
+    superseded: bool,
 }
 
 impl Publisher {
     /// A stream to a standby that has nothing yet.
-    pub fn new(shard: u32, token: FencingToken, limits: StreamLimits) -> Publisher {
+    pub fn new(shard: ShardId, fencing_token: FencingToken, limits: StreamLimits) -> Publisher {
         Publisher {
-            shard,
-            token,
+            origin: StreamOrigin {
+                shard,
+                fencing_token,
+            },
             limits,
-            shadow: ReplicaState::default(),
-            tail: VecDeque::new(),
-            first: 0,
-            progress: Progress::Behind,
-            waiting: false,
-            outranked: false,
+            state: ReplicaState::default(),
+            log_tail: VecDeque::new(),
+            first_sequence: 0,
+            progress: Progress::NeedsSnapshot,
+            awaiting_response: false,
+            superseded: false,
         }
     }
 
-    /// Token under which decisions are made.
-    pub fn token(&self) -> FencingToken {
-        self.token
+    /// Fencing token under which decisions are made.
+    pub fn fencing_token(&self) -> FencingToken {
+        self.origin.fencing_token
     }
 
     /// State with all decisions in it.
-    pub fn shadow(&self) -> &ReplicaState {
-        &self.shadow
+    pub fn replica_state(&self) -> &ReplicaState {
+        &self.state
     }
 
-    /// True if the standby has told of a higher token.
-    pub fn is_outranked(&self) -> bool {
-        self.outranked
+    /// True if the standby has answered with a higher fencing token.
+    pub fn is_superseded(&self) -> bool {
+        self.superseded
     }
 
     /// Decisions that the standby does not have yet; `None` while it lacks a snapshot.
     pub fn lag(&self) -> Option<u64> {
         match &self.progress {
-            Progress::Following { next } => Some(self.next() - next),
-            Progress::Behind | Progress::Loading(_) => None,
+            Progress::Following { next_sequence } => Some(self.next_sequence() - next_sequence),
+            Progress::NeedsSnapshot | Progress::ReceivingSnapshot(_) => None,
         }
     }
 
     /// Sequence number of the next decision.
-    fn next(&self) -> u64 {
-        self.first + self.tail.len() as u64
+    fn next_sequence(&self) -> u64 {
+        self.first_sequence + self.log_tail.len() as u64
     }
 
-    /// Takes a decision.
+    /// Appends a decision.
     pub fn publish(&mut self, decision: Decision) {
-        self.shadow.apply(&decision);
-        self.tail.push_back(decision);
-        if self.tail.len() > self.limits.tail {
-            self.tail.pop_front();
-            self.first += 1;
+        self.state.apply(&decision);
+        self.log_tail.push_back(decision);
+        if self.log_tail.len() > self.limits.log_tail {
+            self.log_tail.pop_front();
+            self.first_sequence += 1;
         }
     }
 
-    /// The message to send next; `None` while one is on its way or nothing is to be told.
+    /// The message to send next; `None` while one is on its way or nothing is to be sent.
     pub fn next_message(&mut self) -> Option<Message> {
-        if self.waiting || self.outranked {
+        if self.awaiting_response || self.superseded {
             return None;
         }
-        if let Progress::Following { next } = self.progress {
-            if next >= self.first {
-                let message = self.tail_from(next)?;
-                self.waiting = true;
+        if let Progress::Following { next_sequence } = self.progress {
+            if next_sequence >= self.first_sequence {
+                let message = self.log_tail_from(next_sequence)?;
+                self.awaiting_response = true;
                 return Some(message);
             }
-            self.progress = Progress::Behind;
+            self.progress = Progress::NeedsSnapshot;
         }
-        if let Progress::Behind = self.progress {
-            self.progress = Progress::Loading(Loading {
-                shadow: self.shadow.clone(),
-                next: self.next(),
-                part: 0,
-                taken: None,
-                sent: None,
-            });
+        if let Progress::NeedsSnapshot = self.progress {
+            self.progress = Progress::ReceivingSnapshot(self.begin_snapshot());
         }
-        let Progress::Loading(loading) = &mut self.progress else {
+        let Progress::ReceivingSnapshot(snapshot) = &mut self.progress else {
             return None;
         };
-        self.waiting = true;
-        Some(loading.part(self.shard, self.token.0, self.limits.message_bytes))
+        self.awaiting_response = true;
+        Some(snapshot.next_message(self.origin, self.limits.message_bytes))
+    }
+
+    fn begin_snapshot(&self) -> SnapshotTransfer {
+        SnapshotTransfer {
+            state: self.state.clone(),
+            next_sequence: self.next_sequence(),
+            part: 0,
+            acknowledged_up_to: None,
+            in_flight: None,
+        }
     }
 
-    fn tail_from(&self, next: u64) -> Option<Message> {
-        let skipped = usize::try_from(next - self.first).ok()?;
-        let mut left = self.limits.message_bytes;
+    fn log_tail_from(&self, next_sequence: u64) -> Option<Message> {
+        let skipped = usize::try_from(next_sequence - self.first_sequence).ok()?;
+        let mut bytes_left = self.limits.message_bytes;
         let mut decisions = Vec::new();
-        for decision in self.tail.iter().skip(skipped) {
-            let size = size_of(decision);
-            if !decisions.is_empty() && size > left {
+        for decision in self.log_tail.iter().skip(skipped) {
+            let size = estimated_size(decision);
+            if !decisions.is_empty() && size > bytes_left {
                 break;
             }
-            left = left.saturating_sub(size);
+            bytes_left = bytes_left.saturating_sub(size);
             decisions.push(decision.clone());
         }
-        (!decisions.is_empty()).then_some(Message::Tail {
-            shard: self.shard,
-            token: self.token.0,
-            first: next,
+        (!decisions.is_empty()).then_some(Message::LogTail {
+            shard: self.origin.shard.0,
+            fencing_token: self.origin.fencing_token.0,
+            first_sequence: next_sequence,
             decisions,
         })
     }
 
     /// The message on its way was not answered: it is sent once more, which the standby notices.
-    pub fn unanswered(&mut self) {
-        self.waiting = false;
+    pub fn response_lost(&mut self) {
+        self.awaiting_response = false;
     }
 
-    /// Takes the standby's answer to the message on its way.
-    pub fn answered(&mut self, answer: Answer) {
-        if !std::mem::take(&mut self.waiting) {
+    /// Applies the standby's response to the message on its way.
+    pub fn receive_response(&mut self, response: FollowerResponse) {
+        if !std::mem::take(&mut self.awaiting_response) {
             return;
         }
-        let end = self.next();
-        let accepted = match (answer, &mut self.progress) {
-            (Answer::Outranked(token), _) => {
-                self.outranked = FencingToken(token) > self.token;
-                self.outranked
+        // A response that fits nothing that was sent shows a standby that has lost its state.
+        if !self.apply_response(response) {
+            self.progress = Progress::NeedsSnapshot;
+        }
+    }
+
+    /// False if the response fits nothing that was sent.
+    fn apply_response(&mut self, response: FollowerResponse) -> bool {
+        let end = self.next_sequence();
+        match (response, &mut self.progress) {
+            (FollowerResponse::StaleFencingToken(highest), _) => {
+                self.superseded = FencingToken(highest) > self.origin.fencing_token;
+                self.superseded
             }
-            (Answer::Next(wanted), Progress::Following { next }) => {
-                let known = *next..=end;
-                *next = wanted;
-                known.contains(&wanted)
+            (FollowerResponse::NextSequence(wanted), Progress::Following { next_sequence }) => {
+                let possible = *next_sequence..=end;
+                *next_sequence = wanted;
+                possible.contains(&wanted)
             }
-            (Answer::Next(wanted), Progress::Loading(loading)) => {
+            (FollowerResponse::NextSequence(wanted), Progress::ReceivingSnapshot(snapshot)) => {
                 // It may have more than the snapshot, from before its owner began it.
-                let known = loading.next..=end;
-                self.progress = Progress::Following { next: wanted };
-                known.contains(&wanted)
+                let possible = snapshot.next_sequence..=end;
+                self.progress = Progress::Following {
+                    next_sequence: wanted,
+                };
+                possible.contains(&wanted)
             }
-            (Answer::NextPart(part), Progress::Loading(loading)) => loading.advance(part),
-            (Answer::NextPart(_) | Answer::NeedsSnapshot, _) | (_, Progress::Behind) => false,
-        };
-        if !accepted {
-            self.progress = Progress::Behind;
+            (FollowerResponse::NextPart(part), Progress::ReceivingSnapshot(snapshot)) => {
+                snapshot.acknowledge_before(part)
+            }
+            (FollowerResponse::NextPart(_) | FollowerResponse::NeedsSnapshot, _)
+            | (_, Progress::NeedsSnapshot) => false,
         }
     }
 
     /// Another standby follows from now on, or the same one anew.
-    pub fn follow_anew(&mut self) {
-        self.progress = Progress::Behind;
-        self.waiting = false;
+    pub fn restart_with_snapshot(&mut self) {
+        self.progress = Progress::NeedsSnapshot;
+        self.awaiting_response = false;
     }
 }
 
-impl Loading {
-    fn part(&mut self, shard: u32, token: u64, bytes: usize) -> Message {
-        let mut left = bytes;
+impl SnapshotTransfer {
+    fn next_message(&mut self, origin: StreamOrigin, message_bytes: usize) -> Message {
+        let mut bytes_left = message_bytes;
         let mut machines = Vec::new();
-        let mut rest = self.shadow.machines_after(self.taken.as_deref()).peekable();
+        let mut rest = self
+            .state
+            .machines_after(self.acknowledged_up_to.as_deref())
+            .peekable();
         while let Some((name, state)) = rest.peek() {
-            let size = size_of_machine(name, state);
-            if !machines.is_empty() && size > left {
+            let size = estimated_machine_size(name, state);
+            if !machines.is_empty() && size > bytes_left {
                 break;
             }
-            left = left.saturating_sub(size);
+            bytes_left = bytes_left.saturating_sub(size);
             machines.push(((*name).clone(), (*state).clone()));
             rest.next();
         }
-        let last = rest.peek().is_none();
+        let is_last = rest.peek().is_none();
         drop(rest);
-        let end = machines.last().map(|(name, _)| name.clone());
-        self.sent = Some((end, last));
-        Message::Snapshot {
-            shard,
-            token,
-            next: self.next,
-            decided: self.shadow.decided(),
+        self.in_flight = Some(PartInFlight {
+            last_machine: machines.last().map(|(name, _)| name.clone()),
+            is_last,
+        });
+        Message::SnapshotPart {
+            shard: origin.shard.0,
+            fencing_token: origin.fencing_token.0,
+            next_sequence: self.next_sequence,
+            last_decided_revision: self.state.last_decided().0,
             part: self.part,
-            last,
+            is_last,
             machines,
         }
     }
 
     /// The standby has the part that was sent and wants this one; false if that is another.
-    fn advance(&mut self, wanted: u32) -> bool {
-        let Some((Some(end), false)) = self.sent.take() else {
+    fn acknowledge_before(&mut self, wanted: u32) -> bool {
+        let Some(PartInFlight {
+            last_machine: Some(last_machine),
+            is_last: false,
+        }) = self.in_flight.take()
+        else {
             return false;
         };
         if wanted != self.part + 1 {
             return false;
         }
         self.part = wanted;
-        self.taken = Some(end);
+        self.acknowledged_up_to = Some(last_machine);
         true
     }
 }
 
 /// Size of an entry beside its texts.
 const ENTRY_BYTES: usize = 64;
+/// Size of a queued task beside its job's id.
+const QUEUED_TASK_BYTES: usize = ENTRY_BYTES / 4;
 
-fn size_of_task(job: &str) -> usize {
-    ENTRY_BYTES / 4 + job.len()
+/// Estimated size of a machine's state in a message.
+pub fn estimated_machine_size(name: &str, state: &MachineState) -> usize {
+    let queue: usize = state
+        .queue
+        .iter()
+        .map(|queued| QUEUED_TASK_BYTES + queued.job.len())
+        .sum();
+    let reservation = state.reserved_for.as_ref().map_or(0, String::len);
+    ENTRY_BYTES + name.len() + queue + reservation
 }
 
-/// Reckoned size of a machine's state in a message.
-pub fn size_of_machine(name: &str, state: &MachineState) -> usize {
-    let queue: usize = state.queue.iter().map(|t| size_of_task(&t.job)).sum();
-    let held = state.held_for.as_ref().map_or(0, String::len);
-    ENTRY_BYTES + name.len() + queue + held
-}
-
-/// Reckoned size of a decision in a message.
-pub fn size_of(decision: &Decision) -> usize {
+/// Estimated size of a decision in a message.
+pub fn estimated_size(decision: &Decision) -> usize {
     match decision {
-        Decision::Machine { name, state } => ENTRY_BYTES + size_of_machine(name, state),
-        Decision::Gone { name } => ENTRY_BYTES * 2 + name.len(),
-        Decision::Claimed { task, machine, .. } => ENTRY_BYTES * 2 + task.job.len() + machine.len(),
-        Decision::Ended { task, .. } => ENTRY_BYTES * 2 + task.job.len(),
+        Decision::MachineChanged { name, state } => {
+            ENTRY_BYTES + estimated_machine_size(name, state)
+        }
+        Decision::MachineRemoved { name } => ENTRY_BYTES * 2 + name.len(),
+        Decision::TaskClaimed { task, machine, .. } => {
+            ENTRY_BYTES * 2 + task.job.len() + machine.len()
+        }
+        Decision::AttemptEnded { task, .. } => ENTRY_BYTES * 2 + task.job.len(),
     }
 }
--- a/crates/standby/src/replica_state.rs
+++ b/crates/standby/src/replica_state.rs
@@ -1,11 +1,12 @@
 //! The state of a shard that is not in the records, as owner and standby both keep it.
 
+use crate::ids::Revision;
 use crate::message::{Decision, MachineState};
 use rpds::RedBlackTreeMap;
 use std::ops::Bound;
 
-/// Machines that a standby remembers of a shard at most.
-pub const MOST_MACHINES: usize = 20_000;
+/// Machines that a standby remembers of a shard at most: a faulty owner can't fill its memory.
+pub const MAX_MACHINES: usize = 20_000;
 
 /// State of a shard's machines, and how far its recorded decisions go.
 ///
@@ -14,36 +15,36 @@
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaState {
     machines: RedBlackTreeMap<String, MachineState>,
-    decided: u64,
+    last_decided: Revision,
 }
 
 impl ReplicaState {
-    /// Takes a decision. One machine more than can be remembered is left out.
+    /// Applies a decision. One machine more than can be remembered is left out.
     pub fn apply(&mut self, decision: &Decision) {
         match decision {
-            Decision::Machine { name, state } => self.put(name, state),
-            Decision::Gone { name } => {
+            Decision::MachineChanged { name, state } => self.put_machine(name, state),
+            Decision::MachineRemoved { name } => {
                 self.machines.remove_mut(name);
             }
-            Decision::Claimed { revision, .. } | Decision::Ended { revision, .. } => {
-                self.decided = self.decided.max(*revision);
+            Decision::TaskClaimed { revision, .. } | Decision::AttemptEnded { revision, .. } => {
+                self.record_decided(Revision(*revision));
             }
         }
     }
 
-    pub(crate) fn put(&mut self, name: &str, state: &MachineState) {
-        if self.machines.size() < MOST_MACHINES || self.machines.contains_key(name) {
+    pub(crate) fn put_machine(&mut self, name: &str, state: &MachineState) {
+        if self.machines.size() < MAX_MACHINES || self.machines.contains_key(name) {
             self.machines.insert_mut(name.to_string(), state.clone());
         }
     }
 
-    pub(crate) fn note_decided(&mut self, revision: u64) {
-        self.decided = self.decided.max(revision);
+    pub(crate) fn record_decided(&mut self, revision: Revision) {
+        self.last_decided = self.last_decided.max(revision);
     }
 
     /// Highest revision at which a decision was recorded.
-    pub fn decided(&self) -> u64 {
-        self.decided
+    pub fn last_decided(&self) -> Revision {
+        self.last_decided
     }
 
     /// State of a machine.
@@ -78,6 +79,6 @@
 
 impl PartialEq for ReplicaState {
     fn eq(&self, other: &ReplicaState) -> bool {
-        self.decided == other.decided && self.machines().eq(other.machines())
+        self.last_decided == other.last_decided && self.machines().eq(other.machines())
     }
 }
--- a/crates/standby/src/role.rs
+++ b/crates/standby/src/role.rs
@@ -1,11 +1,11 @@
-//! Which controller is the standby of a shard.
+//! Which controller owns a shard, and which is its standby.
 //!
 //! The choice is a pure function of the membership, so that all controllers with the same view
 //! agree without storing anything, and a role changes only when a controller comes or goes. Two
-//! controllers whose views differ for a moment may both try to take over: the transaction that
-//! raises the token lets one of them win.
+//! controllers whose views differ for a moment may both try to take a shard: the transaction that
+//! raises the fencing token lets one of them win.
 
-/// A controller that may become a standby.
+/// A controller that may own a shard or become its standby.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Candidate<'a> {
     /// Name.
@@ -13,9 +13,9 @@
     /// Its zone, if that is one of the shard zones.
     pub zone: Option<u32>,
     /// It has been alive for long enough to be given a role.
-    pub settled: bool,
+    pub eligible: bool,
     /// Workers reach it.
-    pub reaches_workers: bool,
+    pub reachable_from_workers: bool,
 }
 
 /// How zones count in the choice of a controller.
@@ -39,19 +39,29 @@
     }
 }
 
-/// Picks one of the candidates; `turn` spreads shards over equally good ones.
+/// Chooses one of the candidates; `spread` distributes shards over equally good ones.
 ///
-/// Settled controllers that workers reach go before others, then the preferred zones. Candidates
-/// have to come in the same order on every controller.
-pub fn pick<'a>(
+/// Controllers that workers reach go before others, then eligible ones, then the preferred zones.
+/// Candidates have to come in the same order on every controller.
+pub fn choose<'a>(
     candidates: &[Candidate<'a>],
     preference: ZonePreference,
-    turn: usize,
+    spread: usize,
 ) -> Option<&'a str> {
-    let quality = |c: &Candidate| (c.reaches_workers, c.settled, preference.prefers(c.zone));
-    let best = candidates.iter().map(quality).max()?;
-    let equals: Vec<&Candidate> = candidates.iter().filter(|c| quality(c) == best).collect();
-    equals.get(turn % equals.len()).map(|c| c.name)
+    let rank = |candidate: &Candidate| {
+        (
+            candidate.reachable_from_workers,
+            candidate.eligible,
+            preference.prefers(candidate.zone),
+        )
+    };
+    let best_rank = candidates.iter().map(rank).max()?;
+    let best: Vec<&Candidate> = candidates
+        .iter()
+        .filter(|candidate| rank(candidate) == best_rank)
+        .collect();
+    best.get(spread % best.len())
+        .map(|candidate| candidate.name)
 }
 
 /// The standby of a shard: any candidate but its owner.
@@ -59,12 +69,12 @@
     owner: &str,
     candidates: &[Candidate<'a>],
     preference: ZonePreference,
-    turn: usize,
+    spread: usize,
 ) -> Option<&'a str> {
     let others: Vec<Candidate> = candidates
         .iter()
         .copied()
-        .filter(|c| c.name != owner)
+        .filter(|candidate| candidate.name != owner)
         .collect();
-    pick(&others, preference, turn)
+    choose(&others, preference, spread)
 }
--- a/crates/standby/tests/failover.rs
+++ b/crates/standby/tests/failover.rs
@@ -1,203 +1,247 @@
-//! The takeover's state machine and the choice of a standby.
+//! The state machine of a failover and the choice of a standby.
 
-use standby::failover::{Failovers, Observation, Owner, Refusal, State, Transition};
+use standby::failover::{FailoverState, Failovers, Observation, Owner, Refusal, Transition};
 use standby::ids::{FencingToken, Millis, Revision, ShardId};
-use standby::role::{pick, standby_of, Candidate, ZonePreference};
+use standby::role::{choose, standby_of, Candidate, ZonePreference};
 
 const SHARD: ShardId = ShardId(0);
 /// Random sequences of observations; seeds are fixed.
 const CASES: u64 = 500;
 
-fn me(token: u64, fence: u64) -> Owner {
-    Owner::Me {
-        token: FencingToken(token),
-        fence: Revision(fence),
+fn this_controller(fencing_token: u64, fence_revision: u64) -> Owner {
+    Owner::ThisController {
+        fencing_token: FencingToken(fencing_token),
+        fence_revision: Revision(fence_revision),
     }
 }
 
-fn other(alive: bool, silent: bool) -> Owner {
-    Owner::Other {
-        alive,
+fn other_controller(lease_alive: bool, silent: bool) -> Owner {
+    Owner::OtherController {
+        lease_alive,
         silent,
-        heard: Some(Millis(100)),
+        last_contact: Some(Millis(100)),
     }
 }
 
-fn seen(owner: Owner, known: u64) -> Observation {
-    Observation {
-        owner,
-        standby: true,
-        known: Revision(known),
-    }
-}
-
-fn names(changes: &[Transition]) -> Vec<&'static str> {
-    changes.iter().map(|c| c.to.name()).collect()
+fn states_entered(transitions: &[Transition]) -> Vec<&'static str> {
+    transitions.iter().map(|t| t.to.name()).collect()
 }
 
-/// A takeover with its clock.
-struct Played {
-    takeovers: Failovers,
+/// A failover with its clock.
+struct Simulation {
+    failovers: Failovers,
     now: u64,
 }
 
-impl Played {
-    fn new() -> Played {
-        Played {
-            takeovers: Failovers::new(1),
+impl Simulation {
+    fn new() -> Simulation {
+        Simulation {
+            failovers: Failovers::new(1),
             now: 1000,
         }
     }
 
-    fn observe(&mut self, seen: Observation) -> Vec<&'static str> {
+    /// What the standby sees of the owner; the states that it enters.
+    fn observe(&mut self, owner: Owner, known_revision: u64) -> Vec<&'static str> {
+        let observation = Observation {
+            owner,
+            is_standby: true,
+            known_revision: Revision(known_revision),
+        };
         self.now += 100;
-        names(&self.takeovers.observe(SHARD, seen, Millis(self.now)))
+        states_entered(&self.failovers.observe(SHARD, observation, Millis(self.now)))
     }
 
     fn permit(&self) -> Option<u64> {
-        let permit = self.takeovers.permits().get(SHARD)?;
-        Some(permit.token().0)
+        let permit = self.failovers.permits().get(SHARD)?;
+        Some(permit.fencing_token().0)
     }
 
     fn refused(&mut self, refusal: Refusal, known: u64) -> bool {
         let known = Revision(known);
         let now = Millis(self.now);
-        let change = self.takeovers.refused(SHARD, refusal, known, now);
-        change.is_some()
+        let transition = self.failovers.token_refused(SHARD, refusal, known, now);
+        transition.is_some()
     }
 }
 
 #[test]
-fn a_takeover_goes_through_all_states_and_the_permit_comes_last() {
-    let mut p = Played::new();
-    assert_eq!(p.observe(seen(other(true, false), 5)), ["following"]);
-    assert_eq!(p.observe(seen(other(true, true), 6)), ["suspecting"]);
+fn a_failover_goes_through_all_states_and_the_permit_comes_last() {
+    let mut simulation = Simulation::new();
+    assert_eq!(
+        simulation.observe(other_controller(true, false), 5),
+        ["following"]
+    );
+    assert_eq!(
+        simulation.observe(other_controller(true, true), 6),
+        ["suspecting"]
+    );
     // It was only slow.
-    assert_eq!(p.observe(seen(other(true, false), 6)), ["following"]);
-    assert_eq!(p.observe(seen(other(false, true), 7)), ["suspecting"]);
-    let fencing = p.takeovers.fence_sent(SHARD, Millis(p.now)).unwrap();
-    assert_eq!(fencing.since_sign_of_life, Some(p.now - 100));
+    assert_eq!(
+        simulation.observe(other_controller(true, false), 6),
+        ["following"]
+    );
+    assert_eq!(
+        simulation.observe(other_controller(false, true), 7),
+        ["suspecting"]
+    );
+    let fencing = simulation
+        .failovers
+        .fence_sent(SHARD, Millis(simulation.now))
+        .unwrap();
+    assert_eq!(fencing.since_last_contact_ms, Some(simulation.now - 100));
     // Until the records tell what came of the transaction nothing else is tried.
-    assert!(p.observe(seen(other(false, true), 8)).is_empty());
-    assert_eq!(p.observe(seen(me(4, 12), 8)), ["catching up"]);
+    assert!(simulation
+        .observe(other_controller(false, true), 8)
+        .is_empty());
+    assert_eq!(
+        simulation.observe(this_controller(4, 12), 8),
+        ["catching up"]
+    );
     for known in [9, 11] {
-        assert!(p.observe(seen(me(4, 12), known)).is_empty());
-        assert_eq!(p.permit(), None);
+        assert!(simulation.observe(this_controller(4, 12), known).is_empty());
+        assert_eq!(simulation.permit(), None);
     }
-    assert_eq!(p.observe(seen(me(4, 12), 12)), ["active"]);
-    assert_eq!(p.permit(), Some(4));
-    let permit = p.takeovers.permits().get(SHARD).unwrap();
-    assert_eq!((permit.shard(), permit.fence()), (SHARD, Revision(12)));
+    assert_eq!(simulation.observe(this_controller(4, 12), 12), ["active"]);
+    assert_eq!(simulation.permit(), Some(4));
+    let permit = simulation.failovers.permits().get(SHARD).unwrap();
+    assert_eq!(
+        (permit.shard(), permit.fence_revision()),
+        (SHARD, Revision(12))
+    );
 }
 
 #[test]
 fn a_fence_that_is_refused_leaves_a_suspect_and_one_that_is_lost_a_follower() {
-    let mut p = Played::new();
-    p.observe(seen(other(false, true), 5));
-    p.takeovers.fence_sent(SHARD, Millis(0));
-    let back = p.takeovers.fence_refused(SHARD, Millis(0)).unwrap();
-    assert_eq!(back.to, State::Suspecting);
-    p.takeovers.fence_sent(SHARD, Millis(0));
+    let mut simulation = Simulation::new();
+    simulation.observe(other_controller(false, true), 5);
+    simulation.failovers.fence_sent(SHARD, Millis(0));
+    let back = simulation
+        .failovers
+        .fence_refused(SHARD, Millis(0))
+        .unwrap();
+    assert_eq!(back.to, FailoverState::Suspecting);
+    simulation.failovers.fence_sent(SHARD, Millis(0));
     // Another has won, as the records show.
-    assert_eq!(p.observe(seen(other(true, false), 9)), ["following"]);
-    assert_eq!(p.takeovers.fence_refused(SHARD, Millis(0)), None);
-    assert_eq!(p.permit(), None);
+    assert_eq!(
+        simulation.observe(other_controller(true, false), 9),
+        ["following"]
+    );
+    assert_eq!(simulation.failovers.fence_refused(SHARD, Millis(0)), None);
+    assert_eq!(simulation.permit(), None);
 }
 
 #[test]
 fn a_fence_without_an_answer_that_is_carried_out_later_is_found_in_the_records() {
-    let mut p = Played::new();
-    p.observe(seen(other(false, true), 5));
-    p.takeovers.fence_sent(SHARD, Millis(0));
+    let mut simulation = Simulation::new();
+    simulation.observe(other_controller(false, true), 5);
+    simulation.failovers.fence_sent(SHARD, Millis(0));
     // The old owner is seen again, and only then the transaction takes effect.
-    assert_eq!(p.observe(seen(other(true, false), 6)), ["following"]);
-    assert_eq!(p.observe(seen(me(3, 7), 7)), ["catching up", "active"]);
+    assert_eq!(
+        simulation.observe(other_controller(true, false), 6),
+        ["following"]
+    );
+    assert_eq!(
+        simulation.observe(this_controller(3, 7), 7),
+        ["catching up", "active"]
+    );
 }
 
 #[test]
 fn an_owner_that_was_replaced_says_so_once_and_holds_no_permit() {
-    let mut p = Played::new();
-    assert_eq!(p.observe(seen(me(1, 3), 3)), ["catching up", "active"]);
+    let mut simulation = Simulation::new();
+    assert_eq!(
+        simulation.observe(this_controller(1, 3), 3),
+        ["catching up", "active"]
+    );
     assert_eq!(
-        p.observe(seen(other(true, false), 9)),
+        simulation.observe(other_controller(true, false), 9),
         ["stepped down", "following"]
     );
-    assert!(p.observe(seen(other(true, false), 10)).is_empty());
-    assert_eq!(p.permit(), None);
+    assert!(simulation
+        .observe(other_controller(true, false), 10)
+        .is_empty());
+    assert_eq!(simulation.permit(), None);
 }
 
 #[test]
 fn a_token_raised_by_its_owner_needs_a_new_permit() {
-    let mut p = Played::new();
-    p.observe(seen(me(1, 3), 3));
+    let mut simulation = Simulation::new();
+    simulation.observe(this_controller(1, 3), 3);
     // Its own transaction does not make an active owner a standby.
-    assert_eq!(p.takeovers.fence_sent(SHARD, Millis(0)), None);
-    assert_eq!(p.observe(seen(me(2, 9), 8)), ["catching up"]);
-    assert_eq!(p.permit(), None);
-    assert_eq!(p.observe(seen(me(2, 9), 9)), ["active"]);
-    assert_eq!(p.permit(), Some(2));
+    assert_eq!(simulation.failovers.fence_sent(SHARD, Millis(0)), None);
+    assert_eq!(
+        simulation.observe(this_controller(2, 9), 8),
+        ["catching up"]
+    );
+    assert_eq!(simulation.permit(), None);
+    assert_eq!(simulation.observe(this_controller(2, 9), 9), ["active"]);
+    assert_eq!(simulation.permit(), Some(2));
 }
 
 #[test]
 fn a_refusal_withdraws_the_permit_until_newer_records_explain_it() {
-    let token = FencingToken(1);
+    let fencing_token = FencingToken(1);
     for refusal in [
-        Refusal::StateService { token },
+        Refusal::KeyValueStore { fencing_token },
         Refusal::Worker {
             seen: FencingToken(2),
         },
     ] {
-        let mut p = Played::new();
-        p.observe(seen(me(1, 3), 5));
-        assert!(p.refused(refusal, 5));
-        assert!(!p.refused(refusal, 5), "said twice");
-        assert!(p.observe(seen(me(1, 3), 5)).is_empty());
-        assert_eq!(p.permit(), None);
+        let mut simulation = Simulation::new();
+        simulation.observe(this_controller(1, 3), 5);
+        assert!(simulation.refused(refusal, 5));
+        assert!(!simulation.refused(refusal, 5), "said twice");
+        assert!(simulation.observe(this_controller(1, 3), 5).is_empty());
+        assert_eq!(simulation.permit(), None);
         // Newer records still name this owner.
-        assert_eq!(p.observe(seen(me(1, 3), 6)), ["catching up", "active"]);
-        assert_eq!(p.permit(), Some(1));
+        assert_eq!(
+            simulation.observe(this_controller(1, 3), 6),
+            ["catching up", "active"]
+        );
+        assert_eq!(simulation.permit(), Some(1));
     }
 }
 
 #[test]
 fn a_refusal_that_comes_after_the_token_was_raised_stops_nothing() {
-    let mut p = Played::new();
-    p.observe(seen(me(1, 3), 3));
+    let mut simulation = Simulation::new();
+    simulation.observe(this_controller(1, 3), 3);
     // A transaction under token 1 is on its way while the owner raises its own token.
-    p.observe(seen(me(2, 6), 6));
-    let token = FencingToken(1);
-    assert!(!p.refused(Refusal::StateService { token }, 6));
+    simulation.observe(this_controller(2, 6), 6);
+    let fencing_token = FencingToken(1);
+    assert!(!simulation.refused(Refusal::KeyValueStore { fencing_token }, 6));
     // Nothing else is ever recorded: the owner goes on all the same.
-    assert!(p.observe(seen(me(2, 6), 6)).is_empty());
-    assert_eq!(p.permit(), Some(2));
+    assert!(simulation.observe(this_controller(2, 6), 6).is_empty());
+    assert_eq!(simulation.permit(), Some(2));
 }
 
 #[test]
 fn a_worker_with_a_token_that_nobody_recorded_stops_its_shard_once_at_most() {
-    let mut p = Played::new();
-    p.observe(seen(me(5, 3), 5));
-    assert!(!p.refused(
+    let mut simulation = Simulation::new();
+    simulation.observe(this_controller(5, 3), 5);
+    assert!(!simulation.refused(
         Refusal::Worker {
             seen: FencingToken(5)
         },
         5
     ));
-    assert!(p.refused(
+    assert!(simulation.refused(
         Refusal::Worker {
             seen: FencingToken(99)
         },
         5
     ));
-    p.observe(seen(me(5, 3), 6));
+    simulation.observe(this_controller(5, 3), 6);
     for _ in 0..3 {
-        assert!(!p.refused(
+        assert!(!simulation.refused(
             Refusal::Worker {
                 seen: FencingToken(99)
             },
             6
         ));
     }
-    assert_eq!(p.permit(), Some(5));
+    assert_eq!(simulation.permit(), Some(5));
 }
 
 #[test]
@@ -205,46 +249,46 @@
     let mut issued = 0;
     for seed in 0..CASES {
         arbtest::arbtest(|u| {
-            let mut takeovers = Failovers::new(1);
+            let mut failovers = Failovers::new(1);
             let (mut known, mut token) = (0, 1);
             for step in 0..40 {
                 let now = Millis(step);
                 known += u.int_in_range(0..=3)?;
                 let owner = match u.int_in_range(0..=5)? {
                     0 => Owner::Nobody,
-                    1 => other(u.arbitrary()?, u.arbitrary()?),
+                    1 => other_controller(u.arbitrary()?, u.arbitrary()?),
                     2 => {
                         token += 1;
-                        me(token, known + u.int_in_range(0..=4)?)
+                        this_controller(token, known + u.int_in_range(0..=4)?)
                     }
-                    _ => me(token, u.int_in_range(0..=known + 2)?),
+                    _ => this_controller(token, u.int_in_range(0..=known + 2)?),
                 };
-                let standby = u.arbitrary()?;
+                let is_standby = u.arbitrary()?;
                 let observation = Observation {
                     owner,
-                    standby,
-                    known: Revision(known),
+                    is_standby,
+                    known_revision: Revision(known),
                 };
                 let refused = u.ratio(1, 6)?;
-                takeovers.observe(SHARD, observation, now);
+                failovers.observe(SHARD, observation, now);
                 if u.ratio(1, 8)? {
-                    takeovers.fence_sent(SHARD, now);
+                    failovers.fence_sent(SHARD, now);
                 }
                 if refused {
-                    let token = match owner {
-                        Owner::Me { token, .. } => token,
+                    let fencing_token = match owner {
+                        Owner::ThisController { fencing_token, .. } => fencing_token,
                         _ => FencingToken(0),
                     };
-                    let refusal = Refusal::StateService { token };
-                    takeovers.refused(SHARD, refusal, Revision(known), now);
+                    let refusal = Refusal::KeyValueStore { fencing_token };
+                    failovers.token_refused(SHARD, refusal, Revision(known), now);
                 }
-                let permit = takeovers.permits().get(SHARD);
+                let permit = failovers.permits().get(SHARD);
                 issued += u64::from(permit.is_some());
                 match (owner, permit) {
-                    (Owner::Me { token, .. }, Some(permit)) => {
+                    (Owner::ThisController { fencing_token, .. }, Some(permit)) => {
                         assert!(!refused);
-                        assert_eq!(permit.token(), token);
-                        assert!(permit.fence() <= Revision(known));
+                        assert_eq!(permit.fencing_token(), fencing_token);
+                        assert!(permit.fence_revision() <= Revision(known));
                     }
                     (_, permit) => assert!(permit.is_none()),
                 }
@@ -261,12 +305,12 @@
     Candidate {
         name,
         zone: Some(zone),
-        settled: true,
-        reaches_workers: true,
+        eligible: true,
+        reachable_from_workers: true,
     }
 }
 
-const NODES: [Candidate; 4] = [
+const CONTROLLERS: [Candidate; 4] = [
     candidate("a", 0),
     candidate("b", 1),
     candidate("c", 0),
@@ -275,7 +319,7 @@
 
 #[test]
 fn the_standby_is_never_the_owner_and_in_the_preferred_zone() {
-    let of = |owner, preference, turn| standby_of(owner, &NODES, preference, turn);
+    let of = |owner, preference, spread| standby_of(owner, &CONTROLLERS, preference, spread);
     assert_eq!(of("a", ZonePreference::Inside(0), 0), Some("c"));
     assert_eq!(of("a", ZonePreference::Outside(0), 0), Some("b"));
     assert_eq!(of("a", ZonePreference::Outside(0), 1), Some("d"));
@@ -283,42 +327,42 @@
 }
 
 #[test]
-fn with_two_nodes_left_the_other_is_the_standby_and_with_one_nobody_is() {
+fn with_two_controllers_left_the_other_is_the_standby_and_with_one_nobody_is() {
     for preference in [
         ZonePreference::Inside(0),
         ZonePreference::Outside(0),
         ZonePreference::Any,
     ] {
-        for turn in 0..3 {
-            let of = |owner, nodes| standby_of(owner, nodes, preference, turn);
-            assert_eq!(of("a", &NODES[..2]), Some("b"));
-            assert_eq!(of("b", &NODES[..2]), Some("a"));
-            assert_eq!(of("a", &NODES[..1]), None);
+        for spread in 0..3 {
+            let of = |owner, controllers| standby_of(owner, controllers, preference, spread);
+            assert_eq!(of("a", &CONTROLLERS[..2]), Some("b"));
+            assert_eq!(of("b", &CONTROLLERS[..2]), Some("a"));
+            assert_eq!(of("a", &CONTROLLERS[..1]), None);
         }
     }
 }
 
 #[test]
-fn reach_and_time_count_before_zones() {
-    let mut nodes = NODES;
-    nodes[2].reaches_workers = false;
+fn reachability_and_eligibility_count_before_zones() {
+    let mut controllers = CONTROLLERS;
+    controllers[2].reachable_from_workers = false;
     let inside = ZonePreference::Inside(0);
-    assert_eq!(standby_of("a", &nodes, inside, 0), Some("b"));
-    nodes[1].settled = false;
-    assert_eq!(standby_of("a", &nodes, inside, 0), Some("d"));
+    assert_eq!(standby_of("a", &controllers, inside, 0), Some("b"));
+    controllers[1].eligible = false;
+    assert_eq!(standby_of("a", &controllers, inside, 0), Some("d"));
     // Where none is better, one that has just come is good enough.
-    nodes[3].settled = false;
-    assert_eq!(standby_of("a", &nodes, inside, 0), Some("b"));
-    assert_eq!(pick(&[], ZonePreference::Any, 0), None);
+    controllers[3].eligible = false;
+    assert_eq!(standby_of("a", &controllers, inside, 0), Some("b"));
+    assert_eq!(choose(&[], ZonePreference::Any, 0), None);
 }
 
 #[test]
-fn a_node_that_comes_and_goes_moves_no_role_between_the_others() {
+fn a_controller_that_comes_and_goes_moves_no_role_between_the_others() {
     // One that is not chosen leaves and returns: all roles stay.
-    for turn in 0..2 {
+    for spread in 0..2 {
         let preference = ZonePreference::Outside(0);
-        let with = standby_of("a", &NODES, preference, turn);
-        let without_c = [NODES[0], NODES[1], NODES[3]];
-        assert_eq!(standby_of("a", &without_c, preference, turn), with);
+        let with = standby_of("a", &CONTROLLERS, preference, spread);
+        let without_c = [CONTROLLERS[0], CONTROLLERS[1], CONTROLLERS[3]];
+        assert_eq!(standby_of("a", &without_c, preference, spread), with);
     }
 }
--- a/crates/standby/tests/stream.rs
+++ b/crates/standby/tests/stream.rs
@@ -2,15 +2,18 @@
 //! standby that is behind, and messages that are no messages.
 
 use standby::follower::Follower;
-use standby::ids::FencingToken;
-use standby::message::{Answer, Decision, MachineState, Message, QueuedTask, MAX_MESSAGE};
+use standby::ids::{FencingToken, Revision, ShardId};
+use standby::message::{
+    Decision, FollowerResponse, MachineState, Message, QueuedTask, MAX_MESSAGE_BYTES,
+};
 use standby::publisher::{Publisher, StreamLimits};
 
 /// Cases of the properties below; seeds are fixed, so that a failure repeats.
 const CASES: u64 = 300;
 
+const SHARD: ShardId = ShardId(0);
 const SMALL: StreamLimits = StreamLimits {
-    tail: 16,
+    log_tail: 16,
     message_bytes: 600,
 };
 
@@ -19,17 +22,17 @@
         job: "job-000001".into(),
         task: task as u32,
     };
-    Decision::Machine {
+    Decision::MachineChanged {
         name: format!("n-{name:06}"),
         state: MachineState {
             queue: (0..queued).map(task).collect(),
-            held_for: (queued == 3).then(|| "job-000002".into()),
+            reserved_for: (queued == 3).then(|| "job-000002".into()),
         },
     }
 }
 
 fn claimed(revision: u64) -> Decision {
-    Decision::Claimed {
+    Decision::TaskClaimed {
         task: QueuedTask {
             job: "job-000001".into(),
             task: 0,
@@ -42,7 +45,7 @@
 
 fn random_decision(rng: &mut fastrand::Rng) -> Decision {
     match rng.u8(..8) {
-        0 => Decision::Gone {
+        0 => Decision::MachineRemoved {
             name: format!("n-{:06}", rng.usize(..12)),
         },
         1 => claimed(rng.u64(..1000)),
@@ -51,19 +54,19 @@
 }
 
 /// Sends messages until nothing is left to tell.
-fn reconcile(publisher: &mut Publisher, follower: &mut Follower) {
+fn synchronize(publisher: &mut Publisher, follower: &mut Follower) {
     for _ in 0..1000 {
         let Some(message) = publisher.next_message() else {
             return;
         };
-        publisher.answered(follower.take(&message, FencingToken(0)));
+        publisher.receive_response(follower.receive(&message, FencingToken(0)));
     }
     panic!("the stream never settles");
 }
 
 #[test]
 fn a_new_standby_gets_a_snapshot_in_parts_and_then_the_tail() {
-    let mut publisher = Publisher::new(0, FencingToken(1), SMALL);
+    let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL);
     let mut follower = Follower::default();
     for i in 0..50 {
         publisher.publish(machine(i, i % 4));
@@ -72,121 +75,127 @@
     let first = publisher.next_message().unwrap();
     assert!(matches!(
         &first,
-        Message::Snapshot {
+        Message::SnapshotPart {
             part: 0,
-            last: false,
+            is_last: false,
             ..
         }
     ));
     // The owner goes on deciding while the parts are on their way.
     publisher.publish(machine(3, 2));
-    publisher.answered(follower.take(&first, FencingToken(0)));
-    reconcile(&mut publisher, &mut follower);
+    publisher.receive_response(follower.receive(&first, FencingToken(0)));
+    synchronize(&mut publisher, &mut follower);
     assert_eq!(publisher.lag(), Some(0));
-    assert_eq!(follower.shadow(), Some(publisher.shadow()));
-    assert_eq!(follower.shadow().unwrap().decided(), 77);
+    assert_eq!(follower.replica_state(), Some(publisher.replica_state()));
+    assert_eq!(
+        follower.replica_state().unwrap().last_decided(),
+        Revision(77)
+    );
     publisher.publish(machine(99, 1));
     let next = publisher.next_message().unwrap();
-    assert!(matches!(&next, Message::Tail { decisions, .. } if decisions.len() == 1));
+    assert!(matches!(&next, Message::LogTail { decisions, .. } if decisions.len() == 1));
 }
 
 #[test]
 fn a_standby_that_is_behind_by_more_than_the_tail_gets_a_snapshot() {
-    for lag in [1, SMALL.tail, SMALL.tail + 1, 20 * SMALL.tail] {
-        let mut publisher = Publisher::new(0, FencingToken(1), SMALL);
+    for lag in [1, SMALL.log_tail, SMALL.log_tail + 1, 20 * SMALL.log_tail] {
+        let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL);
         let mut follower = Follower::default();
-        reconcile(&mut publisher, &mut follower);
+        synchronize(&mut publisher, &mut follower);
         for i in 0..lag {
             publisher.publish(machine(i % 30, i % 4));
         }
         let message = publisher.next_message().unwrap();
-        let snapshot = matches!(message, Message::Snapshot { .. });
-        assert_eq!(snapshot, lag > SMALL.tail, "{lag}");
-        publisher.answered(follower.take(&message, FencingToken(0)));
-        reconcile(&mut publisher, &mut follower);
-        assert_eq!(follower.shadow(), Some(publisher.shadow()));
+        let snapshot = matches!(message, Message::SnapshotPart { .. });
+        assert_eq!(snapshot, lag > SMALL.log_tail, "{lag}");
+        publisher.receive_response(follower.receive(&message, FencingToken(0)));
+        synchronize(&mut publisher, &mut follower);
+        assert_eq!(follower.replica_state(), Some(publisher.replica_state()));
     }
 }
 
 #[test]
 fn nothing_accumulates_for_a_standby_that_does_not_answer() {
-    let mut publisher = Publisher::new(0, FencingToken(1), SMALL);
+    let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL);
     assert!(publisher.next_message().is_some());
     for i in 0..10_000 {
         publisher.publish(machine(i % 30, i % 4));
         assert!(publisher.next_message().is_none());
     }
-    publisher.unanswered();
+    publisher.response_lost();
     let mut follower = Follower::default();
-    reconcile(&mut publisher, &mut follower);
-    assert_eq!(follower.shadow(), Some(publisher.shadow()));
+    synchronize(&mut publisher, &mut follower);
+    assert_eq!(follower.replica_state(), Some(publisher.replica_state()));
 }
 
 #[test]
 fn messages_of_an_older_owner_are_refused_and_stop_its_stream() {
     let (mut old, mut new) = (
-        Publisher::new(0, FencingToken(4), SMALL),
-        Publisher::new(0, FencingToken(5), SMALL),
+        Publisher::new(SHARD, FencingToken(4), SMALL),
+        Publisher::new(SHARD, FencingToken(5), SMALL),
     );
     let mut follower = Follower::default();
     old.publish(machine(1, 1));
-    reconcile(&mut old, &mut follower);
+    synchronize(&mut old, &mut follower);
     new.publish(machine(2, 1));
-    reconcile(&mut new, &mut follower);
-    assert_eq!(follower.shadow(), Some(new.shadow()));
+    synchronize(&mut new, &mut follower);
+    assert_eq!(follower.replica_state(), Some(new.replica_state()));
     old.publish(machine(3, 1));
-    reconcile(&mut old, &mut follower);
-    assert!(old.is_outranked());
+    synchronize(&mut old, &mut follower);
+    assert!(old.is_superseded());
     assert_eq!(
-        (follower.token(), follower.irregularities().outdated),
+        (follower.fencing_token(), follower.anomalies().stale),
         (FencingToken(5), 1)
     );
-    assert_eq!(follower.shadow(), Some(new.shadow()));
+    assert_eq!(follower.replica_state(), Some(new.replica_state()));
     // The records may know of a takeover before the new owner's first message.
     assert_eq!(
-        follower.take(
-            &Message::Tail {
+        follower.receive(
+            &Message::LogTail {
                 shard: 0,
-                token: 5,
-                first: 0,
+                fencing_token: 5,
+                first_sequence: 0,
                 decisions: Vec::new()
             },
             FencingToken(6)
         ),
-        Answer::Outranked(6)
+        FollowerResponse::StaleFencingToken(6)
     );
 }
 
 #[test]
 fn gaps_are_noticed_and_a_late_snapshot_takes_nothing_back() {
-    let mut publisher = Publisher::new(0, FencingToken(1), SMALL);
+    let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL);
     let mut follower = Follower::default();
     publisher.publish(machine(1, 1));
     let late = publisher.next_message().unwrap();
-    publisher.answered(follower.take(&late, FencingToken(0)));
+    publisher.receive_response(follower.receive(&late, FencingToken(0)));
     publisher.publish(machine(1, 2));
-    reconcile(&mut publisher, &mut follower);
-    assert_eq!(follower.take(&late, FencingToken(0)), Answer::Next(2));
-    assert_eq!(follower.shadow(), Some(publisher.shadow()));
-    let ahead = Message::Tail {
+    synchronize(&mut publisher, &mut follower);
+    assert_eq!(
+        follower.receive(&late, FencingToken(0)),
+        FollowerResponse::NextSequence(2)
+    );
+    assert_eq!(follower.replica_state(), Some(publisher.replica_state()));
+    let ahead = Message::LogTail {
         shard: 0,
-        token: 1,
-        first: 3,
+        fencing_token: 1,
+        first_sequence: 3,
         decisions: vec![machine(9, 1)],
     };
     assert_eq!(
-        follower.take(&ahead, FencingToken(0)),
-        Answer::NeedsSnapshot
+        follower.receive(&ahead, FencingToken(0)),
+        FollowerResponse::NeedsSnapshot
     );
-    assert_eq!(follower.irregularities().gaps, 1);
-    assert_eq!(follower.shadow(), Some(publisher.shadow()));
+    assert_eq!(follower.anomalies().gaps, 1);
+    assert_eq!(follower.replica_state(), Some(publisher.replica_state()));
 }
 
 #[test]
 fn a_lossy_stream_ends_in_the_owners_state() {
     for seed in 0..CASES {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut publisher = Publisher::new(0, FencingToken(1), SMALL);
+        let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL);
         let mut follower = Follower::default();
         let mut kept: Vec<Message> = Vec::new();
         for _ in 0..200 {
@@ -195,24 +204,28 @@
                 kept.push(message.clone());
                 match rng.u8(..5) {
                     // Lost, or its answer is.
-                    0 => publisher.unanswered(),
+                    0 => publisher.response_lost(),
                     1 => {
-                        follower.take(&message, FencingToken(0));
-                        publisher.unanswered();
+                        follower.receive(&message, FencingToken(0));
+                        publisher.response_lost();
                     }
-                    _ => publisher.answered(follower.take(&message, FencingToken(0))),
+                    _ => publisher.receive_response(follower.receive(&message, FencingToken(0))),
                 }
             }
             // An earlier message comes again, after newer ones.
             if rng.u8(..4) == 0 {
                 let at = rng.usize(..kept.len().max(1));
                 if let Some(again) = kept.get(at) {
-                    follower.take(again, FencingToken(0));
+                    follower.receive(again, FencingToken(0));
                 }
             }
         }
-        reconcile(&mut publisher, &mut follower);
-        assert_eq!(follower.shadow(), Some(publisher.shadow()), "seed {seed}");
+        synchronize(&mut publisher, &mut follower);
+        assert_eq!(
+            follower.replica_state(),
+            Some(publisher.replica_state()),
+            "seed {seed}"
+        );
     }
 }
 
@@ -222,23 +235,23 @@
         arbtest::arbtest(|u| {
             let bytes: Vec<u8> = u.arbitrary()?;
             if let Some(message) = Message::decode(&bytes) {
-                Follower::default().take(&message, FencingToken(0));
+                Follower::default().receive(&message, FencingToken(0));
             }
-            let _ = Answer::decode(&bytes);
+            let _ = FollowerResponse::decode(&bytes);
             Ok(())
         })
         .seed(seed << 32 | 0x40)
         .run();
     }
-    assert_eq!(Message::decode(&vec![0; MAX_MESSAGE + 1]), None);
+    assert_eq!(Message::decode(&vec![0; MAX_MESSAGE_BYTES + 1]), None);
 }
 
 #[test]
 fn damaged_messages_never_stop_the_follower() {
-    let message = Message::Tail {
+    let message = Message::LogTail {
         shard: 1,
-        token: 2,
-        first: 0,
+        fencing_token: 2,
+        first_sequence: 0,
         decisions: (0..20).map(|i| machine(i, i % 4)).collect(),
     };
     let good = message.encode().unwrap();
@@ -260,7 +273,7 @@
             if let Some(message) = Message::decode(&bytes) {
                 read += 1;
                 let mut follower = Follower::default();
-                follower.take(&message, FencingToken(0));
+                follower.receive(&message, FencingToken(0));
             }
             Ok(())
         })
@@ -276,7 +289,7 @@
 #[test]
 fn a_message_of_a_full_part_stays_below_its_bound() {
     let limits = StreamLimits::default();
-    let mut publisher = Publisher::new(0, FencingToken(1), limits);
+    let mut publisher = Publisher::new(SHARD, FencingToken(1), limits);
     for i in 0..4000 {
         publisher.publish(machine(i, 8));
     }
@@ -284,24 +297,27 @@
     let mut parts = 0;
     while let Some(message) = publisher.next_message() {
         let size = message.encode().unwrap().len();
-        assert!(size <= MAX_MESSAGE, "{size}");
-        publisher.answered(follower.take(&message, FencingToken(0)));
+        assert!(size <= MAX_MESSAGE_BYTES, "{size}");
+        publisher.receive_response(follower.receive(&message, FencingToken(0)));
         parts += 1;
     }
     assert!(parts > 10);
-    assert_eq!(follower.shadow().map(|s| s.machines().count()), Some(4000));
+    assert_eq!(
+        follower.replica_state().map(|s| s.machines().count()),
+        Some(4000)
+    );
 }
 
 /// All parts of a snapshot of so many machines.
 fn parts(machines: usize) -> Vec<Message> {
-    let mut publisher = Publisher::new(0, FencingToken(1), SMALL);
+    let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL);
     for i in 0..machines {
         publisher.publish(machine(i, i % 4));
     }
     let mut follower = Follower::default();
     let mut out = Vec::new();
     while let Some(message) = publisher.next_message() {
-        publisher.answered(follower.take(&message, FencingToken(0)));
+        publisher.receive_response(follower.receive(&message, FencingToken(0)));
         out.push(message);
     }
     out
@@ -315,24 +331,29 @@
     for odd in [&of_50[2], &of_50[0].clone(), &of_60[1]] {
         let mut follower = Follower::default();
         assert_eq!(
-            follower.take(&of_50[0], FencingToken(0)),
-            Answer::NextPart(1)
+            follower.receive(&of_50[0], FencingToken(0)),
+            FollowerResponse::NextPart(1)
         );
-        let answer = follower.take(odd, FencingToken(0));
+        let answer = follower.receive(odd, FencingToken(0));
         // A first part begins anew; any other is of no use.
         match odd {
-            Message::Snapshot { part: 0, .. } => assert_eq!(answer, Answer::NextPart(1)),
-            _ => assert_eq!(answer, Answer::NeedsSnapshot),
+            Message::SnapshotPart { part: 0, .. } => {
+                assert_eq!(answer, FollowerResponse::NextPart(1))
+            }
+            _ => assert_eq!(answer, FollowerResponse::NeedsSnapshot),
         }
-        assert_eq!(follower.shadow(), None);
+        assert_eq!(follower.replica_state(), None);
     }
     let mut follower = Follower::default();
     assert_eq!(
-        follower.take(&of_50[1], FencingToken(0)),
-        Answer::NeedsSnapshot
+        follower.receive(&of_50[1], FencingToken(0)),
+        FollowerResponse::NeedsSnapshot
     );
     for part in &of_50 {
-        follower.take(part, FencingToken(0));
+        follower.receive(part, FencingToken(0));
     }
-    assert_eq!(follower.shadow().map(|s| s.machines().count()), Some(50));
+    assert_eq!(
+        follower.replica_state().map(|s| s.machines().count()),
+        Some(50)
+    );
 }
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -157,7 +157,7 @@
     let cluster = controller.cluster.borrow();
     let shard = cluster.autoscaler_shard();
     let permit = controller.config.permit(&cluster, &permits, shard);
-    permit.map(|permit| permit.token())
+    permit.map(|permit| permit.fencing_token())
 }
 
 /// Learns the machine types from the cloud unless the key-value store has them, and shares them
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -1,7 +1,7 @@
 //! One controller: what its duties share.
 
 use crate::coordination::metrics::Metrics;
-use crate::coordination::replication::Replication;
+use crate::coordination::replication::streams::Replication;
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::features::Features;
 use crate::protocol::kv::Limits;
@@ -163,9 +163,9 @@
     pub available: [Cell<bool>; 2],
     /// Last time a malformed message was told of, and how many came since.
     last_rate_limited_warning: Cell<(Option<MonotonicMillis>, u32)>,
-    /// Takeovers of all shards, and the permits to decide for them.
+    /// Failovers of all shards, and the permits to decide for them.
     pub failovers: RefCell<Failovers>,
-    /// The standby of each shard, as this node sees it; empty while the feature is off.
+    /// The standby of each shard, as this controller sees it; empty while the feature is off.
     pub standby_of: RefCell<HashMap<ShardIndex, String>>,
     /// Streams to and from standbys.
     pub replication: RefCell<Replication>,
@@ -349,7 +349,7 @@
         let mut cluster = ClusterState::new(&s.zones, &s.teams, operator.shards_per_zone);
         cluster.cancellation_watermark =
             CancellationWatermark::new(platform.siblings.len(), MonotonicMillis(0));
-        let takeovers = Failovers::new(cluster.shards.len());
+        let failovers = Failovers::new(cluster.shards.len());
         Controller {
             cluster: RefCell::new(cluster),
             kv: Client::new(platform.outside.state),
@@ -364,7 +364,7 @@
             kv_last_available: Cell::new(None),
             available: [Cell::new(false), Cell::new(false)],
             last_rate_limited_warning: Cell::new((None, 0)),
-            failovers: RefCell::new(takeovers),
+            failovers: RefCell::new(failovers),
             standby_of: RefCell::new(HashMap::new()),
             replication: RefCell::default(),
             owned_since: RefCell::new(HashMap::new()),
--- /dev/null
+++ b/src/coordination/failover/mod.rs
@@ -0,0 +1,21 @@
+//! Failover of shards: what records and peers show of each shard, and the permits that follow.
+//!
+//! The state machine is `standby::failover`; here it is connected to the controller. Membership and
+//! everything that decides for a shard call it.
+//!
+//! - [`bound`]: how long a failover may take with the times of a deployment;
+//! - [`ShardView`]: what is observed of a shard (pure);
+//! - `permits`: brings the state machine up to date, lends permits, withdraws refused ones;
+//! - `standbys`: the standby of each shard, as this controller sees it.
+//!
+//! Invariant: a permit is lent only after all shards were observed in the view of that moment, and
+//! what was derived from a permit (queues, reservations) goes with it.
+
+mod bound;
+mod observation;
+mod permits;
+mod standbys;
+
+pub use bound::{bound, membership_lease_ms};
+pub use observation::ShardView;
+pub(super) use standbys::record_standbys;
--- /dev/null
+++ b/src/coordination/membership/lease.rs
@@ -0,0 +1,97 @@
+//! This controller's key: a record under a lease of the key-value store. While it is there others
+//! count this controller as living.
+
+use super::transfer::{controller_key, controller_unchanged};
+use super::REFRESH_MS;
+use crate::coordination::controller::Controller;
+use crate::coordination::kv::{set, CommitOutcome};
+use crate::protocol::kv::{Lease, LeaseRequest, Transaction};
+use crate::state::cluster_state::{ClusterState, ControllerRecord};
+use crate::state::records::{RECORD_FORMAT_V2, STANDBY_VERSION};
+use http_types::Method;
+
+/// A lease of the key-value store.
+#[derive(Clone, Copy)]
+pub(super) struct LeaseId(u64);
+
+/// Renews the lease, and requests one if there is none or it has expired; registers this controller
+/// if its key is not there. The lease that is held then, if any.
+pub(super) async fn renew_lease(
+    controller: &Controller,
+    held: Option<LeaseId>,
+    ttl_ms: u64,
+) -> Option<LeaseId> {
+    let held = match held {
+        Some(lease) => keep_alive(controller, lease).await,
+        None => None,
+    };
+    let registered = is_registered(controller, &controller.cluster.borrow());
+    if held.is_some() && registered {
+        return held;
+    }
+    let lease = match held {
+        Some(lease) => lease,
+        None => request_lease(controller, ttl_ms).await?,
+    };
+    register(controller, lease).await
+}
+
+/// True if the records show the key of this incarnation.
+pub(super) fn is_registered(controller: &Controller, cluster: &ClusterState) -> bool {
+    let config = &controller.config;
+    let own = cluster.controllers.get(&config.controller_name);
+    own.is_some_and(|own| own.record.incarnation == config.incarnation)
+}
+
+/// Renews a lease; `None` if it has expired.
+async fn keep_alive(controller: &Controller, lease: LeaseId) -> Option<LeaseId> {
+    let path = format!("/grants/{}/touch", lease.0);
+    match controller.kv_call(Method::Post, &path, Vec::new()).await {
+        Ok(answer) if answer.status == 404 => {
+            log::warn!("membership lease expired: lease={}", lease.0);
+            None
+        }
+        // Served or not, it is still ours until the key-value store says otherwise.
+        _ => Some(lease),
+    }
+}
+
+async fn request_lease(controller: &Controller, ttl_ms: u64) -> Option<LeaseId> {
+    let request = rmp_serde::to_vec_named(&LeaseRequest { ttl_ms }).ok()?;
+    let answer = controller
+        .kv_call(Method::Post, "/grants", request)
+        .await
+        .ok()?;
+    let granted: Lease = rmp_serde::from_slice(&answer.body).ok()?;
+    Some(LeaseId(granted.lease))
+}
+
+/// Writes this controller's record under a lease; `None` if another lease is needed.
+async fn register(controller: &Controller, lease: LeaseId) -> Option<LeaseId> {
+    let transaction = registration(controller, lease)?;
+    match controller.commit(&transaction).await {
+        CommitOutcome::Committed(_) | CommitOutcome::Conflict(_) => {
+            controller.refresh(REFRESH_MS).await;
+            Some(lease)
+        }
+        CommitOutcome::Refused(400) => None,
+        CommitOutcome::Refused(_) | CommitOutcome::Unknown => Some(lease),
+    }
+}
+
+fn registration(controller: &Controller, lease: LeaseId) -> Option<Transaction> {
+    let name = controller.config.controller_name.as_str();
+    let record = ControllerRecord {
+        incarnation: controller.config.incarnation,
+        record_format: RECORD_FORMAT_V2,
+        standby_version: match controller.features.standby() {
+            Some(_) => STANDBY_VERSION,
+            None => 0,
+        },
+    };
+    Some(Transaction {
+        // A late write of an earlier incarnation must not replace this one's.
+        conditions: vec![controller_unchanged(&controller.cluster.borrow(), name)],
+        writes: vec![set(controller_key(name), &record, Some(lease.0))?],
+    })
+}
--- /dev/null
+++ b/src/coordination/membership/transfer.rs
@@ -0,0 +1,107 @@
+//! Carries changes of owners out: one transaction each, conditional on everything it rests on.
+
+use super::REFRESH_MS;
+use crate::coordination::controller::Controller;
+use crate::coordination::kv::{set, CommitOutcome};
+use crate::protocol::kv::{Condition, Transaction};
+use crate::state::cluster_state::{ClusterState, ShardRecord, ROOT};
+use crate::state::names::{Index, ShardIndex};
+use standby::failover::Failovers;
+
+/// A change of owner to be tried.
+#[derive(Debug, PartialEq)]
+pub struct Move {
+    /// Shard.
+    pub shard: ShardIndex,
+    /// New owner; the present one if only the fencing token is to rise.
+    pub to: String,
+}
+
+/// Key of a controller's record.
+pub(super) fn controller_key(name: &str) -> String {
+    format!("{ROOT}node/{name}")
+}
+
+/// The condition that a controller's record has not changed; without a record, that there is none.
+pub(super) fn controller_unchanged(cluster: &ClusterState, name: &str) -> Condition {
+    let controller = cluster.controllers.get(name);
+    Condition {
+        key: controller_key(name),
+        version: controller.map_or(0, |controller| controller.version),
+    }
+}
+
+/// The transaction of a move: valid only while nothing about either owner has changed.
+pub fn move_transaction(
+    cluster: &ClusterState,
+    planned: &Move,
+) -> Option<(Transaction, ShardRecord)> {
+    let shard_key = cluster.shard_key(planned.shard);
+    let present = &cluster.shards[planned.shard.at()];
+    let former_owner = &present.record.owner;
+    let new_owner = cluster.controllers.get(&planned.to)?;
+    let record = ShardRecord {
+        owner: planned.to.clone(),
+        incarnation: new_owner.record.incarnation,
+        fencing_token: present.record.fencing_token.next(),
+    };
+    let mut conditions = vec![
+        Condition {
+            key: shard_key.clone(),
+            version: present.version,
+        },
+        controller_unchanged(cluster, &planned.to),
+    ];
+    if !former_owner.is_empty() && *former_owner != planned.to {
+        conditions.push(controller_unchanged(cluster, former_owner));
+    }
+    let writes = vec![set(shard_key, &record, None)?];
+    Some((Transaction { conditions, writes }, record))
+}
+
+/// Carries moves out; false if one failed, and the rest are left.
+pub(super) async fn execute_moves(controller: &Controller, moves: Vec<Move>) -> bool {
+    for planned in moves {
+        let transaction = move_transaction(&controller.cluster.borrow(), &planned);
+        let Some((transaction, record)) = transaction else {
+            continue;
+        };
+        if planned.to == controller.config.controller_name {
+            controller.record_fence_step(planned.shard, Failovers::fence_sent);
+        }
+        match controller.commit(&transaction).await {
+            CommitOutcome::Committed(revision) => {
+                apply_move(controller, &planned, revision, record);
+            }
+            CommitOutcome::Conflict(_) => {
+                controller.record_fence_step(planned.shard, Failovers::fence_refused);
+                controller.refresh(REFRESH_MS).await;
+                return false;
+            }
+            CommitOutcome::Refused(_) => {
+                controller.record_fence_step(planned.shard, Failovers::fence_refused);
+                return false;
+            }
+            // It may have been carried out, or still be: the records will tell.
+            CommitOutcome::Unknown => return false,
+        }
+    }
+    true
+}
+
+/// Applies a committed move to the view, unless that has read a newer record already.
+fn apply_move(controller: &Controller, done: &Move, revision: u64, record: ShardRecord) {
+    log::info!(
+        "shard moved: shard={} controller={} fencing_token={}",
+        done.shard.0,
+        done.to,
+        record.fencing_token
+    );
+    let mut cluster = controller.cluster.borrow_mut();
+    let present = &mut cluster.shards[done.shard.at()];
+    if present.version < revision {
+        present.version = revision;
+        present.record = record;
+    }
+    controller.scheduling.notify();
+}
--- a/src/coordination/peer_messages.rs
+++ b/src/coordination/peer_messages.rs
@@ -370,7 +370,7 @@
             message,
         } => replication::answer(controller, &from, &message),
         PeerRequest::ShardStatuses => PeerResponse::ShardStatuses {
-            shards: replication::standing(controller),
+            shards: replication::shard_statuses(controller),
         },
     }
 }
--- /dev/null
+++ b/src/coordination/replication/committed.rs
@@ -0,0 +1,82 @@
+//! Recorded decisions on their way into the owner's streams.
+
+use crate::coordination::controller::Controller;
+use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::state::names::{Index, ShardIndex};
+use standby::ids::Revision;
+use standby::message::{Decision, QueuedTask};
+
+/// An attempt that a draft removes from the records.
+pub struct EndedAttempt {
+    /// Shard of its machine.
+    shard: ShardIndex,
+    task: QueuedTask,
+    attempt: u64,
+}
+
+/// Attempts that a draft removes from the records; to be asked before it is committed.
+pub fn ended_attempts(controller: &Controller, draft: &DraftTransaction) -> Vec<EndedAttempt> {
+    if controller.features.standby().is_none() {
+        return Vec::new();
+    }
+    let cluster = controller.cluster.borrow();
+    let mut ended = Vec::new();
+    for (job_index, job) in &draft.jobs {
+        let recorded = cluster.jobs[job_index.at()].placements.iter();
+        for placement in recorded.filter(|placement| !job.placements.contains(placement)) {
+            ended.push(EndedAttempt {
+                shard: placement.shard,
+                task: QueuedTask {
+                    job: job.id.to_string(),
+                    task: placement.task,
+                },
+                attempt: placement.attempt,
+            });
+        }
+    }
+    ended
+}
+
+/// Publishes the decisions of a draft that was recorded at a revision.
+pub fn publish_committed(
+    controller: &Controller,
+    draft: &DraftTransaction,
+    ended: Vec<EndedAttempt>,
+    Revision(revision): Revision,
+) {
+    let mut replication = controller.replication.borrow_mut();
+    if replication.published.is_empty() {
+        return;
+    }
+    let mut publish = |shard: ShardIndex, decision| {
+        if let Some(stream) = replication.published.get_mut(&shard) {
+            stream.publisher.publish(decision);
+        }
+    };
+    for EndedAttempt {
+        shard,
+        task,
+        attempt,
+    } in ended
+    {
+        let decision = Decision::AttemptEnded {
+            task,
+            attempt,
+            revision,
+        };
+        publish(shard, decision);
+    }
+    let cluster = controller.cluster.borrow();
+    for (job_index, placement) in &draft.claims {
+        let decision = Decision::TaskClaimed {
+            task: QueuedTask {
+                job: cluster.jobs[job_index.at()].id.to_string(),
+                task: placement.task,
+            },
+            attempt: placement.attempt,
+            machine: cluster.machine_names.name(placement.machine).to_string(),
+            revision,
+        };
+        publish(placement.shard, decision);
+    }
+}
--- /dev/null
+++ b/src/coordination/replication/follow.rs
@@ -0,0 +1,43 @@
+//! The standby's end: applies what owners send of the shards that this controller follows.
+
+use crate::coordination::controller::Controller;
+use crate::protocol::peers::PeerResponse;
+use crate::state::names::{Index, ShardIndex};
+use standby::message::{FollowerResponse, Message};
+
+/// Answers an owner whose shard this controller follows.
+pub fn answer(controller: &Controller, sender: &str, message: &[u8]) -> PeerResponse {
+    let response = Message::decode(message)
+        .and_then(|message| receive(controller, &message))
+        .and_then(|response| response.encode());
+    if response.is_none() {
+        controller.warn_rate_limited(&format!("unreadable replication message: peer={sender}"));
+    }
+    PeerResponse::ReplicationAnswer {
+        answer: response.unwrap_or_default(),
+    }
+}
+
+/// Applies a message; `None` if there is no such shard.
+fn receive(controller: &Controller, message: &Message) -> Option<FollowerResponse> {
+    let shard = ShardIndex::from(message.origin().shard);
+    let recorded_token = {
+        let cluster = controller.cluster.borrow();
+        cluster.shards.get(shard.at())?.record.fencing_token
+    };
+    let mut replication = controller.replication.borrow_mut();
+    let follower = replication.followed.entry(shard).or_default();
+    let anomalies_before = follower.anomalies();
+    let response = follower.receive(message, recorded_token);
+    let anomalies = follower.anomalies();
+    if anomalies != anomalies_before {
+        log::debug!(
+            "replication stream anomaly: shard={} duplicates={} gaps={} stale={}",
+            shard.0,
+            anomalies.duplicates,
+            anomalies.gaps,
+            anomalies.stale
+        );
+    }
+    Some(response)
+}
--- /dev/null
+++ b/src/coordination/replication/restore.rs
@@ -0,0 +1,96 @@
+//! After a failover: the new owner goes on with the queues and reservations of the former one.
+
+use crate::coordination::controller::Controller;
+use crate::coordination::peer_messages::GANG_RESERVATION_MS;
+use crate::state::cluster_state::ClusterState;
+use crate::state::names::{Index, JobIndex, ShardIndex};
+use crate::state::units::MonotonicMillis;
+use standby::message::{MachineState, QueuedTask};
+use standby::replica_state::ReplicaState;
+
+/// What a failover went on with.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
+pub struct Restored {
+    /// Tasks in queues.
+    pub queued_tasks: usize,
+    /// Machines reserved for gangs.
+    pub reservations: usize,
+}
+
+/// Goes on with what the former owner of a shard streamed, once this controller may decide for it.
+pub fn restore(controller: &Controller, shard: ShardIndex) {
+    let follower = controller.replication.borrow_mut().followed.remove(&shard);
+    let Some(follower) = follower else {
+        return;
+    };
+    let mut cluster = controller.cluster.borrow_mut();
+    // Only the state of the owner just before: an older one's queues have long been served.
+    let own_token = cluster.shards[shard.at()].record.fencing_token;
+    if follower.fencing_token().next() != own_token {
+        return;
+    }
+    let Some(replica) = follower.replica_state() else {
+        return;
+    };
+    let restored = restore_replica(&mut cluster, shard, replica, controller.now());
+    log::info!(
+        "replica restored: shard={} fencing_token={own_token} replica_of_token={} queued_tasks={} \
+         reservations={} last_decided_revision={}",
+        shard.0,
+        follower.fencing_token(),
+        restored.queued_tasks,
+        restored.reservations,
+        replica.last_decided()
+    );
+}
+
+/// Restores a former owner's queues and reservations, as far as they still make sense.
+pub fn restore_replica(
+    cluster: &mut ClusterState,
+    shard: ShardIndex,
+    replica: &ReplicaState,
+    now: MonotonicMillis,
+) -> Restored {
+    let mut restored = Restored::default();
+    for (name, state) in replica.machines() {
+        let waiting = waiting_tasks(cluster, &state.queue);
+        let gang = runnable_gang(cluster, state);
+        let Some(machine_index) = cluster.machine_names.find(name) else {
+            continue;
+        };
+        let Some(machine) = cluster
+            .machine_mut(machine_index)
+            .filter(|machine| machine.shard == shard)
+        else {
+            continue;
+        };
+        for (job, task) in waiting {
+            let mut queued = machine.queue.iter();
+            if !queued.any(|entry| (entry.0, entry.1) == (job, task)) {
+                machine.queue.push_back((job, task, now));
+                restored.queued_tasks += 1;
+            }
+        }
+        if let Some(gang) = gang {
+            machine.reservation = Some((gang, now.plus(GANG_RESERVATION_MS)));
+            restored.reservations += 1;
+        }
+    }
+    restored
+}
+
+/// The tasks of a queue that still wait by the records.
+fn waiting_tasks(cluster: &ClusterState, queue: &[QueuedTask]) -> Vec<(JobIndex, u32)> {
+    let still_waits = |queued: &QueuedTask| {
+        let (job_index, job) = cluster.job(&queued.job)?;
+        job.is_waiting(queued.task)
+            .then_some((job_index, queued.task))
+    };
+    queue.iter().filter_map(still_waits).collect()
+}
+
+/// The gang that a machine was reserved for, if it can still run.
+fn runnable_gang(cluster: &ClusterState, state: &MachineState) -> Option<JobIndex> {
+    let (gang, job) = cluster.job(state.reserved_for.as_ref()?)?;
+    job.is_runnable().then_some(gang)
+}
--- /dev/null
+++ b/src/coordination/replication/status.rs
@@ -0,0 +1,33 @@
+//! How far all shards and their standbys are, for operators.
+
+use crate::coordination::controller::Controller;
+use crate::protocol::peers::ShardStatus;
+use crate::state::names::{Index, ShardIndex};
+
+/// The status of all shards, as this controller sees them.
+pub fn shard_statuses(controller: &Controller) -> Vec<ShardStatus> {
+    controller.observe_shards();
+    let shards = controller.cluster.borrow().shards.len();
+    (0..shards)
+        .map(|at| shard_status(controller, ShardIndex::new(at)))
+        .collect()
+}
+
+fn shard_status(controller: &Controller, shard: ShardIndex) -> ShardStatus {
+    let cluster = controller.cluster.borrow();
+    let replication = controller.replication.borrow();
+    let record = &cluster.shards[shard.at()].record;
+    let failover_state = controller.failovers.borrow().state(shard.into());
+    let stream = replication.published.get(&shard);
+    let follower = replication.followed.get(&shard);
+    let complete = follower.filter(|follower| follower.replica_state().is_some());
+    ShardStatus {
+        shard: shard.0,
+        owner: record.owner.clone(),
+        fencing_token: record.fencing_token.0,
+        state: failover_state.name().to_string(),
+        standby: controller.standby_of.borrow().get(&shard).cloned(),
+        replication_lag: stream.and_then(|stream| stream.publisher.lag()),
+        replica_of_token: complete.map(|follower| follower.fencing_token().0),
+    }
+}
--- a/src/coordination/scheduler/claims.rs
+++ b/src/coordination/scheduler/claims.rs
@@ -13,7 +13,7 @@
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::{Job, Placement, Spec};
 use crate::state::machine::Machine;
-use crate::state::names::{Index, JobIndex, MachineIndex, ShardIndex, ZoneIndex};
+use crate::state::names::{Index, JobIndex, MachineIndex, ZoneIndex};
 use crate::state::units::{MonotonicMillis, Resources};
 use standby::permit::{Permit, Permits};
 use std::cmp::Reverse;
@@ -305,7 +305,7 @@
     on: &[(u32, MachineIndex, &Machine)],
     permit: &Permit,
 ) -> bool {
-    let payer = ShardIndex(permit.shard().0);
+    let payer = permit.shard().into();
     if !pay(
         cluster,
         config,
--- a/src/coordination/scheduler/commands.rs
+++ b/src/coordination/scheduler/commands.rs
@@ -27,7 +27,7 @@
     let Some(permit) = config.permit(cluster, permits, m.shard) else {
         return Vec::new();
     };
-    let token = permit.token();
+    let token = permit.fencing_token();
     let starts = config.may_start(cluster, now);
     let mut out = Vec::new();
     let mut again = Vec::new();
@@ -166,7 +166,7 @@
         let Some(permit) = permitted[m.shard.at()] else {
             continue;
         };
-        let token = permit.token();
+        let token = permit.fencing_token();
         let ready = m.is_schedulable(now, config.unresponsive_ms)
             && m.responses_in_progress == 0
             && m.fencing_token == token
--- a/src/coordination/scheduler/config.rs
+++ b/src/coordination/scheduler/config.rs
@@ -4,7 +4,6 @@
 use crate::state::cluster_state::ClusterState;
 use crate::state::names::{Index, ShardIndex};
 use crate::state::units::{Incarnation, MonotonicMillis};
-use standby::ids::ShardId;
 use standby::permit::{Permit, Permits};
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -76,8 +75,8 @@
         shard: ShardIndex,
     ) -> Option<&'p Permit> {
         let token = cluster.shards[shard.at()].record.fencing_token;
-        let permit = permits.get(ShardId(shard.0))?;
-        (self.owns(cluster, shard) && permit.token() == token).then_some(permit)
+        let permit = permits.get(shard.into())?;
+        (self.owns(cluster, shard) && permit.fencing_token() == token).then_some(permit)
     }
     /// The permits of all shards, by index: for loops over machines and placements.
     pub fn permitted<'p>(
--- a/src/coordination/scheduler/draft.rs
+++ b/src/coordination/scheduler/draft.rs
@@ -47,7 +47,7 @@
     /// Notes that the changes rest on the ownership that a permit stands for.
     pub(crate) fn require_ownership(&mut self, permit: &Permit) {
         self.shards
-            .insert(ShardIndex(permit.shard().0), permit.token());
+            .insert(permit.shard().into(), permit.fencing_token());
     }
     /// Shards whose ownership the changes rest on, with the tokens of the permits.
     pub fn shards(&self) -> &BTreeMap<ShardIndex, FencingToken> {
--- a/src/coordination/scheduler/planner.rs
+++ b/src/coordination/scheduler/planner.rs
@@ -21,6 +21,7 @@
 use crate::transport::{pause, TransportError};
 use http_types::Method;
 use standby::failover::Refusal;
+use standby::ids::Revision;
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -171,12 +172,12 @@
 /// Commits what a pass changes; true if another pass should follow at once.
 async fn commit_pass(controller: &Rc<Controller>, draft: &DraftTransaction) -> bool {
     let told = describe_claims(controller, draft);
-    let ended = replication::ended(controller, draft);
+    let ended = replication::ended_attempts(controller, draft);
     let (jobs, claims) = (draft.jobs.len(), draft.claims.len());
     match controller.commit_draft(draft).await {
         CommitOutcome::Committed(revision) => {
             log::debug!("committed at {revision}: {jobs} jobs, {claims} claims");
-            replication::note_committed(controller, draft, ended, revision);
+            replication::publish_committed(controller, draft, ended, Revision(revision));
             for line in told {
                 log::debug!("{line}");
             }
@@ -207,7 +208,12 @@
     for (shard, token) in draft.shards() {
         let key = controller.cluster.borrow().shard_key(*shard);
         if keys.contains(&key) {
-            controller.token_refused(*shard, Refusal::StateService { token: *token });
+            controller.token_refused(
+                *shard,
+                Refusal::KeyValueStore {
+                    fencing_token: *token,
+                },
+            );
         }
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -22,5 +22,6 @@
 mod record_ingestion;
 pub mod records;
 pub mod resource_totals;
+mod standby_ids;
 pub mod task_ranges;
 pub mod units;
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -454,7 +454,7 @@
     assert!(commands::orders(
         &mut c.cluster,
         &c.config,
-        c.takeovers.permits(),
+        c.failovers.permits(),
         mix,
         MonotonicMillis(0)
     )
@@ -651,14 +651,7 @@
             owned_since: c.owned_for_long(),
             ..membership::MembershipView::default()
         };
-        membership::moves(
-            &c.cluster,
-            &c.config,
-            &c.zones,
-            &known,
-            false,
-            MonotonicMillis(10_000),
-        )
+        c.assignment(&known, false, 10_000).moves()
     };
     // It owns all; the shard of the other zone goes there in any case.
     let to =
@@ -735,14 +728,7 @@
             owned_since: HashMap::from([(ShardIndex(1), MonotonicMillis(10_000))]),
             ..Default::default()
         };
-        membership::moves(
-            &c.cluster,
-            &c.config,
-            &c.zones,
-            &known,
-            false,
-            MonotonicMillis(now),
-        )
+        c.assignment(&known, false, now).moves()
     };
     assert!(moves(&c, 10_300).is_empty());
     assert!(moves(&c, 12_000).is_empty());
--- a/tests/golden_formats.rs
+++ b/tests/golden_formats.rs
@@ -31,7 +31,7 @@
 use pointhook::transport::http::{self, Answer};
 use serde_json::{json, Value};
 use standby::message::{
-    Answer as FollowerAnswer, Decision, MachineState, Message, QueuedTask, MAX_MESSAGE,
+    Decision, FollowerResponse, MachineState, Message, QueuedTask, MAX_MESSAGE_BYTES,
 };
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -364,32 +364,32 @@
 #[test]
 fn messages_of_the_standby() {
     let mut g = Group::new("standby.txt");
-    g.line("longest", &MAX_MESSAGE.to_string());
+    g.line("longest", &MAX_MESSAGE_BYTES.to_string());
     let task = |task| QueuedTask {
         job: "job-000412".into(),
         task,
     };
     let held = MachineState {
         queue: vec![task(3), task(70_000)],
-        held_for: Some("job-000007".into()),
+        reserved_for: Some("job-000007".into()),
     };
     let decisions = [
         (
             "machine",
-            Decision::Machine {
+            Decision::MachineChanged {
                 name: "n-000231".into(),
                 state: held.clone(),
             },
         ),
         (
             "gone",
-            Decision::Gone {
+            Decision::MachineRemoved {
                 name: "n-000000000007".into(),
             },
         ),
         (
             "claimed",
-            Decision::Claimed {
+            Decision::TaskClaimed {
                 task: task(4),
                 attempt: 8,
                 machine: "n-000231".into(),
@@ -398,27 +398,27 @@
         ),
         (
             "ended",
-            Decision::Ended {
+            Decision::AttemptEnded {
                 task: task(5),
                 attempt: 9,
                 revision: 5001,
             },
         ),
     ];
-    let tail = |decisions: Vec<Decision>| Message::Tail {
+    let tail = |decisions: Vec<Decision>| Message::LogTail {
         shard: 2,
-        token: 41,
-        first: 17,
+        fencing_token: 41,
+        first_sequence: 17,
         decisions,
     };
     let all = decisions.iter().map(|(_, d)| d.clone()).collect();
-    let snapshot = Message::Snapshot {
+    let snapshot = Message::SnapshotPart {
         shard: 2,
-        token: 41,
-        next: 18,
-        decided: 5001,
+        fencing_token: 41,
+        next_sequence: 18,
+        last_decided_revision: 5001,
         part: 3,
-        last: true,
+        is_last: true,
         machines: vec![
             ("n-000231".into(), held),
             ("n-000000000007".into(), MachineState::default()),
@@ -430,17 +430,17 @@
         g.archive(name, &message, Message::encode, Message::decode);
     }
     let answers = [
-        ("next", FollowerAnswer::Next(19)),
-        ("next part", FollowerAnswer::NextPart(4)),
-        ("needs snapshot", FollowerAnswer::NeedsSnapshot),
-        ("outranked", FollowerAnswer::Outranked(42)),
+        ("next", FollowerResponse::NextSequence(19)),
+        ("next part", FollowerResponse::NextPart(4)),
+        ("needs snapshot", FollowerResponse::NeedsSnapshot),
+        ("outranked", FollowerResponse::StaleFencingToken(42)),
     ];
     for (name, answer) in answers {
         g.archive(
             name,
             &answer,
-            FollowerAnswer::encode,
-            FollowerAnswer::decode,
+            FollowerResponse::encode,
+            FollowerResponse::decode,
         );
     }
     g.compare();
@@ -707,7 +707,7 @@
 #[test]
 fn words_of_values() {
     use pointhook::state::job::JobState;
-    use standby::failover::State;
+    use standby::failover::FailoverState;
     use standby::ids::{FencingToken, Revision};
     use users::{JobKind, Priority};
     use workers::{ExitReason, TaskState};
@@ -745,13 +745,28 @@
     ];
     g.line("end", &json!([ends, refusals]).to_string());
     assert!(read::<ExitReason>(json!("some new cause")) == ExitReason::Other);
-    let calm = [State::Idle, State::Following, State::Suspecting];
-    let (token, fence) = (FencingToken(41), Revision(5));
-    let owning = [State::CatchingUp { token, fence }, State::Active { token }];
-    let moving = [State::Fencing, owning[0], owning[1], State::SteppedDown];
+    let calm = [
+        FailoverState::Idle,
+        FailoverState::Following,
+        FailoverState::Suspecting,
+    ];
+    let (fencing_token, fence_revision) = (FencingToken(41), Revision(5));
+    let owning = [
+        FailoverState::CatchingUp {
+            fencing_token,
+            fence_revision,
+        },
+        FailoverState::Active { fencing_token },
+    ];
+    let moving = [
+        FailoverState::Fencing,
+        owning[0],
+        owning[1],
+        FailoverState::SteppedDown,
+    ];
     let names = [
-        calm.map(State::name).to_vec(),
-        moving.map(State::name).to_vec(),
+        calm.map(FailoverState::name).to_vec(),
+        moving.map(FailoverState::name).to_vec(),
     ];
     g.line("takeover", &json!(names).to_string());
     g.compare();
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -322,7 +322,7 @@
         let stops = preemption::preempt(
             &c.cluster,
             &c.config,
-            c.takeovers.permits(),
+            c.failovers.permits(),
             turn,
             MonotonicMillis(12_000),
             12_000,
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -259,7 +259,7 @@
         reconciliation::reconcile(
             &c.cluster,
             &c.config,
-            c.takeovers.permits(),
+            c.failovers.permits(),
             &mut d,
             MonotonicMillis(20),
         );
@@ -287,14 +287,14 @@
         reconciliation::reconcile(
             &c.cluster,
             &c.config,
-            c.takeovers.permits(),
+            c.failovers.permits(),
             &mut d,
             MonotonicMillis(now),
         );
         claims::claim(
             &c.cluster,
             &c.config,
-            c.takeovers.permits(),
+            c.failovers.permits(),
             &mut d,
             MonotonicMillis(now),
             now,
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -370,13 +370,13 @@
         quota_usage(8000, 2000)
     );
     let mut d = DraftTransaction::default();
-    quota::lower_unused_quota(&c.cluster, &c.config, c.takeovers.permits(), &mut d);
+    quota::lower_unused_quota(&c.cluster, &c.config, c.failovers.permits(), &mut d);
     assert!(d.team_quotas.is_empty());
     // Another shard's share that nothing uses goes, since a task waits.
     let mut rec = c.cluster.team_quotas[1].record.clone();
     rec.set(ShardIndex(0), quota_usage(8000, 2500));
     c.cluster.team_quotas[1].record = rec;
-    quota::lower_unused_quota(&c.cluster, &c.config, c.takeovers.permits(), &mut d);
+    quota::lower_unused_quota(&c.cluster, &c.config, c.failovers.permits(), &mut d);
     assert_eq!(
         d.team_quotas[&team].share(ShardIndex(0)),
         quota_usage(8000, 2000)
@@ -716,7 +716,7 @@
     assert!(preemption::preempt(
         &c.cluster,
         &c.config,
-        c.takeovers.permits(),
+        c.failovers.permits(),
         ShardIndex(1),
         MonotonicMillis(5000),
         5000
@@ -725,7 +725,7 @@
     let stops = preemption::preempt(
         &c.cluster,
         &c.config,
-        c.takeovers.permits(),
+        c.failovers.permits(),
         ShardIndex(0),
         MonotonicMillis(5000),
         5000,
@@ -741,7 +741,7 @@
     let stops = preemption::preempt(
         &c.cluster,
         &c.config,
-        c.takeovers.permits(),
+        c.failovers.permits(),
         ShardIndex(0),
         MonotonicMillis(5000),
         5000,
@@ -757,7 +757,7 @@
     assert!(preemption::preempt(
         &c.cluster,
         &c.config,
-        c.takeovers.permits(),
+        c.failovers.permits(),
         ShardIndex(0),
         MonotonicMillis(6000),
         9000
@@ -940,18 +940,9 @@
         owned_since: north.owned_for_long(),
         ..Default::default()
     };
-    let moves = |now| {
-        pointhook::coordination::membership::moves(
-            &north.cluster,
-            &north.config,
-            &north.zones,
-            &known,
-            false,
-            now,
-        )
-    };
-    assert!(moves(at(1000)).is_empty());
-    let m = moves(at(3000));
+    let moves = |now| north.assignment(&known, false, now).moves();
+    assert!(moves(1000).is_empty());
+    let m = moves(3000);
     assert_eq!(m.len(), 1);
     assert_eq!((m[0].shard, m[0].to.as_str()), (ShardIndex(1), "s1"));
     assert_eq!(
@@ -1097,7 +1088,7 @@
     let answer = heartbeats::reply(
         &mut c.cluster,
         &c.config,
-        c.takeovers.permits(),
+        c.failovers.permits(),
         &r,
         taken,
         MonotonicMillis(now + 20),
@@ -1170,14 +1161,7 @@
             owned_since: c.owned_for_long(),
             ..Default::default()
         };
-        let moves = pointhook::coordination::membership::moves(
-            &c.cluster,
-            &c.config,
-            &c.zones,
-            &known,
-            true,
-            MonotonicMillis(20_000),
-        );
+        let moves = c.assignment(&known, true, 20_000).moves();
         moves.iter().any(|m| m.shard == shard)
     };
     kept(&mut c, token.0);
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use pointhook::coordination::kv::CommitOutcome;
-use pointhook::coordination::membership::{moves, MembershipView, Move};
+use pointhook::coordination::membership::{MembershipView, Move};
 use pointhook::coordination::reconciliation;
 use pointhook::coordination::replication;
 use pointhook::coordination::scheduler::claims;
@@ -18,7 +18,7 @@
 use pointhook::state::names::ShardIndex;
 use pointhook::state::units::Incarnation;
 use pointhook::state::units::MonotonicMillis;
-use standby::failover::State;
+use standby::failover::FailoverState;
 use standby::follower::Follower;
 use standby::ids::ShardId;
 use standby::publisher::{Publisher, StreamLimits};
@@ -92,15 +92,15 @@
     assert!(answer.commands.is_empty(), "{:?}", answer.commands);
     assert!(d.standby.direct_starts(4500).is_empty());
     assert!(matches!(
-        d.standby.takeovers.state(ShardId(0)),
-        State::CatchingUp { .. }
+        d.standby.failovers.state(ShardId(0)),
+        FailoverState::CatchingUp { .. }
     ));
     // Once it has read the records it decides, and the task runs where it is.
     d.standby.sync(&d.store);
     d.standby.visit(&mut d.store, &mut d.worker, 5000);
     assert!(matches!(
-        d.standby.takeovers.state(ShardId(0)),
-        State::Active { .. }
+        d.standby.failovers.state(ShardId(0)),
+        FailoverState::Active { .. }
     ));
     assert_eq!(d.worker.started.len(), 1);
     assert!(other.has_task("job-1/0"));
@@ -173,18 +173,18 @@
     d.owner.submit(&mut d.store, job("job-2", 1), 1100);
     // A worker that has seen the new token tells the old owner, which has read nothing since.
     let report = d.worker.heartbeat(1200);
-    let before = d.owner.takeovers.permits().get(ShardId(0)).is_some();
+    let before = d.owner.failovers.permits().get(ShardId(0)).is_some();
     assert!(before);
     for now in [1200, 1300, 1400] {
         d.owner
             .refused_by_worker(NORTH, report.fencing_token.0, now);
     }
     assert_eq!(d.owner.stepped_down, [NORTH]);
-    assert!(d.owner.takeovers.permits().get(ShardId(0)).is_none());
+    assert!(d.owner.failovers.permits().get(ShardId(0)).is_none());
     // It reads the records and follows; the shard stays with the new owner.
     d.owner.sync(&d.store);
     d.owner.observe(1500);
-    assert_eq!(d.owner.takeovers.state(ShardId(0)), State::Idle);
+    assert_eq!(d.owner.failovers.state(ShardId(0)), FailoverState::Idle);
     assert_eq!(d.owner.stepped_down, [NORTH]);
 }
 
@@ -198,13 +198,13 @@
         take_north(&mut third, &mut d.store, 700),
         CommitOutcome::Conflict(_)
     ));
-    assert_eq!(third.takeovers.state(ShardId(0)), State::Suspecting);
+    assert_eq!(third.failovers.state(ShardId(0)), FailoverState::Suspecting);
     for c in [&mut d.standby, &mut third] {
         c.sync(&d.store);
         c.observe(800);
     }
-    assert!(d.standby.takeovers.permits().get(ShardId(0)).is_some());
-    assert!(third.takeovers.permits().get(ShardId(0)).is_none());
+    assert!(d.standby.failovers.permits().get(ShardId(0)).is_some());
+    assert!(third.failovers.permits().get(ShardId(0)).is_none());
 }
 
 #[test]
@@ -219,8 +219,11 @@
     third.sync(&d.store);
     third.visit(&mut d.store, &mut d.worker, 1000);
     assert_eq!(d.worker.started.len(), 1);
-    let permit = third.takeovers.permits().get(ShardId(0)).expect("a permit");
-    assert_eq!(permit.token(), third.cluster.shards[0].record.fencing_token);
+    let permit = third.failovers.permits().get(ShardId(0)).expect("a permit");
+    assert_eq!(
+        permit.fencing_token(),
+        third.cluster.shards[0].record.fencing_token
+    );
 }
 
 /// Nodes n1 and n2 in the north, s1 in the south, all there for long.
@@ -249,10 +252,9 @@
 }
 
 fn takers(nodes: &[Controller], known: &MembershipView, now: u64) -> Vec<String> {
-    let now = MonotonicMillis(now);
     let takes = |c: &&Controller| {
-        let all = moves(&c.cluster, &c.config, &c.zones, known, false, now);
-        all.iter().any(|m| m.shard == NORTH)
+        let moves = c.assignment(known, false, now).moves();
+        moves.iter().any(|m| m.shard == NORTH)
     };
     let takers = nodes.iter().filter(takes);
     takers.map(|c| c.config.controller_name.clone()).collect()
@@ -405,7 +407,7 @@
     d.owner.observe(650);
     take_over(&mut d.standby, &mut d.store, 700);
     d.owner.sync(&d.store);
-    let permits = d.owner.takeovers.permits();
+    let permits = d.owner.failovers.permits();
     assert!(permits.get(ShardId(0)).is_some());
     let mut draft = DraftTransaction::default();
     let (cluster, config) = (&d.owner.cluster, &d.owner.config);
@@ -444,12 +446,12 @@
     ]);
     machine.reservation = Some((held, MonotonicMillis(5000)));
     // It is told in a snapshot, and what changes then in the tail.
-    let mut publisher = Publisher::new(0, FencingToken(1), StreamLimits::default());
+    let mut publisher = Publisher::new(ShardId(0), FencingToken(1), StreamLimits::default());
     let mut follower = Follower::default();
     let mut tell = |owner: &Controller, publisher: &mut Publisher, now| {
         replication::publish_changes(&owner.cluster, NORTH, MonotonicMillis(now), publisher);
         while let Some(message) = publisher.next_message() {
-            publisher.answered(follower.take(&message, FencingToken(0)));
+            publisher.receive_response(follower.receive(&message, FencingToken(0)));
         }
         follower.clone()
     };
@@ -466,10 +468,10 @@
     let (m1, queued) = (d.standby.machine("m1"), d.standby.job_ix("job-2"));
     let machine = d.standby.cluster.machine_mut(m1).unwrap();
     machine.queue.push_back((queued, 5, MonotonicMillis(100)));
-    let shadow = follower.shadow().expect("no gap");
+    let shadow = follower.replica_state().expect("no gap");
     let restored =
         replication::restore_replica(&mut d.standby.cluster, NORTH, shadow, MonotonicMillis(900));
-    assert_eq!((restored.queued, restored.held), (2, 1));
+    assert_eq!((restored.queued_tasks, restored.reservations), (2, 1));
     let machine = d.standby.cluster.machine(m1).unwrap();
     let tasks: Vec<u32> = machine.queue.iter().map(|(_, task, _)| *task).collect();
     assert_eq!(tasks, [5, 7, 9]);
@@ -494,7 +496,7 @@
         &mut publisher,
     );
     assert_eq!(publisher.lag(), Some(1));
-    assert_eq!(publisher.shadow().len(), 0);
+    assert_eq!(publisher.replica_state().len(), 0);
 }
 
 #[test]
--- a/tests/support/controller.rs
+++ b/tests/support/controller.rs
@@ -27,8 +27,8 @@
 use pointhook::state::records::{RECORD_FORMAT_V2, STANDBY_VERSION};
 use pointhook::state::units::Incarnation;
 use pointhook::state::units::MonotonicMillis;
-use standby::failover::{Failovers, Refusal, State};
-use standby::ids::{FencingToken, Revision, ShardId};
+use standby::failover::{FailoverState, Failovers, Refusal};
+use standby::ids::{FencingToken, Millis, Revision, ShardId};
 use std::collections::{BTreeMap, HashMap};
 
 pub struct Controller {
@@ -45,7 +45,7 @@
     /// Whether it has the warm standby.
     pub standby: Standby,
     /// Takeovers of its shards, and the permits that they issue.
-    pub takeovers: Failovers,
+    pub failovers: Failovers,
     /// Shards that it has stepped down from, as it said.
     pub stepped_down: Vec<ShardIndex>,
     raised: u64,
@@ -162,7 +162,7 @@
             began: now,
             left: CancelledTaskSweeper::default(),
             known: membership::MembershipView::default(),
-            takeovers: Failovers::new(3),
+            failovers: Failovers::new(3),
             standby,
             stepped_down: Vec::new(),
             raised: 0,
@@ -226,17 +226,11 @@
 
     /// Takes and hands over shards as membership wants; the moves that were committed.
     pub fn members(&mut self, store: &mut FakeKvStore, now: u64) -> usize {
-        let moves = membership::moves(
-            &self.cluster,
-            &self.config,
-            &self.zones,
-            &membership::MembershipView {
-                owned_since: self.owned_for_long(),
-                ..Default::default()
-            },
-            true,
-            MonotonicMillis(now),
-        );
+        let view = membership::MembershipView {
+            owned_since: self.owned_for_long(),
+            ..Default::default()
+        };
+        let moves = self.assignment(&view, true, now).moves();
         let mut done = 0;
         for m in moves {
             let (txn, _) = membership::move_transaction(&self.cluster, &m).expect("a live target");
@@ -248,6 +242,23 @@
         done
     }
 
+    /// What it would decide on the owners of shards by a view.
+    pub fn assignment<'a>(
+        &'a self,
+        view: &'a membership::MembershipView,
+        may_raise_tokens: bool,
+        now: u64,
+    ) -> membership::Assignment<'a> {
+        membership::Assignment {
+            cluster: &self.cluster,
+            config: &self.config,
+            zones: &self.zones,
+            view,
+            may_raise_tokens,
+            now: MonotonicMillis(now),
+        }
+    }
+
     /// All shards, as if they had been here for long.
     pub fn owned_for_long(&self) -> HashMap<ShardIndex, MonotonicMillis> {
         let shards = (0..self.cluster.shards.len()).map(ShardIndex::new);
@@ -292,23 +303,26 @@
         out
     }
 
-    /// Brings takeovers up to date with the view.
+    /// Brings failovers up to date with the view.
     pub fn observe(&mut self, now: u64) {
         for at in 0..self.cluster.shards.len() {
             let shard = ShardIndex::new(at);
-            let standby =
-                membership::standby_of(&self.cluster, &self.known, shard, MonotonicMillis(now));
-            let standby = standby == Some(self.config.controller_name.as_str());
-            let heard = |_: &str| Some(MonotonicMillis(now));
-            let (cluster, config) = (&self.cluster, &self.config);
-            let seen =
-                failover::observation(cluster, config, shard, standby, heard, MonotonicMillis(now));
-            let id = ShardId(shard.0);
+            let now = MonotonicMillis(now);
+            let standby = membership::standby_of(&self.cluster, &self.known, shard, now);
+            let view = failover::ShardView {
+                cluster: &self.cluster,
+                config: &self.config,
+                shard,
+                is_standby: standby == Some(self.config.controller_name.as_str()),
+                owner_last_contact: Some(now),
+                now,
+            };
+            let observation = view.observe();
             for change in self
-                .takeovers
-                .observe(id, seen, failover::millis(MonotonicMillis(now)))
+                .failovers
+                .observe(shard.into(), observation, now.into())
             {
-                if change.to == State::SteppedDown {
+                if change.to == FailoverState::SteppedDown {
                     self.stepped_down.push(shard);
                 }
             }
@@ -321,10 +335,10 @@
             seen: FencingToken(seen),
         };
         let known = Revision(self.cluster.revision);
-        let now = failover::millis(MonotonicMillis(now));
+        let now = Millis(now);
         let change = self
-            .takeovers
-            .refused(ShardId(shard.0), refusal, known, now);
+            .failovers
+            .token_refused(ShardId(shard.0), refusal, known, now);
         if change.is_some() {
             self.stepped_down.push(shard);
         }
@@ -333,7 +347,7 @@
     /// What a pass would commit.
     pub fn draft(&mut self, now: u64) -> DraftTransaction {
         self.observe(now);
-        let permits = self.takeovers.permits();
+        let permits = self.failovers.permits();
         let mut d = DraftTransaction::batching(false, now);
         if now.is_multiple_of(1000) && !self.cascaded {
             d.cascade_budget = 2;
@@ -410,7 +424,7 @@
         let answer = heartbeats::reply(
             &mut self.cluster,
             &self.config,
-            self.takeovers.permits(),
+            self.failovers.permits(),
             r,
             (mix, token, taken),
             MonotonicMillis(now),
@@ -524,14 +538,7 @@
         if may_raise {
             self.raised = now;
         }
-        let moves = membership::moves(
-            cluster,
-            &self.config,
-            &self.zones,
-            &self.known,
-            may_raise,
-            MonotonicMillis(now),
-        );
+        let moves = self.assignment(&self.known, may_raise, now).moves();
         for m in moves {
             self.execute_moves(store, &m, now);
             self.sync(store);
@@ -548,9 +555,9 @@
         let Some((txn, record)) = membership::move_transaction(&self.cluster, m) else {
             return CommitOutcome::Refused(0);
         };
-        let (id, at) = (ShardId(m.shard.0), failover::millis(MonotonicMillis(now)));
+        let (id, at) = (ShardId(m.shard.0), Millis(now));
         if m.to == self.config.controller_name {
-            self.takeovers.fence_sent(id, at);
+            self.failovers.fence_sent(id, at);
         }
         let outcome = Self::send(store, &txn, now);
         match &outcome {
@@ -560,7 +567,7 @@
                 slot.record = record;
             }
             CommitOutcome::Conflict(_) | CommitOutcome::Refused(_) => {
-                self.takeovers.fence_refused(id, at);
+                self.failovers.fence_refused(id, at);
             }
             CommitOutcome::Unknown => {}
         }
@@ -587,7 +594,7 @@
 
     pub fn direct_starts(&mut self, now: u64) -> Vec<DirectStart> {
         self.observe(now);
-        let permits = self.takeovers.permits();
+        let permits = self.failovers.permits();
         commands::direct_starts(
             &mut self.cluster,
             &self.config,
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -513,7 +513,7 @@
             if now.is_multiple_of(1000) {
                 let turn = ShardIndex((now / 1000 % 2) as u32);
                 c.observe(now);
-                let permits = c.takeovers.permits();
+                let permits = c.failovers.permits();
                 let stops = preemption::preempt(
                     &c.cluster,
                     &c.config,
@@ -594,7 +594,7 @@
                 c.plan(&mut self.store, now);
                 c.observe(now);
                 let got = (mix, token, taken);
-                let permits = c.takeovers.permits();
+                let permits = c.failovers.permits();
                 let answer = heartbeats::reply(
                     &mut c.cluster,
                     &c.config,
