--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -7,7 +7,8 @@
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::draft::DraftTransaction;
-use crate::coordination::scheduler::quota;
+use crate::coordination::scheduler::quota::used_by_team;
+use crate::coordination::scheduler::starved_gangs::{fits_beside_services, reservation_expired};
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::{Job, Spec};
 use crate::state::names::{Index, JobIndex, TeamIndex};
@@ -42,7 +43,7 @@
 /// How many of each job's waiting tasks its team's quota lets run now, in the order in which the
 /// jobs are served.
 ///
-/// As in the scheduler (`quota::would_starve_gang`), younger work of a team leaves the quota to a
+/// As in the scheduler (`StarvedGangs::would_starve`), younger work of a team leaves the quota to a
 /// gang that waits for it. The rule stands here a second time because it counts differently: the
 /// scheduler compares running tasks with one gang's demand, this shares out what is left to all
 /// waiting jobs in turn, and the gang need not have waited for long. What both must agree on is
@@ -54,14 +55,14 @@
     for (job_index, job) in waiting_jobs(cluster, now) {
         let Some(spec) = &job.spec else { continue };
         let left_to_gang = teams_with_waiting_gang.contains(&spec.team);
-        if left_to_gang && !quota::reservation_expired(job, wall_ms) {
+        if left_to_gang && !reservation_expired(job, wall_ms) {
             continue;
         }
         let remaining = &mut remaining[spec.team.at()];
         let (tasks, after) = tasks_within_quota(job, spec, *remaining);
         if spec.is_wide_gang() && tasks < spec.tasks() {
             // A gang that services keep out of the quota would hold the team up for nothing.
-            if quota::fits_beside_services(cluster, spec) {
+            if fits_beside_services(cluster, spec) {
                 teams_with_waiting_gang.insert(spec.team);
             }
             continue;
@@ -85,7 +86,7 @@
     let teams = cluster.team_limits.iter().enumerate();
     teams
         .map(|(team, limits)| {
-            let used = quota::used_by_team(cluster, &no_draft, TeamIndex::new(team));
+            let used = used_by_team(cluster, &no_draft, TeamIndex::new(team));
             QuotaUsage {
                 cpu_milli: left(limits.limit.cpu_milli, used.cpu_milli),
                 gpu_milli: left(limits.limit.gpu_milli, used.gpu_milli),
--- a/src/coordination/autoscaler/placement.rs
+++ b/src/coordination/autoscaler/placement.rs
@@ -8,15 +8,18 @@
 
 use super::demand::{self, Demand};
 use super::supply::{Pool, Supply};
-use crate::coordination::scheduler::bin_packing;
 use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::coordination::scheduler::placement_rules::{
+    is_allowed, is_reserved_for_on_demand, JobRef, MachineRef, OfferedMachine, SpotWork,
+    TasksByZone,
+};
 use crate::protocol::users::Priority;
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::{Job, Spec};
 use crate::state::machine::MachineType;
 use crate::state::names::{Index, JobIndex, MachineIndex, MachineTypeIndex, ZoneIndex};
 use crate::state::units::{MonotonicMillis, Resources};
-use std::collections::{BTreeMap, HashMap, HashSet};
+use std::collections::{BTreeMap, HashSet};
 
 /// Tasks on one machine that its cost is shared by at most.
 const MAX_TASKS_PER_MACHINE: u32 = 64;
@@ -76,7 +79,7 @@
     priority: Priority,
     waited_ms: u64,
     /// Tasks by zone, those that run included.
-    tasks_by_zone: HashMap<ZoneIndex, u32>,
+    tasks_by_zone: TasksByZone,
     /// The only zone in which a gang of one zone can be complete.
     gang_zone: Option<ZoneIndex>,
 }
@@ -85,12 +88,7 @@
     fn new(planner: &ScaleOutPlanner<'a>, demand: &'a Demand) -> DemandPlacement<'a> {
         let cluster = planner.cluster;
         let job = demand.job.map(|index| (index, &cluster.jobs[index.at()]));
-        let mut tasks_by_zone: HashMap<ZoneIndex, u32> = HashMap::new();
-        for placement in job.iter().flat_map(|(_, job)| &job.placements) {
-            if let Some(zone) = cluster.shard_zone(placement.shard) {
-                *tasks_by_zone.entry(zone).or_default() += 1;
-            }
-        }
+        let tasks_by_zone = job.map(|(_, job)| TasksByZone::of_placements(cluster, job));
         let dependency_state = job.map(|(_, job)| &job.dependency_state);
         DemandPlacement {
             cluster,
@@ -99,9 +97,8 @@
             demand,
             job,
             priority: dependency_state.map_or(demand.spec.priority(), |d| d.priority),
-            waited_ms: dependency_state
-                .map_or(0, |d| planner.wall_ms.saturating_sub(d.eligible_since)),
-            tasks_by_zone,
+            waited_ms: job.map_or(0, |(_, job)| job.waited_ms(planner.wall_ms)),
+            tasks_by_zone: tasks_by_zone.unwrap_or_default(),
             gang_zone: None,
         }
     }
@@ -155,7 +152,7 @@
             }
             if let Some(machine) = supply.get_mut(next) {
                 machine.free = machine.free.minus(need);
-                self.count_task(machine.pool.zone);
+                self.tasks_by_zone.add(machine.pool.zone);
                 plan.needed_machines.extend(machine.machine);
                 continue;
             }
@@ -163,7 +160,7 @@
                 return;
             };
             *plan.machines_to_request.entry(pool).or_default() += 1;
-            self.count_task(pool.zone);
+            self.tasks_by_zone.add(pool.zone);
             supply.push(Supply {
                 pool,
                 free: capacity.minus(need),
@@ -172,10 +169,6 @@
         }
     }
 
-    fn count_task(&mut self, zone: ZoneIndex) {
-        *self.tasks_by_zone.entry(zone).or_default() += 1;
-    }
-
     /// The cheapest pool for the next task, and the capacity of a machine of it.
     fn pool_to_request(&self) -> Option<(Pool, Resources)> {
         let is_eligible = |pool: &Pool| {
@@ -205,11 +198,12 @@
     fn scheduler_allows(&self, supply: &Supply) -> bool {
         let machine_index = supply.machine;
         let machine = machine_index.and_then(|index| Some((index, self.cluster.machine(index)?)));
-        let (Some((machine_index, machine)), Some((job_index, job))) = (machine, self.job) else {
+        let (Some(on), Some((index, job))) = (machine, self.job) else {
             return true;
         };
         let spec = &self.demand.spec;
-        bin_packing::allowed(self.cluster, job, job_index, spec, machine_index, machine)
+        let job = JobRef { index, job, spec };
+        is_allowed(self.cluster, job, MachineRef::from(on))
     }
 
     /// True if the job allows machines of this pool beside its other tasks.
@@ -232,21 +226,23 @@
             Some(_) => self.demand.spec.zone_cap(),
             None => u32::MAX,
         };
-        let here = self.tasks_by_zone.get(&zone).copied().unwrap_or(0);
-        here < cap && (!self.one_zone() || self.tasks_by_zone.keys().all(|z| *z == zone))
+        let here = self.tasks_by_zone.count(zone);
+        here < cap && (!self.one_zone() || self.tasks_by_zone.are_all_in(zone))
     }
 
     /// True for on-demand machines that the job leaves to others for now.
     fn reserved_for_on_demand(&self, pool: &Pool, empty: bool) -> bool {
-        bin_packing::reserved_for_on_demand(
-            self.cluster,
-            self.config,
-            &self.demand.spec,
-            self.priority,
-            self.waited_ms,
-            (pool.machine_type, pool.spot),
-            empty,
-        )
+        let work = SpotWork {
+            spec: &self.demand.spec,
+            priority: self.priority,
+            waited_ms: self.waited_ms,
+        };
+        let offered = OfferedMachine {
+            machine_type: pool.machine_type,
+            spot: pool.spot,
+            is_empty: empty,
+        };
+        is_reserved_for_on_demand(self.cluster, self.config, work, offered)
     }
 
     /// True for on-demand machines if the tasks are only expected and may use spot machines:
--- a/src/coordination/autoscaler/supply.rs
+++ b/src/coordination/autoscaler/supply.rs
@@ -6,8 +6,8 @@
 //! Invariant: what was requested counts until the request is answered, so that no machine is
 //! requested twice for the same tasks.
 
-use crate::coordination::scheduler::bin_packing;
 use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::coordination::scheduler::free_capacity::free_capacity;
 use crate::protocol::cloud::ListedMachine;
 use crate::state::cluster_state::{ClusterState, ProvisioningRecord};
 use crate::state::machine::Machine;
@@ -61,7 +61,7 @@
     unresponsive_ms: u64,
     now: MonotonicMillis,
 ) -> Vec<Supply> {
-    let free = bin_packing::free_capacity(cluster, &DraftTransaction::default());
+    let free = free_capacity(cluster, &DraftTransaction::default());
     let provisioned: HashSet<&str> = cluster
         .provisioning_requests
         .values()
--- a/src/coordination/heartbeats.rs
+++ b/src/coordination/heartbeats.rs
@@ -176,7 +176,7 @@
     // A late copy is not what its worker waits for: no order in this answer would arrive.
     let newest = taken != HeartbeatChange::Stale && m.message_version == report.version();
     let orders = if newest {
-        commands::orders(cluster, config, permits, machine_index, now)
+        commands::heartbeat_commands(cluster, config, permits, machine_index, now)
     } else {
         Vec::new()
     };
--- a/src/coordination/job_api.rs
+++ b/src/coordination/job_api.rs
@@ -4,7 +4,7 @@
 use crate::coordination::controller::{wall_ms, Controller};
 use crate::coordination::kv::{set, CommitOutcome};
 use crate::coordination::scheduler::draft;
-use crate::coordination::scheduler::planner;
+use crate::coordination::scheduler::queues;
 use crate::protocol::kv::{Condition, Transaction};
 use crate::protocol::users::{parse_job, valid_id, JobSpec, JobStatus, MAX_DEPENDENCIES};
 use crate::state::cluster_state::ClusterState;
@@ -181,7 +181,7 @@
         .put_job(id, revision, record);
     let ix = controller.cluster.borrow().job_names.find(id);
     if let Some(ix) = ix {
-        planner::bind_job(controller, ix);
+        queues::bind_job(controller, ix);
     }
     log::debug!("job {id} accepted at {revision}");
     accepted(&controller.cluster.borrow(), id, revision)
--- a/src/coordination/peer_messages.rs
+++ b/src/coordination/peer_messages.rs
@@ -2,8 +2,10 @@
 
 use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::config::SchedulerConfig;
-use crate::coordination::scheduler::gangs;
-use crate::coordination::scheduler::planner;
+use crate::coordination::scheduler::gang_reservations::gang_reservations;
+use crate::coordination::scheduler::preemption_round::preempt_for_waiting;
+use crate::coordination::scheduler::queues::{self, QueueEnd};
+use crate::coordination::scheduler::work_stealing;
 use crate::coordination::{cancellations, replication};
 use crate::protocol::peers::{MachineStatus, PeerRequest, PeerResponse};
 use crate::state::cluster_state::ClusterState;
@@ -27,9 +29,9 @@
                 log::debug!("turns: {line}");
             }
         }
-        planner::prune_queues(&controller);
+        queues::prune_queues(&controller);
         reserve_for_gangs(&controller);
-        planner::preempt_for_waiting(&controller);
+        preempt_for_waiting(&controller);
         let now = controller.now();
         let machines =
             own_machine_statuses(&controller.cluster.borrow(), &controller.config, now, |s| {
@@ -184,7 +186,7 @@
     let now = controller.now();
     let holds = {
         let cluster = controller.cluster.borrow();
-        gangs::gang_reservations(
+        gang_reservations(
             &cluster,
             &controller.config,
             now,
@@ -330,7 +332,7 @@
             for (machine, t) in tasks {
                 let machine_index = controller.cluster.borrow().machine_names.find(&machine);
                 if let Some(machine_index) = machine_index {
-                    planner::enqueue(controller, machine_index, &t, false);
+                    queues::enqueue(controller, machine_index, &t, QueueEnd::Back);
                 }
             }
             controller.scheduling.notify();
@@ -351,7 +353,7 @@
             let given = idle.and_then(|i| {
                 asked
                     .into_iter()
-                    .find_map(|m| planner::hand_over(controller, m, i, false))
+                    .find_map(|m| work_stealing::hand_over(controller, m, i))
             });
             PeerResponse::StolenTask(given)
         }
--- /dev/null
+++ b/src/coordination/reconciliation/mod.rs
@@ -0,0 +1,21 @@
+//! Reconciliation of job records with what heartbeats and deletions of machines prove.
+//!
+//! This module decides when a placement may leave its job's record. The scheduler calls
+//! [`reconcile`] at the start of each pass and [`mark_abandoned`] before it sends the pass's
+//! transaction; the commands to workers rest on the same proofs. The invariant: a placement is
+//! removed only on proof that its attempt is not there and can't begin later, so that no task
+//! ever runs twice at the same time.
+
+mod gang_timeouts;
+mod overflow;
+mod placement_end;
+mod proofs;
+mod reconcile;
+mod unwanted_attempts;
+
+pub use gang_timeouts::{ended_by_gang_timeout, retry_gang_wait};
+pub use placement_end::{placement_end, PlacementEnd};
+pub use proofs::{lease_expired, proven_absent, start_in_flight, unacknowledged_start};
+pub use reconcile::reconcile;
+pub(crate) use unwanted_attempts::is_abandoned;
+pub use unwanted_attempts::{is_broken_gang, is_unwanted, mark_abandoned};
--- /dev/null
+++ b/src/coordination/reconciliation/reconcile.rs
@@ -0,0 +1,150 @@
+//! The first step of a scheduling pass: drafts the removal of placements that have ended.
+
+use super::overflow::move_to_overflow;
+use super::placement_end::{placement_end, PlacementEnd};
+use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::coordination::scheduler::pass::PassContext;
+use crate::protocol::users::JobKind;
+use crate::state::job::{Job, JobState, Placement};
+use crate::state::machine::{Machine, ObservedTask, TaskAttempt};
+use crate::state::names::{Index, JobIndex};
+use standby::permit::Permit;
+
+/// Takes what heartbeats and deletions prove into the draft.
+pub fn reconcile(pass: &PassContext, draft: &mut DraftTransaction) {
+    let permits = pass.permits_by_shard();
+    move_to_overflow(pass, draft);
+    rewrite_quotas_with_unknown_outcome(pass, draft);
+    write_cascaded_cancellations(pass, draft);
+    for (job_index, job) in pass.cluster.active_jobs() {
+        if pass.cluster.jobs_with_unknown_outcome.contains(&job_index) {
+            // A write with an unknown outcome may still be applied: writing the record once
+            // more, whatever it says, shuts the late one out.
+            let _ = draft.edit(pass.cluster, pass.config, job_index);
+        }
+        for placement in &job.placements {
+            let Some(proven) = proven_end(pass, &permits, job_index, job, placement) else {
+                continue;
+            };
+            let attempt = TaskAttempt::new(job_index, placement.task, placement.attempt);
+            if draft.batch_array_updates && can_wait_for_batch(pass, job, attempt, proven) {
+                continue;
+            }
+            record_end(pass, draft, job_index, placement, proven);
+        }
+    }
+}
+
+/// Writes team quotas with an unknown outcome once more, which shuts the late transaction out.
+fn rewrite_quotas_with_unknown_outcome(pass: &PassContext, draft: &mut DraftTransaction) {
+    for team in &pass.cluster.teams_with_unknown_outcome {
+        if draft.has_capacity_for(pass.cluster, pass.config, 1) {
+            let record = pass.cluster.team_quotas[team.at()].record.clone();
+            draft.team_quotas.insert(*team, record);
+        }
+    }
+}
+
+/// Writes down jobs that are cancelled with a dependency, a few at a time: they are so for every
+/// controller without being written, and a large graph should cost no burst of changes.
+fn write_cascaded_cancellations(pass: &PassContext, draft: &mut DraftTransaction) {
+    let unwritten = pass.cluster.dependency_graph.unwritten.iter();
+    let own = unwritten.filter(|job| {
+        let job = &pass.cluster.jobs[job.at()];
+        pass.planning_permit(job).is_some()
+    });
+    let chosen: Vec<JobIndex> = own.take(draft.cascade_budget).copied().collect();
+    for job_index in chosen {
+        let _ = draft.edit(pass.cluster, pass.config, job_index);
+    }
+}
+
+/// How a placement ended, and the permit on which this proof rests.
+#[derive(Clone, Copy)]
+struct ProvenEnd<'a> {
+    end: PlacementEnd,
+    /// `None` for a deletion, which is proof for everyone, whoever owns the shard.
+    permit: Option<&'a Permit>,
+    /// The machine, unless it is deleted.
+    machine: Option<&'a Machine>,
+}
+
+fn proven_end<'a>(
+    pass: &PassContext<'a>,
+    permits: &[Option<&'a Permit>],
+    job_index: JobIndex,
+    job: &Job,
+    placement: &Placement,
+) -> Option<ProvenEnd<'a>> {
+    if pass.cluster.is_deleted(placement.machine) {
+        return Some(ProvenEnd {
+            end: PlacementEnd::MachineDeleted,
+            permit: None,
+            machine: None,
+        });
+    }
+    let permit = permits.get(placement.shard.at()).copied().flatten()?;
+    let machine = pass.cluster.machine(placement.machine)?;
+    let fencing_token = pass.cluster.shards[machine.shard.at()].record.fencing_token;
+    let attempt = TaskAttempt::new(job_index, placement.task, placement.attempt);
+    let end = placement_end(pass, job, machine, attempt, fencing_token)?;
+    Some(ProvenEnd {
+        end,
+        permit: Some(permit),
+        machine: Some(machine),
+    })
+}
+
+/// True if a task's end may be written a little later, with others of its job: it is done, its
+/// job is an array that goes on, and its capacity counts as free already.
+fn can_wait_for_batch(
+    pass: &PassContext,
+    job: &Job,
+    attempt: TaskAttempt,
+    proven: ProvenEnd,
+) -> bool {
+    let shown_done = |machine: &Machine, attempt| {
+        let task = machine.observed(attempt);
+        task.is_some_and(ObservedTask::is_done)
+    };
+    let array = job.spec.as_ref().filter(|s| s.wire.kind == JobKind::Array);
+    let (Some(spec), Some(machine)) = (array, proven.machine) else {
+        return false;
+    };
+    if !job.is_open() || !shown_done(machine, attempt) {
+        return false;
+    }
+    let unwritten = job.placements.iter().filter(|p| {
+        let attempt = TaskAttempt::new(attempt.job, p.task, p.attempt);
+        let machine = pass.cluster.machine(p.machine);
+        !job.done.has(p.task) && machine.is_some_and(|machine| shown_done(machine, attempt))
+    });
+    job.done.count() as usize + unwritten.count() < spec.tasks() as usize
+}
+
+/// Drafts the removal of a placement that has ended, and the task's completion if it is done.
+fn record_end(
+    pass: &PassContext,
+    draft: &mut DraftTransaction,
+    job_index: JobIndex,
+    placement: &Placement,
+    proven: ProvenEnd,
+) {
+    let (cluster, config) = (pass.cluster, pass.config);
+    if !draft.include_overflow(cluster, config, job_index, placement.overflow_index) {
+        return;
+    }
+    let Some(job) = draft.edit(cluster, config, job_index) else {
+        return;
+    };
+    if proven.end.is_done() && job.is_open() {
+        job.complete_task(placement.task);
+        if job.state == JobState::Done && job.finished_at == 0 {
+            job.finished_at = pass.wall_ms;
+        }
+    }
+    job.remove_placement(placement.task, placement.attempt);
+    if let Some(permit) = proven.permit {
+        draft.require_ownership(permit);
+    }
+}
--- /dev/null
+++ b/src/coordination/scheduler/binding.rs
@@ -0,0 +1,185 @@
+//! Binding: the tasks of a job just accepted get a place in machines' queues.
+//!
+//! A pure decision on a view that may be stale, for machines of any owner; `queues` carries it
+//! out. Tasks that find all queues full stay unbound, and the next machine with free capacity
+//! claims them.
+
+use crate::coordination::scheduler::bin_packing::bin_packing_cost;
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::coordination::scheduler::free_capacity::{free_capacity, FreeCapacity};
+use crate::coordination::scheduler::placement_rules::{
+    is_allowed, is_empty, is_reserved_for_on_demand, JobRef, MachineRef, OfferedMachine, SpotWork,
+    TasksByZone,
+};
+use crate::state::cluster_state::ClusterState;
+use crate::state::job::Spec;
+use crate::state::names::{Index, JobIndex, MachineIndex};
+use crate::state::units::{MonotonicMillis, Resources};
+use std::collections::HashMap;
+
+/// Machines looked at when there are more: a sample in place of a full search.
+pub const SAMPLE: usize = 64;
+
+/// Binds a job's waiting tasks: to the machine in the stale view that suits best, else to the
+/// shortest queue under the cap.
+pub fn bind(
+    cluster: &ClusterState,
+    config: &SchedulerConfig,
+    job_index: JobIndex,
+    now: MonotonicMillis,
+    wall_ms: u64,
+) -> Vec<(u32, MachineIndex)> {
+    let job = &cluster.jobs[job_index.at()];
+    let spec = job.spec.as_ref().filter(|spec| !spec.is_wide_gang());
+    let Some(spec) = spec else {
+        return Vec::new();
+    };
+    let job_ref = JobRef {
+        index: job_index,
+        job,
+        spec,
+    };
+    let free = free_capacity_beside_queues(cluster);
+    let machines = sample_machines(cluster, config, job_ref, &free, now);
+    let mut binder = Binder {
+        cluster,
+        config,
+        work: SpotWork {
+            spec,
+            priority: job.dependency_state.priority,
+            waited_ms: job.waited_ms(wall_ms),
+        },
+        queue_lengths: queue_lengths(&machines),
+        machines,
+        free,
+        by_zone: TasksByZone::of_placements(cluster, job),
+    };
+    let mut bound = Vec::new();
+    for task in job.waiting_tasks() {
+        let Some(on) = binder.choose() else { break };
+        binder.take(on);
+        bound.push((task, on.index));
+    }
+    bound
+}
+
+/// Free capacity once all that waits in queues has started where it waits.
+fn free_capacity_beside_queues(cluster: &ClusterState) -> FreeCapacity {
+    let mut free = free_capacity(cluster, &DraftTransaction::default());
+    for (machine_index, machine) in cluster.all_machines() {
+        for (job_index, task, _) in &machine.queue {
+            let job = &cluster.jobs[job_index.at()];
+            if !job.is_waiting(*task) {
+                continue;
+            }
+            if let Some(spec) = &job.spec {
+                free.take(machine_index, spec.need);
+            }
+        }
+    }
+    free
+}
+
+/// A sample of the machines that may run the job.
+///
+/// Machines with free capacity and the image are few, and a sample of hundreds misses most of
+/// them: so they are sampled apart from the others.
+fn sample_machines<'a>(
+    cluster: &'a ClusterState,
+    config: &SchedulerConfig,
+    job: JobRef,
+    free: &FreeCapacity,
+    now: MonotonicMillis,
+) -> Vec<MachineRef<'a>> {
+    let machines = cluster.all_machines().map(MachineRef::from);
+    let candidates = machines.filter(|on| {
+        on.machine.is_schedulable(now, config.unresponsive_ms)
+            && on.machine.reservation.is_none()
+            && is_allowed(cluster, job, *on)
+    });
+    let (mut ready, mut others): (Vec<_>, Vec<_>) = candidates.partition(|on| {
+        on.machine.has_image(job.spec.image)
+            && free.get(on.index).is_some_and(|f| job.spec.need.fits(f))
+    });
+    for list in [&mut ready, &mut others] {
+        while list.len() > SAMPLE {
+            list.swap_remove(fastrand::usize(..list.len()));
+        }
+    }
+    ready.extend(others);
+    ready
+}
+
+fn queue_lengths(machines: &[MachineRef]) -> HashMap<MachineIndex, usize> {
+    let length = |on: &MachineRef| {
+        let told_by_owner = on.machine.owner_queue_length.into();
+        on.machine.queue.len().max(told_by_owner)
+    };
+    machines.iter().map(|on| (on.index, length(on))).collect()
+}
+
+/// Chooses machines for the tasks of one job, one after another.
+struct Binder<'a> {
+    cluster: &'a ClusterState,
+    config: &'a SchedulerConfig,
+    work: SpotWork<'a>,
+    machines: Vec<MachineRef<'a>>,
+    free: FreeCapacity,
+    queue_lengths: HashMap<MachineIndex, usize>,
+    by_zone: TasksByZone,
+}
+
+impl<'a> Binder<'a> {
+    /// The machine for the next task; `None` if no queue takes it.
+    fn choose(&self) -> Option<MachineRef<'a>> {
+        self.best_fitting().or_else(|| self.shortest_queue())
+    }
+
+    /// The machine with free capacity that suits the task best.
+    fn best_fitting(&self) -> Option<MachineRef<'a>> {
+        let costs = self.machines.iter().filter_map(|on| {
+            let free = self.free.get(on.index)?;
+            self.fits(*on, free).then(|| {
+                let cost = bin_packing_cost(self.cluster, self.spec(), on.machine, free);
+                (cost, *on)
+            })
+        });
+        let best = costs.min_by_key(|(cost, on)| (*cost, on.index));
+        best.map(|(_, on)| on)
+    }
+
+    fn fits(&self, on: MachineRef, free: Resources) -> bool {
+        let offered = OfferedMachine {
+            machine_type: on.machine.machine_type,
+            spot: on.machine.spot,
+            is_empty: is_empty(self.cluster, on.machine, free),
+        };
+        self.zone_has_capacity(on)
+            && self.spec().need.fits(free)
+            && !is_reserved_for_on_demand(self.cluster, self.config, self.work, offered)
+    }
+
+    fn shortest_queue(&self) -> Option<MachineRef<'a>> {
+        let machines = self.machines.iter().copied();
+        machines
+            .filter(|on| {
+                self.zone_has_capacity(*on) && self.queue_lengths[&on.index] < self.config.queue_cap
+            })
+            .min_by_key(|on| self.queue_lengths[&on.index])
+    }
+
+    fn zone_has_capacity(&self, on: MachineRef) -> bool {
+        self.by_zone.count(on.machine.zone) < self.spec().zone_cap()
+    }
+
+    fn take(&mut self, on: MachineRef) {
+        self.free.take(on.index, self.work.spec.need);
+        *self.queue_lengths.entry(on.index).or_default() += 1;
+        self.by_zone.add(on.machine.zone);
+    }
+
+    fn spec(&self) -> &'a Spec {
+        self.work.spec
+    }
+}
--- /dev/null
+++ b/src/coordination/scheduler/direct_start_delivery.rs
@@ -0,0 +1,97 @@
+//! Sends direct starts to workers and takes in their responses. The planner calls it after its
+//! passes; what to send is decided in `direct_starts`.
+
+use crate::coordination::controller::{Controller, Direct};
+use crate::coordination::heartbeats;
+use crate::coordination::scheduler::direct_starts::{
+    direct_starts, record_direct_start_outcome, DirectStart, DirectStartOutcome,
+};
+use crate::protocol::workers::{DirectCommands, Heartbeat};
+use crate::transport::http::{Client, Fetched};
+use crate::transport::TransportError;
+use http_types::Method;
+use std::rc::Rc;
+
+/// Longest wait for a worker's response to direct commands.
+const WORKER_TIMEOUT_MS: u64 = 2000;
+
+/// Sends starts that can't wait for the next heartbeat.
+pub(super) fn send_direct_starts(controller: &Rc<Controller>) {
+    let mut connections: Vec<Direct> = Vec::new();
+    // What finds no connection goes out in the response to the machine's next heartbeat.
+    let reserve_connection = || {
+        let connection = controller.acquire_worker_connection();
+        connection.map(|c| connections.push(c)).is_some()
+    };
+    let permits = controller.permits();
+    let starts = direct_starts(
+        &mut controller.cluster.borrow_mut(),
+        &controller.config,
+        &permits,
+        controller.now(),
+        reserve_connection,
+    );
+    for (start, connection) in starts.into_iter().zip(connections) {
+        let delivery = deliver(controller.clone(), start);
+        let task = async move {
+            delivery.await;
+            drop(connection);
+        };
+        controller.executor.spawn(task).detach();
+    }
+}
+
+async fn deliver(controller: Rc<Controller>, start: DirectStart) {
+    let Ok(addr) = start.addr.parse() else {
+        return;
+    };
+    let commands = DirectCommands {
+        fencing_token: start.fencing_token,
+        agent_epoch: start.agent_epoch,
+        commands: start.commands.clone(),
+    };
+    let Ok(body) = rmp_serde::to_vec_named(&commands) else {
+        return;
+    };
+    let response = Client::new(addr)
+        .call(Method::Post, "/commands", body, WORKER_TIMEOUT_MS)
+        .await;
+    record_response(&controller, &start, response);
+}
+
+fn record_response(
+    controller: &Controller,
+    start: &DirectStart,
+    response: Result<Fetched, TransportError>,
+) {
+    let outcome = outcome_of(&response);
+    if outcome == DirectStartOutcome::Unknown {
+        // It may run minutes later: the fencing token of this shard has to be raised.
+        log::info!("direct start outcome unknown: address={}", start.addr);
+    }
+    let answer = response.ok().filter(is_answer);
+    if answer.is_some() {
+        controller.record_worker_contact();
+    }
+    let mut cluster = controller.cluster.borrow_mut();
+    record_direct_start_outcome(&mut cluster, start, outcome);
+    let heartbeat = answer.and_then(|f| rmp_serde::from_slice::<Heartbeat>(&f.body).ok());
+    if let Some(heartbeat) = heartbeat {
+        let now = controller.now();
+        heartbeats::take(&mut cluster, start.machine, &heartbeat, now, None);
+    }
+}
+
+/// True for the worker's own responses; any other status may come from what is in between.
+fn is_answer(response: &Fetched) -> bool {
+    matches!(response.status, 200 | 409)
+}
+
+fn outcome_of(response: &Result<Fetched, TransportError>) -> DirectStartOutcome {
+    match response {
+        Ok(f) if f.status == 200 => DirectStartOutcome::Executed,
+        Ok(f) if is_answer(f) => DirectStartOutcome::Refused,
+        Err(TransportError::Connect { .. }) => DirectStartOutcome::Refused,
+        _ => DirectStartOutcome::Unknown,
+    }
+}
--- a/src/coordination/scheduler/draft.rs
+++ b/src/coordination/scheduler/draft.rs
@@ -1,4 +1,8 @@
 //! The draft of one transaction: what a scheduling pass changes, and what that rests on.
+//!
+//! The steps of a pass edit the draft one after another; the key-value store's module turns it
+//! into a compare-and-swap transaction. A draft never grows beyond what one transaction holds:
+//! what does not fit is left out and `truncated` is set.
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::state::cluster_state::{ClusterState, TeamRecord};
@@ -9,38 +13,35 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most bytes of records in a transaction.
-const TXN_BYTES: usize = 48 * 1024;
+const MAX_TRANSACTION_BYTES: usize = 48 * 1024;
 
 /// Changes to be committed together.
 #[derive(Default, Debug)]
 pub struct DraftTransaction {
     /// Jobs as they shall be.
     pub jobs: BTreeMap<JobIndex, Job>,
-    /// Shards whose ownership the changes rest on, with the tokens of the permits.
+    /// Shards whose ownership the changes rest on, with the fencing tokens of the permits.
     shards: BTreeMap<ShardIndex, FencingToken>,
-    /// Teams' shares as they shall be.
+    /// Teams' quota shares as they shall be.
     pub team_quotas: BTreeMap<TeamIndex, TeamRecord>,
     /// New placements.
     pub claims: Vec<(JobIndex, Placement)>,
-    /// Leave small news of arrays for later, when more of it is written at once.
+    /// Leave small updates of arrays for later, when more of them are written at once.
     pub batch_array_updates: bool,
-    /// Parts of jobs' records that change with them.
+    /// Overflow records of jobs that change with them.
     pub overflow_records: BTreeSet<(JobIndex, u16)>,
-    /// Jobs cancelled with others that this pass may write down.
+    /// How many jobs cancelled with a dependency this pass may write down.
     pub cascade_budget: usize,
-    /// Time of day of this pass, ms; 0: not known.
-    pub wall_ms: u64,
-    /// Something was left out for which the transaction or a team's share had no room.
+    /// Something was left out because the transaction or a team's quota share was full.
     pub truncated: bool,
     bytes: usize,
 }
 
 impl DraftTransaction {
-    /// A draft that may leave arrays' small news for later.
-    pub fn batching(defer: bool, wall_ms: u64) -> DraftTransaction {
+    /// A draft that may leave small updates of arrays for later.
+    pub fn batching(batch_array_updates: bool) -> DraftTransaction {
         DraftTransaction {
-            batch_array_updates: defer,
-            wall_ms,
+            batch_array_updates,
             ..DraftTransaction::default()
         }
     }
@@ -49,7 +50,7 @@
         self.shards
             .insert(permit.shard().into(), permit.fencing_token());
     }
-    /// Shards whose ownership the changes rest on, with the tokens of the permits.
+    /// Shards whose ownership the changes rest on, with the fencing tokens of the permits.
     pub fn shards(&self) -> &BTreeMap<ShardIndex, FencingToken> {
         &self.shards
     }
@@ -57,53 +58,57 @@
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty() && self.team_quotas.is_empty()
     }
-    /// True if `more` changed keys still go into the transaction.
-    pub(crate) fn has_room(
+    /// True if this many more changed keys still go into the transaction.
+    pub(crate) fn has_capacity_for(
         &self,
         cluster: &ClusterState,
         config: &SchedulerConfig,
-        more: usize,
+        additional_keys: usize,
     ) -> bool {
-        let changes = self.jobs.len() + self.team_quotas.len() + self.overflow_records.len();
-        changes + more <= config.limits(cluster).txn_ops && self.bytes < TXN_BYTES
+        let keys = self.jobs.len() + self.team_quotas.len() + self.overflow_records.len();
+        keys + additional_keys <= config.limits(cluster).txn_ops
+            && self.bytes < MAX_TRANSACTION_BYTES
     }
-    /// Notes that a part of a job's record changes; false if the transaction is full.
+    /// Notes that an overflow record of a job changes; false if the transaction is full.
     pub(crate) fn include_overflow(
         &mut self,
         cluster: &ClusterState,
         config: &SchedulerConfig,
-        ix: JobIndex,
-        part: u16,
+        job_index: JobIndex,
+        overflow_index: u16,
     ) -> bool {
-        if part == 0 || self.overflow_records.contains(&(ix, part)) {
+        let record = (job_index, overflow_index);
+        if overflow_index == 0 || self.overflow_records.contains(&record) {
             return true;
         }
-        if !self.has_room(cluster, config, 1) {
+        if !self.has_capacity_for(cluster, config, 1) {
             self.truncated = true;
             return false;
         }
-        self.overflow_records.insert((ix, part))
+        self.overflow_records.insert(record)
     }
     /// The job as drafted so far.
-    pub fn job<'a>(&'a self, cluster: &'a ClusterState, ix: JobIndex) -> &'a Job {
-        self.jobs.get(&ix).unwrap_or(&cluster.jobs[ix.at()])
+    pub fn job<'a>(&'a self, cluster: &'a ClusterState, job_index: JobIndex) -> &'a Job {
+        self.jobs
+            .get(&job_index)
+            .unwrap_or(&cluster.jobs[job_index.at()])
     }
     /// The job, to change it; `None` if the transaction is full.
     pub(crate) fn edit(
         &mut self,
         cluster: &ClusterState,
         config: &SchedulerConfig,
-        ix: JobIndex,
+        job_index: JobIndex,
     ) -> Option<&mut Job> {
-        if !self.jobs.contains_key(&ix) {
-            if !self.has_room(cluster, config, 1) {
+        if !self.jobs.contains_key(&job_index) {
+            if !self.has_capacity_for(cluster, config, 1) {
                 self.truncated = true;
                 return None;
             }
-            let job = cluster.jobs[ix.at()].clone();
+            let job = cluster.jobs[job_index.at()].clone();
             self.bytes += job.record_bytes();
-            self.jobs.insert(ix, job);
+            self.jobs.insert(job_index, job);
         }
-        self.jobs.get_mut(&ix)
+        self.jobs.get_mut(&job_index)
     }
 }
--- /dev/null
+++ b/src/coordination/scheduler/gang_reservations.rs
@@ -0,0 +1,137 @@
+//! Reservations: machines are kept free for gangs that have waited for long.
+//!
+//! A pure decision, carried out by the status round. All controllers derive the same order of
+//! gangs, and a machine is reserved for the first that wants it: two gangs never hold halves of
+//! what either needs.
+
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::coordination::scheduler::job_order::waiting_gangs;
+use crate::coordination::scheduler::placement_rules::{is_allowed, JobRef, MachineRef};
+use crate::coordination::scheduler::starved_gangs::fits_beside_services;
+use crate::state::cluster_state::ClusterState;
+use crate::state::names::{Index, JobIndex, MachineIndex, ZoneIndex};
+use crate::state::units::{MonotonicMillis, Resources};
+
+/// Machines to be reserved for the gangs of this controller that wait for too long.
+pub fn gang_reservations(
+    cluster: &ClusterState,
+    config: &SchedulerConfig,
+    now: MonotonicMillis,
+    wall_ms: u64,
+) -> Vec<(JobIndex, Vec<MachineIndex>)> {
+    let gangs = gangs_to_reserve_for(cluster, config, now, wall_ms);
+    if gangs.is_empty() {
+        return Vec::new();
+    }
+    let mut machines = machines_by_load(cluster, config, now);
+    let mut reservations = Vec::new();
+    for job_index in gangs {
+        let job = &cluster.jobs[job_index.at()];
+        let Some(spec) = &job.spec else { continue };
+        let gang = JobRef {
+            index: job_index,
+            job,
+            spec,
+        };
+        let Some(chosen) = least_loaded_machines(cluster, gang, &machines) else {
+            continue;
+        };
+        // Taken from all later gangs, also where another controller reserves them.
+        machines.retain(|loaded| !chosen.contains(&loaded.on.index));
+        if config.owns(cluster, cluster.planning_shard(&job.id)) {
+            reservations.push((job_index, chosen));
+        }
+    }
+    reservations
+}
+
+/// Gangs that have waited for long, in the order of service.
+///
+/// Not those that their team's services keep out of its limit: they would keep machines free for
+/// nothing.
+fn gangs_to_reserve_for(
+    cluster: &ClusterState,
+    config: &SchedulerConfig,
+    now: MonotonicMillis,
+    wall_ms: u64,
+) -> Vec<JobIndex> {
+    let mut gangs = waiting_gangs(cluster, now);
+    gangs.retain(|job_index| {
+        let job = &cluster.jobs[job_index.at()];
+        let spec = job.spec.as_ref();
+        job.waited_ms(wall_ms) >= config.gang_reservation_after_ms
+            && spec.is_some_and(|spec| fits_beside_services(cluster, spec))
+    });
+    gangs
+}
+
+/// A machine with what it has in all and what is in use of that.
+struct LoadedMachine<'a> {
+    on: MachineRef<'a>,
+    load: i64,
+    capacity: Resources,
+}
+
+/// All schedulable machines, those that are nearly free first. The order is the same for all
+/// gangs, so it is made once.
+fn machines_by_load<'a>(
+    cluster: &'a ClusterState,
+    config: &SchedulerConfig,
+    now: MonotonicMillis,
+) -> Vec<LoadedMachine<'a>> {
+    let mut machines: Vec<LoadedMachine> = cluster
+        .all_machines()
+        .map(MachineRef::from)
+        .filter(|on| on.machine.is_schedulable(now, config.unresponsive_ms))
+        .filter_map(|on| {
+            let machine_type = cluster.machine_types.get(&on.machine.machine_type)?;
+            let capacity = machine_type.capacity;
+            let used = capacity.minus(cluster.free_on(on.index).unwrap_or_default());
+            let load = used.gpu + used.cpu;
+            Some(LoadedMachine { on, load, capacity })
+        })
+        .collect();
+    machines.sort_unstable_by_key(|loaded| (loaded.load, loaded.on.index));
+    machines
+}
+
+/// A machine for each task of a gang, of the zone where they have the least load if the gang must
+/// be in one; `None` if there are too few.
+fn least_loaded_machines(
+    cluster: &ClusterState,
+    gang: JobRef,
+    machines: &[LoadedMachine],
+) -> Option<Vec<MachineIndex>> {
+    let zones = cluster.zone_names.len();
+    // Without a zone to be in, the first choice holds for all of them.
+    let zones = if gang.spec.wire.one_zone {
+        zones
+    } else {
+        zones.min(1)
+    };
+    let choices = (0..zones).filter_map(|zone| {
+        let zone = ZoneIndex::new(zone);
+        least_loaded_in_zone(cluster, gang, machines, zone)
+    });
+    let best = choices.min_by_key(|(load, _)| *load);
+    best.map(|(_, chosen)| chosen)
+}
+
+fn least_loaded_in_zone(
+    cluster: &ClusterState,
+    gang: JobRef,
+    machines: &[LoadedMachine],
+    zone: ZoneIndex,
+) -> Option<(i64, Vec<MachineIndex>)> {
+    let tasks = gang.spec.tasks() as usize;
+    let usable = machines.iter().filter(|loaded| {
+        (!gang.spec.wire.one_zone || loaded.on.machine.zone == zone)
+            && gang.spec.need.fits(loaded.capacity)
+            && is_allowed(cluster, gang, loaded.on)
+    });
+    let (loads, chosen): (Vec<i64>, Vec<MachineIndex>) = usable
+        .map(|loaded| (loaded.load, loaded.on.index))
+        .take(tasks)
+        .unzip();
+    (chosen.len() == tasks).then(|| (loads.iter().sum(), chosen))
+}
--- /dev/null
+++ b/src/coordination/scheduler/preemption_round.rs
@@ -0,0 +1,41 @@
+//! Carries out preemption: marks the victims that `preemption` chooses. The status round calls it
+//! once a second.
+
+use crate::coordination::controller::{wall_ms, Controller};
+use crate::coordination::scheduler::pass::PassContext;
+use crate::coordination::scheduler::preemption;
+use crate::state::names::{Index, ShardIndex};
+
+/// Time that a shard has for preemption until it is the next one's turn.
+const SHARD_TURN_MS: u64 = 2000;
+
+/// Marks tasks to be stopped for work of a higher priority.
+pub fn preempt_for_waiting(controller: &Controller) {
+    let permits = controller.permits();
+    let victims = {
+        let cluster = controller.cluster.borrow();
+        let pass = PassContext {
+            cluster: &cluster,
+            config: &controller.config,
+            permits: &permits,
+            now: controller.now(),
+            wall_ms: wall_ms(),
+        };
+        // The last shard is the autoscaler's and has no machines.
+        let shards = cluster.shards.len() - 1;
+        let turn = (pass.wall_ms / SHARD_TURN_MS) as usize % shards;
+        preemption::preempt(&pass, ShardIndex::new(turn))
+    };
+    let mut cluster = controller.cluster.borrow_mut();
+    for victim in victims {
+        log::info!(
+            "task preempted for a higher priority: job={} task={} machine={}",
+            cluster.jobs[victim.attempt.job.at()].id,
+            victim.attempt.task,
+            cluster.machine_names.name(victim.machine)
+        );
+        if let Some(machine) = cluster.machine_mut(victim.machine) {
+            machine.stopping.insert(victim.attempt, victim.grace_s);
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/scheduler/work_stealing.rs
@@ -0,0 +1,199 @@
+//! Work stealing: an idle machine polls a few random machines with queues and takes the first
+//! queued task that fits.
+//!
+//! The planner calls [`WorkStealing::steal`] with the machines for which its last pass found
+//! nothing; the handler of peer messages calls [`hand_over`] for the polls of other controllers.
+//! Queues are hints: a task that is lost on its way is unbound again, since the job's record alone
+//! says what has been started.
+
+use crate::coordination::controller::Controller;
+use crate::coordination::scheduler::placement_rules::{is_allowed, JobRef, MachineRef};
+use crate::coordination::scheduler::queues::{enqueue, QueueEnd, PEER_TIMEOUT_MS};
+use crate::protocol::peers::{PeerRequest, PeerResponse, TaskRef};
+use crate::protocol::workers::HeartbeatVersion;
+use crate::state::cluster_state::ClusterState;
+use crate::state::machine::Machine;
+use crate::state::names::{Index, JobIndex, MachineIndex, ShardIndex};
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// A machine that has tasks in its queue.
+#[derive(Clone, Copy)]
+struct MachineWithQueue {
+    machine_index: MachineIndex,
+    shard: ShardIndex,
+}
+
+/// Remembers for which message each machine polled last: it polls once for each.
+#[derive(Default)]
+pub(super) struct WorkStealing {
+    last_poll: HashMap<MachineIndex, HeartbeatVersion>,
+}
+
+impl WorkStealing {
+    /// Drops what is remembered of machines that are no more.
+    pub(super) fn forget_deleted_machines(&mut self, cluster: &ClusterState) {
+        self.last_poll
+            .retain(|machine_index, _| cluster.machine(*machine_index).is_some());
+    }
+
+    /// Idle machines poll a few random others, once for each of their heartbeats.
+    pub(super) fn steal(&mut self, controller: &Rc<Controller>, idle: &[MachineIndex]) {
+        // Machines with queues, looked up once for all that poll now.
+        let mut queues: Option<Vec<MachineWithQueue>> = None;
+        for machine_index in idle.iter().copied() {
+            if let Some(polled) = self.choose_polled(controller, machine_index, &mut queues) {
+                poll(controller, machine_index, polled);
+            }
+        }
+    }
+
+    /// The machines that an idle machine polls; `None` if it has polled since its last heartbeat.
+    fn choose_polled(
+        &mut self,
+        controller: &Controller,
+        idle: MachineIndex,
+        queues: &mut Option<Vec<MachineWithQueue>>,
+    ) -> Option<Vec<MachineWithQueue>> {
+        let cluster = controller.cluster.borrow();
+        let version = cluster.machine(idle)?.message_version;
+        if self.last_poll.get(&idle) == Some(&version) {
+            return None;
+        }
+        let queues = queues.get_or_insert_with(|| machines_with_queues(&cluster));
+        let others = queues.iter().copied().filter(|q| q.machine_index != idle);
+        let polled = fastrand::choose_multiple(others, controller.operator.polls);
+        self.last_poll.insert(idle, version);
+        Some(polled)
+    }
+}
+
+fn machines_with_queues(cluster: &ClusterState) -> Vec<MachineWithQueue> {
+    let has_queue = |machine: &Machine| !machine.queue.is_empty() || machine.owner_queue_length > 0;
+    cluster
+        .all_machines()
+        .filter(|(_, machine)| has_queue(machine))
+        .map(|(machine_index, machine)| MachineWithQueue {
+            machine_index,
+            shard: machine.shard,
+        })
+        .collect()
+}
+
+/// Takes a task from an own machine's queue if one fits, else asks the owners of the others.
+fn poll(controller: &Rc<Controller>, idle: MachineIndex, polled: Vec<MachineWithQueue>) {
+    let mut by_owner: HashMap<String, Vec<String>> = HashMap::new();
+    for MachineWithQueue {
+        machine_index,
+        shard,
+    } in polled
+    {
+        let owner = {
+            let cluster = controller.cluster.borrow();
+            cluster.shards[shard.at()].record.owner.clone()
+        };
+        if owner == controller.config.controller_name {
+            if steal_locally(controller, machine_index, idle) {
+                controller.scheduling.notify();
+                return;
+            }
+        } else {
+            let machine = machine_name(controller, machine_index);
+            by_owner.entry(owner).or_default().push(machine);
+        }
+    }
+    for (owner, machines) in by_owner {
+        let request = poll_peer(controller.clone(), owner, machines, idle);
+        controller.executor.spawn(request).detach();
+    }
+}
+
+async fn poll_peer(
+    controller: Rc<Controller>,
+    owner: String,
+    machines: Vec<String>,
+    idle: MachineIndex,
+) {
+    let idle_machine = machine_name(&controller, idle);
+    let Some(peer) = controller.peer(&owner) else {
+        return;
+    };
+    let request = PeerRequest::StealWork {
+        idle_machine,
+        machines,
+    };
+    let response = peer.client.ask(&request, PEER_TIMEOUT_MS).await;
+    if let Ok(PeerResponse::StolenTask(Some(task))) = response {
+        if enqueue(&controller, idle, &task, QueueEnd::Front) {
+            controller.scheduling.notify();
+        }
+    }
+}
+
+fn machine_name(controller: &Controller, machine_index: MachineIndex) -> String {
+    let cluster = controller.cluster.borrow();
+    cluster.machine_names.name(machine_index).to_string()
+}
+
+/// Takes the first task of a machine's queue that fits the idle machine of another controller.
+/// The giver drops it from its queue.
+pub fn hand_over(
+    controller: &Controller,
+    giver: MachineIndex,
+    idle: MachineIndex,
+) -> Option<TaskRef> {
+    let (job_index, task) = take_fitting(controller, giver, idle)?;
+    let cluster = controller.cluster.borrow();
+    let job = cluster.jobs[job_index.at()].id.to_string();
+    Some(TaskRef { job, task })
+}
+
+/// Moves the first task of an own machine's queue that fits to another own machine's.
+fn steal_locally(controller: &Controller, giver: MachineIndex, idle: MachineIndex) -> bool {
+    let Some((job_index, task)) = take_fitting(controller, giver, idle) else {
+        return false;
+    };
+    let now = controller.now();
+    let mut cluster = controller.cluster.borrow_mut();
+    let Some(machine) = cluster.machine_mut(idle) else {
+        return false;
+    };
+    machine.queue.push_front((job_index, task, now));
+    true
+}
+
+/// Removes the first task that fits the idle machine from an owned machine's queue.
+fn take_fitting(
+    controller: &Controller,
+    giver: MachineIndex,
+    idle: MachineIndex,
+) -> Option<(JobIndex, u32)> {
+    let position = first_fitting(controller, giver, idle)?;
+    let mut cluster = controller.cluster.borrow_mut();
+    let (job_index, task, _) = cluster.machine_mut(giver)?.queue.remove(position)?;
+    Some((job_index, task))
+}
+
+fn first_fitting(
+    controller: &Controller,
+    giver: MachineIndex,
+    idle: MachineIndex,
+) -> Option<usize> {
+    let permits = controller.permits();
+    let cluster = controller.cluster.borrow();
+    let giver = cluster.machine(giver)?;
+    controller.config.permit(&cluster, &permits, giver.shard)?;
+    let on = MachineRef {
+        index: idle,
+        machine: cluster.machine(idle)?,
+    };
+    let free = cluster.free_on(idle)?;
+    giver.queue.iter().position(|(job_index, task, _)| {
+        let job = &cluster.jobs[job_index.at()];
+        let Some(spec) = job.spec.as_ref().filter(|_| job.is_waiting(*task)) else {
+            return false;
+        };
+        let index = *job_index;
+        spec.need.fits(free) && is_allowed(&cluster, JobRef { index, job, spec }, on)
+    })
+}
--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -247,6 +247,10 @@
     pub fn is_runnable(&self) -> bool {
         self.is_open() && !self.dependency_state.blocked
     }
+    /// How long it could have run, ms: since its submission or the end of its last dependency.
+    pub fn waited_ms(&self, wall_ms: u64) -> u64 {
+        wall_ms.saturating_sub(self.dependency_state.eligible_since)
+    }
     /// True once nothing more will happen to it: it is over and has no placements.
     pub fn is_settled(&self) -> bool {
         !self.is_open() && self.placements.is_empty()
--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -25,7 +25,7 @@
 };
 use pointhook::coordination::controller::finish_times;
 use pointhook::coordination::scheduler::draft::DraftTransaction;
-use pointhook::coordination::scheduler::{claims, gangs, job_order};
+use pointhook::coordination::scheduler::{binding, gang_reservations, job_order};
 use pointhook::protocol::cloud::{ListedMachine, ProvisioningRequest};
 use pointhook::protocol::users::{JobKind, JobSpec, Priority};
 use pointhook::settings::Objective;
@@ -146,7 +146,7 @@
     let now = w.now;
     for c in w.nodes.iter_mut().flatten() {
         for (ix, machines) in
-            gangs::gang_reservations(&c.cluster, &c.config, MonotonicMillis(now), now)
+            gang_reservations::gang_reservations(&c.cluster, &c.config, MonotonicMillis(now), now)
         {
             for mix in machines {
                 let id = c.cluster.jobs[ix.at()].id.to_string();
@@ -172,8 +172,14 @@
         for job in
             job_order::waiting_jobs(&c.cluster, &c.config, &draft, MonotonicMillis(w.now), w.now)
         {
-            let id = c.cluster.jobs[job.ix.at()].id.to_string();
-            let queues = claims::bind(&c.cluster, &c.config, job.ix, MonotonicMillis(w.now), w.now);
+            let id = c.cluster.jobs[job.job_index.at()].id.to_string();
+            let queues = binding::bind(
+                &c.cluster,
+                &c.config,
+                job.job_index,
+                MonotonicMillis(w.now),
+                w.now,
+            );
             let name = |m: MachineIndex| c.cluster.machine_names.name(m).to_string();
             let queues: Vec<_> = queues.into_iter().map(|(t, m)| (t, name(m))).collect();
             digest::note("queued", w.now, &(&c.config.controller_name, id, queues));
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -451,7 +451,7 @@
     assert_eq!(c.job("job-1").state, JobState::Done);
     // A repeated start after the end of a job has no placement to rest on.
     let mix = c.machine("m1");
-    assert!(commands::orders(
+    assert!(commands::heartbeat_commands(
         &mut c.cluster,
         &c.config,
         c.failovers.permits(),
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use pointhook::coordination::scheduler::planner;
+use pointhook::coordination::scheduler::queues;
 use pointhook::coordination::{heartbeats, peer_messages};
 use pointhook::protocol::peers::{self, PeerRequest, TaskRef};
 use pointhook::protocol::workers::AgentEpoch;
@@ -74,7 +74,7 @@
         })
         .collect();
     let mut told = Vec::new();
-    for ask in planner::bind_requests(&bound) {
+    for ask in queues::bind_requests(&bound) {
         assert_fits_a_frame(&ask);
         if let PeerRequest::Bind { tasks } = ask {
             told.extend(tasks);
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -41,7 +41,7 @@
     let lowered = {
         let c = w.node(c);
         let mut d = draft::DraftTransaction::default();
-        quota::lower_unused_quota(&c.cluster, &c.config, c.failovers.permits(), &mut d);
+        quota::lower_unused_quota(&c.pass(0), &mut d);
         assert!(d.team_quotas.contains_key(&team));
         d
     };
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -299,7 +299,6 @@
 #[test]
 fn what_an_urgent_job_needs_is_not_stopped_for_another_urgent_one() {
     use pointhook::state::names::ShardIndex;
-    use pointhook::state::units::MonotonicMillis;
     for needed in [false, true] {
         let (mut store, mut c) = one();
         let mut w = support::worker::FakeWorker::new("m1", "north", 0);
@@ -319,14 +318,7 @@
         c.submit(&mut store, other, 4000);
         support::controller::play(&mut c, &mut store, &mut [&mut w], 4000, 12_000);
         let turn = ShardIndex(0);
-        let stops = preemption::preempt(
-            &c.cluster,
-            &c.config,
-            c.failovers.permits(),
-            turn,
-            MonotonicMillis(12_000),
-            12_000,
-        );
+        let stops = preemption::preempt(&c.pass(12_000), turn);
         assert_eq!(stops.len(), usize::from(!needed));
     }
 }
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -4,11 +4,12 @@
 
 use pointhook::coordination::controller::finish_times;
 use pointhook::coordination::reconciliation;
+use pointhook::coordination::scheduler::binding;
 use pointhook::coordination::scheduler::claims;
 use pointhook::coordination::scheduler::draft;
-use pointhook::coordination::scheduler::gangs;
-use pointhook::coordination::scheduler::job_order;
-use pointhook::coordination::scheduler::planner::Changes;
+use pointhook::coordination::scheduler::gang_reservations::gang_reservations;
+use pointhook::coordination::scheduler::job_order::{self, ServiceTier};
+use pointhook::coordination::scheduler::write_budget::WriteBudget;
 use pointhook::coordination::{heartbeats, peer_messages};
 use pointhook::protocol::peers::{self, MachineStatus, PeerRequest};
 use pointhook::protocol::users::{JobKind, Priority};
@@ -48,7 +49,7 @@
     let ix = c.job_ix("job-1");
     for _ in 0..20 {
         assert_eq!(
-            claims::bind(&c.cluster, &c.config, ix, MonotonicMillis(10), 10),
+            binding::bind(&c.cluster, &c.config, ix, MonotonicMillis(10), 10),
             [(0, warm)]
         );
     }
@@ -106,7 +107,7 @@
     let jobs = job_order::waiting_jobs(&c.cluster, &c.config, &draft, MonotonicMillis(wall), wall);
     let names = jobs
         .iter()
-        .map(|w| c.cluster.jobs[w.ix.0 as usize].id.to_string());
+        .map(|w| c.cluster.jobs[w.job_index.0 as usize].id.to_string());
     names.collect()
 }
 
@@ -169,9 +170,7 @@
         if now == 10_000 {
             c.submit(&mut store, gang.clone(), now);
         }
-        for (ix, machines) in
-            gangs::gang_reservations(&c.cluster, &c.config, MonotonicMillis(now), now)
-        {
+        for (ix, machines) in gang_reservations(&c.cluster, &c.config, MonotonicMillis(now), now) {
             for m in machines {
                 c.cluster.machine_mut(m).unwrap().reservation =
                     Some((ix, MonotonicMillis(now + 4000)));
@@ -256,13 +255,7 @@
     let mut changes = 0;
     loop {
         let mut d = draft::DraftTransaction::default();
-        reconciliation::reconcile(
-            &c.cluster,
-            &c.config,
-            c.failovers.permits(),
-            &mut d,
-            MonotonicMillis(20),
-        );
+        reconciliation::reconcile(&c.pass(20), &mut d);
         if d.is_empty() {
             break;
         }
@@ -283,22 +276,9 @@
     play(&mut c, &mut store, &mut [&mut w], 0, 1500);
     assert_eq!(c.job("job-1").placements.len(), 4);
     let later = |c: &Controller, now| {
-        let mut d = draft::DraftTransaction::batching(true, 0);
-        reconciliation::reconcile(
-            &c.cluster,
-            &c.config,
-            c.failovers.permits(),
-            &mut d,
-            MonotonicMillis(now),
-        );
-        claims::claim(
-            &c.cluster,
-            &c.config,
-            c.failovers.permits(),
-            &mut d,
-            MonotonicMillis(now),
-            now,
-        );
+        let mut d = draft::DraftTransaction::batching(true);
+        reconciliation::reconcile(&c.pass(now), &mut d);
+        claims::claim(&c.pass(now), &mut d);
         d
     };
     // Three of four are done: nothing is written yet, but what is urgent has their room.
@@ -327,13 +307,14 @@
 #[test]
 fn the_nearer_the_limit_on_changes_the_longer_arrays_news_is_gathered() {
     let passes = |a_second: u64| {
-        let mut changes = Changes::default();
+        let mut write_budget = WriteBudget::default();
         let (mut total, mut now, mut whole) = (0, 0, 0);
         while now < 20_000 {
-            whole += u32::from(!changes.defer(MonotonicMillis(now), total, 70.0));
+            whole +=
+                u32::from(!write_budget.batch_array_updates(MonotonicMillis(now), total, 70.0));
             now += 100;
             total = a_second * now / 1000;
-            assert!(changes.wait_ms(MonotonicMillis(now)) <= 700);
+            assert!(write_budget.planner_sleep_ms(MonotonicMillis(now)) <= 700);
         }
         whole
     };
@@ -375,17 +356,17 @@
     );
     let mut c = begun_at_once(c, &mut store, "job-1", 40);
     // Younger work keeps coming that can make the first time.
-    let back = |c: &Controller, age: u64| {
+    let tier = |c: &Controller, age: u64| {
         let job = c.job("job-1");
-        job_order::put_back(&c.config, job, job.spec.as_ref().unwrap(), age * 1000 + 1)
+        job_order::service_tier(&c.config, job, job.spec.as_ref().unwrap(), age * 1000 + 1)
     };
-    assert_eq!(back(&c, 100), 1);
+    assert_eq!(tier(&c, 100), ServiceTier::OnTime);
     // It can't make 150 s any more, but the last: it goes first before that is in doubt.
-    assert_eq!(back(&c, 141), 0);
-    assert_eq!(back(&c, 300), 0);
+    assert_eq!(tier(&c, 141), ServiceTier::First);
+    assert_eq!(tier(&c, 300), ServiceTier::First);
     // Once that is gone too, it goes behind, but for one second of five.
-    assert_eq!(back(&c, 341), 3);
-    assert_eq!(back(&c, 345), 0);
+    assert_eq!(tier(&c, 341), ServiceTier::Late);
+    assert_eq!(tier(&c, 345), ServiceTier::First);
     // With a deadline of its own that it missed early, it is patient for a while.
     c.config
         .completion_targets
@@ -395,10 +376,14 @@
     c.submit(&mut store, spec, 1);
     c.plan(&mut store, 10);
     let job = c.job("job-2");
-    let at =
-        |age: u64| job_order::put_back(&c.config, job, job.spec.as_ref().unwrap(), age * 1000 + 1);
+    let at = |age: u64| {
+        job_order::service_tier(&c.config, job, job.spec.as_ref().unwrap(), age * 1000 + 1)
+    };
     assert!(!job.placements.is_empty());
-    assert_eq!((at(40), at(61), at(139), at(140)), (1, 2, 2, 0));
+    assert_eq!(at(40), ServiceTier::OnTime);
+    assert_eq!(at(61), ServiceTier::LateForFirst);
+    assert_eq!(at(139), ServiceTier::LateForFirst);
+    assert_eq!(at(140), ServiceTier::First);
 }
 
 /// Adds machines and a job of which some tasks have begun.
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -6,7 +6,8 @@
 use pointhook::coordination::kv::{apply_outcome, transaction, watch_is_stale, CommitOutcome};
 use pointhook::coordination::reconciliation;
 use pointhook::coordination::scheduler::draft::DraftTransaction;
-use pointhook::coordination::scheduler::gangs;
+use pointhook::coordination::scheduler::gang_reservations::gang_reservations;
+use pointhook::coordination::scheduler::pass::PassContext;
 use pointhook::coordination::scheduler::preemption;
 use pointhook::coordination::scheduler::quota;
 use pointhook::protocol::users::{JobKind, Priority};
@@ -370,13 +371,13 @@
         quota_usage(8000, 2000)
     );
     let mut d = DraftTransaction::default();
-    quota::lower_unused_quota(&c.cluster, &c.config, c.failovers.permits(), &mut d);
+    quota::lower_unused_quota(&c.pass(0), &mut d);
     assert!(d.team_quotas.is_empty());
     // Another shard's share that nothing uses goes, since a task waits.
     let mut rec = c.cluster.team_quotas[1].record.clone();
     rec.set(ShardIndex(0), quota_usage(8000, 2500));
     c.cluster.team_quotas[1].record = rec;
-    quota::lower_unused_quota(&c.cluster, &c.config, c.failovers.permits(), &mut d);
+    quota::lower_unused_quota(&c.pass(0), &mut d);
     assert_eq!(
         d.team_quotas[&team].share(ShardIndex(0)),
         quota_usage(8000, 2000)
@@ -639,7 +640,7 @@
         FakeWorker::new("m2", "south", 0),
     );
     play(&mut c, &mut store, &mut [&mut w1, &mut w2], 0, 1000);
-    let holds = gangs::gang_reservations(&c.cluster, &c.config, MonotonicMillis(1000), 10_000);
+    let holds = gang_reservations(&c.cluster, &c.config, MonotonicMillis(1000), 10_000);
     assert_eq!(holds.len(), 1);
     assert_eq!(holds[0].0, c.job_ix("job-1"));
     assert_eq!(holds[0].1.len(), 2);
@@ -713,40 +714,18 @@
     prod.priority = Priority::Production;
     prod.vcpus = 8.0;
     c.submit(&mut store, prod, 3000);
-    assert!(preemption::preempt(
-        &c.cluster,
-        &c.config,
-        c.failovers.permits(),
-        ShardIndex(1),
-        MonotonicMillis(5000),
-        5000
-    )
-    .is_empty());
-    let stops = preemption::preempt(
-        &c.cluster,
-        &c.config,
-        c.failovers.permits(),
-        ShardIndex(0),
-        MonotonicMillis(5000),
-        5000,
-    );
+    assert!(preemption::preempt(&c.pass(5000), ShardIndex(1)).is_empty());
+    let stops = preemption::preempt(&c.pass(5000), ShardIndex(0));
     assert_eq!(stops.len(), 1);
-    assert_eq!(stops[0].1.job, c.job_ix("job-1"));
-    assert!(stops[0].2 >= 2.0);
+    assert_eq!(stops[0].attempt.job, c.job_ix("job-1"));
+    assert!(stops[0].grace_s >= 2.0);
     // For two tasks two are stopped, and not one of them twice.
     let mut second = job("job-5", 1);
     second.priority = Priority::Production;
     second.vcpus = 8.0;
     c.submit(&mut store, second, 3000);
-    let stops = preemption::preempt(
-        &c.cluster,
-        &c.config,
-        c.failovers.permits(),
-        ShardIndex(0),
-        MonotonicMillis(5000),
-        5000,
-    );
-    let stopped: HashSet<_> = stops.iter().map(|s| s.1).collect();
+    let stops = preemption::preempt(&c.pass(5000), ShardIndex(0));
+    let stopped: HashSet<_> = stops.iter().map(|s| s.attempt).collect();
     assert_eq!((stops.len(), stopped.len()), (2, 2));
     c.cancel(&mut store, "job-5", 5000);
     // Work of the same priority stops nothing.
@@ -755,12 +734,11 @@
     c.cancel(&mut store, "job-3", 5000);
     c.submit(&mut store, same, 5000);
     assert!(preemption::preempt(
-        &c.cluster,
-        &c.config,
-        c.failovers.permits(),
-        ShardIndex(0),
-        MonotonicMillis(6000),
-        9000
+        &PassContext {
+            wall_ms: 9000,
+            ..c.pass(6000)
+        },
+        ShardIndex(0)
     )
     .is_empty());
 }
@@ -1034,9 +1012,8 @@
         500,
         8000,
     );
-    let holds = |c: &Controller| {
-        gangs::gang_reservations(&c.cluster, &c.config, MonotonicMillis(8000), 8000)
-    };
+    let holds =
+        |c: &Controller| gang_reservations(&c.cluster, &c.config, MonotonicMillis(8000), 8000);
     assert!(holds(&c).is_empty());
     // Once the service is cancelled the gang may come about, and machines are kept for it.
     c.cancel(&mut store, "job-1", 8000);
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -410,16 +410,9 @@
     let permits = d.owner.failovers.permits();
     assert!(permits.get(ShardId(0)).is_some());
     let mut draft = DraftTransaction::default();
-    let (cluster, config) = (&d.owner.cluster, &d.owner.config);
-    reconciliation::reconcile(cluster, config, permits, &mut draft, MonotonicMillis(800));
-    claims::claim(
-        cluster,
-        config,
-        permits,
-        &mut draft,
-        MonotonicMillis(800),
-        800,
-    );
+    let pass = d.owner.pass(800);
+    reconciliation::reconcile(&pass, &mut draft);
+    claims::claim(&pass, &mut draft);
     assert!(draft.is_empty(), "{draft:?}");
 }
 
--- a/tests/support/controller.rs
+++ b/tests/support/controller.rs
@@ -8,10 +8,10 @@
 use pointhook::coordination::kv::{apply_outcome, set, transaction, CommitOutcome};
 use pointhook::coordination::reconciliation;
 use pointhook::coordination::scheduler::claims;
-use pointhook::coordination::scheduler::commands;
-use pointhook::coordination::scheduler::commands::DirectStart;
 use pointhook::coordination::scheduler::config::SchedulerConfig;
+use pointhook::coordination::scheduler::direct_starts::{direct_starts, DirectStart};
 use pointhook::coordination::scheduler::draft::DraftTransaction;
+use pointhook::coordination::scheduler::pass::PassContext;
 use pointhook::coordination::scheduler::quota;
 use pointhook::coordination::{failover, heartbeats, membership};
 use pointhook::protocol::cloud::MachineTypeCatalog;
@@ -347,30 +347,28 @@
     /// What a pass would commit.
     pub fn draft(&mut self, now: u64) -> DraftTransaction {
         self.observe(now);
-        let permits = self.failovers.permits();
-        let mut d = DraftTransaction::batching(false, now);
+        let pass = self.pass(now);
+        let mut d = DraftTransaction::batching(false);
         if now.is_multiple_of(1000) && !self.cascaded {
             d.cascade_budget = 2;
         }
-        reconciliation::reconcile(
-            &self.cluster,
-            &self.config,
-            permits,
-            &mut d,
-            MonotonicMillis(now),
-        );
-        claims::claim(
-            &self.cluster,
-            &self.config,
-            permits,
-            &mut d,
-            MonotonicMillis(now),
-            now,
-        );
-        quota::lower_unused_quota(&self.cluster, &self.config, permits, &mut d);
+        reconciliation::reconcile(&pass, &mut d);
+        claims::claim(&pass, &mut d);
+        quota::lower_unused_quota(&pass, &mut d);
         d
     }
 
+    /// What a pass looks at, with the same time of day as of the steady clock.
+    pub fn pass(&self, now: u64) -> PassContext<'_> {
+        PassContext {
+            cluster: &self.cluster,
+            config: &self.config,
+            permits: self.failovers.permits(),
+            now: MonotonicMillis(now),
+            wall_ms: now,
+        }
+    }
+
     /// Passes until nothing changes any more.
     pub fn plan(&mut self, store: &mut FakeKvStore, now: u64) {
         self.cascaded = false;
@@ -595,7 +593,7 @@
     pub fn direct_starts(&mut self, now: u64) -> Vec<DirectStart> {
         self.observe(now);
         let permits = self.failovers.permits();
-        commands::direct_starts(
+        direct_starts(
             &mut self.cluster,
             &self.config,
             permits,
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -10,8 +10,9 @@
 use pointhook::coordination::kv::CommitOutcome;
 use pointhook::coordination::membership;
 use pointhook::coordination::peer_messages;
-use pointhook::coordination::scheduler::commands;
-use pointhook::coordination::scheduler::commands::DirectStartOutcome;
+use pointhook::coordination::scheduler::direct_starts::{
+    record_direct_start_outcome, DirectStartOutcome,
+};
 use pointhook::coordination::scheduler::preemption;
 use pointhook::coordination::worker_connectivity;
 use pointhook::protocol::users::{JobKind, JobSpec};
@@ -513,25 +514,16 @@
             if now.is_multiple_of(1000) {
                 let turn = ShardIndex((now / 1000 % 2) as u32);
                 c.observe(now);
-                let permits = c.failovers.permits();
-                let stops = preemption::preempt(
-                    &c.cluster,
-                    &c.config,
-                    permits,
-                    turn,
-                    MonotonicMillis(now),
-                    now,
-                );
-                for (mix, a, grace) in stops {
-                    if let Some(m) = c.cluster.machine_mut(mix) {
-                        m.stopping.insert(a, grace);
+                for victim in preemption::preempt(&c.pass(now), turn) {
+                    if let Some(machine) = c.cluster.machine_mut(victim.machine) {
+                        machine.stopping.insert(victim.attempt, victim.grace_s);
                     }
                 }
             }
             for p in c.direct_starts(now) {
                 let name = c.cluster.machine_names.name(p.machine).clone();
                 let how = self.command(at, &name, commands(&p));
-                commands::record_direct_start_outcome(&mut c.cluster, &p, how);
+                record_direct_start_outcome(&mut c.cluster, &p, how);
             }
             self.announce_ownership(at, &c);
             if now.is_multiple_of(1000) {
