--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -362,8 +362,8 @@
 #[test]
 fn a_direct_stop_ends_checkpointing_tasks_and_ignores_exited_and_absent_ones() {
     use pointhook::protocol::workers::{Command, TaskState};
-    let mut cluster = support::worker::FakeWorker::new("m1", "north", 0);
-    let mut status = cluster.heartbeat(0);
+    let mut worker = support::worker::FakeWorker::new("m1", "north", 0);
+    let mut status = worker.heartbeat(0);
     (status.fencing_token, status.agent_epoch) = (FencingToken(7), AgentEpoch(3));
     let shown = |task: &str, state| pointhook::protocol::workers::TaskStatus {
         task: task.into(),
--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -25,7 +25,7 @@
 };
 use pointhook::coordination::controller::finish_times;
 use pointhook::coordination::scheduler::draft::DraftTransaction;
-use pointhook::coordination::scheduler::{claims, gangs, job_order};
+use pointhook::coordination::scheduler::{binding, gang_reservations, job_order};
 use pointhook::protocol::cloud::{ListedMachine, ProvisioningRequest};
 use pointhook::protocol::users::{JobKind, JobSpec, Priority};
 use pointhook::settings::Objective;
@@ -148,7 +148,7 @@
 fn reserve_for_gangs(cluster: &mut SimulatedCluster) {
     let now = cluster.now;
     for controller in cluster.controllers.iter_mut().flatten() {
-        for (ix, machines) in gangs::gang_reservations(
+        for (ix, machines) in gang_reservations::gang_reservations(
             &controller.cluster,
             &controller.config,
             MonotonicMillis(now),
@@ -182,11 +182,11 @@
             MonotonicMillis(cluster.now),
             cluster.now,
         ) {
-            let id = controller.cluster.jobs[job.ix.at()].id.to_string();
-            let queues = claims::bind(
+            let id = controller.cluster.jobs[job.job_index.at()].id.to_string();
+            let queues = binding::bind(
                 &controller.cluster,
                 &controller.config,
-                job.ix,
+                job.job_index,
                 MonotonicMillis(cluster.now),
                 cluster.now,
             );
--- a/tests/direct_starts.rs
+++ b/tests/direct_starts.rs
@@ -178,14 +178,7 @@
             owned_since: controller.owned_since_start(),
             ..Default::default()
         };
-        let moves = pointhook::coordination::membership::moves(
-            &controller.cluster,
-            &controller.config,
-            &controller.zones,
-            &known,
-            true,
-            MonotonicMillis(20_000),
-        );
+        let moves = controller.assignment(&known, true, 20_000).moves();
         moves.iter().any(|m| m.shard == shard)
     };
     kept(&mut controller, token.0);
--- a/tests/gang_scheduling.rs
+++ b/tests/gang_scheduling.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use pointhook::coordination::scheduler::gangs;
+use pointhook::coordination::scheduler::gang_reservations::gang_reservations;
 use pointhook::protocol::users::{JobKind, Priority};
 use pointhook::state::units::MonotonicMillis;
 use support::job;
@@ -122,7 +122,7 @@
         0,
         1000,
     );
-    let reservations = gangs::gang_reservations(
+    let reservations = gang_reservations(
         &controller.cluster,
         &controller.config,
         MonotonicMillis(1000),
@@ -209,7 +209,7 @@
         8000,
     );
     let reservations = |controller: &SimulatedController| {
-        gangs::gang_reservations(
+        gang_reservations(
             &controller.cluster,
             &controller.config,
             MonotonicMillis(8000),
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -320,22 +320,21 @@
 #[test]
 fn a_dependency_of_an_urgent_job_is_not_preempted_for_another_urgent_job() {
     use pointhook::state::names::ShardIndex;
-    use pointhook::state::units::MonotonicMillis;
     for needed in [false, true] {
         let (mut store, mut controller) = start_single_controller();
-        let mut cluster = support::worker::FakeWorker::new("m1", "north", 0);
-        cluster.run_ms = 100_000;
+        let mut worker = support::worker::FakeWorker::new("m1", "north", 0);
+        worker.run_ms = 100_000;
         let mut low = job("job-1", 1);
         (low.priority, low.gpus, low.checkpoint_s) = (Priority::Low, 4.0, 10.0);
         controller.submit(&mut store, low, 0);
         support::simulated_controller::run_heartbeats(
             &mut controller,
             &mut store,
-            &mut [&mut cluster],
+            &mut [&mut worker],
             0,
             4000,
         );
-        assert!(cluster.has_task("job-1/0"));
+        assert!(worker.has_task("job-1/0"));
         if needed {
             let mut last = after("job-2", 1, &["job-1"]);
             last.priority = Priority::High;
@@ -347,19 +346,12 @@
         support::simulated_controller::run_heartbeats(
             &mut controller,
             &mut store,
-            &mut [&mut cluster],
+            &mut [&mut worker],
             4000,
             12_000,
         );
         let turn = ShardIndex(0);
-        let stops = preemption::preempt(
-            &controller.cluster,
-            &controller.config,
-            controller.failovers.permits(),
-            turn,
-            MonotonicMillis(12_000),
-            12_000,
-        );
+        let stops = preemption::preempt(&controller.pass(12_000), turn);
         assert_eq!(stops.len(), usize::from(!needed));
     }
 }
--- a/tests/kv_consistency.rs
+++ b/tests/kv_consistency.rs
@@ -127,7 +127,7 @@
     assert_eq!(controller.job("job-1").state, JobState::Done);
     // A repeated start after the end of a job has no placement that it could refer to.
     let machine = controller.machine("m1");
-    assert!(commands::orders(
+    assert!(commands::heartbeat_commands(
         &mut controller.cluster,
         &controller.config,
         controller.failovers.permits(),
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -3,7 +3,7 @@
 
 mod support;
 
-use pointhook::coordination::scheduler::planner;
+use pointhook::coordination::scheduler::queues;
 use pointhook::coordination::{heartbeats, peer_messages};
 use pointhook::protocol::peers::{self, PeerRequest, TaskRef};
 use pointhook::protocol::workers::AgentEpoch;
@@ -80,7 +80,7 @@
         })
         .collect();
     let mut received = Vec::new();
-    for request in planner::bind_requests(&bound) {
+    for request in queues::bind_requests(&bound) {
         assert_fits_a_frame(&request);
         if let PeerRequest::Bind { tasks } = request {
             received.extend(tasks);
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -41,12 +41,7 @@
     let lowered = {
         let controller = cluster.controller(controller);
         let mut d = draft::DraftTransaction::default();
-        quota::lower_unused_quota(
-            &controller.cluster,
-            &controller.config,
-            controller.failovers.permits(),
-            &mut d,
-        );
+        quota::lower_unused_quota(&controller.pass(0), &mut d);
         assert!(d.team_quotas.contains_key(&team));
         d
     };
@@ -104,21 +99,21 @@
 fn a_gang_lost_while_a_member_is_restarted_in_its_wait_keeps_that_member_placed() {
     let (mut store, mut controller) = support::simulated_controller::start_single_controller();
     let mut machines = [("m1", 0), ("m2", 0)].map(|(n, t)| {
-        let mut cluster = support::worker::FakeWorker::new(n, "north", t);
-        cluster.image_pull_ms = 60_000;
-        cluster
+        let mut worker = support::worker::FakeWorker::new(n, "north", t);
+        worker.image_pull_ms = 60_000;
+        worker
     });
-    for cluster in &mut machines {
-        controller.exchange_heartbeat(&mut store, cluster, 0);
-        controller.exchange_heartbeat(&mut store, cluster, 500);
+    for worker in &mut machines {
+        controller.exchange_heartbeat(&mut store, worker, 0);
+        controller.exchange_heartbeat(&mut store, worker, 500);
     }
     let mut gang = job("job-1", 2);
     gang.kind = JobKind::Gang;
     gang.gpus = 3.0;
     controller.submit(&mut store, gang, 600);
     controller.run_planner(&mut store, 600);
-    for cluster in &mut machines {
-        controller.exchange_heartbeat(&mut store, cluster, 1000);
+    for worker in &mut machines {
+        controller.exchange_heartbeat(&mut store, worker, 1000);
     }
     let [first, second] = &mut machines;
     assert!(first.has_task("job-1/0") && second.has_task("job-1/1"));
--- a/tests/preemption.rs
+++ b/tests/preemption.rs
@@ -2,11 +2,11 @@
 
 mod support;
 
+use pointhook::coordination::scheduler::pass::PassContext;
 use pointhook::coordination::scheduler::preemption;
 use pointhook::protocol::users::Priority;
 use pointhook::protocol::workers::Command;
 use pointhook::state::names::ShardIndex;
-use pointhook::state::units::MonotonicMillis;
 use std::collections::HashSet;
 use support::builders::count_starts;
 use support::job;
@@ -31,40 +31,18 @@
     prod.priority = Priority::Production;
     prod.vcpus = 8.0;
     controller.submit(&mut store, prod, 3000);
-    assert!(preemption::preempt(
-        &controller.cluster,
-        &controller.config,
-        controller.failovers.permits(),
-        ShardIndex(1),
-        MonotonicMillis(5000),
-        5000
-    )
-    .is_empty());
-    let stops = preemption::preempt(
-        &controller.cluster,
-        &controller.config,
-        controller.failovers.permits(),
-        ShardIndex(0),
-        MonotonicMillis(5000),
-        5000,
-    );
+    assert!(preemption::preempt(&controller.pass(5000), ShardIndex(1)).is_empty());
+    let stops = preemption::preempt(&controller.pass(5000), ShardIndex(0));
     assert_eq!(stops.len(), 1);
-    assert_eq!(stops[0].1.job, controller.job_index("job-1"));
-    assert!(stops[0].2 >= 2.0);
+    assert_eq!(stops[0].attempt.job, controller.job_index("job-1"));
+    assert!(stops[0].grace_s >= 2.0);
     // For two tasks two are preempted, and none of them twice.
     let mut second = job("job-5", 1);
     second.priority = Priority::Production;
     second.vcpus = 8.0;
     controller.submit(&mut store, second, 3000);
-    let stops = preemption::preempt(
-        &controller.cluster,
-        &controller.config,
-        controller.failovers.permits(),
-        ShardIndex(0),
-        MonotonicMillis(5000),
-        5000,
-    );
-    let stopped: HashSet<_> = stops.iter().map(|s| s.1).collect();
+    let stops = preemption::preempt(&controller.pass(5000), ShardIndex(0));
+    let stopped: HashSet<_> = stops.iter().map(|s| s.attempt).collect();
     assert_eq!((stops.len(), stopped.len()), (2, 2));
     controller.cancel(&mut store, "job-5", 5000);
     // Work of the same priority preempts nothing.
@@ -73,12 +51,11 @@
     controller.cancel(&mut store, "job-3", 5000);
     controller.submit(&mut store, same, 5000);
     assert!(preemption::preempt(
-        &controller.cluster,
-        &controller.config,
-        controller.failovers.permits(),
-        ShardIndex(0),
-        MonotonicMillis(6000),
-        9000
+        &PassContext {
+            wall_ms: 9000,
+            ..controller.pass(6000)
+        },
+        ShardIndex(0)
     )
     .is_empty());
 }
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -110,23 +110,13 @@
         quota_usage(8000, 2000)
     );
     let mut draft = DraftTransaction::default();
-    quota::lower_unused_quota(
-        &controller.cluster,
-        &controller.config,
-        controller.failovers.permits(),
-        &mut draft,
-    );
+    quota::lower_unused_quota(&controller.pass(0), &mut draft);
     assert!(draft.team_quotas.is_empty());
     // Another shard's unused quota share is released, since a task waits.
     let mut rec = controller.cluster.team_quotas[1].record.clone();
     rec.set(ShardIndex(0), quota_usage(8000, 2500));
     controller.cluster.team_quotas[1].record = rec;
-    quota::lower_unused_quota(
-        &controller.cluster,
-        &controller.config,
-        controller.failovers.permits(),
-        &mut draft,
-    );
+    quota::lower_unused_quota(&controller.pass(0), &mut draft);
     assert_eq!(
         draft.team_quotas[&team].share(ShardIndex(0)),
         quota_usage(8000, 2000)
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -4,11 +4,12 @@
 
 use pointhook::coordination::controller::finish_times;
 use pointhook::coordination::reconciliation;
+use pointhook::coordination::scheduler::binding;
 use pointhook::coordination::scheduler::claims;
 use pointhook::coordination::scheduler::draft;
-use pointhook::coordination::scheduler::gangs;
-use pointhook::coordination::scheduler::job_order;
-use pointhook::coordination::scheduler::planner::Changes;
+use pointhook::coordination::scheduler::gang_reservations::gang_reservations;
+use pointhook::coordination::scheduler::job_order::{self, ServiceTier};
+use pointhook::coordination::scheduler::write_budget::WriteBudget;
 use pointhook::coordination::{heartbeats, peer_messages};
 use pointhook::protocol::peers::{self, MachineStatus, PeerRequest};
 use pointhook::protocol::users::{JobKind, Priority};
@@ -53,7 +54,7 @@
     let job_index = controller.job_index("job-1");
     for _ in 0..20 {
         assert_eq!(
-            claims::bind(
+            binding::bind(
                 &controller.cluster,
                 &controller.config,
                 job_index,
@@ -124,9 +125,11 @@
         MonotonicMillis(wall),
         wall,
     );
-    let names = jobs
-        .iter()
-        .map(|worker| controller.cluster.jobs[worker.ix.0 as usize].id.to_string());
+    let names = jobs.iter().map(|worker| {
+        controller.cluster.jobs[worker.job_index.0 as usize]
+            .id
+            .to_string()
+    });
     names.collect()
 }
 
@@ -189,7 +192,7 @@
         if now == 10_000 {
             controller.submit(&mut store, gang.clone(), now);
         }
-        for (job_index, machines) in gangs::gang_reservations(
+        for (job_index, machines) in gang_reservations(
             &controller.cluster,
             &controller.config,
             MonotonicMillis(now),
@@ -283,13 +286,7 @@
     let mut changes = 0;
     loop {
         let mut d = draft::DraftTransaction::default();
-        reconciliation::reconcile(
-            &controller.cluster,
-            &controller.config,
-            controller.failovers.permits(),
-            &mut d,
-            MonotonicMillis(20),
-        );
+        reconciliation::reconcile(&controller.pass(20), &mut d);
         if d.is_empty() {
             break;
         }
@@ -310,22 +307,9 @@
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 1500);
     assert_eq!(controller.job("job-1").placements.len(), 4);
     let later = |controller: &SimulatedController, now| {
-        let mut d = draft::DraftTransaction::batching(true, 0);
-        reconciliation::reconcile(
-            &controller.cluster,
-            &controller.config,
-            controller.failovers.permits(),
-            &mut d,
-            MonotonicMillis(now),
-        );
-        claims::claim(
-            &controller.cluster,
-            &controller.config,
-            controller.failovers.permits(),
-            &mut d,
-            MonotonicMillis(now),
-            now,
-        );
+        let mut d = draft::DraftTransaction::batching(true);
+        reconciliation::reconcile(&controller.pass(now), &mut d);
+        claims::claim(&controller.pass(now), &mut d);
         d
     };
     // Three of four are done: nothing is written yet, but urgent work has their capacity.
@@ -363,13 +347,14 @@
 #[test]
 fn array_updates_are_batched_longer_near_the_write_limit() {
     let passes = |a_second: u64| {
-        let mut changes = Changes::default();
+        let mut write_budget = WriteBudget::default();
         let (mut total, mut now, mut whole) = (0, 0, 0);
         while now < 20_000 {
-            whole += u32::from(!changes.defer(MonotonicMillis(now), total, 70.0));
+            whole +=
+                u32::from(!write_budget.batch_array_updates(MonotonicMillis(now), total, 70.0));
             now += 100;
             total = a_second * now / 1000;
-            assert!(changes.wait_ms(MonotonicMillis(now)) <= 700);
+            assert!(write_budget.planner_sleep_ms(MonotonicMillis(now)) <= 700);
         }
         whole
     };
@@ -411,22 +396,22 @@
     );
     let mut controller = begun_at_once(controller, &mut store, "job-1", 40);
     // Younger work keeps coming that can make the first time.
-    let back = |controller: &SimulatedController, age: u64| {
+    let tier = |controller: &SimulatedController, age: u64| {
         let job = controller.job("job-1");
-        job_order::put_back(
+        job_order::service_tier(
             &controller.config,
             job,
             job.spec.as_ref().unwrap(),
             age * 1000 + 1,
         )
     };
-    assert_eq!(back(&controller, 100), 1);
+    assert_eq!(tier(&controller, 100), ServiceTier::OnTime);
     // It can't make 150 s any more, but the last: it goes first before that is in doubt.
-    assert_eq!(back(&controller, 141), 0);
-    assert_eq!(back(&controller, 300), 0);
+    assert_eq!(tier(&controller, 141), ServiceTier::First);
+    assert_eq!(tier(&controller, 300), ServiceTier::First);
     // Once that is gone too, it goes behind, but for one second of five.
-    assert_eq!(back(&controller, 341), 3);
-    assert_eq!(back(&controller, 345), 0);
+    assert_eq!(tier(&controller, 341), ServiceTier::Late);
+    assert_eq!(tier(&controller, 345), ServiceTier::First);
     // With a deadline of its own that it missed early, it is patient for a while.
     controller
         .config
@@ -438,7 +423,7 @@
     controller.run_planner(&mut store, 10);
     let job = controller.job("job-2");
     let at = |age: u64| {
-        job_order::put_back(
+        job_order::service_tier(
             &controller.config,
             job,
             job.spec.as_ref().unwrap(),
@@ -446,7 +431,10 @@
         )
     };
     assert!(!job.placements.is_empty());
-    assert_eq!((at(40), at(61), at(139), at(140)), (1, 2, 2, 0));
+    assert_eq!(at(40), ServiceTier::OnTime);
+    assert_eq!(at(61), ServiceTier::LateForFirst);
+    assert_eq!(at(139), ServiceTier::LateForFirst);
+    assert_eq!(at(140), ServiceTier::First);
 }
 
 /// Adds machines and a job of which some tasks have begun.
--- a/tests/shard_ownership.rs
+++ b/tests/shard_ownership.rs
@@ -83,18 +83,9 @@
         owned_since: north.owned_since_start(),
         ..Default::default()
     };
-    let moves = |now| {
-        pointhook::coordination::membership::moves(
-            &north.cluster,
-            &north.config,
-            &north.zones,
-            &known,
-            false,
-            now,
-        )
-    };
-    assert!(moves(at(1000)).is_empty());
-    let m = moves(at(3000));
+    let moves = |now| north.assignment(&known, false, now).moves();
+    assert!(moves(1000).is_empty());
+    let m = moves(3000);
     assert_eq!(m.len(), 1);
     assert_eq!((m[0].shard, m[0].to.as_str()), (ShardIndex(1), "s1"));
     assert_eq!(
@@ -265,14 +256,7 @@
             owned_since: controller.owned_since_start(),
             ..membership::MembershipView::default()
         };
-        membership::moves(
-            &controller.cluster,
-            &controller.config,
-            &controller.zones,
-            &known,
-            false,
-            MonotonicMillis(10_000),
-        )
+        controller.assignment(&known, false, 10_000).moves()
     };
     // It owns all shards; that of the other zone moves there in any case.
     let to =
@@ -302,14 +286,7 @@
             owned_since: HashMap::from([(ShardIndex(1), MonotonicMillis(10_000))]),
             ..Default::default()
         };
-        membership::moves(
-            &controller.cluster,
-            &controller.config,
-            &controller.zones,
-            &known,
-            false,
-            MonotonicMillis(now),
-        )
+        controller.assignment(&known, false, now).moves()
     };
     assert!(moves(&controller, 10_300).is_empty());
     assert!(moves(&controller, 12_000).is_empty());
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -4,7 +4,7 @@
 mod support;
 
 use pointhook::coordination::kv::CommitOutcome;
-use pointhook::coordination::membership::{moves, MembershipView, Move};
+use pointhook::coordination::membership::{MembershipView, Move};
 use pointhook::coordination::reconciliation;
 use pointhook::coordination::replication;
 use pointhook::coordination::scheduler::claims;
@@ -18,7 +18,7 @@
 use pointhook::state::names::ShardIndex;
 use pointhook::state::units::Incarnation;
 use pointhook::state::units::MonotonicMillis;
-use standby::failover::State;
+use standby::failover::FailoverState;
 use standby::follower::Follower;
 use standby::ids::ShardId;
 use standby::publisher::{Publisher, StreamLimits};
@@ -106,7 +106,7 @@
     assert!(deployment.standby.direct_starts(4500).is_empty());
     assert!(matches!(
         deployment.standby.failovers.state(ShardId(0)),
-        State::CatchingUp { .. }
+        FailoverState::CatchingUp { .. }
     ));
     // Once it has read the records it decides, and the task runs where it is.
     deployment.standby.sync(&deployment.store);
@@ -115,7 +115,7 @@
         .exchange_heartbeat(&mut deployment.store, &mut deployment.worker, 5000);
     assert!(matches!(
         deployment.standby.failovers.state(ShardId(0)),
-        State::Active { .. }
+        FailoverState::Active { .. }
     ));
     assert_eq!(deployment.worker.started.len(), 1);
     assert!(other.has_task("job-1/0"));
@@ -230,7 +230,10 @@
     // It reads the records and follows; the shard stays with the new owner.
     deployment.owner.sync(&deployment.store);
     deployment.owner.observe_failovers(1500);
-    assert_eq!(deployment.owner.failovers.state(ShardId(0)), State::Idle);
+    assert_eq!(
+        deployment.owner.failovers.state(ShardId(0)),
+        FailoverState::Idle
+    );
     assert_eq!(deployment.owner.stepped_down, [NORTH]);
 }
 
@@ -245,7 +248,7 @@
         take_north(&mut third, &mut deployment.store, 700),
         CommitOutcome::Conflict(_)
     ));
-    assert_eq!(third.failovers.state(ShardId(0)), State::Suspecting);
+    assert_eq!(third.failovers.state(ShardId(0)), FailoverState::Suspecting);
     for controller in [&mut deployment.standby, &mut third] {
         controller.sync(&deployment.store);
         controller.observe_failovers(800);
@@ -273,7 +276,10 @@
     third.exchange_heartbeat(&mut deployment.store, &mut deployment.worker, 1000);
     assert_eq!(deployment.worker.started.len(), 1);
     let permit = third.failovers.permits().get(ShardId(0)).expect("a permit");
-    assert_eq!(permit.token(), third.cluster.shards[0].record.fencing_token);
+    assert_eq!(
+        permit.fencing_token(),
+        third.cluster.shards[0].record.fencing_token
+    );
 }
 
 /// Controllers n1 and n2 in the north, s1 in the south, all running for long.
@@ -302,17 +308,9 @@
 }
 
 fn takers(controllers: &[SimulatedController], known: &MembershipView, now: u64) -> Vec<String> {
-    let now = MonotonicMillis(now);
     let takes = |controller: &&SimulatedController| {
-        let all = moves(
-            &controller.cluster,
-            &controller.config,
-            &controller.zones,
-            known,
-            false,
-            now,
-        );
-        all.iter().any(|m| m.shard == NORTH)
+        let moves = controller.assignment(known, false, now).moves();
+        moves.iter().any(|m| m.shard == NORTH)
     };
     let takers = controllers.iter().filter(takes);
     takers
@@ -476,16 +474,9 @@
     let permits = deployment.owner.failovers.permits();
     assert!(permits.get(ShardId(0)).is_some());
     let mut draft = DraftTransaction::default();
-    let (cluster, config) = (&deployment.owner.cluster, &deployment.owner.config);
-    reconciliation::reconcile(cluster, config, permits, &mut draft, MonotonicMillis(800));
-    claims::claim(
-        cluster,
-        config,
-        permits,
-        &mut draft,
-        MonotonicMillis(800),
-        800,
-    );
+    let pass = deployment.owner.pass(800);
+    reconciliation::reconcile(&pass, &mut draft);
+    claims::claim(&pass, &mut draft);
     assert!(draft.is_empty(), "{draft:?}");
 }
 
@@ -514,12 +505,12 @@
     ]);
     machine.reservation = Some((held, MonotonicMillis(5000)));
     // It is streamed in a snapshot, and later changes in the tail.
-    let mut publisher = Publisher::new(0, FencingToken(1), StreamLimits::default());
+    let mut publisher = Publisher::new(ShardId(0), FencingToken(1), StreamLimits::default());
     let mut follower = Follower::default();
     let mut tell = |owner: &SimulatedController, publisher: &mut Publisher, now| {
         replication::publish_changes(&owner.cluster, NORTH, MonotonicMillis(now), publisher);
         while let Some(message) = publisher.next_message() {
-            publisher.answered(follower.take(&message, FencingToken(0)));
+            publisher.receive_response(follower.receive(&message, FencingToken(0)));
         }
         follower.clone()
     };
@@ -540,14 +531,14 @@
     );
     let machine = deployment.standby.cluster.machine_mut(m1).unwrap();
     machine.queue.push_back((queued, 5, MonotonicMillis(100)));
-    let shadow = follower.shadow().expect("no gap");
+    let replica_state = follower.replica_state().expect("no gap");
     let restored = replication::restore_replica(
         &mut deployment.standby.cluster,
         NORTH,
-        shadow,
+        replica_state,
         MonotonicMillis(900),
     );
-    assert_eq!((restored.queued, restored.held), (2, 1));
+    assert_eq!((restored.queued_tasks, restored.reservations), (2, 1));
     let machine = deployment.standby.cluster.machine(m1).unwrap();
     let tasks: Vec<u32> = machine.queue.iter().map(|(_, task, _)| *task).collect();
     assert_eq!(tasks, [5, 7, 9]);
@@ -572,7 +563,7 @@
         &mut publisher,
     );
     assert_eq!(publisher.lag(), Some(1));
-    assert_eq!(publisher.shadow().len(), 0);
+    assert_eq!(publisher.replica_state().len(), 0);
 }
 
 #[test]
--- a/tests/support/simulated_cluster/tick.rs
+++ b/tests/support/simulated_cluster/tick.rs
@@ -8,7 +8,9 @@
 use crate::support::digest;
 use crate::support::simulated_controller::{direct_commands, SimulatedController, LEASE_MS};
 use pointhook::coordination::heartbeats::{self, HeartbeatOutcome};
-use pointhook::coordination::scheduler::commands::{self, DirectStartOutcome};
+use pointhook::coordination::scheduler::direct_starts::{
+    record_direct_start_outcome, DirectStartOutcome,
+};
 use pointhook::coordination::scheduler::preemption;
 use pointhook::coordination::{cancellations, peer_messages, worker_connectivity};
 use pointhook::protocol::workers::{DirectCommands, Heartbeat, HeartbeatResponse};
@@ -96,7 +98,7 @@
             let names = &controller.cluster.machine_names;
             let name = names.name(start.machine).clone();
             let outcome = self.send_commands(at, &name, direct_commands(&start));
-            commands::record_direct_start_outcome(&mut controller.cluster, &start, outcome);
+            record_direct_start_outcome(&mut controller.cluster, &start, outcome);
         }
         self.announce_ownership(at, controller);
         if self.is_round() {
@@ -378,17 +380,9 @@
 fn preempt(controller: &mut SimulatedController, now: u64) {
     let shard = ShardIndex((now / ROUND_MS % SHARDS) as u32);
     controller.observe_failovers(now);
-    let stops = preemption::preempt(
-        &controller.cluster,
-        &controller.config,
-        controller.failovers.permits(),
-        shard,
-        MonotonicMillis(now),
-        now,
-    );
-    for (machine, attempt, grace_s) in stops {
-        if let Some(machine) = controller.cluster.machine_mut(machine) {
-            machine.stopping.insert(attempt, grace_s);
+    for victim in preemption::preempt(&controller.pass(now), shard) {
+        if let Some(machine) = controller.cluster.machine_mut(victim.machine) {
+            machine.stopping.insert(victim.attempt, victim.grace_s);
         }
     }
 }
--- a/tests/support/simulated_controller/membership.rs
+++ b/tests/support/simulated_controller/membership.rs
@@ -2,14 +2,15 @@
 
 use super::{SimulatedController, Standby, KEY_LEASE_MS};
 use crate::support::kv_store::FakeKvStore;
+use pointhook::coordination::cancellations;
+use pointhook::coordination::failover::ShardView;
 use pointhook::coordination::kv::CommitOutcome;
-use pointhook::coordination::membership::{self, MembershipView, Move, StandbyRule};
-use pointhook::coordination::{cancellations, failover};
+use pointhook::coordination::membership::{self, Assignment, MembershipView, Move, StandbyRule};
 use pointhook::state::cancellation_watermark::CancellationWatermark;
 use pointhook::state::names::{Index, ShardIndex, ZoneIndex};
 use pointhook::state::units::{Incarnation, MonotonicMillis};
-use standby::failover::{Refusal, State};
-use standby::ids::{FencingToken, Revision, ShardId};
+use standby::failover::{FailoverState, Refusal};
+use standby::ids::{FencingToken, Millis, Revision, ShardId};
 use std::collections::HashMap;
 
 /// Time between two raises of fencing tokens.
@@ -46,14 +47,7 @@
             owned_since: self.owned_since_start(),
             ..Default::default()
         };
-        let moves = membership::moves(
-            &self.cluster,
-            &self.config,
-            &self.zones,
-            &view,
-            true,
-            MonotonicMillis(now),
-        );
+        let moves = self.assignment(&view, true, now).moves();
         let mut committed = 0;
         for shard_move in moves {
             let transaction = membership::move_transaction(&self.cluster, &shard_move);
@@ -65,6 +59,23 @@
         committed
     }
 
+    /// What it would decide on the owners of shards by a membership view.
+    pub fn assignment<'a>(
+        &'a self,
+        view: &'a MembershipView,
+        may_raise_tokens: bool,
+        now: u64,
+    ) -> Assignment<'a> {
+        Assignment {
+            cluster: &self.cluster,
+            config: &self.config,
+            zones: &self.zones,
+            view,
+            may_raise_tokens,
+            now: MonotonicMillis(now),
+        }
+    }
+
     /// All shards, as if they had been owned since the clock began.
     pub fn owned_since_start(&self) -> HashMap<ShardIndex, MonotonicMillis> {
         let shards = (0..self.cluster.shards.len()).map(ShardIndex::new);
@@ -124,14 +135,9 @@
         if may_raise_tokens {
             self.token_raised_at = now;
         }
-        let moves = membership::moves(
-            &self.cluster,
-            &self.config,
-            &self.zones,
-            &self.membership,
-            may_raise_tokens,
-            MonotonicMillis(now),
-        );
+        let moves = self
+            .assignment(&self.membership, may_raise_tokens, now)
+            .moves();
         for shard_move in moves {
             self.execute_move(store, &shard_move, now);
             self.sync(store);
@@ -151,7 +157,7 @@
             return CommitOutcome::Refused(0);
         };
         let shard = ShardId(shard_move.shard.0);
-        let at = failover::millis(MonotonicMillis(now));
+        let at = Millis(now);
         if shard_move.to == self.config.controller_name {
             self.failovers.fence_sent(shard, at);
         }
@@ -176,19 +182,20 @@
         for shard in (0..self.cluster.shards.len()).map(ShardIndex::new) {
             let standby = membership::standby_of(&self.cluster, &self.membership, shard, now);
             let is_standby = standby == Some(self.config.controller_name.as_str());
-            let last_contact = |_: &str| Some(now);
-            let observation = failover::observation(
-                &self.cluster,
-                &self.config,
+            let view = ShardView {
+                cluster: &self.cluster,
+                config: &self.config,
                 shard,
                 is_standby,
-                last_contact,
+                owner_last_contact: Some(now),
                 now,
-            );
-            let at = failover::millis(now);
-            let changes = self.failovers.observe(ShardId(shard.0), observation, at);
+            };
+            let observation = view.observe();
+            let changes = self
+                .failovers
+                .observe(shard.into(), observation, now.into());
             for change in changes {
-                if change.to == State::SteppedDown {
+                if change.to == FailoverState::SteppedDown {
                     self.stepped_down.push(shard);
                 }
             }
@@ -201,10 +208,9 @@
             seen: FencingToken(seen),
         };
         let known = Revision(self.cluster.revision);
-        let now = failover::millis(MonotonicMillis(now));
         let change = self
             .failovers
-            .refused(ShardId(shard.0), refusal, known, now);
+            .token_refused(ShardId(shard.0), refusal, known, Millis(now));
         if change.is_some() {
             self.stepped_down.push(shard);
         }
--- a/tests/support/simulated_controller/scheduling.rs
+++ b/tests/support/simulated_controller/scheduling.rs
@@ -7,8 +7,9 @@
 use pointhook::coordination::heartbeats::{self, HeartbeatOutcome};
 use pointhook::coordination::kv::{apply_outcome, transaction, CommitOutcome};
 use pointhook::coordination::reconciliation;
-use pointhook::coordination::scheduler::commands::{self, DirectStart};
+use pointhook::coordination::scheduler::direct_starts::{direct_starts, DirectStart};
 use pointhook::coordination::scheduler::draft::DraftTransaction;
+use pointhook::coordination::scheduler::pass::PassContext;
 use pointhook::coordination::scheduler::{claims, quota};
 use pointhook::protocol::workers::{DirectCommands, Heartbeat, HeartbeatResponse};
 use pointhook::state::units::MonotonicMillis;
@@ -24,19 +25,28 @@
     /// What the next round of planning would commit.
     pub fn draft_plan(&mut self, now: u64) -> DraftTransaction {
         self.observe_failovers(now);
-        let permits = self.failovers.permits();
-        let mut draft = DraftTransaction::batching(false, now);
+        let pass = self.pass(now);
+        let mut draft = DraftTransaction::batching(false);
         if now.is_multiple_of(CASCADE_INTERVAL_MS) && !self.cascaded {
             draft.cascade_budget = CASCADE_BUDGET;
         }
-        let (cluster, config) = (&self.cluster, &self.config);
-        let at = MonotonicMillis(now);
-        reconciliation::reconcile(cluster, config, permits, &mut draft, at);
-        claims::claim(cluster, config, permits, &mut draft, at, now);
-        quota::lower_unused_quota(cluster, config, permits, &mut draft);
+        reconciliation::reconcile(&pass, &mut draft);
+        claims::claim(&pass, &mut draft);
+        quota::lower_unused_quota(&pass, &mut draft);
         draft
     }
 
+    /// What a round of planning looks at; wall clock and monotonic clock show the same time.
+    pub fn pass(&self, now: u64) -> PassContext<'_> {
+        PassContext {
+            cluster: &self.cluster,
+            config: &self.config,
+            permits: self.failovers.permits(),
+            now: MonotonicMillis(now),
+            wall_ms: now,
+        }
+    }
+
     /// Plans until nothing changes any more.
     pub fn run_planner(&mut self, store: &mut FakeKvStore, now: u64) {
         self.cascaded = false;
@@ -138,7 +148,7 @@
     pub fn direct_starts(&mut self, now: u64) -> Vec<DirectStart> {
         self.observe_failovers(now);
         let permits = self.failovers.permits();
-        commands::direct_starts(
+        direct_starts(
             &mut self.cluster,
             &self.config,
             permits,
