--- a/src/cli.rs
+++ b/src/cli.rs
@@ -23,7 +23,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-/// Schedules jobs on rented machines. Without a command it serves as one controller.
+/// Schedules jobs on machines of a cloud. Without a command it serves as one controller.
 #[derive(Parser)]
 #[command(name = "pointhook", version, args_conflicts_with_subcommands = true)]
 struct Cli {
@@ -199,8 +199,8 @@
 fn log_start(platform: &Platform) {
     log::info!(
         "controller started: controller={} zone={} address={}",
-        platform.node,
-        platform.domain,
+        platform.name,
+        platform.zone,
         platform.bind
     );
     if let Some(warning) = platform.settings.workers.warning() {
@@ -210,13 +210,16 @@
 
 /// Starts all that a controller does on its own. Tasks of the same tick run in this order.
 fn spawn_background_tasks(controller: &Rc<Controller>) {
-    controller.spawn_supervised("watch", kv::watch);
+    controller.spawn_supervised("kv watch", kv::watch);
     controller.spawn_supervised("fresh reads", kv::fresh_reads);
-    controller.spawn_supervised("members", membership::run);
-    controller.spawn_supervised("poke", worker_connectivity::announce_ownership);
+    controller.spawn_supervised("membership", membership::run);
+    controller.spawn_supervised(
+        "announce ownership",
+        worker_connectivity::announce_ownership,
+    );
     controller.spawn_supervised("planner", planner::run);
     controller.spawn_supervised("cancellations", cancellations::run);
-    controller.spawn_supervised("news", peer_messages::news);
+    controller.spawn_supervised("status broadcast", peer_messages::news);
     if let Some(standby) = controller.features.standby() {
         let bound = failover::bound(&controller.platform.settings.workers);
         log::info!("warm standby enabled: settings={standby:?} failover_bound={bound}");
@@ -225,7 +228,7 @@
         }
         controller.spawn_supervised("replication", replication::run);
     }
-    controller.spawn_supervised("renting", autoscaler::run);
+    controller.spawn_supervised("autoscaler", autoscaler::run);
 }
 
 /// Answers peers, users and workers.
@@ -245,11 +248,7 @@
         executors.clone(),
         job_api::of_worker,
         listeners.public,
-        controller
-            .platform
-            .settings
-            .machine_limits
-            .listener_connections(),
+        controller.platform.settings.process.listener_connections(),
         move |request| job_api::handle(for_users.clone(), request),
     );
     // A task of its own: what `run` is given is polled each time any task is.
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -196,10 +196,10 @@
             cluster,
             state,
             limits: SilenceLimits {
-                confirmed_ms: millis_from_seconds(workers.report_s * 4.0) + SILENCE_GRACE_MS,
+                confirmed_ms: millis_from_seconds(workers.heartbeat_s * 4.0) + SILENCE_GRACE_MS,
                 lease_ms: millis_from_seconds(workers.lease_s),
             },
-            idle_ms: millis_from_seconds(controller.operator.idle_return_s),
+            idle_ms: millis_from_seconds(controller.operator.scale_in_after_idle_s),
             partitioned: partitioned_zones(&counts),
             now,
         }
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -311,30 +311,30 @@
     ) -> Controller {
         let s = &platform.settings;
         let config = SchedulerConfig {
-            controller_name: platform.node.clone(),
+            controller_name: platform.name.clone(),
             // Grows from start to start of the same node, and stays a whole number below 2^53.
             incarnation: Incarnation(wall_ms() * 2048 + fastrand::u64(0..2048)),
-            unresponsive_ms: millis_from_seconds(s.workers.report_s * 2.5) + 500,
+            unresponsive_ms: millis_from_seconds(s.workers.heartbeat_s * 2.5) + 500,
             queue_cap: operator.queue_cap,
             steal_after_ms: millis_from_seconds(operator.steal_after_s),
-            gang_reservation_after_ms: millis_from_seconds(operator.gang_hold_s),
+            gang_reservation_after_ms: millis_from_seconds(operator.gang_reservation_after_s),
             spot_patience_ms: millis_from_seconds(operator.spot_patience_s),
-            capacity_buffer_spot: operator.headroom,
-            capacity_buffer_on_demand: operator.headroom_ordinary,
+            capacity_buffer_spot: operator.capacity_buffer_spot,
+            capacity_buffer_on_demand: operator.capacity_buffer_on_demand,
             // Clocks differ by up to 0.05%; the rest is for delivery and for timers that fire late.
             lease_expiry_ms: millis_from_seconds(s.workers.lease_s * 1.002) + 2000,
             max_watermark_age_ms: s.workers.renew_ms(),
             cancel_ms: millis_from_seconds(s.workers.cancel_s),
             completion_targets: finish_times(&s.objectives),
-            limits_now: s.state.limits(),
-            limits_next: s.state.next.as_ref().map_or(Limits::NONE, |n| n.limits()),
+            limits_now: s.kv.limits(),
+            limits_next: s.kv.next.as_ref().map_or(Limits::NONE, |n| n.limits()),
             limits_observed: Cell::new(Limits::NONE),
         };
         let peers = platform
-            .siblings
+            .peers
             .iter()
             .map(|p| Peer {
-                name: p.node.clone(),
+                name: p.name.clone(),
                 client: PeerClient::new(p.addr),
                 cancellations_client: PeerClient::new(p.addr),
                 replication_client: PeerClient::new(p.addr),
@@ -348,13 +348,13 @@
             .collect();
         let mut cluster = ClusterState::new(&s.zones, &s.teams, operator.shards_per_zone);
         cluster.cancellation_watermark =
-            CancellationWatermark::new(platform.siblings.len(), MonotonicMillis(0));
+            CancellationWatermark::new(platform.peers.len(), MonotonicMillis(0));
         let failovers = Failovers::new(cluster.shards.len());
         Controller {
             cluster: RefCell::new(cluster),
-            kv: Client::new(platform.outside.state),
-            kv_watch: Client::new(platform.outside.state),
-            cloud: Client::new(platform.outside.cloud),
+            kv: Client::new(platform.services.kv),
+            kv_watch: Client::new(platform.services.kv),
+            cloud: Client::new(platform.services.cloud),
             peers,
             scheduling: Notifier::default(),
             fresh_reads: Notifier::default(),
@@ -514,7 +514,7 @@
     /// A place for a connection to a worker; `None` while all are taken.
     pub fn acquire_worker_connection(self: &Rc<Self>) -> Option<Direct> {
         let open = self.open_worker_connections.get();
-        (open < self.platform.settings.machine_limits.worker_connections()).then(|| {
+        (open < self.platform.settings.process.worker_connections()).then(|| {
             self.open_worker_connections.set(open + 1);
             Direct(self.clone())
         })
--- a/src/coordination/kv.rs
+++ b/src/coordination/kv.rs
@@ -339,7 +339,7 @@
 /// requests to the watches and transactions.
 pub async fn fresh_reads(controller: Rc<Controller>) {
     let nodes = controller.peers.len() as f64 + 1.0;
-    let apart_ms = nodes * 1000.0 / (controller.platform.settings.state.rps * READS_PART);
+    let apart_ms = nodes * 1000.0 / (controller.platform.settings.kv.rps * READS_PART);
     let mut began = MonotonicMillis(0);
     loop {
         controller.fresh_reads.notified(60_000).await;
--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -136,11 +136,11 @@
 fn controller_zones(controller: &Controller) -> BTreeMap<String, ZoneIndex> {
     let cluster = controller.cluster.borrow();
     let platform = &controller.platform;
-    let this_controller = (platform.node.as_str(), platform.domain.as_str());
+    let this_controller = (platform.name.as_str(), platform.zone.as_str());
     let peers = platform
-        .siblings
+        .peers
         .iter()
-        .map(|peer| (peer.node.as_str(), peer.domain.as_str()));
+        .map(|peer| (peer.name.as_str(), peer.zone.as_str()));
     peers
         .chain(std::iter::once(this_controller))
         .filter_map(|(name, zone)| Some((name.to_string(), cluster.zone_names.find(zone)?)))
--- a/src/job_command.rs
+++ b/src/job_command.rs
@@ -32,7 +32,7 @@
         /// Job id
         id: String,
     },
-    /// Cancels a job, and with it all that await it
+    /// Cancels a job, and with it all that depend on it
     #[command(alias = "withdraw")]
     Cancel {
         /// Address of a controller
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! The platform's settings file and the operators' own.
 //!
 //! `cli` loads both before anything starts; the controller keeps them unchanged for as long as it
-//! runs. Field names are the keys of the files unless `serde` names another.
+//! runs. Keys of the files are the fields' names, or stand in `serde(rename)`.
 //!
 //! Invariant: settings that were loaded have been checked, so their readers need not.
 
@@ -142,7 +142,8 @@
 #[derive(Deserialize, Clone, Debug)]
 pub struct Workers {
     /// Between heartbeats.
-    pub report_s: f64,
+    #[serde(rename = "report_s")]
+    pub heartbeat_s: f64,
     /// Lease.
     pub lease_s: f64,
     /// A gang's wait for its tasks.
@@ -202,7 +203,7 @@
 
 /// Limits of the key-value store.
 #[derive(Deserialize, Clone, Debug)]
-pub struct StateLimits {
+pub struct KvLimits {
     /// Requests a second.
     pub rps: f64,
     /// Puts and deletes a second.
@@ -216,7 +217,7 @@
     pub next: Option<NextLimits>,
 }
 
-impl StateLimits {
+impl KvLimits {
     /// The limits as the scheduler uses them.
     pub fn limits(&self) -> Limits {
         Limits {
@@ -267,7 +268,7 @@
 
 /// Limits of this controller.
 #[derive(Deserialize, Clone, Debug)]
-pub struct MachineLimits {
+pub struct ProcessLimits {
     /// Sockets.
     pub max_connections: usize,
 }
@@ -279,7 +280,7 @@
 /// Connections that users and workers may open at least.
 const MIN_LISTENER_CONNECTIONS: usize = 16;
 
-impl MachineLimits {
+impl ProcessLimits {
     /// Connections to workers that may be open at a time.
     pub fn worker_connections(&self) -> usize {
         (self.max_connections / 20).clamp(8, 160)
@@ -296,7 +297,7 @@
 
 /// What all controllers share.
 #[derive(Deserialize, Clone, Debug)]
-pub struct Shared {
+pub struct ClusterSettings {
     /// Zones.
     pub zones: Vec<String>,
     /// Teams.
@@ -308,51 +309,59 @@
     /// Workers.
     pub workers: Workers,
     /// Key-value store.
-    pub state: StateLimits,
+    #[serde(rename = "state")]
+    pub kv: KvLimits,
     /// Cloud.
     pub cloud: CloudLimits,
     /// This controller.
-    pub machine_limits: MachineLimits,
+    #[serde(rename = "machine_limits")]
+    pub process: ProcessLimits,
 }
 
 /// Another controller.
 #[derive(Deserialize, Clone, Debug)]
-pub struct Sibling {
+pub struct PeerSettings {
     /// Name.
-    pub node: String,
+    #[serde(rename = "node")]
+    pub name: String,
     /// Zone.
-    pub domain: String,
+    #[serde(rename = "domain")]
+    pub zone: String,
     /// Address for peers.
     pub addr: SocketAddr,
 }
 
 /// Services outside.
 #[derive(Deserialize, Clone, Debug)]
-pub struct Outside {
+pub struct ServiceAddresses {
     /// Cloud.
     pub cloud: SocketAddr,
     /// Key-value store.
-    pub state: SocketAddr,
+    #[serde(rename = "state")]
+    pub kv: SocketAddr,
 }
 
 /// The platform's file. Unknown fields are ignored.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Platform {
-    /// This controller.
-    pub node: String,
+    /// Name of this controller.
+    #[serde(rename = "node")]
+    pub name: String,
     /// Its zone.
-    pub domain: String,
+    #[serde(rename = "domain")]
+    pub zone: String,
     /// Address for users, workers and health checks.
     pub bind: SocketAddr,
     /// Address for the other controllers.
     pub cluster_listen: SocketAddr,
     /// The other controllers.
-    #[serde(default)]
-    pub siblings: Vec<Sibling>,
+    #[serde(rename = "siblings", default)]
+    pub peers: Vec<PeerSettings>,
     /// Services outside.
-    pub outside: Outside,
+    #[serde(rename = "outside")]
+    pub services: ServiceAddresses,
     /// What all controllers share.
-    pub settings: Shared,
+    pub settings: ClusterSettings,
 }
 
 /// The operators' own file. Unknown fields are refused.
@@ -364,17 +373,21 @@
     /// Tasks in a machine's queue at most.
     pub queue_cap: usize,
     /// A gang waiting longer has machines reserved for it.
-    pub gang_hold_s: f64,
+    #[serde(rename = "gang_hold_s")]
+    pub gang_reservation_after_s: f64,
     /// A queued task waiting longer may be taken by any idle machine.
     pub steal_after_s: f64,
     /// An idle machine is deleted after this time.
-    pub idle_return_s: f64,
+    #[serde(rename = "idle_return_s")]
+    pub scale_in_after_idle_s: f64,
     /// Work for spot machines takes empty on-demand ones after this wait.
     pub spot_patience_s: f64,
     /// Part of the spot work expected during a boot that capacity is kept free for.
-    pub headroom: f64,
+    #[serde(rename = "headroom")]
+    pub capacity_buffer_spot: f64,
     /// The same for work that may not use spot machines.
-    pub headroom_ordinary: f64,
+    #[serde(rename = "headroom_ordinary")]
+    pub capacity_buffer_on_demand: f64,
     /// Shards per zone.
     pub shards_per_zone: usize,
 }
@@ -384,12 +397,12 @@
         Operator {
             polls: 5,
             queue_cap: 2,
-            gang_hold_s: 10.0,
+            gang_reservation_after_s: 10.0,
             steal_after_s: 2.0,
-            idle_return_s: 10.0,
+            scale_in_after_idle_s: 10.0,
             spot_patience_s: 45.0,
-            headroom: 1.0,
-            headroom_ordinary: 1.2,
+            capacity_buffer_spot: 1.0,
+            capacity_buffer_on_demand: 1.2,
             shards_per_zone: 2,
         }
     }
@@ -456,31 +469,31 @@
     }
 
     fn check(&self) -> Result<(), InvalidSetting> {
-        let Shared {
+        let ClusterSettings {
             zones,
             workers,
-            state,
+            kv,
             cloud,
             ..
         } = &self.settings;
         if zones.is_empty() {
             return Err(InvalidSetting::NoZones);
         }
-        if !zones.contains(&self.domain) {
+        if !zones.contains(&self.zone) {
             return Err(InvalidSetting::UnknownZone);
         }
         positive(&[
-            ("settings.workers.report_s", workers.report_s),
+            ("settings.workers.report_s", workers.heartbeat_s),
             ("settings.workers.lease_s", workers.lease_s),
             ("settings.workers.gang_wait_s", workers.gang_wait_s),
             ("settings.workers.gang_peer_s", workers.gang_peer_s),
             ("settings.workers.cancel_s", workers.cancel_s),
-            ("settings.state.rps", state.rps),
-            ("settings.state.write_rps", state.write_rps),
-            ("settings.state.value_kb", state.value_kb),
+            ("settings.state.rps", kv.rps),
+            ("settings.state.write_rps", kv.write_rps),
+            ("settings.state.value_kb", kv.value_kb),
             ("settings.cloud.rps", cloud.rps),
         ])?;
-        if state.txn_ops < MIN_TXN_OPS {
+        if kv.txn_ops < MIN_TXN_OPS {
             return Err(InvalidSetting::TooSmall {
                 field: "settings.state.txn_ops",
                 least: MIN_TXN_OPS,
@@ -523,12 +536,12 @@
         at_most("polls", self.polls, MAX_POLLS)?;
         at_most("queue_cap", self.queue_cap, MAX_QUEUE_CAP)?;
         not_negative(&[
-            ("gang_hold_s", self.gang_hold_s),
+            ("gang_hold_s", self.gang_reservation_after_s),
             ("steal_after_s", self.steal_after_s),
-            ("idle_return_s", self.idle_return_s),
+            ("idle_return_s", self.scale_in_after_idle_s),
             ("spot_patience_s", self.spot_patience_s),
-            ("headroom", self.headroom),
-            ("headroom_ordinary", self.headroom_ordinary),
+            ("headroom", self.capacity_buffer_spot),
+            ("headroom_ordinary", self.capacity_buffer_on_demand),
         ])
     }
 }
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -246,7 +246,7 @@
 #[test]
 fn the_time_for_cancellations_is_checked_against_the_lease() {
     let workers = |lease_s, cancel_s| pointhook::settings::Workers {
-        report_s: 3.0,
+        heartbeat_s: 3.0,
         lease_s,
         gang_wait_s: 30.0,
         gang_peer_s: 8.0,
--- a/tests/golden_formats.rs
+++ b/tests/golden_formats.rs
@@ -904,18 +904,18 @@
 #[test]
 fn settings_files_say_what_they_mean() {
     let p = Platform::load(&file("whole.toml", PLATFORM)).expect("good");
-    assert_eq!((p.node.as_str(), p.domain.as_str()), ("stoker-1", "a"));
+    assert_eq!((p.name.as_str(), p.zone.as_str()), ("stoker-1", "a"));
     let ports = [
         p.bind,
         p.cluster_listen,
-        p.siblings[0].addr,
-        p.outside.cloud,
-        p.outside.state,
+        p.peers[0].addr,
+        p.services.cloud,
+        p.services.kv,
     ];
     assert_eq!(ports.map(|a| a.port()), [1001, 1002, 1003, 1004, 1005]);
-    let sibling = &p.siblings[0];
+    let sibling = &p.peers[0];
     assert_eq!(
-        (sibling.node.as_str(), sibling.domain.as_str()),
+        (sibling.name.as_str(), sibling.zone.as_str()),
         ("stoker-2", "b")
     );
     let s = &p.settings;
@@ -931,12 +931,12 @@
         ("wait", Some("train"), Some(60.5))
     );
     let w = &s.workers;
-    assert_eq!((w.report_s, w.lease_s, w.gang_wait_s), (1.5, 12.5, 13.5));
+    assert_eq!((w.heartbeat_s, w.lease_s, w.gang_wait_s), (1.5, 12.5, 13.5));
     assert_eq!(
         (w.gang_peer_s, w.cancel_s, t.name.as_str()),
         (4.5, 60.5, "vision")
     );
-    let x = &s.state;
+    let x = &s.kv;
     assert_eq!(
         (x.rps, x.write_rps, x.value_kb, x.txn_ops),
         (101.0, 102.0, 103.0, 104)
@@ -947,31 +947,43 @@
         (Some(51.0), Some(52.0), Some(53))
     );
     assert_eq!(
-        (
-            s.cloud.rps,
-            s.cloud.list_lag_s,
-            s.machine_limits.max_connections
-        ),
+        (s.cloud.rps, s.cloud.list_lag_s, s.process.max_connections),
         (5.5, 6.5, 900)
     );
     let o = Operator::load(&file("operators.toml", OPERATOR)).expect("good");
     assert_eq!((o.polls, o.queue_cap, o.shards_per_zone), (11, 12, 19));
     assert_eq!(
-        (o.gang_hold_s, o.steal_after_s, o.idle_return_s),
+        (
+            o.gang_reservation_after_s,
+            o.steal_after_s,
+            o.scale_in_after_idle_s
+        ),
         (13.5, 14.5, 15.5)
     );
     assert_eq!(
-        (o.spot_patience_s, o.headroom, o.headroom_ordinary),
+        (
+            o.spot_patience_s,
+            o.capacity_buffer_spot,
+            o.capacity_buffer_on_demand
+        ),
         (16.5, 17.5, 18.5)
     );
     let o = Operator::load(&file("operators.toml", "")).expect("good");
     assert_eq!((o.polls, o.queue_cap, o.shards_per_zone), (5, 2, 2));
     assert_eq!(
-        (o.gang_hold_s, o.steal_after_s, o.idle_return_s),
+        (
+            o.gang_reservation_after_s,
+            o.steal_after_s,
+            o.scale_in_after_idle_s
+        ),
         (10.0, 2.0, 10.0)
     );
     assert_eq!(
-        (o.spot_patience_s, o.headroom, o.headroom_ordinary),
+        (
+            o.spot_patience_s,
+            o.capacity_buffer_spot,
+            o.capacity_buffer_on_demand
+        ),
         (45.0, 1.0, 1.2)
     );
     let f = Features::load(&file("features-whole.toml", FEATURES)).expect("good");
--- a/tests/http_api.rs
+++ b/tests/http_api.rs
@@ -212,7 +212,7 @@
 #[test]
 fn the_platforms_file_may_have_unknown_fields_but_lack_none() {
     let good = file("good.toml", &format!("novelty = 1\n{PLATFORM}"));
-    assert_eq!(Platform::load(&good).unwrap().node, "controller-0");
+    assert_eq!(Platform::load(&good).unwrap().name, "controller-0");
     for lost in ["cluster_listen", "lease_s", "txn_ops"] {
         let text: Vec<&str> = PLATFORM.lines().filter(|l| !l.starts_with(lost)).collect();
         let path = file(&format!("no-{lost}.toml"), &text.join("\n"));
--- a/tests/pipelines.rs
+++ b/tests/pipelines.rs
@@ -463,7 +463,7 @@
 
 #[test]
 fn the_settings_name_limits_to_come_and_do_without() {
-    let read = |next: &str| -> pointhook::settings::StateLimits {
+    let read = |next: &str| -> pointhook::settings::KvLimits {
         let text = format!("rps = 1.0\nwrite_rps = 20.0\nvalue_kb = 8.0\ntxn_ops = 12\n{next}");
         toml::from_str(&text).unwrap()
     };
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -317,7 +317,7 @@
 #[test]
 fn the_bound_of_a_takeover_names_its_terms() {
     let workers = |lease_s| Workers {
-        report_s: 1.5,
+        heartbeat_s: 1.5,
         lease_s,
         gang_wait_s: 35.0,
         gang_peer_s: 8.0,
