--- a/src/cli.rs
+++ b/src/cli.rs
@@ -244,7 +244,7 @@
     });
     background.spawn(peer_server).detach();
     let for_users = controller.clone();
-    let public_server = http::serve_in(
+    let public_server = http::serve_prioritized(
         executors.clone(),
         job_api::of_worker,
         listeners.public,
--- a/src/coordination/controller.rs
+++ b/src/coordination/controller.rs
@@ -398,7 +398,9 @@
         self.executor
             .spawn(async move {
                 loop {
-                    let run = controller.metrics.routine(name, duty(controller.clone()));
+                    let run = controller
+                        .metrics
+                        .time_polls(name, duty(controller.clone()));
                     let run = std::panic::AssertUnwindSafe(run);
                     match futures_lite::FutureExt::catch_unwind(run).await {
                         Ok(()) => log::error!("duty {name} ended, starting it again"),
--- a/src/coordination/job_api.rs
+++ b/src/coordination/job_api.rs
@@ -36,21 +36,21 @@
         }
         (["v1", "report"], Method::Post) => {
             let work = crate::coordination::heartbeats::handle(&controller, req.body);
-            controller.metrics.routine("reports", work).await
+            controller.metrics.time_polls("reports", work).await
         }
         (["v1", "jobs"], Method::Post) => {
             let work = submit(&controller, req.body);
-            controller.metrics.routine("submissions", work).await
+            controller.metrics.time_polls("submissions", work).await
         }
         (["v1", "jobs", id], Method::Get) => {
             controller
                 .metrics
-                .routine("users' polls", poll(&controller, id))
+                .time_polls("users' polls", poll(&controller, id))
                 .await
         }
         (["v1", "jobs", id, "withdraw"], Method::Post) => {
             let work = withdraw(&controller, id);
-            controller.metrics.routine("cancellations", work).await
+            controller.metrics.time_polls("cancellations", work).await
         }
         (
             ["up"] | ["v1", "report" | "jobs"] | ["v1", "jobs", _] | ["v1", "jobs", _, "withdraw"],
--- a/src/coordination/kv.rs
+++ b/src/coordination/kv.rs
@@ -9,7 +9,7 @@
 use crate::state::names::{Index, JobIndex};
 use crate::state::records::OverflowRecord;
 use crate::state::units::MonotonicMillis;
-use crate::transport::http::{jittered, Fetched};
+use crate::transport::http::{jittered, ClientResponse};
 use crate::transport::{pause, TransportError};
 use http_types::Method;
 use std::collections::HashSet;
@@ -38,7 +38,7 @@
 const READS_PART: f64 = 0.3;
 
 impl Controller {
-    fn record_kv_response(&self, answer: &Result<Fetched, TransportError>) {
+    fn record_kv_response(&self, answer: &Result<ClientResponse, TransportError>) {
         if let Ok(f) = answer {
             if f.status != 503 {
                 self.kv_last_available.set(Some(self.now()));
@@ -52,7 +52,7 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-    ) -> Result<Fetched, TransportError> {
+    ) -> Result<ClientResponse, TransportError> {
         let answer = self.kv.call(method, path, body, CALL_MS).await;
         self.record_kv_response(&answer);
         if answer.is_err() {
--- a/src/coordination/metrics.rs
+++ b/src/coordination/metrics.rs
@@ -55,7 +55,7 @@
     }
 
     /// Times each poll of a future, and not what it waits for in between.
-    pub fn routine<F: Future>(&self, name: &'static str, work: F) -> TimedFuture<'_, F> {
+    pub fn time_polls<F: Future>(&self, name: &'static str, work: F) -> TimedFuture<'_, F> {
         TimedFuture {
             metrics: self,
             name,
--- a/src/coordination/worker_connectivity.rs
+++ b/src/coordination/worker_connectivity.rs
@@ -7,7 +7,7 @@
 use crate::state::machine::Machine;
 use crate::state::names::{Index, MachineIndex, ShardIndex};
 use crate::state::units::{millis_from_seconds, MonotonicMillis};
-use crate::transport::http::{Client, Fetched};
+use crate::transport::http::{Client, ClientResponse};
 use http_types::Method;
 use standby::ids::FencingToken;
 use std::collections::HashMap;
@@ -160,7 +160,7 @@
 }
 
 /// Asks a worker for its status; its answer, whatever it is, and the client that got it.
-pub(crate) async fn status(addr: &str) -> Option<(Fetched, Client)> {
+pub(crate) async fn status(addr: &str) -> Option<(ClientResponse, Client)> {
     let client = Client::new(addr.parse().ok()?);
     let answer = client.call(Method::Get, "/status", Vec::new(), PROBE_MS);
     let answer = answer.await.ok()?;
--- a/src/job_command.rs
+++ b/src/job_command.rs
@@ -3,7 +3,7 @@
 //! `cli` calls [`run`]; the requests are those of [`crate::protocol::users`].
 
 use crate::protocol::users::{InvalidJob, JobSpec, JobStatus};
-use crate::transport::http::{Client, Fetched};
+use crate::transport::http::{Client, ClientResponse};
 use crate::transport::TransportError;
 use clap::Subcommand;
 use http_types::Method;
@@ -206,7 +206,7 @@
 }
 
 /// The status of a job from a controller's answer.
-fn status(job: String, answer: &Fetched) -> Result<JobStatus, JobCommandError> {
+fn status(job: String, answer: &ClientResponse) -> Result<JobStatus, JobCommandError> {
     match answer.status {
         200 | 201 => rmp_serde::from_slice(&answer.body)
             .map_err(|source| JobCommandError::Decode { job, source }),
--- a/src/transport/http/client.rs
+++ b/src/transport/http/client.rs
@@ -22,7 +22,7 @@
 }
 
 /// The answer to a request.
-pub struct Fetched {
+pub struct ClientResponse {
     /// Status.
     pub status: u16,
     /// Body.
@@ -45,7 +45,7 @@
         path: &str,
         body: Vec<u8>,
         timeout_ms: u64,
-    ) -> Result<Fetched, TransportError> {
+    ) -> Result<ClientResponse, TransportError> {
         // Boxed, so that whoever waits for an answer need not hold it inline.
         within(timeout_ms, Box::pin(self.exchange(method, path, body)))
             .await
@@ -65,7 +65,7 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-    ) -> Result<Fetched, TransportError> {
+    ) -> Result<ClientResponse, TransportError> {
         let idle = self.idle.borrow_mut().pop();
         let stream = match idle {
             Some(stream) => stream,
@@ -94,7 +94,7 @@
         method: Method,
         path: &str,
         body: Vec<u8>,
-    ) -> Result<Fetched, ExchangeError> {
+    ) -> Result<ClientResponse, ExchangeError> {
         let request = self.request(method, path, body)?;
         send(&stream, async_h1::client::Encoder::new(request)).await?;
         // The answer is waited for before it is read: a try at once would find nothing.
@@ -105,7 +105,7 @@
         if !closes {
             self.keep(stream);
         }
-        Ok(Fetched {
+        Ok(ClientResponse {
             status: response.status() as u16,
             body,
         })
--- a/src/transport/http/mod.rs
+++ b/src/transport/http/mod.rs
@@ -4,8 +4,8 @@
 mod request_reading;
 mod server;
 
-pub use client::{Client, Fetched};
-pub use server::{listen, serve, serve_in, Answer, Incoming, MAX_BODY};
+pub use client::{Client, ClientResponse};
+pub use server::{listen, serve, serve_prioritized, Answer, Incoming, MAX_BODY};
 
 use async_dup::Arc;
 use async_io::Async;
--- a/src/transport/http/server.rs
+++ b/src/transport/http/server.rs
@@ -111,12 +111,12 @@
         workers: executor,
         ..ExecutorPriorities::default()
     };
-    serve_in(executors, |_| false, listener, max_connections, handler).await;
+    serve_prioritized(executors, |_| false, listener, max_connections, handler).await;
 }
 
 /// Accepts connections for good. A connection begins among the users' tasks and moves to the
 /// workers' once a request on it was a worker's, by its path.
-pub async fn serve_in<F, Fut>(
+pub async fn serve_prioritized<F, Fut>(
     executors: ExecutorPriorities,
     is_worker_path: fn(&str) -> bool,
     listener: Async<TcpListener>,
