--- a/src/coordination/scheduler/direct_start_delivery.rs
+++ b/src/coordination/scheduler/direct_start_delivery.rs
@@ -7,7 +7,7 @@
     direct_starts, record_direct_start_outcome, DirectStart, DirectStartOutcome,
 };
 use crate::protocol::workers::{DirectCommands, Heartbeat};
-use crate::transport::http::{Client, Fetched};
+use crate::transport::http::{Client, ClientResponse};
 use crate::transport::TransportError;
 use http_types::Method;
 use std::rc::Rc;
@@ -62,7 +62,7 @@
 fn record_response(
     controller: &Controller,
     start: &DirectStart,
-    response: Result<Fetched, TransportError>,
+    response: Result<ClientResponse, TransportError>,
 ) {
     let outcome = outcome_of(&response);
     if outcome == DirectStartOutcome::Unknown {
@@ -83,11 +83,11 @@
 }
 
 /// True for the worker's own responses; any other status may come from what is in between.
-fn is_answer(response: &Fetched) -> bool {
+fn is_answer(response: &ClientResponse) -> bool {
     matches!(response.status, 200 | 409)
 }
 
-fn outcome_of(response: &Result<Fetched, TransportError>) -> DirectStartOutcome {
+fn outcome_of(response: &Result<ClientResponse, TransportError>) -> DirectStartOutcome {
     match response {
         Ok(f) if f.status == 200 => DirectStartOutcome::Executed,
         Ok(f) if is_answer(f) => DirectStartOutcome::Refused,
