--- /dev/null
+++ b/src/coordination/heartbeats/apply.rs
@@ -0,0 +1,245 @@
+//! What a heartbeat changes in the cluster state.
+//!
+//! Called by `receive` for heartbeats, and by the planner for the status that a worker returns to
+//! direct commands. Invariant: a message of a worker is applied only if it is newer than all that
+//! were applied before, so a late copy changes nothing.
+
+use super::quarantine::{record_failed_jobs, record_failed_machine};
+use super::reachability::{update_reachability, IncomingHeartbeat};
+use crate::coordination::scheduler::commands;
+use crate::protocol::workers::{split_task, ExitReason, Heartbeat, TaskState, TaskStatus};
+use crate::state::cluster_state::ClusterState;
+use crate::state::machine::{Machine, ObservedTask, TaskAttempt};
+use crate::state::names::{JobIndex, MachineIndex};
+use crate::state::units::{millis_from_seconds, MonotonicMillis};
+use standby::ids::FencingToken;
+
+/// How a worker's status got here.
+#[derive(Clone, Copy, Debug)]
+pub enum StatusSource {
+    /// As a heartbeat to the owner of the machine's shard.
+    Heartbeat {
+        /// The owner's fencing token.
+        owner_token: FencingToken,
+        /// Lease of the workers.
+        lease_ms: u64,
+    },
+    /// In the response to direct commands. It proves presence of tasks, and no sign of life: the
+    /// worker has not asked for its lease to be renewed.
+    CommandResponse,
+}
+
+/// What a heartbeat changed.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum HeartbeatChange {
+    /// Nothing: it is no newer than what is known, a late copy or overtaken by another message.
+    Stale,
+    /// It is newer, and shows what was known.
+    Unchanged,
+    /// It shows something that the planner should consider before the response.
+    Changed,
+}
+
+/// Applies a worker's status to the cluster state.
+pub fn apply(
+    cluster: &mut ClusterState,
+    machine_index: MachineIndex,
+    heartbeat: &Heartbeat,
+    now: MonotonicMillis,
+    source: StatusSource,
+) -> HeartbeatChange {
+    let tasks = resolve_tasks(cluster, heartbeat);
+    let placed = cluster.placed_on(machine_index).to_vec();
+    let Some(machine) = cluster.machine_mut(machine_index) else {
+        return HeartbeatChange::Stale;
+    };
+    if heartbeat.version() <= machine.message_version {
+        return HeartbeatChange::Stale;
+    }
+    let change = compare(machine, heartbeat, &tasks);
+    if let StatusSource::Heartbeat {
+        owner_token,
+        lease_ms,
+    } = source
+    {
+        let incoming = IncomingHeartbeat {
+            heartbeat,
+            tasks: &tasks,
+            placed: &placed,
+            owner_token,
+            lease_ms,
+            now,
+        };
+        update_reachability(machine, &incoming);
+        record_sign_of_life(machine, heartbeat, owner_token, now);
+    }
+    let failed_jobs = record_exits(machine, &tasks);
+    record_status(machine, heartbeat, tasks, now);
+    drop_settled_in_flight_starts(machine, heartbeat, &placed);
+    record_failed_jobs(machine, &failed_jobs);
+    for job in failed_jobs {
+        record_failed_machine(cluster, job, machine_index, now);
+    }
+    stop_before_preemption(cluster, machine_index);
+    forget_unplaced_attempts(cluster, machine_index, &placed);
+    cluster.recompute_free_capacity(machine_index);
+    change
+}
+
+/// The tasks of a heartbeat with their names resolved; what is no task's name is left out.
+fn resolve_tasks(cluster: &ClusterState, heartbeat: &Heartbeat) -> Vec<ObservedTask> {
+    let resolve = |status: &TaskStatus| {
+        let (job, task) = split_task(&status.task)?;
+        Some(ObservedTask {
+            job: cluster.job(job).map(|(job_index, _)| job_index),
+            name: status.task.as_str().into(),
+            task,
+            attempt: status.attempt,
+            state: status.state,
+            exit_reason: status.exit_reason,
+        })
+    };
+    heartbeat.tasks.iter().filter_map(resolve).collect()
+}
+
+/// Whether a newer heartbeat shows something else than the one before it.
+fn compare(machine: &Machine, heartbeat: &Heartbeat, tasks: &[ObservedTask]) -> HeartbeatChange {
+    let changed = machine.message_version.agent_epoch != heartbeat.agent_epoch
+        || machine.fencing_token != heartbeat.fencing_token
+        || machine.preemption_deadline.is_some() != heartbeat.preemption_notice_s.is_some()
+        || machine.tasks.len() != tasks.len()
+        || tasks
+            .iter()
+            .zip(&machine.tasks)
+            .any(|(new, old)| !new.same_state_as(old));
+    if changed {
+        HeartbeatChange::Changed
+    } else {
+        HeartbeatChange::Unchanged
+    }
+}
+
+/// Records a heartbeat as such. It is a sign of life only if it shows the owner's token: one
+/// under an older token may be a late copy, whose machine may be gone.
+fn record_sign_of_life(
+    machine: &mut Machine,
+    heartbeat: &Heartbeat,
+    owner_token: FencingToken,
+    now: MonotonicMillis,
+) {
+    machine.heartbeat_version = heartbeat.version();
+    machine.fencing_token = heartbeat.fencing_token;
+    if heartbeat.fencing_token == owner_token {
+        machine.last_heartbeat = Some(now);
+        machine.cordoned_by_owner = false;
+    }
+}
+
+/// Records tasks that have exited since the last heartbeat; returns the jobs of those that failed.
+fn record_exits(machine: &mut Machine, tasks: &[ObservedTask]) -> Vec<JobIndex> {
+    let mut failed_jobs = Vec::new();
+    for task in tasks.iter().filter(|task| task.state == TaskState::Exited) {
+        if has_exited_before(machine, task) {
+            continue;
+        }
+        let exit_reason = task.exit_reason.unwrap_or(ExitReason::Other);
+        log_exit(machine, task, exit_reason);
+        // What is no job's task, or of an unknown job, says nothing of the machine.
+        let Some(attempt) = task.task_attempt() else {
+            continue;
+        };
+        match exit_reason {
+            ExitReason::Done => machine.failed_jobs.clear(),
+            ExitReason::Error => failed_jobs.push(attempt.job),
+            ExitReason::GangTimeout => *machine.gang_timeouts.entry(attempt).or_default() += 1,
+            _ => {}
+        }
+    }
+    failed_jobs
+}
+
+fn has_exited_before(machine: &Machine, task: &ObservedTask) -> bool {
+    let before = task.task_attempt().and_then(|a| machine.observed(a));
+    before.is_some_and(|before| before.state == TaskState::Exited)
+}
+
+fn log_exit(machine: &Machine, task: &ObservedTask, exit_reason: ExitReason) {
+    if exit_reason != ExitReason::Done {
+        log::debug!(
+            "task exited: task={} attempt={} machine={} exit_reason={exit_reason:?}",
+            task.name,
+            task.attempt,
+            machine.name
+        );
+    }
+}
+
+/// Records what a message says of its machine and the tasks there.
+fn record_status(
+    machine: &mut Machine,
+    heartbeat: &Heartbeat,
+    tasks: Vec<ObservedTask>,
+    now: MonotonicMillis,
+) {
+    machine.addr.clone_from(&heartbeat.addr);
+    machine.message_version = heartbeat.version();
+    machine.spot = heartbeat.spot;
+    record_preemption_notice(machine, heartbeat.preemption_notice_s, now);
+    machine.tasks = tasks;
+    let attempts = machine.tasks.iter().filter_map(ObservedTask::task_attempt);
+    machine.observed_attempts.extend(attempts);
+}
+
+fn record_preemption_notice(machine: &mut Machine, notice_s: Option<f64>, now: MonotonicMillis) {
+    if let (Some(notice_s), None) = (notice_s, machine.preemption_deadline) {
+        log::info!(
+            "preemption notice received: machine={} notice_s={notice_s:.0}",
+            machine.name
+        );
+    }
+    machine.preemption_deadline = notice_s.map(|s| now.plus(millis_from_seconds(s)));
+}
+
+/// Drops direct starts that can't run any more: the fencing token or the agent epoch has changed,
+/// or the start was executed and nothing of it is left.
+fn drop_settled_in_flight_starts(
+    machine: &mut Machine,
+    heartbeat: &Heartbeat,
+    placed: &[TaskAttempt],
+) {
+    let shown = &machine.tasks;
+    machine.in_flight_starts.retain(|attempt, start| {
+        let is_shown = || shown.iter().any(|t| t.task_attempt() == Some(*attempt));
+        let is_left = || placed.contains(attempt) || is_shown();
+        start.fencing_token >= heartbeat.fencing_token
+            && start.agent_epoch == heartbeat.agent_epoch
+            && (!start.acknowledged || is_left())
+    });
+}
+
+/// Stops what can be saved or moved before the cloud takes the machine away.
+fn stop_before_preemption(cluster: &mut ClusterState, machine_index: MachineIndex) {
+    let stops = commands::checkpoint_before_preemption(cluster, machine_index);
+    let Some(machine) = cluster.machine_mut(machine_index) else {
+        return;
+    };
+    for (attempt, grace_s) in stops {
+        machine.stopping.entry(attempt).or_insert(grace_s);
+    }
+}
+
+/// Drops what is remembered of attempts that are no longer placed on the machine. Direct starts
+/// in flight stay: they outlive their placement.
+fn forget_unplaced_attempts(
+    cluster: &mut ClusterState,
+    machine_index: MachineIndex,
+    placed: &[TaskAttempt],
+) {
+    let Some(machine) = cluster.machine_mut(machine_index) else {
+        return;
+    };
+    machine.start_sent.retain(|a, _| placed.contains(a));
+    machine.observed_attempts.retain(|a| placed.contains(a));
+    machine.gang_timeouts.retain(|a, _| placed.contains(a));
+    machine.stopping.retain(|a, _| placed.contains(a));
+}
--- /dev/null
+++ b/src/coordination/heartbeats/handler.rs
@@ -0,0 +1,87 @@
+//! The HTTP handler of heartbeats: decoding, waiting for the planner, and the status codes.
+//!
+//! `job_api` calls [`handle`] for each request of a worker. What is decided about a heartbeat
+//! stands in the other modules of this folder.
+
+use super::apply::HeartbeatChange;
+use super::receive::{receive, AcceptedHeartbeat, HeartbeatOutcome};
+use super::respond::respond;
+use crate::coordination::controller::Controller;
+use crate::protocol::workers::{Heartbeat, NotOwner};
+use crate::state::names::MachineIndex;
+use crate::state::units::millis_from_seconds;
+use crate::transport::http::Answer;
+use standby::failover::Refusal;
+use std::rc::Rc;
+
+/// How long a response waits for the planner to reconcile and claim first.
+const SCHEDULING_WAIT_MS: u64 = 400;
+/// After how many seconds a worker should try again while the records are being read.
+const RETRY_WHILE_LOADING_S: u32 = 1;
+
+/// Handles one heartbeat: 200 renews the lease, 421 sends the worker to another controller.
+pub async fn handle(controller: &Rc<Controller>, body: Option<Vec<u8>>) -> Answer {
+    let Some(heartbeat) = decode(body) else {
+        controller.warn_rate_limited("malformed heartbeat ignored");
+        return Answer::bare(400);
+    };
+    controller.record_worker_contact();
+    if !controller.cluster.borrow().loaded {
+        return Answer::later(RETRY_WHILE_LOADING_S);
+    }
+    let accepted = match receive_now(controller, &heartbeat) {
+        HeartbeatOutcome::Accepted(accepted) => accepted,
+        HeartbeatOutcome::NotOwner { owner } => return not_owner(owner),
+        HeartbeatOutcome::StaleFencingToken { shard, seen } => {
+            controller.token_refused(shard, Refusal::Worker { seen });
+            return not_owner(None);
+        }
+    };
+    if accepted.change == HeartbeatChange::Changed {
+        wait_for_scheduling_round(controller, accepted.machine).await;
+    }
+    respond_now(controller, &accepted)
+}
+
+fn decode(body: Option<Vec<u8>>) -> Option<Heartbeat> {
+    rmp_serde::from_slice(&body?).ok()
+}
+
+fn not_owner(owner: Option<String>) -> Answer {
+    Answer::of(421, &NotOwner { owner })
+}
+
+fn receive_now<'h>(controller: &Controller, heartbeat: &'h Heartbeat) -> HeartbeatOutcome<'h> {
+    let lease_ms = millis_from_seconds(controller.platform.settings.workers.lease_s);
+    let mut cluster = controller.cluster.borrow_mut();
+    let now = controller.now();
+    receive(&mut cluster, &controller.config, heartbeat, lease_ms, now)
+}
+
+/// Lets the planner act on the heartbeat, so that its response can hold the resulting commands.
+///
+/// Until then starts for the machine are not sent directly: the response will carry them.
+async fn wait_for_scheduling_round(controller: &Controller, machine: MachineIndex) {
+    adjust_responses_in_progress(controller, machine, 1);
+    controller
+        .scheduling
+        .request_round(SCHEDULING_WAIT_MS)
+        .await;
+    adjust_responses_in_progress(controller, machine, -1);
+}
+
+fn adjust_responses_in_progress(controller: &Controller, machine: MachineIndex, by: i32) {
+    if let Some(machine) = controller.cluster.borrow_mut().machine_mut(machine) {
+        machine.responses_in_progress = machine.responses_in_progress.saturating_add_signed(by);
+    }
+}
+
+fn respond_now(controller: &Controller, accepted: &AcceptedHeartbeat) -> Answer {
+    let permits = controller.permits();
+    let mut cluster = controller.cluster.borrow_mut();
+    let now = controller.now();
+    match respond(&mut cluster, &controller.config, &permits, accepted, now) {
+        Some(response) => Answer::of(200, &response),
+        None => not_owner(None),
+    }
+}
--- /dev/null
+++ b/src/coordination/heartbeats/quarantine.rs
@@ -0,0 +1,56 @@
+//! Failures of tasks: machines that fail tasks of several jobs, jobs that fail on several machines.
+//!
+//! Called by `apply` with the jobs whose tasks have newly failed. A machine is quarantined so that
+//! the autoscaler deletes it; a job is backed off so that neither machines nor other jobs suffer
+//! from it.
+
+use crate::state::cluster_state::ClusterState;
+use crate::state::machine::Machine;
+use crate::state::names::{Index, JobIndex, MachineIndex};
+use crate::state::units::MonotonicMillis;
+
+/// Different jobs that may fail on a machine, without a success between, before it is quarantined.
+const FAILED_JOBS_BEFORE_QUARANTINE: usize = 2;
+/// Different machines on which a job may fail before it is backed off.
+const FAILED_MACHINES_BEFORE_BACKOFF: usize = 3;
+/// First backoff of a job; it doubles with each further machine.
+const FIRST_BACKOFF_MS: u64 = 5000;
+/// How often the backoff doubles at most.
+const MAX_BACKOFF_DOUBLINGS: usize = 4;
+
+/// Records that tasks of these jobs failed on a machine, and quarantines it after several jobs.
+pub(super) fn record_failed_jobs(machine: &mut Machine, failed_jobs: &[JobIndex]) {
+    machine.failed_jobs.extend(failed_jobs);
+    let failed = machine.failed_jobs.len();
+    if failed >= FAILED_JOBS_BEFORE_QUARANTINE && !machine.quarantined {
+        log::warn!(
+            "machine quarantined after failures of different jobs: machine={} failed_jobs={failed}",
+            machine.name
+        );
+        machine.quarantined = true;
+    }
+}
+
+/// Records that a job failed on a machine, and backs the job off after several machines.
+pub(super) fn record_failed_machine(
+    cluster: &mut ClusterState,
+    job: JobIndex,
+    machine: MachineIndex,
+    now: MonotonicMillis,
+) {
+    let failures = cluster.failures.entry(job).or_default();
+    failures.machines.insert(machine);
+    let machines = failures.machines.len();
+    if machines < FAILED_MACHINES_BEFORE_BACKOFF {
+        return;
+    }
+    let doublings = (machines - FAILED_MACHINES_BEFORE_BACKOFF).min(MAX_BACKOFF_DOUBLINGS);
+    let backoff_ms = FIRST_BACKOFF_MS << doublings;
+    failures.retry_at = now.plus(backoff_ms);
+    failures.machines.clear();
+    log::warn!(
+        "job backed off after failures on different machines: job={} machines={machines} \
+         backoff_ms={backoff_ms}",
+        cluster.jobs[job.at()].id
+    );
+}
--- /dev/null
+++ b/src/coordination/heartbeats/reachability.rs
@@ -0,0 +1,118 @@
+//! Whether what a machine's owner answers reaches the worker.
+//!
+//! Heartbeats that arrive prove one direction only. A machine whose responses are lost would take
+//! starts for ever without running any of them, so `apply` has each heartbeat judged here before
+//! it is recorded. `worker_connectivity` probes machines that are found unreachable.
+
+use crate::protocol::workers::{Heartbeat, HeartbeatVersion};
+use crate::state::machine::{Machine, ObservedTask, TaskAttempt};
+use crate::state::units::MonotonicMillis;
+use standby::ids::FencingToken;
+
+/// Heartbeats in a row without any start sent in earlier responses, after which the machine counts
+/// as unreachable.
+const MAX_UNOBSERVED_STARTS: u8 = 3;
+
+/// A heartbeat that is about to be recorded, and what it is judged by.
+pub(super) struct IncomingHeartbeat<'a> {
+    /// The heartbeat.
+    pub(super) heartbeat: &'a Heartbeat,
+    /// Its tasks, names resolved.
+    pub(super) tasks: &'a [ObservedTask],
+    /// Attempts that are placed on the machine.
+    pub(super) placed: &'a [TaskAttempt],
+    /// The owner's fencing token.
+    pub(super) owner_token: FencingToken,
+    /// Lease of the workers.
+    pub(super) lease_ms: u64,
+    /// When it arrived.
+    pub(super) now: MonotonicMillis,
+}
+
+/// Updates whether the machine is reachable; `machine` is as the heartbeat before left it.
+///
+/// Two signs tell that it is not: an agent epoch that ended although its heartbeats were answered
+/// all along, and starts in responses that later heartbeats do not show. A machine that shows the
+/// effect of a command is reachable again.
+pub(super) fn update_reachability(machine: &mut Machine, incoming: &IncomingHeartbeat) {
+    let answered = incoming.continues_answered(machine);
+    if incoming.begins_new_epoch(machine) {
+        judge_ended_epoch(machine, incoming, answered);
+        return;
+    }
+    if !answered {
+        machine.responding_since = Some(incoming.now);
+    }
+    judge_sent_starts(machine, incoming);
+}
+
+impl IncomingHeartbeat<'_> {
+    /// True if the heartbeat before it was taken under the same token, less than half a lease ago:
+    /// the worker has been answered here without a gap.
+    fn continues_answered(&self, machine: &Machine) -> bool {
+        machine.fencing_token == self.owner_token
+            && machine
+                .last_heartbeat
+                .is_some_and(|previous| self.now.since(previous) < self.lease_ms / 2)
+    }
+
+    fn begins_new_epoch(&self, machine: &Machine) -> bool {
+        let previous = machine.message_version.agent_epoch;
+        previous.is_known() && self.heartbeat.agent_epoch > previous
+    }
+
+    fn shows(&self, attempt: &TaskAttempt) -> bool {
+        let mut attempts = self.tasks.iter().map(ObservedTask::task_attempt);
+        attempts.any(|shown| shown == Some(*attempt))
+    }
+
+    /// True if this heartbeat should show a start: it is newer than the one whose response held
+    /// the start, and the attempt is still wanted.
+    fn should_show(&self, attempt: &TaskAttempt, sent: HeartbeatVersion) -> bool {
+        sent < self.heartbeat.version() && self.placed.contains(attempt)
+    }
+}
+
+/// An epoch ends when the worker's lease expires. If the worker was answered for longer than a
+/// lease, the responses did not arrive.
+fn judge_ended_epoch(machine: &mut Machine, incoming: &IncomingHeartbeat, answered: bool) {
+    machine.unobserved_starts = 0;
+    let answered_for_a_lease = machine
+        .responding_since
+        .is_some_and(|since| incoming.now.since(since) > incoming.lease_ms);
+    if answered && answered_for_a_lease {
+        log::warn!(
+            "machine unreachable, agent epoch ended while heartbeats were answered: machine={}",
+            machine.name
+        );
+        machine.unreachable_since = machine.unreachable_since.or(Some(incoming.now));
+    }
+    machine.responding_since = Some(incoming.now);
+}
+
+/// Compares the starts sent in earlier responses with what the heartbeat shows.
+fn judge_sent_starts(machine: &mut Machine, incoming: &IncomingHeartbeat) {
+    let mut expected = machine
+        .start_sent
+        .iter()
+        .filter(|(attempt, sent)| incoming.should_show(attempt, **sent))
+        .map(|(attempt, _)| attempt)
+        .peekable();
+    if expected.peek().is_none() {
+        machine.unobserved_starts = 0;
+        return;
+    }
+    if expected.any(|attempt| incoming.shows(attempt)) {
+        machine.mark_reachable(incoming.now);
+        return;
+    }
+    machine.unobserved_starts = machine.unobserved_starts.saturating_add(1);
+    if machine.unobserved_starts >= MAX_UNOBSERVED_STARTS && machine.unreachable_since.is_none() {
+        log::warn!(
+            "machine unreachable, heartbeats show no start sent to it: machine={} heartbeats={}",
+            machine.name,
+            machine.unobserved_starts
+        );
+        machine.unreachable_since = Some(incoming.now);
+    }
+}
--- a/src/coordination/scheduler/direct_start_delivery.rs
+++ b/src/coordination/scheduler/direct_start_delivery.rs
@@ -2,7 +2,7 @@
 //! passes; what to send is decided in `direct_starts`.
 
 use crate::coordination::controller::{Controller, Direct};
-use crate::coordination::heartbeats;
+use crate::coordination::heartbeats::{self, StatusSource};
 use crate::coordination::scheduler::direct_starts::{
     direct_starts, record_direct_start_outcome, DirectStart, DirectStartOutcome,
 };
@@ -77,8 +77,8 @@
     record_direct_start_outcome(&mut cluster, start, outcome);
     let heartbeat = answer.and_then(|f| rmp_serde::from_slice::<Heartbeat>(&f.body).ok());
     if let Some(heartbeat) = heartbeat {
-        let now = controller.now();
-        heartbeats::take(&mut cluster, start.machine, &heartbeat, now, None);
+        let (now, source) = (controller.now(), StatusSource::CommandResponse);
+        heartbeats::apply(&mut cluster, start.machine, &heartbeat, now, source);
     }
 }
 
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -31,6 +31,14 @@
         .count()
 }
 
+/// A heartbeat to the owner that holds this fencing token.
+fn heartbeat_under(owner_token: FencingToken) -> heartbeats::StatusSource {
+    heartbeats::StatusSource::Heartbeat {
+        owner_token,
+        lease_ms: 10_000,
+    }
+}
+
 fn quota_usage(cpu_milli: i64, gpu_milli: i64) -> QuotaUsage {
     QuotaUsage {
         cpu_milli,
@@ -213,7 +221,8 @@
     // A newer message without the task, sent before the answer arrived.
     let other = w.heartbeat(700);
     let mix = c.machine("m1");
-    heartbeats::take(&mut c.cluster, mix, &other, MonotonicMillis(700), None);
+    let source = heartbeats::StatusSource::CommandResponse;
+    heartbeats::apply(&mut c.cluster, mix, &other, MonotonicMillis(700), source);
     c.plan(&mut store, 700);
     assert_eq!(c.job("job-1").placements.len(), 1);
     assert!(w.receive_response(&answer, r.agent_epoch, 500, 800));
@@ -324,19 +333,19 @@
             .learn_machine("m2", "oven", "south", true, MonotonicMillis(10))
             .unwrap(),
     );
-    heartbeats::take(
+    heartbeats::apply(
         &mut north.cluster,
         m1,
         &r1,
         MonotonicMillis(10),
-        Some((tokens[0], 10_000)),
+        heartbeat_under(tokens[0]),
     );
-    heartbeats::take(
+    heartbeats::apply(
         &mut south.cluster,
         m2,
         &r2,
         MonotonicMillis(10),
-        Some((tokens[1], 10_000)),
+        heartbeat_under(tokens[1]),
     );
     // Both decide on the same view; only one of the raises can be applied.
     let (a, b) = (north.draft(10), south.draft(10));
@@ -1058,16 +1067,14 @@
         10_000,
         MonotonicMillis(now + 20),
     );
-    let heartbeats::HeartbeatOutcome::Accepted(mix, token, taken) = got else {
+    let heartbeats::HeartbeatOutcome::Accepted(accepted) = got else {
         panic!("not taken");
     };
-    let taken = (mix, token, taken);
-    let answer = heartbeats::reply(
+    let answer = heartbeats::respond(
         &mut c.cluster,
         &c.config,
         c.failovers.permits(),
-        &r,
-        taken,
+        &accepted,
         MonotonicMillis(now + 20),
     )
     .unwrap();
@@ -1099,7 +1106,8 @@
     let late = w.heartbeat(9000);
     let newer = w.heartbeat(9100);
     let mix = c.machine("m1");
-    heartbeats::take(&mut c.cluster, mix, &newer, MonotonicMillis(9100), None);
+    let source = heartbeats::StatusSource::CommandResponse;
+    heartbeats::apply(&mut c.cluster, mix, &newer, MonotonicMillis(9100), source);
     assert!(c.report(&mut store, &late, 9200).is_some());
     let over = heard.plus(c.config.lease_expiry_ms + 10).0;
     assert!(!c.draft(over).jobs.contains_key(&ix), "answered since");
--- a/tests/support/controller.rs
+++ b/tests/support/controller.rs
@@ -413,18 +413,17 @@
             10_000,
             MonotonicMillis(now),
         );
-        let heartbeats::HeartbeatOutcome::Accepted(mix, token, taken) = received else {
+        let heartbeats::HeartbeatOutcome::Accepted(accepted) = received else {
             digest::note("report not taken", now, &r.machine);
             return None;
         };
         self.plan(store, now);
         self.observe(now);
-        let answer = heartbeats::reply(
+        let answer = heartbeats::respond(
             &mut self.cluster,
             &self.config,
             self.failovers.permits(),
-            r,
-            (mix, token, taken),
+            &accepted,
             MonotonicMillis(now),
         );
         digest::note("answer to a report", now, &(&r.machine, &answer));
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -582,23 +582,21 @@
             MonotonicMillis(now),
         );
         let answer = match received {
-            HeartbeatOutcome::Accepted(mix, token, taken) => {
+            HeartbeatOutcome::Accepted(accepted) => {
                 c.plan(&mut self.store, now);
                 c.observe(now);
-                let got = (mix, token, taken);
                 let permits = c.failovers.permits();
-                let answer = heartbeats::reply(
+                let answer = heartbeats::respond(
                     &mut c.cluster,
                     &c.config,
                     permits,
-                    &report,
-                    got,
+                    &accepted,
                     MonotonicMillis(now),
                 );
                 answer.ok_or(None)
             }
-            HeartbeatOutcome::NotOwner(owner) => Err(owner),
-            HeartbeatOutcome::StaleFencingToken(shard, seen) => {
+            HeartbeatOutcome::NotOwner { owner } => Err(owner),
+            HeartbeatOutcome::StaleFencingToken { shard, seen } => {
                 c.refused_by_worker(shard, seen.0, now);
                 Err(None)
             }
