--- a/src/cli.rs
+++ b/src/cli.rs
@@ -4,10 +4,10 @@
 //! process is stopped; all that must survive is in the key-value store.
 
 use crate::coordination::controller::Controller;
+use crate::coordination::peer_messages::{requests, status_updates};
 use crate::coordination::scheduler::planner;
 use crate::coordination::{
-    autoscaler, cancellations, failover, job_api, kv, membership, peer_messages, replication,
-    worker_connectivity,
+    autoscaler, cancellations, failover, job_api, kv, membership, replication, worker_connectivity,
 };
 use crate::features::Features;
 use crate::job_command::{self, JobAction, JobCommandError};
@@ -219,7 +219,7 @@
     );
     controller.spawn_supervised("planner", planner::run);
     controller.spawn_supervised("cancellations", cancellations::run);
-    controller.spawn_supervised("status broadcast", peer_messages::news);
+    controller.spawn_supervised("status broadcast", status_updates::run);
     if let Some(standby) = controller.features.standby() {
         let bound = failover::bound(&controller.platform.settings.workers);
         log::info!("warm standby enabled: settings={standby:?} failover_bound={bound}");
@@ -240,7 +240,7 @@
     let background = &executors.background;
     let for_peers = controller.clone();
     let peer_server = frames::serve(background.clone(), listeners.peers, move |request| {
-        peer_messages::handle(&for_peers, request)
+        requests::handle(&for_peers, request)
     });
     background.spawn(peer_server).detach();
     let for_users = controller.clone();
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -8,7 +8,7 @@
 
 use super::{AutoscalerState, CLOUD_TIMEOUT_MS, REFRESH_MS};
 use crate::coordination::controller::Controller;
-use crate::coordination::peer_messages;
+use crate::coordination::peer_messages::{machine_changes, status_updates};
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::protocol::cloud::{ListedMachine, MachineNames};
 use crate::protocol::peers::{PeerRequest, PeerResponse};
@@ -298,7 +298,7 @@
             let resumed_at = self.controller.resumed_at.get();
             Some(self.state.owner_since).max(resumed_at)
         };
-        let silent_ms = peer_messages::silence(
+        let silent_ms = status_updates::silence_ms(
             machine.last_heartbeat,
             machine.discovered_at,
             observing_since,
@@ -414,7 +414,7 @@
     let mut cordoned = Vec::new();
     for (owner, machines) in by_owner {
         if owner == controller.config.controller_name {
-            cordoned.extend(peer_messages::close(controller, &machines));
+            cordoned.extend(machine_changes::cordon(controller, &machines));
         } else {
             cordoned.extend(ask_peer_to_cordon(controller, &owner, machines).await);
         }
@@ -496,7 +496,7 @@
 /// Takes note of deleted machines, here and at all peers: the only proof there is that the tasks
 /// of a machine that does not talk any more have ended.
 async fn announce_deleted(controller: &Controller, machines: Vec<String>) {
-    peer_messages::gone(controller, &machines);
+    machine_changes::mark_machines_deleted(controller, &machines);
     let announcement = PeerRequest::MachinesDeleted { machines };
     for peer in &controller.peers {
         let answer = peer.client.ask(&announcement, ANNOUNCE_TIMEOUT_MS).await;
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/cancellations.rs
@@ -3,7 +3,7 @@
 use crate::coordination::controller::{Controller, NotificationState, Peer};
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::worker_connectivity;
-use crate::protocol::peers::{PeerRequest, PeerResponse, MAX_JOBS};
+use crate::protocol::peers::{PeerRequest, PeerResponse, MAX_CANCELLED_JOBS};
 use crate::protocol::workers::{Command, DirectCommands, Heartbeat, TaskState};
 use crate::state::cluster_state::ClusterState;
 use crate::state::machine::TaskAttempt;
@@ -77,7 +77,7 @@
     let jobs = names(&controller.cluster.borrow());
     let reply = peer
         .cancellations_client
-        .ask(&PeerRequest::Cancelled { jobs }, PEER_MS)
+        .ask(&PeerRequest::CancelledJobs { jobs }, PEER_MS)
         .await;
     let reply = match reply {
         Ok(reply) => reply,
@@ -109,7 +109,7 @@
 }
 
 /// Answers a peer that tells of cancellations.
-pub fn answer(controller: &Rc<Controller>, jobs: &[String]) -> PeerResponse {
+pub fn handle_cancelled_jobs(controller: &Rc<Controller>, jobs: &[String]) -> PeerResponse {
     let news = learn(&mut controller.cluster.borrow_mut(), jobs);
     note(controller, &news);
     let now = controller.now();
@@ -128,7 +128,7 @@
 /// The cancelled jobs that a frame tells of.
 pub fn names(cluster: &ClusterState) -> Vec<String> {
     let mut jobs = cluster.cancelled_names();
-    jobs.truncate(MAX_JOBS);
+    jobs.truncate(MAX_CANCELLED_JOBS);
     jobs
 }
 
@@ -142,9 +142,9 @@
 /// What a process that has run for `up_ms` tells a peer that asks.
 pub fn tells(cluster: &ClusterState, now: MonotonicMillis, up_ms: u64) -> PeerResponse {
     let short = |ms: u64| ms.min(u64::from(u32::MAX)) as u32;
-    PeerResponse::Cancelled {
-        up_ms: short(up_ms),
-        age_ms: cluster
+    PeerResponse::CancellationAttestation {
+        uptime_ms: short(up_ms),
+        watermark_age_ms: cluster
             .cancellation_watermark
             .age_ms(now)
             .map_or(u32::MAX, short),
@@ -160,9 +160,9 @@
     now: MonotonicMillis,
     reply: &'a PeerResponse,
 ) -> Vec<&'a String> {
-    let PeerResponse::Cancelled {
-        up_ms,
-        age_ms,
+    let PeerResponse::CancellationAttestation {
+        uptime_ms: up_ms,
+        watermark_age_ms: age_ms,
         jobs,
     } = reply
     else {
@@ -170,7 +170,7 @@
     };
     let news = learn(cluster, jobs);
     // A list that was cut does not hold all that the peer knows.
-    if jobs.len() < MAX_JOBS {
+    if jobs.len() < MAX_CANCELLED_JOBS {
         let age = (*age_ms != u32::MAX).then_some(u64::from(*age_ms));
         let up_ms = u64::from(*up_ms);
         cluster
--- /dev/null
+++ b/src/coordination/peer_messages/gang_reservations.rs
@@ -0,0 +1,94 @@
+//! Machines reserved for gangs that have waited for too long.
+//!
+//! All controllers derive the same order of gangs. The one that plans a gang reserves machines of
+//! any owner for it, here and, by a message, at the others. Called by `status_updates` each round
+//! and by `requests` for the messages of peers.
+//!
+//! Invariant: a reservation ends by itself unless it is renewed, so one whose gang has started, or
+//! whose sender has failed, keeps nothing from other work for long.
+
+use super::status_updates::STATUS_INTERVAL_MS;
+use crate::coordination::controller::{wall_ms, Controller};
+use crate::coordination::scheduler::gang_reservations::gang_reservations;
+use crate::protocol::peers::PeerRequest;
+use crate::state::cluster_state::ClusterState;
+use crate::state::names::{Index, JobIndex, MachineIndex};
+use std::rc::Rc;
+
+/// How long machines stay reserved for a gang unless that is renewed.
+pub(crate) const GANG_RESERVATION_MS: u64 = 4000;
+/// Machines in one frame of a reservation: a gang may need thousands.
+const MACHINES_PER_RESERVATION: usize = 1000;
+
+/// Reserves machines for the gangs that this controller plans, here and at all peers.
+pub(super) fn reserve_for_gangs(controller: &Rc<Controller>) {
+    let now = controller.now();
+    let reservations = gang_reservations(
+        &controller.cluster.borrow(),
+        &controller.config,
+        now,
+        wall_ms(),
+    );
+    for (gang, machines) in reservations {
+        let (job, names) = names_of(&controller.cluster.borrow(), gang, &machines);
+        record_reservation(controller, &job, &names);
+        broadcast_reservation(controller, reservation_requests(&job, &names));
+    }
+}
+
+fn names_of(
+    cluster: &ClusterState,
+    gang: JobIndex,
+    machines: &[MachineIndex],
+) -> (String, Vec<String>) {
+    let name = |machine: &MachineIndex| cluster.machine_names.name(*machine).to_string();
+    let job = cluster.jobs[gang.at()].id.to_string();
+    (job, machines.iter().map(name).collect())
+}
+
+fn broadcast_reservation(controller: &Rc<Controller>, requests: Vec<PeerRequest>) {
+    let requests: Rc<[PeerRequest]> = requests.into();
+    for peer in 0..controller.peers.len() {
+        let reservation = send_reservation(controller.clone(), peer, requests.clone());
+        controller.executor.spawn(reservation).detach();
+    }
+}
+
+/// Sends the frames of one reservation to one peer, until one fails.
+async fn send_reservation(controller: Rc<Controller>, peer: usize, requests: Rc<[PeerRequest]>) {
+    let client = &controller.peers[peer].client;
+    for request in requests.iter() {
+        if client.ask(request, STATUS_INTERVAL_MS).await.is_err() {
+            break;
+        }
+    }
+}
+
+/// The requests that reserve machines for a gang, in as many frames as it takes.
+pub fn reservation_requests(job: &str, machines: &[String]) -> Vec<PeerRequest> {
+    let request = |machines: &[String]| PeerRequest::ReserveMachines {
+        job: job.to_string(),
+        machines: machines.to_vec(),
+    };
+    machines
+        .chunks(MACHINES_PER_RESERVATION)
+        .map(request)
+        .collect()
+}
+
+/// Reserves machines for a gang for a while; names that are unknown here are passed over.
+pub(super) fn record_reservation(controller: &Controller, job: &str, machines: &[String]) {
+    let until = controller.now().plus(GANG_RESERVATION_MS);
+    let mut cluster = controller.cluster.borrow_mut();
+    let Some((gang, _)) = cluster.job(job) else {
+        return;
+    };
+    for name in machines {
+        let Some(machine_index) = cluster.machine_names.find(name) else {
+            continue;
+        };
+        if let Some(machine) = cluster.machine_mut(machine_index) {
+            machine.reservation = Some((gang, until));
+        }
+    }
+}
--- /dev/null
+++ b/src/coordination/peer_messages/utilization_log.rs
@@ -0,0 +1,99 @@
+//! Log lines at level debug on the use of the own machines, by type, and on the work that waits.
+//!
+//! Called by `status_updates` every few rounds. It reads the state and changes nothing.
+
+use crate::coordination::controller::Controller;
+use crate::state::cluster_state::ClusterState;
+use crate::state::machine::MachineType;
+use crate::state::names::MachineTypeIndex;
+use crate::state::units::Resources;
+use std::collections::BTreeMap;
+
+/// Use of the machines of one type.
+#[derive(Default)]
+struct Utilization {
+    machines: usize,
+    empty_machines: usize,
+    tasks: usize,
+    free: Resources,
+}
+
+/// Jobs and tasks of one class that wait.
+#[derive(Default)]
+struct WaitingWork {
+    jobs: u32,
+    tasks: u32,
+}
+
+/// Writes all lines.
+pub(super) fn write(controller: &Controller) {
+    if log::log_enabled!(log::Level::Debug) {
+        log_utilization(controller);
+        log_waiting_work(&controller.cluster.borrow());
+    }
+    if let Some(line) = controller.metrics.line() {
+        log::debug!("time taken by background tasks: {line}");
+    }
+}
+
+fn log_utilization(controller: &Controller) {
+    let cluster = controller.cluster.borrow();
+    for (index, machine_type) in &cluster.machine_types {
+        let used = utilization(controller, &cluster, *index, machine_type);
+        log::debug!(
+            "utilization: machine_type={} machines={} empty_machines={} tasks={} free_cpus={} \
+             free_gpus={} free_memory_gb={}",
+            machine_type.description.name,
+            used.machines,
+            used.empty_machines,
+            used.tasks,
+            used.free.cpu / 1000,
+            used.free.gpu / 1000,
+            used.free.mem / 1000
+        );
+    }
+}
+
+/// Sums up the own schedulable machines of a type.
+fn utilization(
+    controller: &Controller,
+    cluster: &ClusterState,
+    index: MachineTypeIndex,
+    machine_type: &MachineType,
+) -> Utilization {
+    let config = &controller.config;
+    let mut sum = Utilization::default();
+    for (machine_index, machine) in cluster.all_machines() {
+        let own = machine.machine_type == index && config.owns(cluster, machine.shard);
+        if !own || !machine.is_schedulable(controller.now(), config.unresponsive_ms) {
+            continue;
+        }
+        let free = cluster.free_on(machine_index).unwrap_or_default();
+        sum.machines += 1;
+        sum.empty_machines += usize::from(free == machine_type.capacity);
+        sum.tasks += cluster.placed_on(machine_index).len();
+        sum.free = sum.free.plus(free);
+    }
+    sum
+}
+
+fn log_waiting_work(cluster: &ClusterState) {
+    let mut by_class: BTreeMap<&str, WaitingWork> = BTreeMap::new();
+    for (_, job) in cluster.active_jobs() {
+        let (tasks, Some(spec)) = (job.waiting_count(), &job.spec) else {
+            continue;
+        };
+        if tasks > 0 {
+            let waiting = by_class.entry(&spec.wire.class).or_default();
+            waiting.jobs += 1;
+            waiting.tasks += tasks;
+        }
+    }
+    for (class, waiting) in by_class {
+        log::debug!(
+            "work waiting: class={class} jobs={} tasks={}",
+            waiting.jobs,
+            waiting.tasks
+        );
+    }
+}
--- a/src/coordination/scheduler/queues.rs
+++ b/src/coordination/scheduler/queues.rs
@@ -64,7 +64,7 @@
 
 /// The requests that tell an owner of tasks bound to its machines, as many as it takes.
 pub fn bind_requests(tasks: &[(String, TaskRef)]) -> Vec<PeerRequest> {
-    let request = |tasks: &[(String, TaskRef)]| PeerRequest::Bind {
+    let request = |tasks: &[(String, TaskRef)]| PeerRequest::EnqueueTasks {
         tasks: tasks.to_vec(),
     };
     tasks.chunks(TASKS_PER_BIND).map(request).collect()
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -1,176 +1,177 @@
-//! Frames between the service's own processes.
+//! Frames between the controllers of one deployment.
 //!
-//! A frame is a length (4 bytes, big endian), a version byte and an `rkyv`
-//! archive, which is validated before it is looked at. Queue traffic is a
-//! hint: a frame that is lost, doubled or refused breaks nothing.
+//! A frame is a length (4 bytes, big endian), a version byte and an `rkyv` archive, which is
+//! validated before it is accessed. Most requests are hints: a frame that is lost, repeated or
+//! refused breaks nothing. Those that are not say so.
 //!
-//! New kinds of frames go to the end of their enum and may be no larger than the largest there
-//! and need no wider alignment, so that the older ones keep their form in both versions.
+//! Invariant: controllers of two versions run side by side during an upgrade, so the layout of
+//! what exists never changes. New variants go to the end of their enum and may be no larger than
+//! the largest there and need no wider alignment.
 
 // rkyv's derive makes archived twins whose fields carry no docs of their own.
 #![allow(missing_docs)]
 
 use rkyv::{rancor::Error, Archive, Deserialize, Serialize};
 
-/// Version of the frames.
+/// Version byte of the frames.
 pub const VERSION: u8 = 3;
-/// Largest frame.
+/// Largest frame, in bytes.
 pub const MAX_FRAME: usize = 64 * 1024;
-/// Names of jobs in a frame; ids are short.
-pub const MAX_JOBS: usize = 1500;
+/// Most cancelled jobs in a frame; their ids are short.
+pub const MAX_CANCELLED_JOBS: usize = 1500;
 
 /// A task by name.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct TaskRef {
     /// Job id.
     pub job: String,
-    /// Task number.
+    /// Task number within the job.
     pub task: u32,
 }
 
-/// What an owner tells of one of its machines.
+/// State of one machine as the owner of its shard broadcasts it.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct MachineStatus {
     /// Name.
     pub name: String,
-    /// Worker's address.
+    /// Address of its worker.
     pub addr: String,
-    /// Type.
+    /// Machine type.
     pub machine_type: String,
     /// Zone.
     pub zone: String,
-    /// Spot.
+    /// True for a spot machine.
     pub spot: bool,
-    /// Since its last report, or since the owner began to wait for one.
+    /// Time since its last heartbeat, or since the owner began to wait for one, ms.
     pub silent_ms: u64,
-    /// It has reported at least once.
-    pub has_reported: bool,
-    /// It has shown the sender's token.
+    /// It has sent at least one heartbeat.
+    pub has_sent_heartbeat: bool,
+    /// Its heartbeats show the owner's fencing token.
     pub fencing_token_confirmed: bool,
     /// Tasks in its queue.
     pub queue_length: u8,
-    /// Tells that it takes no more tasks.
+    /// It takes no more tasks.
     pub cordoned: bool,
-    /// Suspected to be faulty.
+    /// It is suspected to be faulty.
     pub quarantined: bool,
 }
 
-/// How a shard and its standby stand, as one node sees it.
+/// State of a shard and its standby as one controller sees it.
 #[derive(Archive, Serialize, Deserialize, serde::Serialize, Clone, PartialEq, Debug)]
 pub struct ShardStatus {
-    /// Shard; the last one is the renting duty.
+    /// Shard; the last one is the autoscaler's.
     pub shard: u32,
-    /// Owner, by the records.
+    /// Owner by the records.
     pub owner: String,
-    /// Token, by the records.
+    /// Fencing token by the records.
     #[serde(rename = "token")]
     pub fencing_token: u64,
-    /// State of the shard's takeover on the node that was asked.
+    /// State of the shard's failover on the controller that was asked.
     pub state: String,
-    /// Standby, as that node sees it.
+    /// Standby as that controller sees it.
     pub standby: Option<String>,
-    /// Decisions that the standby lacks, if that node streams to it and it has a snapshot.
+    /// Decisions that the standby lacks, if that controller streams to it and it has a snapshot.
     #[serde(rename = "behind")]
     pub replication_lag: Option<u64>,
-    /// Token of the owner whose complete state that node has as its standby.
+    /// Fencing token of the owner whose complete state that controller has as its standby.
     #[serde(rename = "follows")]
     pub replica_of_token: Option<u64>,
 }
 
-/// A request.
+/// A request to another controller.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub enum PeerRequest {
-    /// Owner's view of its machines, sent every second or so.
+    /// Status update: the sender's health and its machines, broadcast every second or so.
     Status {
-        /// Sender.
+        /// Name of the sender.
         sender: String,
-        /// The sender reaches the state service.
+        /// The sender reaches the key-value store.
         kv_reachable: bool,
-        /// Workers reach the sender, or it them.
+        /// Workers reach the sender, or it reaches them.
         workers_reachable: bool,
-        /// Machines.
+        /// Machines of the shards that the sender owns.
         machines: Vec<MachineStatus>,
     },
-    /// Put these tasks into these machines' queues.
-    Bind {
-        /// Machine and task.
+    /// Put tasks into the queues of the receiver's machines.
+    EnqueueTasks {
+        /// Machine, and the task for its queue.
         tasks: Vec<(String, TaskRef)>,
     },
-    /// An idle machine polls others' queues.
+    /// An idle machine polls the queues of the receiver's machines.
     StealWork {
         /// The idle machine.
         idle_machine: String,
-        /// Machines asked.
+        /// The machines whose queues are polled, in this order.
         machines: Vec<String>,
     },
     /// Keep machines free for a gang for a while.
     ReserveMachines {
-        /// The gang.
+        /// The gang's job.
         job: String,
-        /// Machines.
+        /// Machines to reserve.
         machines: Vec<String>,
     },
-    /// Take no more tasks on these machines; they are to be returned.
+    /// Start nothing more on these machines: the autoscaler is about to delete them.
     Cordon {
-        /// Machines.
+        /// Machines to cordon.
         machines: Vec<String>,
     },
     /// The cloud has deleted these machines.
     MachinesDeleted {
-        /// Machines.
+        /// Deleted machines.
         machines: Vec<String>,
     },
-    /// Cancelled jobs of which tasks may be left; the other tells those it knows.
+    /// Cancelled jobs of which tasks may be left; the response tells those that the receiver knows.
     ///
-    /// Unlike the rest this is no hint: a cancelled job stays cancelled, whoever tells of it.
-    /// Nodes of version 0.1 know neither this nor its reply and close the connection.
-    Cancelled {
-        /// Jobs.
+    /// Unlike the rest this is no hint: a cancelled job stays cancelled, whoever says so.
+    /// Controllers of version 0.1 know neither this nor its response and close the connection.
+    CancelledJobs {
+        /// Job ids.
         jobs: Vec<String>,
     },
     /// From a shard's owner to its standby: an archive of the standby package's messages. Sent only
-    /// to nodes whose record says that they know it.
+    /// to controllers whose record says that they know it.
     Replicate {
-        /// Sender.
+        /// Name of the sender.
         sender: String,
-        /// The message.
+        /// The archived message.
         message: Vec<u8>,
     },
-    /// From an operator's tool: how do shards and their standbys stand?
+    /// From an operator's tool: the state of all shards and their standbys.
     ShardStatuses,
 }
 
-/// A reply.
+/// A response to a [`PeerRequest`].
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub enum PeerResponse {
-    /// Taken note.
+    /// The request was handled.
     Acknowledged,
-    /// A task handed over, or none.
+    /// A task that was handed over to the idle machine, if one fitted.
     StolenTask(Option<TaskRef>),
-    /// Machines that are closed and empty.
+    /// Machines that are cordoned and empty.
     Cordoned(Vec<String>),
-    /// All cancelled jobs known of which tasks may be left.
-    Cancelled {
-        /// For how long this process has run, ms.
-        up_ms: u32,
-        /// How long ago its knowledge of cancellations was complete, ms; `u32::MAX`: it never was.
-        age_ms: u32,
-        /// Jobs.
+    /// All cancelled jobs that the responder knows and of which tasks may be left.
+    CancellationAttestation {
+        /// For how long the responder's process has run, ms.
+        uptime_ms: u32,
+        /// Age of its cancellation watermark, ms; `u32::MAX` if it has none.
+        watermark_age_ms: u32,
+        /// Job ids.
         jobs: Vec<String>,
     },
-    /// A standby's answer, as an archive.
+    /// Answer of a standby.
     ReplicationAnswer {
-        /// The answer.
+        /// The archived answer.
         answer: Vec<u8>,
     },
-    /// How shards and their standbys stand, as one node sees it.
+    /// State of all shards and their standbys.
     ShardStatuses {
-        /// Shards.
+        /// Shards in the order of their numbers.
         shards: Vec<ShardStatus>,
     },
 }
 
-/// Encodes a frame's content.
+/// Encodes the body of a frame.
 pub fn encode<T>(value: &T) -> Option<Vec<u8>>
 where
     T: for<'a> Serialize<
@@ -184,14 +185,14 @@
     rkyv::to_bytes::<Error>(value).ok().map(|b| b.to_vec())
 }
 
-/// Decodes a request after validation.
+/// Decodes a request; `None` if it is malformed.
 pub fn decode_request(bytes: &[u8]) -> Option<PeerRequest> {
     let mut aligned: rkyv::util::AlignedVec = rkyv::util::AlignedVec::new();
     aligned.extend_from_slice(bytes);
     rkyv::from_bytes::<PeerRequest, Error>(&aligned).ok()
 }
 
-/// Decodes a reply after validation.
+/// Decodes a response; `None` if it is malformed.
 pub fn decode_response(bytes: &[u8]) -> Option<PeerResponse> {
     let mut aligned: rkyv::util::AlignedVec = rkyv::util::AlignedVec::new();
     aligned.extend_from_slice(bytes);
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -7,8 +7,9 @@
 use pointhook::coordination::controller::{
     self, is_cluster_wide_outage, Notifier, PeerObservation, WorkerReachability,
 };
+use pointhook::coordination::peer_messages::status_updates;
 use pointhook::coordination::scheduler::commands;
-use pointhook::coordination::{autoscaler, membership, peer_messages, worker_connectivity};
+use pointhook::coordination::{autoscaler, membership, worker_connectivity};
 use pointhook::protocol::peers::MachineStatus;
 use pointhook::protocol::users::JobKind;
 use pointhook::protocol::workers::{AgentEpoch, Command, FencingToken};
@@ -301,7 +302,7 @@
         zone: "north".into(),
         spot: true,
         silent_ms,
-        has_reported: true,
+        has_sent_heartbeat: true,
         fencing_token_confirmed: true,
         queue_length: 0,
         cordoned: false,
@@ -321,7 +322,7 @@
         .cluster
         .learn_machine("m1", "oven", "north", true, MonotonicMillis(0))
         .unwrap();
-    peer_messages::apply_machine_statuses(
+    status_updates::apply_machine_statuses(
         &mut third.cluster,
         &third.config,
         "s1",
@@ -329,7 +330,7 @@
         MonotonicMillis(30_000),
     );
     // The deposed owner has not heard the machine for a long time and does not know why.
-    peer_messages::apply_machine_statuses(
+    status_updates::apply_machine_statuses(
         &mut third.cluster,
         &third.config,
         "n1",
@@ -353,7 +354,7 @@
         cordoned: true,
         ..news("m1", 0)
     };
-    peer_messages::apply_machine_statuses(
+    status_updates::apply_machine_statuses(
         &mut new.cluster,
         &new.config,
         "n1",
@@ -581,11 +582,11 @@
     let (owned, woke) = (Some(MonotonicMillis(0)), Some(MonotonicMillis(40_000)));
     let now = MonotonicMillis(41_000);
     assert_eq!(
-        peer_messages::silence(m.last_heartbeat, m.discovered_at, owned, now),
+        status_updates::silence_ms(m.last_heartbeat, m.discovered_at, owned, now),
         41_000
     );
     assert_eq!(
-        peer_messages::silence(
+        status_updates::silence_ms(
             m.last_heartbeat,
             m.discovered_at,
             controller::observing_since(owned, woke),
--- a/tests/golden_formats.rs
+++ b/tests/golden_formats.rs
@@ -228,7 +228,7 @@
         zone: "a".into(),
         spot: flip,
         silent_ms: 1500,
-        has_reported: !flip,
+        has_sent_heartbeat: !flip,
         fencing_token_confirmed: flip,
         queue_length: 2,
         cordoned: !flip,
@@ -259,7 +259,7 @@
         ),
         (
             "bind",
-            PeerRequest::Bind {
+            PeerRequest::EnqueueTasks {
                 tasks: vec![
                     ("n-000231".into(), task("job-000412", 3)),
                     ("n-000000000007".into(), task("job-1", 70_000)),
@@ -282,7 +282,7 @@
         ),
         ("close", PeerRequest::Cordon { machines: names() }),
         ("gone", PeerRequest::MachinesDeleted { machines: names() }),
-        ("cancelled", PeerRequest::Cancelled { jobs: names() }),
+        ("cancelled", PeerRequest::CancelledJobs { jobs: names() }),
         (
             "follow",
             PeerRequest::Replicate {
@@ -315,7 +315,7 @@
     let mut g = Group::new("peers.txt");
     g.line("version", &peers::VERSION.to_string());
     g.line("largest", &peers::MAX_FRAME.to_string());
-    g.line("most jobs", &peers::MAX_JOBS.to_string());
+    g.line("most jobs", &peers::MAX_CANCELLED_JOBS.to_string());
     for (name, ask) in asks() {
         g.archive(
             &format!("ask {name}"),
@@ -335,9 +335,9 @@
         ("closed", PeerResponse::Cordoned(names())),
         (
             "cancelled",
-            PeerResponse::Cancelled {
-                up_ms: 90_000,
-                age_ms: u32::MAX,
+            PeerResponse::CancellationAttestation {
+                uptime_ms: 90_000,
+                watermark_age_ms: u32::MAX,
                 jobs: names(),
             },
         ),
--- a/tests/http_api.rs
+++ b/tests/http_api.rs
@@ -133,7 +133,7 @@
 
 #[test]
 fn frames_come_back_as_they_went() {
-    let ask = PeerRequest::Bind {
+    let ask = PeerRequest::EnqueueTasks {
         tasks: vec![(
             "m1".into(),
             TaskRef {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -3,8 +3,9 @@
 
 mod support;
 
+use pointhook::coordination::heartbeats;
+use pointhook::coordination::peer_messages::{gang_reservations, status_updates};
 use pointhook::coordination::scheduler::queues;
-use pointhook::coordination::{heartbeats, peer_messages};
 use pointhook::protocol::peers::{self, PeerRequest, TaskRef};
 use pointhook::protocol::workers::AgentEpoch;
 use pointhook::state::names::Index;
@@ -50,12 +51,17 @@
 fn one_owner_tells_of_all_machines_in_frames_that_are_accepted() {
     let (_, c) = large_fleet();
     let news =
-        peer_messages::own_machine_statuses(&c.cluster, &c.config, MonotonicMillis(10), |_| {
+        status_updates::own_machine_statuses(&c.cluster, &c.config, MonotonicMillis(10), |_| {
             Some(MonotonicMillis(0))
         });
     assert_eq!(news.len(), MACHINES);
     let mut told = BTreeSet::new();
-    for ask in peer_messages::tell("n1", true, true, news) {
+    let sender = status_updates::SenderStatus {
+        name: "n1",
+        kv_reachable: true,
+        workers_reachable: true,
+    };
+    for ask in status_updates::status_requests(&sender, &news) {
         assert_fits_a_frame(&ask);
         if let PeerRequest::Status { machines, .. } = ask {
             told.extend(machines.into_iter().map(|m| m.name));
@@ -76,7 +82,7 @@
     let mut told = Vec::new();
     for ask in queues::bind_requests(&bound) {
         assert_fits_a_frame(&ask);
-        if let PeerRequest::Bind { tasks } = ask {
+        if let PeerRequest::EnqueueTasks { tasks } = ask {
             told.extend(tasks);
         }
     }
@@ -87,7 +93,7 @@
 fn a_hold_of_all_machines_goes_out_in_frames_that_are_accepted() {
     let names: Vec<String> = (0..MACHINES).map(long_name).collect();
     let mut told = Vec::new();
-    for ask in peer_messages::reservation_requests("job-000001", &names) {
+    for ask in gang_reservations::reservation_requests("job-000001", &names) {
         assert_fits_a_frame(&ask);
         if let PeerRequest::ReserveMachines { job, machines } = ask {
             assert_eq!(job, "job-000001");
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -3,6 +3,8 @@
 mod support;
 
 use pointhook::coordination::controller::finish_times;
+use pointhook::coordination::heartbeats;
+use pointhook::coordination::peer_messages::status_updates;
 use pointhook::coordination::reconciliation;
 use pointhook::coordination::scheduler::binding;
 use pointhook::coordination::scheduler::claims;
@@ -10,7 +12,6 @@
 use pointhook::coordination::scheduler::gang_reservations::gang_reservations;
 use pointhook::coordination::scheduler::job_order::{self, ServiceTier};
 use pointhook::coordination::scheduler::write_budget::WriteBudget;
-use pointhook::coordination::{heartbeats, peer_messages};
 use pointhook::protocol::peers::{self, MachineStatus, PeerRequest};
 use pointhook::protocol::users::{JobKind, Priority};
 use pointhook::protocol::workers::TaskState;
@@ -211,14 +212,19 @@
         zone: "a-rather-long-zone".into(),
         spot: true,
         silent_ms: 1,
-        has_reported: true,
+        has_sent_heartbeat: true,
         fencing_token_confirmed: true,
         queue_length: 2,
         cordoned: false,
         quarantined: false,
     };
     let all: Vec<MachineStatus> = (0..1000).map(machine).collect();
-    let asks = peer_messages::tell("node", true, true, all);
+    let sender = status_updates::SenderStatus {
+        name: "node",
+        kv_reachable: true,
+        workers_reachable: true,
+    };
+    let asks = status_updates::status_requests(&sender, &all);
     let mut told = 0;
     for a in &asks {
         assert!(peers::encode(a).unwrap().len() < peers::MAX_FRAME);
@@ -229,7 +235,7 @@
     }
     assert_eq!(told, 1000);
     // A node without machines still tells that it is there.
-    assert_eq!(peer_messages::tell("node", true, true, Vec::new()).len(), 1);
+    assert_eq!(status_updates::status_requests(&sender, &[]).len(), 1);
 }
 
 #[test]
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -9,7 +9,7 @@
 use pointhook::coordination::heartbeats::{self, HeartbeatOutcome};
 use pointhook::coordination::kv::CommitOutcome;
 use pointhook::coordination::membership;
-use pointhook::coordination::peer_messages;
+use pointhook::coordination::peer_messages::status_updates;
 use pointhook::coordination::scheduler::direct_starts::{
     record_direct_start_outcome, DirectStartOutcome,
 };
@@ -446,13 +446,13 @@
             if let Some(peer) = self.nodes[b].as_mut() {
                 c.request(peer, now);
                 let owned = |s| c.known.owned_since.get(&s).copied();
-                let news = peer_messages::own_machine_statuses(
+                let news = status_updates::own_machine_statuses(
                     &c.cluster,
                     &c.config,
                     MonotonicMillis(now),
                     owned,
                 );
-                peer_messages::apply_machine_statuses(
+                status_updates::apply_machine_statuses(
                     &mut peer.cluster,
                     &peer.config,
                     NAMES[at],
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -150,7 +150,7 @@
         zone: "a".into(),
         spot: true,
         silent_ms: 1500,
-        has_reported: true,
+        has_sent_heartbeat: true,
         fencing_token_confirmed: false,
         queue_length: 2,
         cordoned: false,
@@ -173,7 +173,7 @@
         ),
         (
             "bind",
-            PeerRequest::Bind {
+            PeerRequest::EnqueueTasks {
                 tasks: vec![("n-000231".into(), task.clone())],
             },
         ),
@@ -300,10 +300,10 @@
 #[test]
 fn frames_of_cancellations_are_those_of_the_production_version() {
     let jobs = vec!["job-000412".to_string(), "job-000398".to_string()];
-    let ask = PeerRequest::Cancelled { jobs: jobs.clone() };
-    let reply = PeerResponse::Cancelled {
-        up_ms: 90_000,
-        age_ms: 250,
+    let ask = PeerRequest::CancelledJobs { jobs: jobs.clone() };
+    let reply = PeerResponse::CancellationAttestation {
+        uptime_ms: 90_000,
+        watermark_age_ms: 250,
         jobs,
     };
     let bytes = sample_of(VERSION_0_2, "ask/cancelled");
@@ -323,12 +323,12 @@
 #[test]
 fn the_old_version_refuses_frames_that_it_does_not_know() {
     let jobs = vec!["job-1".to_string()];
-    let ask = peers::encode(&PeerRequest::Cancelled { jobs: jobs.clone() }).unwrap();
+    let ask = peers::encode(&PeerRequest::CancelledJobs { jobs: jobs.clone() }).unwrap();
     assert!(peers::decode_request(&ask).is_some());
     assert_eq!(old::decode_request(&ask), None);
-    let told = peers::encode(&PeerResponse::Cancelled {
-        up_ms: 1,
-        age_ms: 2,
+    let told = peers::encode(&PeerResponse::CancellationAttestation {
+        uptime_ms: 1,
+        watermark_age_ms: 2,
         jobs,
     })
     .unwrap();
