--- a/src/cli.rs
+++ b/src/cli.rs
@@ -3,6 +3,7 @@
 //! This is the only place that knows all background tasks of a controller. They run until the
 //! process is stopped; all that must survive is in the key-value store.
 
+use crate::coordination::controller::tasks::spawn_supervised;
 use crate::coordination::controller::Controller;
 use crate::coordination::peer_messages::{requests, status_updates};
 use crate::coordination::scheduler::planner;
@@ -210,25 +211,26 @@
 
 /// Starts all that a controller does on its own. Tasks of the same tick run in this order.
 fn spawn_background_tasks(controller: &Rc<Controller>) {
-    controller.spawn_supervised("kv watch", kv::watch);
-    controller.spawn_supervised("fresh reads", kv::fresh_reads);
-    controller.spawn_supervised("membership", membership::run);
-    controller.spawn_supervised(
+    spawn_supervised(controller, "kv watch", kv::watch::run);
+    spawn_supervised(controller, "fresh reads", kv::fresh_reads::run);
+    spawn_supervised(controller, "membership", membership::run);
+    spawn_supervised(
+        controller,
         "announce ownership",
         worker_connectivity::announce_ownership,
     );
-    controller.spawn_supervised("planner", planner::run);
-    controller.spawn_supervised("cancellations", cancellations::run);
-    controller.spawn_supervised("status broadcast", status_updates::run);
+    spawn_supervised(controller, "planner", planner::run);
+    spawn_supervised(controller, "cancellations", cancellations::run);
+    spawn_supervised(controller, "status broadcast", status_updates::run);
     if let Some(standby) = controller.features.standby() {
         let bound = failover::bound(&controller.platform.settings.workers);
         log::info!("warm standby enabled: settings={standby:?} failover_bound={bound}");
         if !bound.meets_goal() {
             log::warn!("failover may take longer than 10 s with the times of this deployment");
         }
-        controller.spawn_supervised("replication", replication::run);
+        spawn_supervised(controller, "replication", replication::run);
     }
-    controller.spawn_supervised("autoscaler", autoscaler::run);
+    spawn_supervised(controller, "autoscaler", autoscaler::run);
 }
 
 /// Answers peers, users and workers.
--- a/src/coordination/autoscaler/machine_list.rs
+++ b/src/coordination/autoscaler/machine_list.rs
@@ -6,7 +6,8 @@
 //! missing because its page was refused.
 
 use super::{AutoscalerState, CLOUD_TIMEOUT_MS};
-use crate::coordination::controller::{Controller, ExternalService};
+use crate::coordination::controller::availability::ExternalService;
+use crate::coordination::controller::Controller;
 use crate::protocol::cloud::{ListedMachine, MachineListPage};
 use crate::state::units::MonotonicMillis;
 use http_types::Method;
@@ -138,7 +139,7 @@
         .await;
     match answer {
         Ok(answer) if answer.status == 200 => {
-            controller.record_availability(ExternalService::Cloud, true);
+            controller.availability.record(ExternalService::Cloud, true);
             let page = rmp_serde::from_slice(&answer.body);
             page.inspect_err(|e| log::debug!("machine list unreadable: error={e}"))
                 .ok()
@@ -146,12 +147,16 @@
         Ok(answer) => {
             log::debug!("machine list refused: status={}", answer.status);
             // 429 is our own haste, not the cloud's trouble.
-            controller.record_availability(ExternalService::Cloud, answer.status == 429);
+            controller
+                .availability
+                .record(ExternalService::Cloud, answer.status == 429);
             None
         }
         Err(e) => {
             log::debug!("machine list not read: error={e}");
-            controller.record_availability(ExternalService::Cloud, false);
+            controller
+                .availability
+                .record(ExternalService::Cloud, false);
             controller.cloud.reset();
             None
         }
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -19,7 +19,8 @@
 //! a repeated request as it did the first.
 
 use crate::coordination::controller::Controller;
-use crate::coordination::kv::{set, CommitOutcome};
+use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::transactions::set;
 use crate::coordination::rate_limiter::RateLimiter;
 use crate::protocol::cloud::{ListedMachine, MachineTypeCatalog};
 use crate::protocol::kv::{Condition, Transaction};
@@ -213,7 +214,7 @@
         }],
         writes: set(key, catalog, None).into_iter().collect(),
     };
-    if let CommitOutcome::Committed(revision) = controller.commit(&txn).await {
+    if let CommitOutcome::Committed(revision) = controller.kv.commit(&txn).await {
         controller.cluster.borrow_mut().machine_types_version = revision;
     } else {
         controller.refresh(REFRESH_MS).await;
@@ -221,7 +222,7 @@
 }
 
 async fn run_round(controller: &Rc<Controller>, state: &mut AutoscalerState) {
-    if !controller.kv_reachable() {
+    if !controller.kv.is_reachable() {
         // Whether the shard is still ours can't be known, and nothing could be recorded.
         return;
     }
--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -9,8 +9,10 @@
 use super::placement::ScaleOutPlanner;
 use super::supply::{supply, Pool};
 use super::{AutoscalerState, CLOUD_TIMEOUT_MS, MAX_CONCURRENT_REQUESTS, REFRESH_MS};
-use crate::coordination::controller::{wall_ms, Controller};
-use crate::coordination::kv::{set, CommitOutcome};
+use crate::coordination::controller::clock::wall_ms;
+use crate::coordination::controller::Controller;
+use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::transactions::set;
 use crate::protocol::cloud::{MachineNames, ProvisioningRequest};
 use crate::protocol::kv::{Condition, Transaction, Write};
 use crate::state::cluster_state::{ClusterState, ProvisioningRecord, ROOT};
@@ -270,7 +272,7 @@
     let mut all_committed = true;
     for part in updates.chunks(txn_ops) {
         let txn = updates_transaction(&controller.cluster.borrow(), part);
-        let outcome = controller.commit(&txn).await;
+        let outcome = controller.kv.commit(&txn).await;
         all_committed &= matches!(outcome, CommitOutcome::Committed(_));
     }
     // The next step depends on what the records say.
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -295,7 +295,7 @@
         let observing_since = if owned_here {
             self.controller.observing_since(machine.shard)
         } else {
-            let resumed_at = self.controller.resumed_at.get();
+            let resumed_at = self.controller.resumed_at();
             Some(self.state.owner_since).max(resumed_at)
         };
         let silent_ms = status_updates::silence_ms(
@@ -314,7 +314,7 @@
     fn owner_sent_status(&self, machine: &Machine) -> bool {
         let owner = self.cluster.live_owner(machine.shard);
         let peer = owner.and_then(|owner| self.controller.peer(owner));
-        let last_status = peer.and_then(|peer| peer.last_status.get());
+        let last_status = peer.and_then(|peer| peer.last_status());
         last_status.is_some_and(|at| self.now.since(at) < OWNER_STATUS_MS)
     }
 
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/cancellations.rs
@@ -1,6 +1,7 @@
 //! Cancellations: telling the other controllers, and stopping tasks whose owner does not.
 
-use crate::coordination::controller::{Controller, NotificationState, Peer};
+use crate::coordination::controller::peers::Peer;
+use crate::coordination::controller::{tasks, Controller};
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::worker_connectivity;
 use crate::protocol::peers::{PeerRequest, PeerResponse, MAX_CANCELLED_JOBS};
@@ -17,8 +18,6 @@
 const TICK_MS: u64 = 1000;
 /// Time that a peer has to answer.
 const PEER_MS: u64 = 900;
-/// Longest time for which a peer that closes the connection is left alone.
-const LONGEST_MS: u64 = 8000;
 /// Part of the time for cancellations after which others than the owner stop tasks as well.
 const DIRECT_PART: u64 = 4;
 /// Least time between two attempts at one machine.
@@ -36,7 +35,7 @@
             controller.now(),
         );
         for stop in due {
-            if !controller.spawn_direct(end(controller.clone(), stop)) {
+            if !tasks::spawn_with_worker_connection(&controller, end(controller.clone(), stop)) {
                 break;
             }
         }
@@ -49,23 +48,15 @@
 /// for as long as tasks of the job may be left.
 pub fn tell(controller: &Rc<Controller>) {
     for (at, peer) in controller.peers.iter().enumerate() {
-        if controller.now() < peer.retry_cancellations_after.get().0 {
+        if !peer.begin_cancellation_broadcast(controller.now()) {
             continue;
         }
-        if peer.cancellation_broadcast.get() != NotificationState::Idle {
-            peer.cancellation_broadcast.set(NotificationState::Pending);
-            continue;
-        }
-        peer.cancellation_broadcast.set(NotificationState::Busy);
         let controller = controller.clone();
         let ex = controller.executor.clone();
         let exchanges = async move {
             let peer = &controller.peers[at];
-            while exchange(&controller, at, peer).await
-                && peer.cancellation_broadcast.replace(NotificationState::Busy)
-                    == NotificationState::Pending
-            {}
-            peer.cancellation_broadcast.set(NotificationState::Idle);
+            while exchange(&controller, at, peer).await && peer.continue_cancellation_broadcast() {}
+            peer.end_cancellation_broadcast();
         };
         ex.spawn(exchanges).detach();
     }
@@ -82,21 +73,12 @@
     let reply = match reply {
         Ok(reply) => reply,
         Err(e) => {
-            // One that closes the connection may be of a version that does not know the question,
-            // and complains of it in its log.
-            let closed = matches!(e, TransportError::Broken { .. });
-            let wait = peer.retry_cancellations_after.get().1;
-            let wait = if closed {
-                (wait * 2).clamp(1000, LONGEST_MS)
-            } else {
-                0
-            };
-            peer.retry_cancellations_after
-                .set((controller.now().plus(wait), wait));
+            let connection_closed = matches!(e, TransportError::Broken { .. });
+            peer.record_cancellation_failure(controller.now(), connection_closed);
             return false;
         }
     };
-    peer.retry_cancellations_after.set((MonotonicMillis(0), 0));
+    peer.record_cancellation_answer();
     let news = take(
         &mut controller.cluster.borrow_mut(),
         at,
--- a/src/coordination/failover/permits.rs
+++ b/src/coordination/failover/permits.rs
@@ -48,7 +48,7 @@
                 config: &self.config,
                 shard,
                 is_standby: standby.is_some_and(|name| *name == self.config.controller_name),
-                owner_last_contact: self.peer(owner).and_then(|peer| peer.last_status.get()),
+                owner_last_contact: self.peer(owner).and_then(|peer| peer.last_status()),
                 now,
             };
             transitions.extend(failovers.observe(shard.into(), view.observe(), now.into()));
--- a/src/coordination/job_api.rs
+++ b/src/coordination/job_api.rs
@@ -1,8 +1,10 @@
 //! The users' door.
 
 use crate::coordination::cancellations;
-use crate::coordination::controller::{wall_ms, Controller};
-use crate::coordination::kv::{set, CommitOutcome};
+use crate::coordination::controller::clock::wall_ms;
+use crate::coordination::controller::Controller;
+use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::transactions::{commit_draft, set};
 use crate::coordination::scheduler::draft;
 use crate::coordination::scheduler::queues;
 use crate::protocol::kv::{Condition, Transaction};
@@ -138,7 +140,7 @@
         if controller.cluster.borrow().job(&id).is_some() {
             break;
         }
-        match controller.commit(&submission(&id, &record)).await {
+        match controller.kv.commit(&submission(&id, &record)).await {
             CommitOutcome::Committed(revision) => {
                 return take_over(controller, &id, revision, &record)
             }
@@ -281,7 +283,7 @@
             fresh = true;
             continue;
         };
-        match controller.commit_draft(&draft).await {
+        match commit_draft(controller, &draft).await {
             CommitOutcome::Committed(_) => {
                 log::info!("job {id} cancelled by its user");
                 cancellations::tell(controller);
--- /dev/null
+++ b/src/coordination/kv/fresh_reads.rs
@@ -0,0 +1,59 @@
+//! Serves all who need the newest state with one read of the key-value store each time.
+//!
+//! The more requests come, the more share one read: the fresh reads of all controllers together leave
+//! most of the store's request limit to watches and transactions.
+
+use crate::coordination::controller::Controller;
+use crate::coordination::kv::watch::watch_once;
+use crate::state::units::MonotonicMillis;
+use crate::transport::pause;
+use std::rc::Rc;
+
+/// Part of the limit on requests that fresh reads of all controllers may take.
+const REQUEST_LIMIT_PART: f64 = 0.3;
+/// Longest wait for a request.
+const IDLE_MS: u64 = 60_000;
+/// Attempts at a read: over the limit one is refused, while the next moment's may not be.
+const ATTEMPTS: usize = 3;
+/// Wait after a failed attempt.
+const RETRY_MS: u64 = 60;
+
+/// Background task: makes the reads that [`Controller::refresh`] asks for.
+pub async fn run(controller: Rc<Controller>) {
+    let interval_ms = interval_ms(&controller);
+    let mut began = MonotonicMillis(0);
+    loop {
+        controller.fresh_reads.notified(IDLE_MS).await;
+        let left_ms = interval_ms.saturating_sub(controller.now().since(began));
+        if left_ms > 0 {
+            pause(left_ms).await;
+        }
+        began = controller.now();
+        let waiters = controller.fresh_reads.take_waiters();
+        if waiters.is_empty() {
+            continue;
+        }
+        let up_to_date = read_newest_changes(&controller).await;
+        for waiter in waiters {
+            let _ = waiter.try_send(up_to_date);
+        }
+    }
+}
+
+/// Least time between two reads of this controller.
+fn interval_ms(controller: &Controller) -> u64 {
+    let controllers = controller.peers.len() as f64 + 1.0;
+    let requests_per_second = controller.platform.settings.kv.rps * REQUEST_LIMIT_PART;
+    (controllers * 1000.0 / requests_per_second) as u64
+}
+
+async fn read_newest_changes(controller: &Controller) -> bool {
+    for _ in 0..ATTEMPTS {
+        let loaded = controller.cluster.borrow().loaded;
+        if loaded && watch_once(controller, 0).await {
+            return true;
+        }
+        pause(RETRY_MS).await;
+    }
+    false
+}
--- a/src/coordination/membership/lease.rs
+++ b/src/coordination/membership/lease.rs
@@ -4,11 +4,11 @@
 use super::transfer::{controller_key, controller_unchanged};
 use super::REFRESH_MS;
 use crate::coordination::controller::Controller;
-use crate::coordination::kv::{set, CommitOutcome};
-use crate::protocol::kv::{Lease, LeaseRequest, Transaction};
+use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::transactions::set;
+use crate::protocol::kv::Transaction;
 use crate::state::cluster_state::{ClusterState, ControllerRecord};
 use crate::state::records::{RECORD_FORMAT_V2, STANDBY_VERSION};
-use http_types::Method;
 
 /// A lease of the key-value store.
 #[derive(Clone, Copy)]
@@ -45,36 +45,26 @@
 
 /// Renews a lease; `None` if it has expired.
 async fn keep_alive(controller: &Controller, lease: LeaseId) -> Option<LeaseId> {
-    let path = format!("/grants/{}/touch", lease.0);
-    match controller.kv_call(Method::Post, &path, Vec::new()).await {
-        Ok(answer) if answer.status == 404 => {
-            log::warn!("membership lease expired: lease={}", lease.0);
-            None
-        }
-        // Served or not, it is still ours until the key-value store says otherwise.
-        _ => Some(lease),
+    if controller.kv.renew_lease(lease.0).await {
+        return Some(lease);
     }
+    log::warn!("membership lease expired: lease={}", lease.0);
+    None
 }
 
 async fn request_lease(controller: &Controller, ttl_ms: u64) -> Option<LeaseId> {
-    let request = rmp_serde::to_vec_named(&LeaseRequest { ttl_ms }).ok()?;
-    let answer = controller
-        .kv_call(Method::Post, "/grants", request)
-        .await
-        .ok()?;
-    let granted: Lease = rmp_serde::from_slice(&answer.body).ok()?;
-    Some(LeaseId(granted.lease))
+    controller.kv.grant_lease(ttl_ms).await.map(LeaseId)
 }
 
 /// Writes this controller's record under a lease; `None` if another lease is needed.
 async fn register(controller: &Controller, lease: LeaseId) -> Option<LeaseId> {
     let transaction = registration(controller, lease)?;
-    match controller.commit(&transaction).await {
+    match controller.kv.commit(&transaction).await {
         CommitOutcome::Committed(_) | CommitOutcome::Conflict(_) => {
             controller.refresh(REFRESH_MS).await;
             Some(lease)
         }
-        CommitOutcome::Refused(400) => None,
+        CommitOutcome::REFUSED_AS_INVALID => None,
         CommitOutcome::Refused(_) | CommitOutcome::Unknown => Some(lease),
     }
 }
--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -20,7 +20,8 @@
 pub use transfer::{move_transaction, Move};
 pub use view::{MembershipView, StandbyRule};
 
-use crate::coordination::controller::{Controller, ExternalService};
+use crate::coordination::controller::availability::ExternalService;
+use crate::coordination::controller::Controller;
 use crate::coordination::failover;
 use crate::state::names::ZoneIndex;
 use crate::state::units::{millis_from_seconds, MonotonicMillis};
@@ -59,7 +60,9 @@
         let moves_done = transfer::execute_moves(&controller, moves).await;
         view::record_owned_shards(&controller);
         controller.observe_shards();
-        controller.record_availability(ExternalService::State, controller.kv_reachable());
+        controller
+            .availability
+            .record(ExternalService::KeyValueStore, controller.kv.is_reachable());
         if lease_kept && moves_done {
             controller.tick(TICK_MS, Some(&controller.membership)).await;
         } else {
--- a/src/coordination/membership/record_format.rs
+++ b/src/coordination/membership/record_format.rs
@@ -3,7 +3,8 @@
 use super::transfer::controller_unchanged;
 use super::REFRESH_MS;
 use crate::coordination::controller::Controller;
-use crate::coordination::kv::{set, CommitOutcome};
+use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::transactions::set;
 use crate::protocol::kv::{Condition, Transaction};
 use crate::state::cluster_state::{ClusterState, ROOT};
 use crate::state::records::RECORD_FORMAT_V2;
@@ -46,7 +47,7 @@
     let Some(transaction) = transaction else {
         return;
     };
-    if let CommitOutcome::Committed(revision) = controller.commit(&transaction).await {
+    if let CommitOutcome::Committed(revision) = controller.kv.commit(&transaction).await {
         log::info!("record format changed: record_format={RECORD_FORMAT_V2} revision={revision}");
     }
     controller.refresh(REFRESH_MS).await;
--- a/src/coordination/membership/transfer.rs
+++ b/src/coordination/membership/transfer.rs
@@ -2,7 +2,8 @@
 
 use super::REFRESH_MS;
 use crate::coordination::controller::Controller;
-use crate::coordination::kv::{set, CommitOutcome};
+use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::transactions::set;
 use crate::protocol::kv::{Condition, Transaction};
 use crate::state::cluster_state::{ClusterState, ShardRecord, ROOT};
 use crate::state::names::{Index, ShardIndex};
@@ -69,7 +70,7 @@
         if planned.to == controller.config.controller_name {
             controller.record_fence_step(planned.shard, Failovers::fence_sent);
         }
-        match controller.commit(&transaction).await {
+        match controller.kv.commit(&transaction).await {
             CommitOutcome::Committed(revision) => {
                 apply_move(controller, &planned, revision, record);
             }
--- a/src/coordination/membership/view.rs
+++ b/src/coordination/membership/view.rs
@@ -1,15 +1,13 @@
 //! What a controller knows of membership beside the records: since when it has seen others and
 //! owned shards, and which controllers workers reach.
 
-use crate::coordination::controller::{Controller, Peer};
+use crate::coordination::controller::peers::Peer;
+use crate::coordination::controller::Controller;
 use crate::state::cluster_state::{ClusterState, ControllerRecord, Versioned};
 use crate::state::names::{Index, ShardIndex, ZoneIndex};
 use crate::state::units::{Incarnation, MonotonicMillis};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Age of a peer's last status update up to which it counts.
-const STATUS_VALID_MS: u64 = 4000;
-
 /// What a controller knows beside the records when it decides on shards.
 #[derive(Default)]
 pub struct MembershipView {
@@ -82,15 +80,12 @@
 /// Controllers that no worker reaches, this one among them, as far as their status is recent.
 pub(super) fn unreachable_from_workers(controller: &Controller) -> HashSet<String> {
     let now = controller.now();
-    let has_recent_status = |peer: &&Peer| {
-        let last_status = peer.last_status.get();
-        last_status.is_some_and(|status| now.since(status) < STATUS_VALID_MS)
-    };
+    let has_recent_status = |peer: &&Peer| peer.heard_recently(now);
     let mut unreachable: HashSet<String> = controller
         .peers
         .iter()
         .filter(has_recent_status)
-        .filter(|peer| !peer.workers_reachable.get())
+        .filter(|peer| !peer.workers_reachable())
         .map(|peer| peer.name.clone())
         .collect();
     if !controller.workers_reachable() {
--- a/src/coordination/peer_messages/gang_reservations.rs
+++ b/src/coordination/peer_messages/gang_reservations.rs
@@ -8,7 +8,8 @@
 //! whose sender has failed, keeps nothing from other work for long.
 
 use super::status_updates::STATUS_INTERVAL_MS;
-use crate::coordination::controller::{wall_ms, Controller};
+use crate::coordination::controller::clock::wall_ms;
+use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::gang_reservations::gang_reservations;
 use crate::protocol::peers::PeerRequest;
 use crate::state::cluster_state::ClusterState;
--- a/src/coordination/peer_messages/requests.rs
+++ b/src/coordination/peer_messages/requests.rs
@@ -73,9 +73,7 @@
     let Some(peer) = controller.peer(sender) else {
         return;
     };
-    peer.last_status.set(Some(controller.now()));
-    peer.kv_reachable.set(kv_reachable);
-    if peer.workers_reachable.replace(workers_reachable) != workers_reachable {
+    if peer.record_status(controller.now(), kv_reachable, workers_reachable) {
         controller.membership.notify();
     }
 }
--- a/src/coordination/peer_messages/status_updates.rs
+++ b/src/coordination/peer_messages/status_updates.rs
@@ -59,7 +59,7 @@
     );
     let sender = SenderStatus {
         name: &controller.config.controller_name,
-        kv_reachable: controller.kv_reachable(),
+        kv_reachable: controller.kv.is_reachable(),
         workers_reachable: controller.workers_reachable(),
     };
     status_requests(&sender, &machines)
@@ -73,7 +73,7 @@
         let refused = response
             .as_ref()
             .is_err_and(TransportError::is_connection_refused);
-        peer.connection_refused.set(refused);
+        peer.record_connection_refused(refused);
         if response.is_err() {
             break;
         }
--- a/src/coordination/scheduler/direct_start_delivery.rs
+++ b/src/coordination/scheduler/direct_start_delivery.rs
@@ -1,7 +1,8 @@
 //! Sends direct starts to workers and takes in their responses. The planner calls it after its
 //! passes; what to send is decided in `direct_starts`.
 
-use crate::coordination::controller::{Controller, Direct};
+use crate::coordination::controller::worker_connections::WorkerConnectionSlot;
+use crate::coordination::controller::Controller;
 use crate::coordination::heartbeats::{self, StatusSource};
 use crate::coordination::scheduler::direct_starts::{
     direct_starts, record_direct_start_outcome, DirectStart, DirectStartOutcome,
@@ -17,10 +18,10 @@
 
 /// Sends starts that can't wait for the next heartbeat.
 pub(super) fn send_direct_starts(controller: &Rc<Controller>) {
-    let mut connections: Vec<Direct> = Vec::new();
+    let mut connections: Vec<WorkerConnectionSlot> = Vec::new();
     // What finds no connection goes out in the response to the machine's next heartbeat.
     let reserve_connection = || {
-        let connection = controller.acquire_worker_connection();
+        let connection = controller.worker_connections.acquire();
         connection.map(|c| connections.push(c)).is_some()
     };
     let permits = controller.permits();
--- a/src/coordination/scheduler/planner.rs
+++ b/src/coordination/scheduler/planner.rs
@@ -5,8 +5,10 @@
 //! the cluster: a draft that meets a conflict is dropped, and the next pass decides anew on a
 //! fresh view.
 
-use crate::coordination::controller::{wall_ms, Controller};
-use crate::coordination::kv::CommitOutcome;
+use crate::coordination::controller::clock::wall_ms;
+use crate::coordination::controller::Controller;
+use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::transactions::commit_draft;
 use crate::coordination::reconciliation;
 use crate::coordination::replication;
 use crate::coordination::scheduler::claims;
@@ -133,7 +135,7 @@
     let claim_lines = describe_claims(controller, draft);
     let ended = replication::ended_attempts(controller, draft);
     let (jobs, claims) = (draft.jobs.len(), draft.claims.len());
-    match controller.commit_draft(draft).await {
+    match commit_draft(controller, draft).await {
         CommitOutcome::Committed(revision) => {
             log::debug!("pass committed: revision={revision} jobs={jobs} claims={claims}");
             replication::publish_committed(controller, draft, ended, Revision(revision));
--- a/src/coordination/scheduler/preemption_round.rs
+++ b/src/coordination/scheduler/preemption_round.rs
@@ -1,7 +1,8 @@
 //! Carries out preemption: marks the victims that `preemption` chooses. The status round calls it
 //! once a second.
 
-use crate::coordination::controller::{wall_ms, Controller};
+use crate::coordination::controller::clock::wall_ms;
+use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::pass::PassContext;
 use crate::coordination::scheduler::preemption;
 use crate::state::names::{Index, ShardIndex};
--- a/src/coordination/scheduler/queues.rs
+++ b/src/coordination/scheduler/queues.rs
@@ -5,7 +5,8 @@
 //! call [`enqueue`], the status round calls [`prune_queues`]. Queues are hints: an entry that is
 //! lost, doubled or stale breaks nothing, because a claim is conditional on the job's record.
 
-use crate::coordination::controller::{wall_ms, Controller};
+use crate::coordination::controller::clock::wall_ms;
+use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::binding;
 use crate::protocol::peers::{PeerRequest, TaskRef};
 use crate::state::names::{Index, JobIndex, MachineIndex};
--- a/src/coordination/worker_connectivity.rs
+++ b/src/coordination/worker_connectivity.rs
@@ -1,6 +1,6 @@
 //! Reaching workers directly: showing tokens, asking whether they hear this node, and it them.
 
-use crate::coordination::controller::Controller;
+use crate::coordination::controller::{tasks, Controller};
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::protocol::workers::{DirectCommands, Heartbeat};
 use crate::state::cluster_state::ClusterState;
@@ -39,7 +39,7 @@
             own,
         );
         for (machine_index, addr, token) in targets {
-            if !controller.spawn_direct(raise_token(addr, token)) {
+            if !tasks::spawn_with_worker_connection(&controller, raise_token(addr, token)) {
                 break;
             }
             tried.insert(machine_index, now);
@@ -52,7 +52,10 @@
             now,
         );
         for (machine_index, addr) in deaf {
-            if !controller.spawn_direct(probe(controller.clone(), machine_index, addr)) {
+            if !tasks::spawn_with_worker_connection(
+                &controller,
+                probe(controller.clone(), machine_index, addr),
+            ) {
                 break;
             }
         }
@@ -62,7 +65,7 @@
 /// Asks a few workers for an answer if none has been heard for a while.
 fn probe_workers(controller: &Rc<Controller>) {
     let now = controller.now();
-    if !controller.worker_reachability.get().probe_needed(now) {
+    if !controller.worker_probe_needed(now) {
         return;
     }
     let addrs: Vec<String> = {
@@ -80,7 +83,7 @@
                 asker.record_worker_contact();
             }
         };
-        if !controller.spawn_direct(ask) {
+        if !tasks::spawn_with_worker_connection(controller, ask) {
             return;
         }
     }
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -4,9 +4,10 @@
 mod support;
 
 use futures_lite::future::{block_on, poll_once};
-use pointhook::coordination::controller::{
-    self, is_cluster_wide_outage, Notifier, PeerObservation, WorkerReachability,
-};
+use pointhook::coordination::controller::clock;
+use pointhook::coordination::controller::notifier::Notifier;
+use pointhook::coordination::controller::peers::{is_cluster_wide_outage, PeerObservation};
+use pointhook::coordination::controller::worker_reachability::WorkerReachability;
 use pointhook::coordination::peer_messages::status_updates;
 use pointhook::coordination::scheduler::commands;
 use pointhook::coordination::{autoscaler, membership, worker_connectivity};
@@ -589,12 +590,12 @@
         status_updates::silence_ms(
             m.last_heartbeat,
             m.discovered_at,
-            controller::observing_since(owned, woke),
+            clock::observing_since(owned, woke),
             now
         ),
         1000
     );
-    assert_eq!(controller::observing_since(owned, None), owned);
+    assert_eq!(clock::observing_since(owned, None), owned);
 }
 
 #[test]
