--- a/src/cli.rs
+++ b/src/cli.rs
@@ -248,7 +248,7 @@
     let for_users = controller.clone();
     let public_server = http::serve_prioritized(
         executors.clone(),
-        job_api::of_worker,
+        job_api::is_heartbeat_path,
         listeners.public,
         controller.platform.settings.process.listener_connections(),
         move |request| job_api::handle(for_users.clone(), request),
--- /dev/null
+++ b/src/coordination/job_api/cancellation.rs
@@ -0,0 +1,69 @@
+//! Cancellations by users.
+
+use super::answers::{self, status};
+use super::{prepare_retry, READ_MS, WRITE_BUDGET_MS};
+use crate::coordination::cancellations;
+use crate::coordination::controller::Controller;
+use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::transactions::commit_draft;
+use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::protocol::users::valid_id;
+use crate::state::job::JobState;
+use crate::transport::http::Answer;
+use std::rc::Rc;
+
+/// Cancels a job; one that has ended already is answered as it is.
+pub(super) async fn cancel(controller: &Rc<Controller>, id: &str) -> Answer {
+    if !valid_id(id) {
+        return Answer::bare(status::NOT_FOUND);
+    }
+    let began = controller.now();
+    let mut newest_read = false;
+    while controller.now().since(began) < WRITE_BUDGET_MS {
+        if let Some(answer) = answers::final_state(controller, id) {
+            return answer;
+        }
+        if let Some(draft) = draft_cancellation(controller, id) {
+            if !commit_cancellation(controller, id, &draft).await {
+                break;
+            }
+        } else if newest_read {
+            return Answer::bare(status::NOT_FOUND);
+        } else {
+            // Another controller may have accepted the job a moment ago.
+            newest_read = controller.refresh(READ_MS).await;
+            if !newest_read {
+                break;
+            }
+        }
+    }
+    answers::final_state(controller, id).unwrap_or_else(answers::retry_later)
+}
+
+/// `None` if the job is not known here.
+fn draft_cancellation(controller: &Controller, id: &str) -> Option<DraftTransaction> {
+    let cluster = controller.cluster.borrow();
+    let (job_index, job) = cluster.job(id)?;
+    let mut job = job.clone();
+    job.state = JobState::Cancelled;
+    let mut draft = DraftTransaction::default();
+    draft.jobs.insert(job_index, job);
+    Some(draft)
+}
+
+/// False if the cancellation can't be written down now.
+async fn commit_cancellation(
+    controller: &Rc<Controller>,
+    id: &str,
+    draft: &DraftTransaction,
+) -> bool {
+    match commit_draft(controller, draft).await {
+        CommitOutcome::Committed(revision) => {
+            log::info!("job cancelled: job={id} revision={revision}");
+            cancellations::tell(controller);
+            controller.scheduling.notify();
+            true
+        }
+        not_applied => prepare_retry(controller, not_applied).await,
+    }
+}
--- /dev/null
+++ b/src/coordination/job_api/mod.rs
@@ -0,0 +1,137 @@
+//! The public HTTP interface: users' jobs, workers' heartbeats and health checks.
+//!
+//! `cli` passes every request to [`handle`], which finds its [`Route`] and times its handler. A user's
+//! job goes through `submission`, `cancellation` or [`job_status`]; `answers` has what they answer.
+//! Invariant: a state that is not final is answered only after a fresh read of the key-value store, so
+//! that no user sees a job go back to an earlier state by asking another controller.
+
+mod answers;
+mod cancellation;
+mod submission;
+
+use crate::coordination::controller::Controller;
+use crate::coordination::heartbeats;
+use crate::coordination::kv::client::CommitOutcome;
+use crate::protocol::users::valid_id;
+use crate::transport::http::{jittered, Answer, Incoming};
+use crate::transport::pause;
+use answers::status;
+use http_types::Method;
+use std::rc::Rc;
+
+pub use submission::accepted;
+
+/// Time for a submission or cancellation to be written down.
+const WRITE_BUDGET_MS: u64 = 3500;
+/// Time for the fresh read behind an answer.
+const READ_MS: u64 = 1500;
+/// Wait after a transaction that was refused because too many requests came.
+const RATE_LIMIT_RETRY_MS: u64 = 60;
+/// Path of workers' heartbeats.
+const HEARTBEAT_PATH: &str = "/v1/report";
+
+/// What a request asks for.
+enum Route<'a> {
+    HealthCheck,
+    Heartbeat,
+    SubmitJob,
+    JobStatus { id: &'a str },
+    CancelJob { id: &'a str },
+    MethodNotAllowed,
+    NotFound,
+}
+
+impl Route<'_> {
+    fn of<'a>(path: &[&'a str], method: Method) -> Route<'a> {
+        match (path, method) {
+            (["up"], Method::Get) => Route::HealthCheck,
+            (["v1", "report"], Method::Post) => Route::Heartbeat,
+            (["v1", "jobs"], Method::Post) => Route::SubmitJob,
+            (["v1", "jobs", id], Method::Get) => Route::JobStatus { id },
+            (["v1", "jobs", id, "withdraw"], Method::Post) => Route::CancelJob { id },
+            (
+                ["up"]
+                | ["v1", "report" | "jobs"]
+                | ["v1", "jobs", _]
+                | ["v1", "jobs", _, "withdraw"],
+                _,
+            ) => Route::MethodNotAllowed,
+            _ => Route::NotFound,
+        }
+    }
+}
+
+/// True for the path of workers' heartbeats.
+pub fn is_heartbeat_path(path: &str) -> bool {
+    path == HEARTBEAT_PATH
+}
+
+/// Answers users, workers and health checks.
+pub async fn handle(controller: Rc<Controller>, request: Incoming) -> Answer {
+    let path: Vec<&str> = request.path.trim_start_matches('/').split('/').collect();
+    let metrics = &controller.metrics;
+    match Route::of(&path, request.method) {
+        Route::HealthCheck => metrics.time("health checks", || health(&controller)),
+        Route::Heartbeat => {
+            let work = heartbeats::handle(&controller, request.body);
+            metrics.time_polls("heartbeats", work).await
+        }
+        Route::SubmitJob => {
+            let work = submission::submit(&controller, request.body);
+            metrics.time_polls("submissions", work).await
+        }
+        Route::JobStatus { id } => {
+            let work = job_status(&controller, id);
+            metrics.time_polls("job status requests", work).await
+        }
+        Route::CancelJob { id } => {
+            let work = cancellation::cancel(&controller, id);
+            metrics.time_polls("cancellations", work).await
+        }
+        Route::MethodNotAllowed => Answer::bare(status::METHOD_NOT_ALLOWED),
+        Route::NotFound => Answer::bare(status::NOT_FOUND),
+    }
+}
+
+fn health(controller: &Controller) -> Answer {
+    Answer::bare(if controller.healthy() {
+        status::OK
+    } else {
+        status::UNAVAILABLE
+    })
+}
+
+async fn job_status(controller: &Controller, id: &str) -> Answer {
+    if !valid_id(id) {
+        return Answer::bare(status::NOT_FOUND);
+    }
+    if let Some(answer) = answers::final_state(controller, id) {
+        return answer;
+    }
+    if !controller.refresh(READ_MS).await {
+        return answers::retry_later();
+    }
+    answers::current_state(controller, id).unwrap_or(Answer::bare(status::NOT_FOUND))
+}
+
+/// True if a job is known here, in whatever state.
+fn is_known(controller: &Controller, id: &str) -> bool {
+    controller.cluster.borrow().job(id).is_some()
+}
+
+/// Prepares another attempt after a transaction that was not or may not have been applied; false if
+/// another attempt now would be as futile.
+async fn prepare_retry(controller: &Controller, outcome: CommitOutcome) -> bool {
+    match outcome {
+        // The newest records tell what is in the way, or whether it was applied after all.
+        CommitOutcome::Conflict(_) | CommitOutcome::Unknown => {
+            controller.refresh(READ_MS).await;
+            true
+        }
+        CommitOutcome::REFUSED_BY_RATE_LIMIT => {
+            pause(jittered(RATE_LIMIT_RETRY_MS)).await;
+            true
+        }
+        CommitOutcome::Refused(_) | CommitOutcome::Committed(_) => false,
+    }
+}
--- /dev/null
+++ b/src/coordination/job_api/submission.rs
@@ -0,0 +1,195 @@
+//! Submissions of jobs.
+//!
+//! Invariants: a job is accepted at most once, whichever controllers its submission reaches, since its
+//! record is written on condition that it does not exist; and a job is refused as impossible only
+//! after a fresh read that shows that no controller has accepted it.
+
+use super::answers::{self, status};
+use super::{is_known, prepare_retry, READ_MS, WRITE_BUDGET_MS};
+use crate::coordination::controller::clock::wall_ms;
+use crate::coordination::controller::Controller;
+use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::transactions::set;
+use crate::coordination::scheduler::queues;
+use crate::protocol::kv::{Condition, Transaction};
+use crate::protocol::users::{parse_job, JobSpec, MAX_DEPENDENCIES};
+use crate::state::cluster_state::ClusterState;
+use crate::state::job::JobRecord;
+use crate::transport::http::Answer;
+use std::rc::Rc;
+
+/// Version of a key that does not exist.
+const ABSENT: u64 = 0;
+
+/// Whether a job may be stored.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Admission {
+    /// It may: it can run, or it was accepted before.
+    Admitted,
+    /// It can never run, or depends on a job that was never accepted.
+    Impossible,
+    /// That can't be said now.
+    Undecided,
+}
+
+/// Whether all dependencies of a job are known here.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Dependencies {
+    Known,
+    SomeUnknown,
+    /// A controller of a version that knows no dependencies may be in the cluster, and would run the
+    /// job at once.
+    NotSupportedByAll,
+}
+
+/// Accepts a job, or answers why not.
+pub(super) async fn submit(controller: &Rc<Controller>, body: Option<Vec<u8>>) -> Answer {
+    let Some(spec) = body.as_deref().and_then(parse_job) else {
+        return Answer::bare(status::BAD_REQUEST);
+    };
+    if !controller.cluster.borrow().loaded {
+        return answers::retry_later();
+    }
+    if let Some(answer) = answers::final_state(controller, &spec.id) {
+        return answer;
+    }
+    match admit(controller, &spec).await {
+        Admission::Admitted => store_job(controller, spec).await,
+        Admission::Impossible => Answer::bare(status::UNPROCESSABLE),
+        Admission::Undecided => answers::retry_later(),
+    }
+}
+
+async fn admit(controller: &Controller, spec: &JobSpec) -> Admission {
+    // A known job is answered with its state, whatever the machine types and dependencies are now.
+    if is_known(controller, &spec.id) {
+        return Admission::Admitted;
+    }
+    let can_run = can_run(&mut controller.cluster.borrow_mut(), spec);
+    match can_run {
+        None => Admission::Undecided,
+        Some(true) => admit_dependencies(controller, &spec.dependencies).await,
+        Some(false) => admit_if_accepted_elsewhere(controller, &spec.id).await,
+    }
+}
+
+/// True if a job can ever run; `None` while the machine types are not known.
+fn can_run(cluster: &mut ClusterState, spec: &JobSpec) -> Option<bool> {
+    let machine_types_known = !cluster.machine_types.is_empty();
+    let interned = cluster.intern_spec(spec);
+    machine_types_known.then(|| interned.is_some_and(|spec| cluster.can_run(&spec)))
+}
+
+/// A job that can't run is impossible, unless another controller has accepted it before.
+async fn admit_if_accepted_elsewhere(controller: &Controller, id: &str) -> Admission {
+    if !controller.refresh(READ_MS).await {
+        Admission::Undecided
+    } else if is_known(controller, id) {
+        Admission::Admitted
+    } else {
+        Admission::Impossible
+    }
+}
+
+/// Another controller may have accepted a dependency a moment ago, so one that is not known here is
+/// unknown only to a read begun now; and a controller that can't read can't say so.
+async fn admit_dependencies(controller: &Controller, dependencies: &[String]) -> Admission {
+    if dependencies.is_empty() {
+        return Admission::Admitted;
+    }
+    if dependencies.len() > MAX_DEPENDENCIES {
+        return Admission::Impossible;
+    }
+    let known_before_read = find_dependencies(controller, dependencies) == Dependencies::Known;
+    if !known_before_read && !controller.refresh(READ_MS).await {
+        return Admission::Undecided;
+    }
+    match find_dependencies(controller, dependencies) {
+        Dependencies::Known => Admission::Admitted,
+        Dependencies::SomeUnknown => Admission::Impossible,
+        Dependencies::NotSupportedByAll => Admission::Undecided,
+    }
+}
+
+fn find_dependencies(controller: &Controller, dependencies: &[String]) -> Dependencies {
+    let cluster = controller.cluster.borrow();
+    if !cluster.record_format_v2 {
+        Dependencies::NotSupportedByAll
+    } else if dependencies.iter().all(|id| cluster.job(id).is_some()) {
+        Dependencies::Known
+    } else {
+        Dependencies::SomeUnknown
+    }
+}
+
+/// Stores a job that may be accepted, and answers its submission.
+async fn store_job(controller: &Rc<Controller>, spec: JobSpec) -> Answer {
+    let id = spec.id.clone();
+    let record = JobRecord::submitted(spec, wall_ms());
+    if let Some(revision) = commit_submission(controller, &id, &record).await {
+        return accept(controller, &id, revision, &record);
+    }
+    if is_known(controller, &id) && controller.refresh(READ_MS).await {
+        if let Some(answer) = answers::current_state(controller, &id) {
+            return answer;
+        }
+    }
+    answers::retry_later()
+}
+
+/// The revision at which the job was accepted; `None` if it was known already or can't be written
+/// down now.
+async fn commit_submission(controller: &Controller, id: &str, record: &JobRecord) -> Option<u64> {
+    let began = controller.now();
+    while controller.now().since(began) < WRITE_BUDGET_MS && !is_known(controller, id) {
+        let outcome = controller.kv.commit(&submission(id, record)).await;
+        if let CommitOutcome::Committed(revision) = outcome {
+            return Some(revision);
+        }
+        if !prepare_retry(controller, outcome).await {
+            break;
+        }
+    }
+    None
+}
+
+/// The transaction that accepts a job, on condition that nobody has.
+fn submission(id: &str, record: &JobRecord) -> Transaction {
+    let key = ClusterState::job_key(id);
+    let not_accepted_yet = Condition {
+        key: key.clone(),
+        version: ABSENT,
+    };
+    Transaction {
+        conditions: vec![not_accepted_yet],
+        writes: set(key, record, None).into_iter().collect(),
+    }
+}
+
+/// Takes a job that was just stored into the cached state, binds its tasks to machines, and answers
+/// its submission.
+fn accept(controller: &Rc<Controller>, id: &str, revision: u64, record: &JobRecord) -> Answer {
+    controller
+        .cluster
+        .borrow_mut()
+        .put_job(id, revision, record);
+    let job_index = controller.cluster.borrow().job_names.find(id);
+    if let Some(job_index) = job_index {
+        queues::bind_job(controller, job_index);
+    }
+    log::debug!("job accepted: job={id} revision={revision}");
+    accepted(&controller.cluster.borrow(), id, revision)
+}
+
+/// The answer to a job that was accepted at this revision.
+///
+/// By now the cached state may be newer, and may have been answered by another controller; and a job
+/// that depends on a cancelled one is cancelled with it from the start.
+pub fn accepted(cluster: &ClusterState, id: &str, revision: u64) -> Answer {
+    match cluster.job(id) {
+        Some((_, job)) if job.version > revision || !job.is_open() => {
+            answers::job_state(status::CREATED, job)
+        }
+        _ => answers::pending(id),
+    }
+}
