--- a/src/coordination/job_api/cancellation.rs
+++ b/src/coordination/job_api/cancellation.rs
@@ -1,7 +1,7 @@
 //! Cancellations by users.
 
 use super::answers::{self, status};
-use super::{prepare_retry, READ_MS, WRITE_BUDGET_MS};
+use super::attempts::{prepare_retry, READ_MS, WRITE_BUDGET_MS};
 use crate::coordination::cancellations;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -1,32 +1,27 @@
 //! The public HTTP interface: users' jobs, workers' heartbeats and health checks.
 //!
 //! `cli` passes every request to [`handle`], which finds its [`Route`] and times its handler. A user's
-//! job goes through `submission`, `cancellation` or [`job_status`]; `answers` has what they answer.
+//! job goes through `submission`, `cancellation` or [`job_status`]; `answers` has what they answer, `attempts` how often
+//! they try.
 //! Invariant: a state that is not final is answered only after a fresh read of the key-value store, so
 //! that no user sees a job go back to an earlier state by asking another controller.
 
 mod answers;
+mod attempts;
 mod cancellation;
 mod submission;
 
 use crate::coordination::controller::Controller;
 use crate::coordination::heartbeats;
-use crate::coordination::kv::client::CommitOutcome;
 use crate::protocol::users::valid_id;
-use crate::transport::http::{jittered, Answer, Incoming};
-use crate::transport::pause;
+use crate::transport::http::{Answer, Incoming};
 use answers::status;
+use attempts::READ_MS;
 use http_types::Method;
 use std::rc::Rc;
 
 pub use submission::accepted;
 
-/// Time for a submission or cancellation to be written down.
-const WRITE_BUDGET_MS: u64 = 3500;
-/// Time for the fresh read behind an answer.
-const READ_MS: u64 = 1500;
-/// Wait after a transaction that was refused because too many requests came.
-const RATE_LIMIT_RETRY_MS: u64 = 60;
 /// Path of workers' heartbeats.
 const HEARTBEAT_PATH: &str = "/v1/report";
 
@@ -113,25 +108,3 @@
     }
     answers::current_state(controller, id).unwrap_or(Answer::bare(status::NOT_FOUND))
 }
-
-/// True if a job is known here, in whatever state.
-fn is_known(controller: &Controller, id: &str) -> bool {
-    controller.cluster.borrow().job(id).is_some()
-}
-
-/// Prepares another attempt after a transaction that was not or may not have been applied; false if
-/// another attempt now would be as futile.
-async fn prepare_retry(controller: &Controller, outcome: CommitOutcome) -> bool {
-    match outcome {
-        // The newest records tell what is in the way, or whether it was applied after all.
-        CommitOutcome::Conflict(_) | CommitOutcome::Unknown => {
-            controller.refresh(READ_MS).await;
-            true
-        }
-        CommitOutcome::REFUSED_BY_RATE_LIMIT => {
-            pause(jittered(RATE_LIMIT_RETRY_MS)).await;
-            true
-        }
-        CommitOutcome::Refused(_) | CommitOutcome::Committed(_) => false,
-    }
-}
--- a/src/coordination/job_api/submission.rs
+++ b/src/coordination/job_api/submission.rs
@@ -5,7 +5,7 @@
 //! after a fresh read that shows that no controller has accepted it.
 
 use super::answers::{self, status};
-use super::{is_known, prepare_retry, READ_MS, WRITE_BUDGET_MS};
+use super::attempts::{is_known, prepare_retry, READ_MS, WRITE_BUDGET_MS};
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -172,8 +172,8 @@
     }
 }
 
-/// Writes up to which a refusal is for the size of a value: a job's record and one of its overflow
-/// records have to go together.
+/// Writes up to which a refusal is taken to be for the size of a value: a job's record and that of
+/// its team's quota have to go together, so a transaction of two can't be made smaller.
 const FEW_WRITES: usize = 2;
 /// Size of a value below which refusals are for something else.
 const MIN_VALUE_BYTES: usize = 1024;
