--- a/src/features.rs
+++ b/src/features.rs
@@ -5,12 +5,10 @@
 //! allowed keys, types and ranges: parsing, validation and the printed JSON schema derive from
 //! them.
 
-use crate::settings::{self, SettingsError};
 use garde::Validate;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use serde_json::Value;
-use std::path::Path;
 
 /// Why the text of a features file is refused; one line that names the key and what is allowed.
 #[derive(Debug, thiserror::Error)]
@@ -70,15 +68,6 @@
 }
 
 impl Features {
-    /// Reads and validates a file.
-    pub fn load(path: &Path) -> Result<Features, SettingsError> {
-        let text = settings::read_file(path)?;
-        Features::parse(&text).map_err(|source| SettingsError::Features {
-            path: path.into(),
-            source,
-        })
-    }
-
     /// Parses and validates the text of a file.
     pub fn parse(text: &str) -> Result<Features, FeaturesError> {
         let document = toml::Deserializer::new(text);
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,11 +1,11 @@
-//! The platform's settings file and the operators' own.
+//! The platform's settings file, the operators' own and the features file.
 //!
-//! `cli` loads both before anything starts; the controller keeps them unchanged for as long as it
+//! `cli` loads them before anything starts; the controller keeps them unchanged for as long as it
 //! runs. Keys of the files are the fields' names, or stand in `serde(rename)`.
 //!
 //! Invariant: settings that were loaded have been checked, so their readers need not.
 
-use crate::features::FeaturesError;
+use crate::features::{Features, FeaturesError};
 use crate::protocol::kv::Limits;
 use crate::state::units::millis_from_seconds;
 use serde::de::DeserializeOwned;
@@ -418,7 +418,7 @@
 }
 
 /// Reads a settings file.
-pub(crate) fn read_file(path: &Path) -> Result<String, SettingsError> {
+fn read_file(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
         path: path.into(),
         source,
@@ -545,3 +545,15 @@
         ])
     }
 }
+
+/// Here and not in `features`, which knows no files: its types are the only source of its keys.
+impl Features {
+    /// Reads and validates the features file.
+    pub fn load(path: &Path) -> Result<Features, SettingsError> {
+        let text = read_file(path)?;
+        Features::parse(&text).map_err(|source| SettingsError::Features {
+            path: path.into(),
+            source,
+        })
+    }
+}
--- a/src/transport/http/client.rs
+++ b/src/transport/http/client.rs
@@ -4,7 +4,7 @@
 //! Invariant: a connection is kept only after a complete answer, so that no late answer is taken
 //! for the next one.
 
-use super::{asks_to_close, send, Stream, MESSAGE_PACK};
+use super::message::{asks_to_close, send, Stream, MESSAGE_PACK};
 use crate::transport::{disable_nagle, within, ExchangeError, TransportError};
 use async_dup::Arc;
 use async_io::Async;
--- a/src/transport/http/mod.rs
+++ b/src/transport/http/mod.rs
@@ -1,39 +1,13 @@
 //! HTTP/1.1 with MessagePack bodies, server and client.
 
 mod client;
+mod message;
 mod request_reading;
 mod server;
 
 pub use client::{Client, ClientResponse};
 pub use server::{listen, serve, serve_prioritized, Answer, Incoming, MAX_BODY};
 
-use async_dup::Arc;
-use async_io::Async;
-use futures_lite::{AsyncRead, AsyncReadExt, AsyncWriteExt};
-use http_types::headers::HeaderValues;
-use std::net::TcpStream;
-
-/// A connection that its task and the HTTP library share.
-type Stream = Arc<Async<TcpStream>>;
-
-/// The type of all bodies.
-const MESSAGE_PACK: &str = "application/msgpack";
-
-/// Usual size of a message with its head.
-const USUAL_MESSAGE_BYTES: usize = 512;
-
-/// Sends head and body of a message as one.
-async fn send(stream: &Stream, mut message: impl AsyncRead + Unpin) -> std::io::Result<()> {
-    let mut bytes = Vec::with_capacity(USUAL_MESSAGE_BYTES);
-    message.read_to_end(&mut bytes).await?;
-    (&**stream).write_all(&bytes).await
-}
-
-/// True if the `Connection` header asks for the connection to be closed.
-fn asks_to_close(connection: Option<&HeaderValues>) -> bool {
-    connection.is_some_and(|value| value.as_str().eq_ignore_ascii_case("close"))
-}
-
 /// A length for a pause, in ms, a little random so that controllers do not act in step.
 pub fn jittered(ms: u64) -> u64 {
     ms / 2 + fastrand::u64(0..=ms.max(1))
--- a/src/transport/http/request_reading.rs
+++ b/src/transport/http/request_reading.rs
@@ -2,7 +2,7 @@
 //!
 //! The HTTP server reads each request through [`OpenedStream`].
 
-use super::Stream;
+use super::message::Stream;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite};
 use std::io::{ErrorKind, Result};
 use std::pin::Pin;
--- a/src/transport/http/server.rs
+++ b/src/transport/http/server.rs
@@ -6,8 +6,8 @@
 //! Invariant: a connection at rest holds a socket and a deadline only. What a request needs is
 //! set up when there is one, so that hundreds of connections fit into a small machine.
 
+use super::message::{asks_to_close, send, Stream, MESSAGE_PACK};
 use super::request_reading::OpenedStream;
-use super::{asks_to_close, send, Stream, MESSAGE_PACK};
 use crate::transport::executor_priorities::ExecutorPriorities;
 use crate::transport::{disable_nagle, pause, within, ConnectionSlot};
 use async_dup::Arc;
