--- /dev/null
+++ b/tests/controller_components.rs
@@ -0,0 +1,79 @@
+//! The components of a controller: exchanges with peers and connections to workers.
+
+use pointhook::coordination::controller::peers::Peer;
+use pointhook::coordination::controller::worker_connections::WorkerConnections;
+use pointhook::settings::Sibling;
+use pointhook::state::units::MonotonicMillis;
+
+fn peer() -> Peer {
+    Peer::new(&Sibling {
+        node: "b".to_string(),
+        domain: "z1".to_string(),
+        addr: "127.0.0.1:9".parse().expect("an address"),
+    })
+}
+
+/// How long after a failure at `at` the peer is left alone.
+fn wait_after_failure(peer: &Peer, at: MonotonicMillis, connection_closed: bool) -> u64 {
+    peer.record_cancellation_failure(at, connection_closed);
+    let mut wait_ms = 0;
+    while !peer.begin_cancellation_broadcast(at.plus(wait_ms)) {
+        wait_ms += 500;
+    }
+    peer.end_cancellation_broadcast();
+    wait_ms
+}
+
+#[test]
+fn a_peer_that_closes_the_connection_is_sent_cancellations_less_and_less_often() {
+    let peer = peer();
+    let mut at = MonotonicMillis(10_000);
+    let mut waits = Vec::new();
+    for _ in 0..5 {
+        let wait_ms = wait_after_failure(&peer, at, true);
+        waits.push(wait_ms);
+        at = at.plus(wait_ms);
+    }
+    assert_eq!(waits, [1000, 2000, 4000, 8000, 8000]);
+    assert_eq!(wait_after_failure(&peer, at, false), 0, "out of reach");
+    wait_after_failure(&peer, at, true);
+    peer.record_cancellation_answer();
+    assert_eq!(wait_after_failure(&peer, at, true), 1000, "answered before");
+}
+
+#[test]
+fn cancellations_that_come_during_an_exchange_are_sent_by_one_more() {
+    let peer = peer();
+    let now = MonotonicMillis(0);
+    assert!(peer.begin_cancellation_broadcast(now));
+    assert!(!peer.begin_cancellation_broadcast(now), "one runs");
+    assert!(!peer.begin_cancellation_broadcast(now), "one runs");
+    assert!(peer.continue_cancellation_broadcast(), "more came");
+    assert!(!peer.continue_cancellation_broadcast(), "nothing more came");
+    peer.end_cancellation_broadcast();
+    assert!(peer.begin_cancellation_broadcast(now));
+}
+
+#[test]
+fn a_status_message_says_whether_the_reachability_from_workers_has_changed() {
+    let peer = peer();
+    let now = MonotonicMillis(5000);
+    assert!(peer.workers_reachable(), "until it says otherwise");
+    assert!(peer.record_status(now, true, false));
+    assert!(!peer.record_status(now, true, false));
+    assert!(!peer.workers_reachable());
+    assert!(peer.heard_recently(now.plus(3999)));
+    assert!(!peer.heard_recently(now.plus(4000)));
+    assert!(peer.observation(now).kv_reachable);
+}
+
+#[test]
+fn connections_to_workers_are_limited_and_given_back() {
+    let connections = WorkerConnections::new(2);
+    let first = connections.acquire();
+    let second = connections.acquire();
+    assert!(first.is_some() && second.is_some());
+    assert!(connections.acquire().is_none());
+    drop(first);
+    assert!(connections.acquire().is_some());
+}
