--- a/tests/controller_components.rs
+++ b/tests/controller_components.rs
@@ -2,13 +2,13 @@
 
 use pointhook::coordination::controller::peers::Peer;
 use pointhook::coordination::controller::worker_connections::WorkerConnections;
-use pointhook::settings::Sibling;
+use pointhook::settings::PeerSettings;
 use pointhook::state::units::MonotonicMillis;
 
 fn peer() -> Peer {
-    Peer::new(&Sibling {
-        node: "b".to_string(),
-        domain: "z1".to_string(),
+    Peer::new(&PeerSettings {
+        name: "b".to_string(),
+        zone: "z1".to_string(),
         addr: "127.0.0.1:9".parse().expect("an address"),
     })
 }
