--- a/src/cli.rs
+++ b/src/cli.rs
@@ -3,11 +3,12 @@
 //! This is the only place that knows all background tasks of a controller. They run until the
 //! process is stopped; all that must survive is in the key-value store.
 
+use crate::coordination::controller::tasks::spawn_supervised;
 use crate::coordination::controller::Controller;
+use crate::coordination::peer_messages::{requests, status_updates};
 use crate::coordination::scheduler::planner;
 use crate::coordination::{
-    autoscaler, cancellations, failover, job_api, kv, membership, peer_messages, replication,
-    worker_connectivity,
+    autoscaler, cancellations, failover, job_api, kv, membership, replication, worker_connectivity,
 };
 use crate::features::Features;
 use crate::job_command::{self, JobAction, JobCommandError};
@@ -23,7 +24,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-/// Schedules jobs on rented machines. Without a command it serves as one controller.
+/// Schedules jobs on machines of a cloud. Without a command it serves as one controller.
 #[derive(Parser)]
 #[command(name = "pointhook", version, args_conflicts_with_subcommands = true)]
 struct Cli {
@@ -199,8 +200,8 @@
 fn log_start(platform: &Platform) {
     log::info!(
         "controller started: controller={} zone={} address={}",
-        platform.node,
-        platform.domain,
+        platform.name,
+        platform.zone,
         platform.bind
     );
     if let Some(warning) = platform.settings.workers.warning() {
@@ -210,22 +211,26 @@
 
 /// Starts all that a controller does on its own. Tasks of the same tick run in this order.
 fn spawn_background_tasks(controller: &Rc<Controller>) {
-    controller.spawn_supervised("watch", kv::watch);
-    controller.spawn_supervised("fresh reads", kv::fresh_reads);
-    controller.spawn_supervised("members", membership::run);
-    controller.spawn_supervised("poke", worker_connectivity::announce_ownership);
-    controller.spawn_supervised("planner", planner::run);
-    controller.spawn_supervised("cancellations", cancellations::run);
-    controller.spawn_supervised("news", peer_messages::news);
+    spawn_supervised(controller, "kv watch", kv::watch::run);
+    spawn_supervised(controller, "fresh reads", kv::fresh_reads::run);
+    spawn_supervised(controller, "membership", membership::run);
+    spawn_supervised(
+        controller,
+        "announce ownership",
+        worker_connectivity::announce_ownership,
+    );
+    spawn_supervised(controller, "planner", planner::run);
+    spawn_supervised(controller, "cancellations", cancellations::run);
+    spawn_supervised(controller, "status broadcast", status_updates::run);
     if let Some(standby) = controller.features.standby() {
         let bound = failover::bound(&controller.platform.settings.workers);
         log::info!("warm standby enabled: settings={standby:?} failover_bound={bound}");
         if !bound.meets_goal() {
             log::warn!("failover may take longer than 10 s with the times of this deployment");
         }
-        controller.spawn_supervised("replication", replication::run);
+        spawn_supervised(controller, "replication", replication::run);
     }
-    controller.spawn_supervised("renting", autoscaler::run);
+    spawn_supervised(controller, "autoscaler", autoscaler::run);
 }
 
 /// Answers peers, users and workers.
@@ -237,19 +242,15 @@
     let background = &executors.background;
     let for_peers = controller.clone();
     let peer_server = frames::serve(background.clone(), listeners.peers, move |request| {
-        peer_messages::handle(&for_peers, request)
+        requests::handle(&for_peers, request)
     });
     background.spawn(peer_server).detach();
     let for_users = controller.clone();
-    let public_server = http::serve_in(
+    let public_server = http::serve_prioritized(
         executors.clone(),
-        job_api::of_worker,
+        job_api::is_heartbeat_path,
         listeners.public,
-        controller
-            .platform
-            .settings
-            .machine_limits
-            .listener_connections(),
+        controller.platform.settings.process.listener_connections(),
         move |request| job_api::handle(for_users.clone(), request),
     );
     // A task of its own: what `run` is given is polled each time any task is.
--- a/src/coordination/cancellations.rs
+++ b/src/coordination/cancellations.rs
@@ -1,9 +1,10 @@
 //! Cancellations: telling the other controllers, and stopping tasks whose owner does not.
 
-use crate::coordination::controller::{Controller, NotificationState, Peer};
+use crate::coordination::controller::peers::Peer;
+use crate::coordination::controller::{tasks, Controller};
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::worker_connectivity;
-use crate::protocol::peers::{PeerRequest, PeerResponse, MAX_JOBS};
+use crate::protocol::peers::{PeerRequest, PeerResponse, MAX_CANCELLED_JOBS};
 use crate::protocol::workers::{Command, DirectCommands, Heartbeat, TaskState};
 use crate::state::cluster_state::ClusterState;
 use crate::state::machine::TaskAttempt;
@@ -17,8 +18,6 @@
 const TICK_MS: u64 = 1000;
 /// Time that a peer has to answer.
 const PEER_MS: u64 = 900;
-/// Longest time for which a peer that closes the connection is left alone.
-const LONGEST_MS: u64 = 8000;
 /// Part of the time for cancellations after which others than the owner stop tasks as well.
 const DIRECT_PART: u64 = 4;
 /// Least time between two attempts at one machine.
@@ -36,7 +35,7 @@
             controller.now(),
         );
         for stop in due {
-            if !controller.spawn_direct(end(controller.clone(), stop)) {
+            if !tasks::spawn_with_worker_connection(&controller, end(controller.clone(), stop)) {
                 break;
             }
         }
@@ -49,23 +48,15 @@
 /// for as long as tasks of the job may be left.
 pub fn tell(controller: &Rc<Controller>) {
     for (at, peer) in controller.peers.iter().enumerate() {
-        if controller.now() < peer.retry_cancellations_after.get().0 {
+        if !peer.begin_cancellation_broadcast(controller.now()) {
             continue;
         }
-        if peer.cancellation_broadcast.get() != NotificationState::Idle {
-            peer.cancellation_broadcast.set(NotificationState::Pending);
-            continue;
-        }
-        peer.cancellation_broadcast.set(NotificationState::Busy);
         let controller = controller.clone();
         let ex = controller.executor.clone();
         let exchanges = async move {
             let peer = &controller.peers[at];
-            while exchange(&controller, at, peer).await
-                && peer.cancellation_broadcast.replace(NotificationState::Busy)
-                    == NotificationState::Pending
-            {}
-            peer.cancellation_broadcast.set(NotificationState::Idle);
+            while exchange(&controller, at, peer).await && peer.continue_cancellation_broadcast() {}
+            peer.end_cancellation_broadcast();
         };
         ex.spawn(exchanges).detach();
     }
@@ -77,26 +68,17 @@
     let jobs = names(&controller.cluster.borrow());
     let reply = peer
         .cancellations_client
-        .ask(&PeerRequest::Cancelled { jobs }, PEER_MS)
+        .ask(&PeerRequest::CancelledJobs { jobs }, PEER_MS)
         .await;
     let reply = match reply {
         Ok(reply) => reply,
         Err(e) => {
-            // One that closes the connection may be of a version that does not know the question,
-            // and complains of it in its log.
-            let closed = matches!(e, TransportError::Broken { .. });
-            let wait = peer.retry_cancellations_after.get().1;
-            let wait = if closed {
-                (wait * 2).clamp(1000, LONGEST_MS)
-            } else {
-                0
-            };
-            peer.retry_cancellations_after
-                .set((controller.now().plus(wait), wait));
+            let connection_closed = matches!(e, TransportError::Broken { .. });
+            peer.record_cancellation_failure(controller.now(), connection_closed);
             return false;
         }
     };
-    peer.retry_cancellations_after.set((MonotonicMillis(0), 0));
+    peer.record_cancellation_answer();
     let news = take(
         &mut controller.cluster.borrow_mut(),
         at,
@@ -109,7 +91,7 @@
 }
 
 /// Answers a peer that tells of cancellations.
-pub fn answer(controller: &Rc<Controller>, jobs: &[String]) -> PeerResponse {
+pub fn handle_cancelled_jobs(controller: &Rc<Controller>, jobs: &[String]) -> PeerResponse {
     let news = learn(&mut controller.cluster.borrow_mut(), jobs);
     note(controller, &news);
     let now = controller.now();
@@ -128,7 +110,7 @@
 /// The cancelled jobs that a frame tells of.
 pub fn names(cluster: &ClusterState) -> Vec<String> {
     let mut jobs = cluster.cancelled_names();
-    jobs.truncate(MAX_JOBS);
+    jobs.truncate(MAX_CANCELLED_JOBS);
     jobs
 }
 
@@ -142,9 +124,9 @@
 /// What a process that has run for `up_ms` tells a peer that asks.
 pub fn tells(cluster: &ClusterState, now: MonotonicMillis, up_ms: u64) -> PeerResponse {
     let short = |ms: u64| ms.min(u64::from(u32::MAX)) as u32;
-    PeerResponse::Cancelled {
-        up_ms: short(up_ms),
-        age_ms: cluster
+    PeerResponse::CancellationAttestation {
+        uptime_ms: short(up_ms),
+        watermark_age_ms: cluster
             .cancellation_watermark
             .age_ms(now)
             .map_or(u32::MAX, short),
@@ -160,9 +142,9 @@
     now: MonotonicMillis,
     reply: &'a PeerResponse,
 ) -> Vec<&'a String> {
-    let PeerResponse::Cancelled {
-        up_ms,
-        age_ms,
+    let PeerResponse::CancellationAttestation {
+        uptime_ms: up_ms,
+        watermark_age_ms: age_ms,
         jobs,
     } = reply
     else {
@@ -170,7 +152,7 @@
     };
     let news = learn(cluster, jobs);
     // A list that was cut does not hold all that the peer knows.
-    if jobs.len() < MAX_JOBS {
+    if jobs.len() < MAX_CANCELLED_JOBS {
         let age = (*age_ms != u32::MAX).then_some(u64::from(*age_ms));
         let up_ms = u64::from(*up_ms);
         cluster
--- a/src/coordination/scheduler/direct_start_delivery.rs
+++ b/src/coordination/scheduler/direct_start_delivery.rs
@@ -1,13 +1,14 @@
 //! Sends direct starts to workers and takes in their responses. The planner calls it after its
 //! passes; what to send is decided in `direct_starts`.
 
-use crate::coordination::controller::{Controller, Direct};
-use crate::coordination::heartbeats;
+use crate::coordination::controller::worker_connections::WorkerConnectionSlot;
+use crate::coordination::controller::Controller;
+use crate::coordination::heartbeats::{self, StatusSource};
 use crate::coordination::scheduler::direct_starts::{
     direct_starts, record_direct_start_outcome, DirectStart, DirectStartOutcome,
 };
 use crate::protocol::workers::{DirectCommands, Heartbeat};
-use crate::transport::http::{Client, Fetched};
+use crate::transport::http::{Client, ClientResponse};
 use crate::transport::TransportError;
 use http_types::Method;
 use std::rc::Rc;
@@ -17,10 +18,10 @@
 
 /// Sends starts that can't wait for the next heartbeat.
 pub(super) fn send_direct_starts(controller: &Rc<Controller>) {
-    let mut connections: Vec<Direct> = Vec::new();
+    let mut connections: Vec<WorkerConnectionSlot> = Vec::new();
     // What finds no connection goes out in the response to the machine's next heartbeat.
     let reserve_connection = || {
-        let connection = controller.acquire_worker_connection();
+        let connection = controller.worker_connections.acquire();
         connection.map(|c| connections.push(c)).is_some()
     };
     let permits = controller.permits();
@@ -62,7 +63,7 @@
 fn record_response(
     controller: &Controller,
     start: &DirectStart,
-    response: Result<Fetched, TransportError>,
+    response: Result<ClientResponse, TransportError>,
 ) {
     let outcome = outcome_of(&response);
     if outcome == DirectStartOutcome::Unknown {
@@ -77,17 +78,17 @@
     record_direct_start_outcome(&mut cluster, start, outcome);
     let heartbeat = answer.and_then(|f| rmp_serde::from_slice::<Heartbeat>(&f.body).ok());
     if let Some(heartbeat) = heartbeat {
-        let now = controller.now();
-        heartbeats::take(&mut cluster, start.machine, &heartbeat, now, None);
+        let (now, source) = (controller.now(), StatusSource::CommandResponse);
+        heartbeats::apply(&mut cluster, start.machine, &heartbeat, now, source);
     }
 }
 
 /// True for the worker's own responses; any other status may come from what is in between.
-fn is_answer(response: &Fetched) -> bool {
+fn is_answer(response: &ClientResponse) -> bool {
     matches!(response.status, 200 | 409)
 }
 
-fn outcome_of(response: &Result<Fetched, TransportError>) -> DirectStartOutcome {
+fn outcome_of(response: &Result<ClientResponse, TransportError>) -> DirectStartOutcome {
     match response {
         Ok(f) if f.status == 200 => DirectStartOutcome::Executed,
         Ok(f) if is_answer(f) => DirectStartOutcome::Refused,
--- a/src/coordination/scheduler/queues.rs
+++ b/src/coordination/scheduler/queues.rs
@@ -5,7 +5,8 @@
 //! call [`enqueue`], the status round calls [`prune_queues`]. Queues are hints: an entry that is
 //! lost, doubled or stale breaks nothing, because a claim is conditional on the job's record.
 
-use crate::coordination::controller::{wall_ms, Controller};
+use crate::coordination::controller::clock::wall_ms;
+use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::binding;
 use crate::protocol::peers::{PeerRequest, TaskRef};
 use crate::state::names::{Index, JobIndex, MachineIndex};
@@ -64,7 +65,7 @@
 
 /// The requests that tell an owner of tasks bound to its machines, as many as it takes.
 pub fn bind_requests(tasks: &[(String, TaskRef)]) -> Vec<PeerRequest> {
-    let request = |tasks: &[(String, TaskRef)]| PeerRequest::Bind {
+    let request = |tasks: &[(String, TaskRef)]| PeerRequest::EnqueueTasks {
         tasks: tasks.to_vec(),
     };
     tasks.chunks(TASKS_PER_BIND).map(request).collect()
--- a/src/coordination/worker_connectivity.rs
+++ b/src/coordination/worker_connectivity.rs
@@ -1,13 +1,13 @@
 //! Reaching workers directly: showing tokens, asking whether they hear this node, and it them.
 
-use crate::coordination::controller::Controller;
+use crate::coordination::controller::{tasks, Controller};
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::protocol::workers::{DirectCommands, Heartbeat};
 use crate::state::cluster_state::ClusterState;
 use crate::state::machine::Machine;
 use crate::state::names::{Index, MachineIndex, ShardIndex};
 use crate::state::units::{millis_from_seconds, MonotonicMillis};
-use crate::transport::http::{Client, Fetched};
+use crate::transport::http::{Client, ClientResponse};
 use http_types::Method;
 use standby::ids::FencingToken;
 use std::collections::HashMap;
@@ -39,7 +39,7 @@
             own,
         );
         for (machine_index, addr, token) in targets {
-            if !controller.spawn_direct(raise_token(addr, token)) {
+            if !tasks::spawn_with_worker_connection(&controller, raise_token(addr, token)) {
                 break;
             }
             tried.insert(machine_index, now);
@@ -52,7 +52,10 @@
             now,
         );
         for (machine_index, addr) in deaf {
-            if !controller.spawn_direct(probe(controller.clone(), machine_index, addr)) {
+            if !tasks::spawn_with_worker_connection(
+                &controller,
+                probe(controller.clone(), machine_index, addr),
+            ) {
                 break;
             }
         }
@@ -62,7 +65,7 @@
 /// Asks a few workers for an answer if none has been heard for a while.
 fn probe_workers(controller: &Rc<Controller>) {
     let now = controller.now();
-    if !controller.worker_reachability.get().probe_needed(now) {
+    if !controller.worker_probe_needed(now) {
         return;
     }
     let addrs: Vec<String> = {
@@ -80,7 +83,7 @@
                 asker.record_worker_contact();
             }
         };
-        if !controller.spawn_direct(ask) {
+        if !tasks::spawn_with_worker_connection(controller, ask) {
             return;
         }
     }
@@ -160,7 +163,7 @@
 }
 
 /// Asks a worker for its status; its answer, whatever it is, and the client that got it.
-pub(crate) async fn status(addr: &str) -> Option<(Fetched, Client)> {
+pub(crate) async fn status(addr: &str) -> Option<(ClientResponse, Client)> {
     let client = Client::new(addr.parse().ok()?);
     let answer = client.call(Method::Get, "/status", Vec::new(), PROBE_MS);
     let answer = answer.await.ok()?;
--- a/src/transport/http/server.rs
+++ b/src/transport/http/server.rs
@@ -6,8 +6,8 @@
 //! Invariant: a connection at rest holds a socket and a deadline only. What a request needs is
 //! set up when there is one, so that hundreds of connections fit into a small machine.
 
+use super::message::{asks_to_close, send, Stream, MESSAGE_PACK};
 use super::request_reading::OpenedStream;
-use super::{asks_to_close, send, Stream, MESSAGE_PACK};
 use crate::transport::executor_priorities::ExecutorPriorities;
 use crate::transport::{disable_nagle, pause, within, ConnectionSlot};
 use async_dup::Arc;
@@ -111,12 +111,12 @@
         workers: executor,
         ..ExecutorPriorities::default()
     };
-    serve_in(executors, |_| false, listener, max_connections, handler).await;
+    serve_prioritized(executors, |_| false, listener, max_connections, handler).await;
 }
 
 /// Accepts connections for good. A connection begins among the users' tasks and moves to the
 /// workers' once a request on it was a worker's, by its path.
-pub async fn serve_in<F, Fut>(
+pub async fn serve_prioritized<F, Fut>(
     executors: ExecutorPriorities,
     is_worker_path: fn(&str) -> bool,
     listener: Async<TcpListener>,
--- a/tests/claims_and_binding.rs
+++ b/tests/claims_and_binding.rs
@@ -160,16 +160,14 @@
         10_000,
         MonotonicMillis(now + 20),
     );
-    let heartbeats::HeartbeatOutcome::Accepted(machine, token, taken) = got else {
+    let heartbeats::HeartbeatOutcome::Accepted(accepted) = got else {
         panic!("not accepted");
     };
-    let taken = (machine, token, taken);
-    let answer = heartbeats::reply(
+    let answer = heartbeats::respond(
         &mut controller.cluster,
         &controller.config,
         controller.failovers.permits(),
-        &heartbeat,
-        taken,
+        &accepted,
         MonotonicMillis(now + 20),
     )
     .unwrap();
--- a/tests/direct_starts.rs
+++ b/tests/direct_starts.rs
@@ -132,12 +132,12 @@
     // A newer message without the task, sent before the response arrived.
     let other = worker.heartbeat(700);
     let machine = controller.machine("m1");
-    heartbeats::take(
+    heartbeats::apply(
         &mut controller.cluster,
         machine,
         &other,
         MonotonicMillis(700),
-        None,
+        heartbeats::StatusSource::CommandResponse,
     );
     controller.run_planner(&mut store, 700);
     assert_eq!(controller.job("job-1").placements.len(), 1);
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -3,7 +3,9 @@
 
 mod support;
 
-use pointhook::coordination::{controller, heartbeats, peer_messages};
+use pointhook::coordination::controller::clock;
+use pointhook::coordination::heartbeats;
+use pointhook::coordination::peer_messages::status_updates;
 use pointhook::protocol::workers::AgentEpoch;
 use pointhook::state::job::JobState;
 use pointhook::state::units::MonotonicMillis;
@@ -126,12 +128,12 @@
     let late = worker.heartbeat(9000);
     let newer = worker.heartbeat(9100);
     let machine = controller.machine("m1");
-    heartbeats::take(
+    heartbeats::apply(
         &mut controller.cluster,
         machine,
         &newer,
         MonotonicMillis(9100),
-        None,
+        heartbeats::StatusSource::CommandResponse,
     );
     assert!(controller
         .receive_heartbeat(&mut store, &late, 9200)
@@ -261,17 +263,17 @@
     let (owned, woke) = (Some(MonotonicMillis(0)), Some(MonotonicMillis(40_000)));
     let now = MonotonicMillis(41_000);
     assert_eq!(
-        peer_messages::silence(m.last_heartbeat, m.discovered_at, owned, now),
+        status_updates::silence_ms(m.last_heartbeat, m.discovered_at, owned, now),
         41_000
     );
     assert_eq!(
-        peer_messages::silence(
+        status_updates::silence_ms(
             m.last_heartbeat,
             m.discovered_at,
-            controller::observing_since(owned, woke),
+            clock::observing_since(owned, woke),
             now
         ),
         1000
     );
-    assert_eq!(controller::observing_since(owned, None), owned);
+    assert_eq!(clock::observing_since(owned, None), owned);
 }
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -477,12 +477,12 @@
 
 #[test]
 fn a_refusal_for_size_lowers_the_observed_limit() {
-    let seen = Limits::NONE.refused(8, 5000);
+    let seen = Limits::UNLIMITED.after_refusal(8, 5000);
     assert_eq!((seen.txn_ops, seen.value_bytes), (7, usize::MAX));
-    let seen = seen.refused(1, 4000);
+    let seen = seen.after_refusal(1, 4000);
     assert_eq!((seen.txn_ops, seen.value_bytes), (7, 3000));
     // What is small anyway was refused for something else.
-    assert_eq!(seen.refused(1, 100).value_bytes, 1024);
+    assert_eq!(seen.after_refusal(1, 100).value_bytes, 1024);
     let (_, mut controller) = start_single_controller();
     controller.config.limits_observed.set(seen);
     assert_eq!(controller.config.limits(&controller.cluster).txn_ops, 7);
@@ -498,7 +498,7 @@
 
 #[test]
 fn settings_may_announce_coming_limits_or_omit_them() {
-    let read = |next: &str| -> pointhook::settings::StateLimits {
+    let read = |next: &str| -> pointhook::settings::KvLimits {
         let text = format!("rps = 1.0\nwrite_rps = 20.0\nvalue_kb = 8.0\ntxn_ops = 12\n{next}");
         toml::from_str(&text).unwrap()
     };
@@ -509,7 +509,7 @@
     // One that rises or is left out changes nothing.
     let now = read("").limits();
     let next = read("[next]\ntxn_ops = 50\n").next.unwrap().limits();
-    assert_eq!(now.least(next), now);
+    assert_eq!(now.min(next), now);
 }
 
 #[test]
--- a/tests/kv_consistency.rs
+++ b/tests/kv_consistency.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use futures_lite::future::{block_on, poll_once};
-use pointhook::coordination::controller::Notifier;
+use pointhook::coordination::controller::notifier::Notifier;
 use pointhook::coordination::kv::{watch_is_stale, CommitOutcome};
 use pointhook::coordination::scheduler::commands;
 use pointhook::protocol::workers::Command;
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -3,8 +3,9 @@
 
 mod support;
 
+use pointhook::coordination::heartbeats;
+use pointhook::coordination::peer_messages::{gang_reservations, status_updates};
 use pointhook::coordination::scheduler::queues;
-use pointhook::coordination::{heartbeats, peer_messages};
 use pointhook::protocol::peers::{self, PeerRequest, TaskRef};
 use pointhook::protocol::workers::AgentEpoch;
 use pointhook::state::names::Index;
@@ -53,7 +54,7 @@
 #[test]
 fn status_updates_of_all_machines_fit_frames_that_are_accepted() {
     let (_, controller) = large_fleet();
-    let statuses = peer_messages::own_machine_statuses(
+    let statuses = status_updates::own_machine_statuses(
         &controller.cluster,
         &controller.config,
         MonotonicMillis(10),
@@ -61,7 +62,12 @@
     );
     assert_eq!(statuses.len(), MACHINES);
     let mut received = BTreeSet::new();
-    for request in peer_messages::tell("n1", true, true, statuses) {
+    let sender = status_updates::SenderStatus {
+        name: "n1",
+        kv_reachable: true,
+        workers_reachable: true,
+    };
+    for request in status_updates::status_requests(&sender, &statuses) {
         assert_fits_a_frame(&request);
         if let PeerRequest::Status { machines, .. } = request {
             received.extend(machines.into_iter().map(|m| m.name));
@@ -82,7 +88,7 @@
     let mut received = Vec::new();
     for request in queues::bind_requests(&bound) {
         assert_fits_a_frame(&request);
-        if let PeerRequest::Bind { tasks } = request {
+        if let PeerRequest::EnqueueTasks { tasks } = request {
             received.extend(tasks);
         }
     }
@@ -93,7 +99,7 @@
 fn a_reservation_of_all_machines_fits_frames_that_are_accepted() {
     let names: Vec<String> = (0..MACHINES).map(long_name).collect();
     let mut received = Vec::new();
-    for request in peer_messages::reservation_requests("job-000001", &names) {
+    for request in gang_reservations::reservation_requests("job-000001", &names) {
         assert_fits_a_frame(&request);
         if let PeerRequest::ReserveMachines { job, machines } = request {
             assert_eq!(job, "job-000001");
--- a/tests/machine_quarantine.rs
+++ b/tests/machine_quarantine.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use pointhook::coordination::peer_messages;
+use pointhook::coordination::peer_messages::status_updates;
 use pointhook::protocol::peers::MachineStatus;
 use pointhook::state::units::MonotonicMillis;
 use support::job;
@@ -18,7 +18,7 @@
         zone: "north".into(),
         spot: true,
         silent_ms,
-        has_reported: true,
+        has_sent_heartbeat: true,
         fencing_token_confirmed: true,
         queue_length: 0,
         cordoned: false,
@@ -83,7 +83,7 @@
         .cluster
         .learn_machine("m1", "oven", "north", true, MonotonicMillis(0))
         .unwrap();
-    peer_messages::apply_machine_statuses(
+    status_updates::apply_machine_statuses(
         &mut third.cluster,
         &third.config,
         "s1",
@@ -91,7 +91,7 @@
         MonotonicMillis(30_000),
     );
     // The deposed owner has had no heartbeat of the machine for a long time.
-    peer_messages::apply_machine_statuses(
+    status_updates::apply_machine_statuses(
         &mut third.cluster,
         &third.config,
         "n1",
@@ -115,7 +115,7 @@
         cordoned: true,
         ..machine_status("m1", 0)
     };
-    peer_messages::apply_machine_statuses(
+    status_updates::apply_machine_statuses(
         &mut new.cluster,
         &new.config,
         "n1",
--- a/tests/outages_and_restarts.rs
+++ b/tests/outages_and_restarts.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use pointhook::coordination::autoscaler;
-use pointhook::coordination::controller::{is_cluster_wide_outage, PeerObservation};
+use pointhook::coordination::controller::peers::{is_cluster_wide_outage, PeerObservation};
 use pointhook::protocol::workers::{AgentEpoch, Command};
 use pointhook::state::cluster_state::ClusterState;
 use pointhook::state::job::JobState;
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -13,6 +13,14 @@
 use support::simulated_controller::{start_single_controller, SimulatedController};
 use support::worker::FakeWorker;
 
+/// A heartbeat to the owner that has this fencing token.
+fn heartbeat_under(owner_token: FencingToken) -> heartbeats::StatusSource {
+    heartbeats::StatusSource::Heartbeat {
+        owner_token,
+        lease_ms: 10_000,
+    }
+}
+
 fn quota_usage(cpu_milli: i64, gpu_milli: i64) -> QuotaUsage {
     QuotaUsage {
         cpu_milli,
@@ -61,19 +69,19 @@
             .learn_machine("m2", "oven", "south", true, MonotonicMillis(10))
             .unwrap(),
     );
-    heartbeats::take(
+    heartbeats::apply(
         &mut north.cluster,
         machine1,
         &heartbeat1,
         MonotonicMillis(10),
-        Some((tokens[0], 10_000)),
+        heartbeat_under(tokens[0]),
     );
-    heartbeats::take(
+    heartbeats::apply(
         &mut south.cluster,
         machine2,
         &heartbeat2,
         MonotonicMillis(10),
-        Some((tokens[1], 10_000)),
+        heartbeat_under(tokens[1]),
     );
     // Both decide on the same view; only one of the raised quota shares can be committed.
     let (a, b) = (north.draft_plan(10), south.draft_plan(10));
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -375,7 +375,7 @@
 #[test]
 fn the_failover_bound_names_its_terms() {
     let workers = |lease_s| Workers {
-        report_s: 1.5,
+        heartbeat_s: 1.5,
         lease_s,
         gang_wait_s: 35.0,
         gang_peer_s: 8.0,
--- a/tests/support/simulated_cluster/tick.rs
+++ b/tests/support/simulated_cluster/tick.rs
@@ -8,11 +8,12 @@
 use crate::support::digest;
 use crate::support::simulated_controller::{direct_commands, SimulatedController, LEASE_MS};
 use pointhook::coordination::heartbeats::{self, HeartbeatOutcome};
+use pointhook::coordination::peer_messages::status_updates;
 use pointhook::coordination::scheduler::direct_starts::{
     record_direct_start_outcome, DirectStartOutcome,
 };
 use pointhook::coordination::scheduler::preemption;
-use pointhook::coordination::{cancellations, peer_messages, worker_connectivity};
+use pointhook::coordination::{cancellations, worker_connectivity};
 use pointhook::protocol::workers::{DirectCommands, Heartbeat, HeartbeatResponse};
 use pointhook::state::names::{Index, ShardIndex};
 use pointhook::state::units::MonotonicMillis;
@@ -126,13 +127,13 @@
             };
             controller.exchange_cancellations(peer, now);
             let owned_since = |shard| controller.membership.owned_since.get(&shard).copied();
-            let statuses = peer_messages::own_machine_statuses(
+            let statuses = status_updates::own_machine_statuses(
                 &controller.cluster,
                 &controller.config,
                 MonotonicMillis(now),
                 owned_since,
             );
-            peer_messages::apply_machine_statuses(
+            status_updates::apply_machine_statuses(
                 &mut peer.cluster,
                 &peer.config,
                 NAMES[at],
@@ -214,23 +215,21 @@
             MonotonicMillis(now),
         );
         let answer = match received {
-            HeartbeatOutcome::Accepted(mix, token, taken) => {
+            HeartbeatOutcome::Accepted(accepted) => {
                 controller.run_planner(&mut self.store, now);
                 controller.observe_failovers(now);
-                let got = (mix, token, taken);
                 let permits = controller.failovers.permits();
-                let answer = heartbeats::reply(
+                let answer = heartbeats::respond(
                     &mut controller.cluster,
                     &controller.config,
                     permits,
-                    heartbeat,
-                    got,
+                    &accepted,
                     MonotonicMillis(now),
                 );
                 answer.ok_or(None)
             }
-            HeartbeatOutcome::NotOwner(owner) => Err(owner),
-            HeartbeatOutcome::StaleFencingToken(shard, seen) => {
+            HeartbeatOutcome::NotOwner { owner } => Err(owner),
+            HeartbeatOutcome::StaleFencingToken { shard, seen } => {
                 controller.reject_stale_token(shard, seen.0, now);
                 Err(None)
             }
--- a/tests/support/simulated_controller/mod.rs
+++ b/tests/support/simulated_controller/mod.rs
@@ -127,8 +127,8 @@
             value_bytes: store.max_value_bytes * 9 / 10,
             write_rps: f64::MAX,
         },
-        limits_next: Limits::NONE,
-        limits_observed: Cell::new(Limits::NONE),
+        limits_next: Limits::UNLIMITED,
+        limits_observed: Cell::new(Limits::UNLIMITED),
     }
 }
 
--- a/tests/support/simulated_controller/scheduling.rs
+++ b/tests/support/simulated_controller/scheduling.rs
@@ -97,18 +97,17 @@
             LEASE_MS,
             MonotonicMillis(now),
         );
-        let HeartbeatOutcome::Accepted(machine, fencing_token, change) = received else {
+        let HeartbeatOutcome::Accepted(accepted) = received else {
             digest::note("report not taken", now, &heartbeat.machine);
             return None;
         };
         self.run_planner(store, now);
         self.observe_failovers(now);
-        let response = heartbeats::reply(
+        let response = heartbeats::respond(
             &mut self.cluster,
             &self.config,
             self.failovers.permits(),
-            heartbeat,
-            (machine, fencing_token, change),
+            &accepted,
             MonotonicMillis(now),
         );
         digest::note("answer to a report", now, &(&heartbeat.machine, &response));
--- a/tests/worker_reachability.rs
+++ b/tests/worker_reachability.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use pointhook::coordination::controller::WorkerReachability;
+use pointhook::coordination::controller::worker_reachability::WorkerReachability;
 use pointhook::coordination::{autoscaler, worker_connectivity};
 use pointhook::protocol::workers::AgentEpoch;
 use pointhook::state::names::ZoneIndex;
