--- a/crates/standby/tests/failover.rs
+++ b/crates/standby/tests/failover.rs
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_fence_that_is_refused_leaves_a_suspect_and_one_that_is_lost_a_follower() {
+fn a_refused_fence_leaves_the_standby_suspecting_and_a_superseded_one_following() {
     let mut simulation = Simulation::new();
     simulation.observe(other_controller(false, true), 5);
     simulation.failovers.fence_sent(SHARD, Millis(0));
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn an_owner_that_was_replaced_says_so_once_and_holds_no_permit() {
+fn a_replaced_owner_steps_down_once_and_holds_no_permit() {
     let mut simulation = Simulation::new();
     assert_eq!(
         simulation.observe(this_controller(1, 3), 3),
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn a_worker_with_a_token_that_nobody_recorded_stops_its_shard_once_at_most() {
+fn a_worker_with_a_token_that_nobody_recorded_pauses_its_shard_once_at_most() {
     let mut simulation = Simulation::new();
     simulation.observe(this_controller(5, 3), 5);
     assert!(!simulation.refused(
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -1,4 +1,4 @@
-//! The warm standby in the controller: a takeover decides nothing before it knows what its
+//! The warm standby in the controller: a failover decides nothing before it knows what its
 //! predecessor decided.
 
 mod support;
@@ -30,9 +30,9 @@
 
 const NORTH: ShardIndex = ShardIndex(0);
 
-/// An owner that the state service has given up, though it goes on working, and a standby that
-/// has seen that but nothing since.
-struct Deposed {
+/// An owner whose lease in the key-value store has ended, though it goes on working, and a standby
+/// that has seen that but nothing since.
+struct ExpiredOwner {
     store: FakeKvStore,
     owner: Controller,
     standby: Controller,
@@ -40,7 +40,7 @@
 }
 
 /// The task of `job-1` has begun on `m1` under the owner.
-fn deposed() -> Deposed {
+fn expired_owner() -> ExpiredOwner {
     let mut store = FakeKvStore::default();
     let mut owner = Controller::start_as("n1", 1, Standby::SameZone, &mut store, 0);
     assert_eq!(owner.members(&mut store, 0), 3);
@@ -53,7 +53,7 @@
     assert_eq!(worker.started.len(), 1);
     store.revoke_lease(owner.lease);
     standby.sync(&store);
-    Deposed {
+    ExpiredOwner {
         store,
         owner,
         standby,
@@ -61,15 +61,16 @@
     }
 }
 
-fn take_north(c: &mut Controller, store: &mut FakeKvStore, now: u64) -> CommitOutcome {
-    let to = c.config.controller_name.clone();
-    let wanted = Move { shard: NORTH, to };
-    c.execute_moves(store, &wanted, now)
+/// Tries to make a controller the owner of the northern shard.
+fn try_failover(controller: &mut Controller, store: &mut FakeKvStore, now: u64) -> CommitOutcome {
+    let to = controller.config.controller_name.clone();
+    let planned = Move { shard: NORTH, to };
+    controller.execute_moves(store, &planned, now)
 }
 
-/// Takes the northern shard over, which succeeds.
-fn take_over(c: &mut Controller, store: &mut FakeKvStore, now: u64) {
-    let outcome = take_north(c, store, now);
+/// Makes a controller the owner of the northern shard, which succeeds.
+fn fail_over(controller: &mut Controller, store: &mut FakeKvStore, now: u64) {
+    let outcome = try_failover(controller, store, now);
     assert!(
         matches!(outcome, CommitOutcome::Committed(_)),
         "{outcome:?}"
@@ -78,85 +79,90 @@
 
 #[test]
 fn nothing_starts_before_the_records_are_known_as_of_the_fence() {
-    let mut d = deposed();
+    let mut scene = expired_owner();
     // The owner, late but alive, records the end of the attempt and starts the next elsewhere.
     let mut other = FakeWorker::new("m2", "north", 0);
-    d.owner.visit(&mut d.store, &mut other, 3000);
-    d.owner.visit(&mut d.store, &mut d.worker, 3500);
-    d.owner.visit(&mut d.store, &mut other, 4000);
-    assert!(!d.worker.has_task("job-1/0") && other.has_task("job-1/0"));
-    // The standby takes over without having read that: by its view the attempt is still due here.
-    take_over(&mut d.standby, &mut d.store, 4000);
-    let report = d.worker.heartbeat(4500);
-    let answer = d.standby.report_without_store(&report, 4500).unwrap();
-    assert!(answer.commands.is_empty(), "{:?}", answer.commands);
-    assert!(d.standby.direct_starts(4500).is_empty());
+    scene.owner.visit(&mut scene.store, &mut other, 3000);
+    scene.owner.visit(&mut scene.store, &mut scene.worker, 3500);
+    scene.owner.visit(&mut scene.store, &mut other, 4000);
+    assert!(!scene.worker.has_task("job-1/0") && other.has_task("job-1/0"));
+    // The standby fences without having read that: by its view the attempt is still due here.
+    fail_over(&mut scene.standby, &mut scene.store, 4000);
+    let heartbeat = scene.worker.heartbeat(4500);
+    let response = scene
+        .standby
+        .report_without_store(&heartbeat, 4500)
+        .unwrap();
+    assert!(response.commands.is_empty(), "{:?}", response.commands);
+    assert!(scene.standby.direct_starts(4500).is_empty());
     assert!(matches!(
-        d.standby.failovers.state(ShardId(0)),
+        scene.standby.failovers.state(ShardId(0)),
         FailoverState::CatchingUp { .. }
     ));
     // Once it has read the records it decides, and the task runs where it is.
-    d.standby.sync(&d.store);
-    d.standby.visit(&mut d.store, &mut d.worker, 5000);
+    scene.standby.sync(&scene.store);
+    scene
+        .standby
+        .visit(&mut scene.store, &mut scene.worker, 5000);
     assert!(matches!(
-        d.standby.failovers.state(ShardId(0)),
+        scene.standby.failovers.state(ShardId(0)),
         FailoverState::Active { .. }
     ));
-    assert_eq!(d.worker.started.len(), 1);
+    assert_eq!(scene.worker.started.len(), 1);
     assert!(other.has_task("job-1/0"));
 }
 
 #[test]
-fn a_service_that_is_down_between_fence_and_catch_up_only_delays_the_first_decision() {
-    let mut d = deposed();
-    d.owner.submit(&mut d.store, job("job-2", 1), 600);
-    take_over(&mut d.standby, &mut d.store, 700);
-    d.store.unavailable = true;
+fn a_kv_outage_between_fence_and_catch_up_only_delays_the_first_decision() {
+    let mut scene = expired_owner();
+    scene.owner.submit(&mut scene.store, job("job-2", 1), 600);
+    fail_over(&mut scene.standby, &mut scene.store, 700);
+    scene.store.unavailable = true;
     for now in (1000..20_000).step_by(1000) {
-        assert!(!d.standby.sync(&d.store));
-        let draft = d.standby.draft(now);
-        assert!(draft.is_empty() && d.standby.direct_starts(now).is_empty());
+        assert!(!scene.standby.sync(&scene.store));
+        let draft = scene.standby.draft(now);
+        assert!(draft.is_empty() && scene.standby.direct_starts(now).is_empty());
     }
-    d.store.unavailable = false;
-    d.standby.sync(&d.store);
+    scene.store.unavailable = false;
+    scene.standby.sync(&scene.store);
     let mut fresh = FakeWorker::new("m3", "north", 0);
-    d.standby.visit(&mut d.store, &mut fresh, 20_500);
+    scene.standby.visit(&mut scene.store, &mut fresh, 20_500);
     assert!(fresh.has_task("job-2/0"));
 }
 
 #[test]
 fn a_claim_of_the_old_owner_that_is_carried_out_late_is_refused_by_the_fence() {
-    let mut d = deposed();
-    d.owner.submit(&mut d.store, job("job-2", 1), 600);
+    let mut scene = expired_owner();
+    scene.owner.submit(&mut scene.store, job("job-2", 1), 600);
     let mut other = FakeWorker::new("m2", "north", 0);
-    // Its claim gets no answer and is on its way while the standby takes over.
-    d.store.execution_delay_ms = Some(3000);
-    d.owner.visit(&mut d.store, &mut other, 1000);
-    d.store.execution_delay_ms = None;
-    take_over(&mut d.standby, &mut d.store, 2000);
-    d.store.execute_delayed(4000);
-    d.standby.sync(&d.store);
-    assert!(d.standby.job("job-2").placements.is_empty());
-    d.standby.visit(&mut d.store, &mut other, 4500);
+    // Its claim gets no answer and is on its way while the standby fences.
+    scene.store.execution_delay_ms = Some(3000);
+    scene.owner.visit(&mut scene.store, &mut other, 1000);
+    scene.store.execution_delay_ms = None;
+    fail_over(&mut scene.standby, &mut scene.store, 2000);
+    scene.store.execute_delayed(4000);
+    scene.standby.sync(&scene.store);
+    assert!(scene.standby.job("job-2").placements.is_empty());
+    scene.standby.visit(&mut scene.store, &mut other, 4500);
     assert_eq!(other.started.iter().filter(|s| s.0 == "job-2/0").count(), 1);
 }
 
 #[test]
 fn a_claim_recorded_without_an_answer_is_known_to_the_next_owner() {
-    let mut d = deposed();
-    d.owner.submit(&mut d.store, job("job-2", 1), 600);
+    let mut scene = expired_owner();
+    scene.owner.submit(&mut scene.store, job("job-2", 1), 600);
     let mut other = FakeWorker::new("m2", "north", 0);
-    d.store.drops_responses = true;
-    d.owner.visit(&mut d.store, &mut other, 1000);
-    d.store.drops_responses = false;
-    take_over(&mut d.standby, &mut d.store, 2000);
-    d.standby.sync(&d.store);
-    let claimed = d.standby.job("job-2").placements.clone();
+    scene.store.drops_responses = true;
+    scene.owner.visit(&mut scene.store, &mut other, 1000);
+    scene.store.drops_responses = false;
+    fail_over(&mut scene.standby, &mut scene.store, 2000);
+    scene.standby.sync(&scene.store);
+    let claimed = scene.standby.job("job-2").placements.clone();
     assert_eq!(claimed.len(), 1);
-    for worker in [&mut d.worker, &mut other] {
-        d.standby.visit(&mut d.store, worker, 2500);
+    for worker in [&mut scene.worker, &mut other] {
+        scene.standby.visit(&mut scene.store, worker, 2500);
     }
-    let starts = d.worker.started.iter().chain(&other.started);
+    let starts = scene.worker.started.iter().chain(&other.started);
     let attempts: Vec<u64> = starts
         .filter(|(task, _)| task == "job-2/0")
         .map(|(_, attempt)| *attempt)
@@ -165,60 +171,63 @@
 }
 
 #[test]
-fn a_deposed_owner_says_so_once_and_decides_nothing_more() {
-    let mut d = deposed();
-    take_over(&mut d.standby, &mut d.store, 700);
-    d.standby.sync(&d.store);
-    d.standby.visit(&mut d.store, &mut d.worker, 1000);
-    d.owner.submit(&mut d.store, job("job-2", 1), 1100);
-    // A worker that has seen the new token tells the old owner, which has read nothing since.
-    let report = d.worker.heartbeat(1200);
-    let before = d.owner.failovers.permits().get(ShardId(0)).is_some();
+fn a_superseded_owner_steps_down_once_and_decides_nothing_more() {
+    let mut scene = expired_owner();
+    fail_over(&mut scene.standby, &mut scene.store, 700);
+    scene.standby.sync(&scene.store);
+    scene
+        .standby
+        .visit(&mut scene.store, &mut scene.worker, 1000);
+    scene.owner.submit(&mut scene.store, job("job-2", 1), 1100);
+    // A worker that has seen the new token shows it to the old owner, which has read nothing since.
+    let heartbeat = scene.worker.heartbeat(1200);
+    let before = scene.owner.failovers.permits().get(ShardId(0)).is_some();
     assert!(before);
     for now in [1200, 1300, 1400] {
-        d.owner
-            .refused_by_worker(NORTH, report.fencing_token.0, now);
+        scene
+            .owner
+            .refused_by_worker(NORTH, heartbeat.fencing_token.0, now);
     }
-    assert_eq!(d.owner.stepped_down, [NORTH]);
-    assert!(d.owner.failovers.permits().get(ShardId(0)).is_none());
+    assert_eq!(scene.owner.stepped_down, [NORTH]);
+    assert!(scene.owner.failovers.permits().get(ShardId(0)).is_none());
     // It reads the records and follows; the shard stays with the new owner.
-    d.owner.sync(&d.store);
-    d.owner.observe(1500);
-    assert_eq!(d.owner.failovers.state(ShardId(0)), FailoverState::Idle);
-    assert_eq!(d.owner.stepped_down, [NORTH]);
+    scene.owner.sync(&scene.store);
+    scene.owner.observe(1500);
+    assert_eq!(scene.owner.failovers.state(ShardId(0)), FailoverState::Idle);
+    assert_eq!(scene.owner.stepped_down, [NORTH]);
 }
 
 #[test]
-fn of_two_that_take_over_at_once_one_wins_and_the_other_follows() {
-    let mut d = deposed();
-    let mut third = Controller::start_as("n3", 3, Standby::SameZone, &mut d.store, 0);
-    d.standby.sync(&d.store);
-    take_over(&mut d.standby, &mut d.store, 700);
+fn of_two_failovers_at_once_one_succeeds_and_the_other_controller_follows() {
+    let mut scene = expired_owner();
+    let mut third = Controller::start_as("n3", 3, Standby::SameZone, &mut scene.store, 0);
+    scene.standby.sync(&scene.store);
+    fail_over(&mut scene.standby, &mut scene.store, 700);
     assert!(matches!(
-        take_north(&mut third, &mut d.store, 700),
+        try_failover(&mut third, &mut scene.store, 700),
         CommitOutcome::Conflict(_)
     ));
     assert_eq!(third.failovers.state(ShardId(0)), FailoverState::Suspecting);
-    for c in [&mut d.standby, &mut third] {
-        c.sync(&d.store);
-        c.observe(800);
+    for controller in [&mut scene.standby, &mut third] {
+        controller.sync(&scene.store);
+        controller.observe(800);
     }
-    assert!(d.standby.failovers.permits().get(ShardId(0)).is_some());
+    assert!(scene.standby.failovers.permits().get(ShardId(0)).is_some());
     assert!(third.failovers.permits().get(ShardId(0)).is_none());
 }
 
 #[test]
 fn a_standby_that_ends_between_fence_and_catch_up_is_followed_by_another() {
-    let mut d = deposed();
-    let mut third = Controller::start_as("n3", 3, Standby::SameZone, &mut d.store, 0);
-    d.standby.sync(&d.store);
-    take_over(&mut d.standby, &mut d.store, 700);
-    d.store.revoke_lease(d.standby.lease);
-    third.sync(&d.store);
-    take_over(&mut third, &mut d.store, 900);
-    third.sync(&d.store);
-    third.visit(&mut d.store, &mut d.worker, 1000);
-    assert_eq!(d.worker.started.len(), 1);
+    let mut scene = expired_owner();
+    let mut third = Controller::start_as("n3", 3, Standby::SameZone, &mut scene.store, 0);
+    scene.standby.sync(&scene.store);
+    fail_over(&mut scene.standby, &mut scene.store, 700);
+    scene.store.revoke_lease(scene.standby.lease);
+    third.sync(&scene.store);
+    fail_over(&mut third, &mut scene.store, 900);
+    third.sync(&scene.store);
+    third.visit(&mut scene.store, &mut scene.worker, 1000);
+    assert_eq!(scene.worker.started.len(), 1);
     let permit = third.failovers.permits().get(ShardId(0)).expect("a permit");
     assert_eq!(
         permit.fencing_token(),
@@ -226,80 +235,84 @@
     );
 }
 
-/// Nodes n1 and n2 in the north, s1 in the south, all there for long.
-fn three_nodes(standby: Standby) -> (FakeKvStore, [Controller; 3], MembershipView) {
+/// Controllers n1 and n2 in the north, s1 in the south, all there for long.
+fn three_controllers(standby: Standby) -> (FakeKvStore, [Controller; 3], MembershipView) {
     const ZONES: [(&str, u32); 3] = [("n1", 0), ("n2", 0), ("s1", 1)];
     let names = ZONES.map(|(name, _)| name);
     let mut store = FakeKvStore::default();
     let mut start = |name, incarnation| {
-        let c = Controller::start_as(name, incarnation, standby, &mut store, 0);
-        c.among(&names, &ZONES)
+        let controller = Controller::start_as(name, incarnation, standby, &mut store, 0);
+        controller.among(&names, &ZONES)
     };
-    let mut nodes = [start("n1", 1), start("n2", 2), start("s1", 3)];
-    for c in &mut nodes {
-        c.sync(&store);
+    let mut controllers = [start("n1", 1), start("n2", 2), start("s1", 3)];
+    for controller in &mut controllers {
+        controller.sync(&store);
     }
-    let seen = names.iter().zip(1..).map(|(name, incarnation)| {
+    let first_seen = names.iter().zip(1..).map(|(name, incarnation)| {
         let at = MonotonicMillis(0);
         ((name.to_string(), Incarnation(incarnation)), at)
     });
-    let known = MembershipView {
-        first_seen: seen.collect(),
-        standby: nodes[0].known.standby.clone(),
+    let view = MembershipView {
+        first_seen: first_seen.collect(),
+        standby: controllers[0].known.standby.clone(),
         ..MembershipView::default()
     };
-    (store, nodes, known)
+    (store, controllers, view)
 }
 
-fn takers(nodes: &[Controller], known: &MembershipView, now: u64) -> Vec<String> {
-    let takes = |c: &&Controller| {
-        let moves = c.assignment(known, false, now).moves();
-        moves.iter().any(|m| m.shard == NORTH)
+/// Controllers that would take the northern shard now.
+fn successors(controllers: &[Controller], view: &MembershipView, now: u64) -> Vec<String> {
+    let takes_north = |controller: &&Controller| {
+        let moves = controller.assignment(view, false, now).moves();
+        moves.iter().any(|planned| planned.shard == NORTH)
     };
-    let takers = nodes.iter().filter(takes);
-    takers.map(|c| c.config.controller_name.clone()).collect()
+    controllers
+        .iter()
+        .filter(takes_north)
+        .map(|controller| controller.config.controller_name.clone())
+        .collect()
 }
 
 /// Lets `n1` own the northern shard and end.
-fn without_n1(store: &mut FakeKvStore, nodes: &mut [Controller; 3]) {
+fn lose_owner_n1(store: &mut FakeKvStore, controllers: &mut [Controller; 3]) {
     assert!(matches!(
-        take_north(&mut nodes[0], store, 0),
+        try_failover(&mut controllers[0], store, 0),
         CommitOutcome::Committed(_)
     ));
-    store.revoke_lease(nodes[0].lease);
-    for c in nodes {
-        c.sync(store);
+    store.revoke_lease(controllers[0].lease);
+    for controller in controllers {
+        controller.sync(store);
     }
 }
 
 #[test]
-fn the_standby_alone_takes_a_shard_over_by_the_preference_of_zones() {
+fn the_standby_alone_takes_a_shard_by_the_preference_of_zones() {
     for (standby, name) in [(Standby::SameZone, "n2"), (Standby::OtherZone, "s1")] {
-        let (mut store, mut nodes, known) = three_nodes(standby);
-        without_n1(&mut store, &mut nodes);
-        assert_eq!(takers(&nodes[1..], &known, 10_000), [name]);
+        let (mut store, mut controllers, view) = three_controllers(standby);
+        lose_owner_n1(&mut store, &mut controllers);
+        assert_eq!(successors(&controllers[1..], &view, 10_000), [name]);
     }
 }
 
 #[test]
-fn a_shard_that_its_standby_leaves_alone_goes_to_whoever_should_have_it() {
-    let (mut store, mut nodes, mut known) = three_nodes(Standby::OtherZone);
-    without_n1(&mut store, &mut nodes);
+fn a_shard_that_its_standby_does_not_take_goes_to_its_preferred_owner() {
+    let (mut store, mut controllers, mut view) = three_controllers(Standby::OtherZone);
+    lose_owner_n1(&mut store, &mut controllers);
     // Its own view has another standby, for example since its settings differ.
     let since = MonotonicMillis(10_000);
-    known.ownerless_since.insert(NORTH, since);
-    assert_eq!(takers(&nodes[1..], &known, 12_000), ["s1"]);
-    assert_eq!(takers(&nodes[1..], &known, 12_500), ["n2"]);
+    view.ownerless_since.insert(NORTH, since);
+    assert_eq!(successors(&controllers[1..], &view, 12_000), ["s1"]);
+    assert_eq!(successors(&controllers[1..], &view, 12_500), ["n2"]);
 }
 
 #[test]
-fn nodes_that_do_not_know_the_feature_are_no_standbys() {
-    let (mut store, mut nodes, known) = three_nodes(Standby::SameZone);
+fn controllers_without_the_feature_are_no_standbys() {
+    let (mut store, mut controllers, view) = three_controllers(Standby::SameZone);
     // n2 is replaced by a process of the version in production.
-    store.revoke_lease(nodes[1].lease);
-    nodes[1] = Controller::start("n2", 9, &mut store, 0);
-    without_n1(&mut store, &mut nodes);
-    assert_eq!(takers(&nodes[2..], &known, 10_000), ["s1"]);
+    store.revoke_lease(controllers[1].lease);
+    controllers[1] = Controller::start("n2", 9, &mut store, 0);
+    lose_owner_n1(&mut store, &mut controllers);
+    assert_eq!(successors(&controllers[2..], &view, 10_000), ["s1"]);
 }
 
 #[test]
@@ -315,7 +328,7 @@
 }
 
 #[test]
-fn the_bound_of_a_takeover_names_its_terms() {
+fn the_failover_bound_names_its_terms() {
     let workers = |lease_s| Workers {
         heartbeat_s: 1.5,
         lease_s,
@@ -333,31 +346,35 @@
 }
 
 /// A batch of arrays, a gang and a pipeline on machines of both zones.
-fn submit_batch(w: &mut World) -> Vec<String> {
+fn submit_batch(world: &mut World) -> Vec<String> {
     let mut ids = Vec::new();
-    let mut add = |w: &mut World, spec: JobSpec| {
+    let mut add = |world: &mut World, spec: JobSpec| {
         ids.push(spec.id.clone());
-        assert!(w.submit(0, spec));
+        assert!(world.submit(0, spec));
     };
     for i in 0..4 {
-        add(w, job(&format!("job-{i}"), 6));
+        add(world, job(&format!("job-{i}"), 6));
     }
     let mut gang = job("job-10", 4);
     gang.kind = JobKind::Gang;
-    add(w, gang);
+    add(world, gang);
     let mut last = job("job-11", 2);
     last.dependencies = vec!["job-0".into(), "job-10".into()];
-    add(w, last);
+    add(world, last);
     ids
 }
 
 /// Gives the jobs time to end, and checks that all did and no rule was broken.
-fn all_complete(w: &mut World, ids: &[String], what: &str) {
-    w.run(90_000);
-    assert!(w.unfinished().is_empty(), "{what}: {:#?}", w.unfinished());
-    w.keeps_the_rules();
+fn assert_all_complete(world: &mut World, ids: &[String], case: &str) {
+    world.run(90_000);
+    assert!(
+        world.unfinished().is_empty(),
+        "{case}: {:#?}",
+        world.unfinished()
+    );
+    world.keeps_the_rules();
     for id in ids {
-        assert!(w.completed(id), "{what}: {id}");
+        assert!(world.completed(id), "{case}: {id}");
     }
 }
 
@@ -365,125 +382,130 @@
 fn an_owner_lost_at_any_step_of_a_batch_loses_and_repeats_nothing() {
     for standby in [Standby::Off, Standby::SameZone, Standby::OtherZone] {
         for step in 0..24u64 {
-            let mut w = World::with(4, standby);
-            w.begin_record_format_v2();
-            let ids = submit_batch(&mut w);
-            w.run(step * 500);
-            let active = w.owner_of_zone("north");
-            w.end(active);
-            w.run(15_000);
-            // Twice in a row: whoever took over ends as well.
-            let next = w.owner_of_zone("north");
-            assert_ne!(next, active);
-            w.end(next);
-            w.run(15_000);
-            w.start(active);
-            w.start(next);
-            all_complete(&mut w, &ids, &format!("{standby:?}, step {step}"));
+            let mut world = World::with(4, standby);
+            world.begin_record_format_v2();
+            let ids = submit_batch(&mut world);
+            world.run(step * 500);
+            let owner = world.owner_of_zone("north");
+            world.end(owner);
+            world.run(15_000);
+            // Twice in a row: the next owner ends as well.
+            let next = world.owner_of_zone("north");
+            assert_ne!(next, owner);
+            world.end(next);
+            world.run(15_000);
+            world.start(owner);
+            world.start(next);
+            assert_all_complete(&mut world, &ids, &format!("{standby:?}, step {step}"));
         }
     }
 }
 
 #[test]
-fn an_owner_paused_beyond_its_lease_wakes_into_a_takeover_and_steps_down() {
+fn an_owner_paused_beyond_its_lease_resumes_after_a_failover_and_steps_down() {
     for pause_ms in (1000..14_000).step_by(1000) {
-        let mut w = World::with(4, Standby::SameZone);
-        w.begin_record_format_v2();
-        let ids = submit_batch(&mut w);
-        w.run(2000);
-        let active = w.owner_of_zone("north");
-        // It stands still: neither reads nor renews, and wakes with the view of then.
-        let asleep = w.nodes[active].take();
-        w.run(pause_ms);
-        w.nodes[active] = asleep;
-        all_complete(&mut w, &ids, &format!("paused for {pause_ms} ms"));
+        let mut world = World::with(4, Standby::SameZone);
+        world.begin_record_format_v2();
+        let ids = submit_batch(&mut world);
+        world.run(2000);
+        let owner = world.owner_of_zone("north");
+        // It is paused: neither reads nor renews, and resumes with the view of then.
+        let paused = world.nodes[owner].take();
+        world.run(pause_ms);
+        world.nodes[owner] = paused;
+        assert_all_complete(&mut world, &ids, &format!("paused for {pause_ms} ms"));
     }
 }
 
 #[test]
-fn a_permit_of_before_a_take_over_decides_nothing_though_nobody_looked_since() {
-    let mut d = deposed();
-    d.owner.submit(&mut d.store, job("job-2", 1), 600);
-    d.owner.observe(650);
-    take_over(&mut d.standby, &mut d.store, 700);
-    d.owner.sync(&d.store);
-    let permits = d.owner.failovers.permits();
+fn a_permit_of_before_a_failover_decides_nothing_though_nobody_observed_since() {
+    let mut scene = expired_owner();
+    scene.owner.submit(&mut scene.store, job("job-2", 1), 600);
+    scene.owner.observe(650);
+    fail_over(&mut scene.standby, &mut scene.store, 700);
+    scene.owner.sync(&scene.store);
+    let permits = scene.owner.failovers.permits();
     assert!(permits.get(ShardId(0)).is_some());
     let mut draft = DraftTransaction::default();
-    let pass = d.owner.pass(800);
+    let pass = scene.owner.pass(800);
     reconciliation::reconcile(&pass, &mut draft);
     claims::claim(&pass, &mut draft);
     assert!(draft.is_empty(), "{draft:?}");
 }
 
 #[test]
-fn a_takeover_goes_on_with_the_queues_and_held_machines_that_were_told() {
-    let mut d = deposed();
+fn a_failover_restores_the_queues_and_reservations_that_were_streamed() {
+    let mut scene = expired_owner();
     for (id, tasks) in [("job-2", 20), ("job-3", 2)] {
-        d.owner.submit(&mut d.store, job(id, tasks), 600);
+        scene.owner.submit(&mut scene.store, job(id, tasks), 600);
     }
-    let mut gang = job("job-4", 8);
-    gang.kind = JobKind::Gang;
-    d.owner.submit(&mut d.store, gang, 600);
-    let (queued, done, held) = (
-        d.owner.job_ix("job-2"),
-        d.owner.job_ix("job-3"),
-        d.owner.job_ix("job-4"),
+    let mut gang_spec = job("job-4", 8);
+    gang_spec.kind = JobKind::Gang;
+    scene.owner.submit(&mut scene.store, gang_spec, 600);
+    let (queued, cancelled, gang) = (
+        scene.owner.job_ix("job-2"),
+        scene.owner.job_ix("job-3"),
+        scene.owner.job_ix("job-4"),
     );
-    let m1 = d.owner.machine("m1");
-    let machine = d.owner.cluster.machine_mut(m1).unwrap();
+    let m1 = scene.owner.machine("m1");
+    let machine = scene.owner.cluster.machine_mut(m1).unwrap();
     machine.queue.extend([
         (queued, 7, MonotonicMillis(600)),
-        (done, 0, MonotonicMillis(600)),
+        (cancelled, 0, MonotonicMillis(600)),
         (queued, 5, MonotonicMillis(600)),
     ]);
-    machine.reservation = Some((held, MonotonicMillis(5000)));
-    // It is told in a snapshot, and what changes then in the tail.
+    machine.reservation = Some((gang, MonotonicMillis(5000)));
+    // It is streamed in a snapshot, and what changes then in the log tail.
     let mut publisher = Publisher::new(ShardId(0), FencingToken(1), StreamLimits::default());
     let mut follower = Follower::default();
-    let mut tell = |owner: &Controller, publisher: &mut Publisher, now| {
+    let mut stream = |owner: &Controller, publisher: &mut Publisher, now| {
         replication::publish_changes(&owner.cluster, NORTH, MonotonicMillis(now), publisher);
         while let Some(message) = publisher.next_message() {
             publisher.receive_response(follower.receive(&message, FencingToken(0)));
         }
         follower.clone()
     };
-    tell(&d.owner, &mut publisher, 700);
-    let machine = d.owner.cluster.machine_mut(m1).unwrap();
+    stream(&scene.owner, &mut publisher, 700);
+    let machine = scene.owner.cluster.machine_mut(m1).unwrap();
     machine.queue.push_back((queued, 9, MonotonicMillis(800)));
-    let follower = tell(&d.owner, &mut publisher, 800);
+    let follower = stream(&scene.owner, &mut publisher, 800);
     // One of the queued tasks is no longer to run, and one is queued with the standby already.
-    d.owner.cancel(&mut d.store, "job-3", 850);
-    d.standby.sync(&d.store);
-    d.standby
+    scene.owner.cancel(&mut scene.store, "job-3", 850);
+    scene.standby.sync(&scene.store);
+    scene
+        .standby
         .cluster
         .learn_machine("m1", "oven", "north", true, MonotonicMillis(0));
-    let (m1, queued) = (d.standby.machine("m1"), d.standby.job_ix("job-2"));
-    let machine = d.standby.cluster.machine_mut(m1).unwrap();
+    let (m1, queued) = (scene.standby.machine("m1"), scene.standby.job_ix("job-2"));
+    let machine = scene.standby.cluster.machine_mut(m1).unwrap();
     machine.queue.push_back((queued, 5, MonotonicMillis(100)));
-    let shadow = follower.replica_state().expect("no gap");
-    let restored =
-        replication::restore_replica(&mut d.standby.cluster, NORTH, shadow, MonotonicMillis(900));
+    let replica = follower.replica_state().expect("no gap");
+    let restored = replication::restore_replica(
+        &mut scene.standby.cluster,
+        NORTH,
+        replica,
+        MonotonicMillis(900),
+    );
     assert_eq!((restored.queued_tasks, restored.reservations), (2, 1));
-    let machine = d.standby.cluster.machine(m1).unwrap();
+    let machine = scene.standby.cluster.machine(m1).unwrap();
     let tasks: Vec<u32> = machine.queue.iter().map(|(_, task, _)| *task).collect();
     assert_eq!(tasks, [5, 7, 9]);
     assert_eq!(
-        machine.reservation.map(|h| h.0),
-        Some(d.standby.job_ix("job-4"))
+        machine.reservation.map(|reservation| reservation.0),
+        Some(scene.standby.job_ix("job-4"))
     );
-    // What is unchanged is not told again, and a machine that goes is.
+    // What is unchanged is not streamed again, and a machine that is deleted is.
     replication::publish_changes(
-        &d.owner.cluster,
+        &scene.owner.cluster,
         NORTH,
         MonotonicMillis(900),
         &mut publisher,
     );
     assert_eq!(publisher.lag(), Some(0));
-    let m1 = d.owner.machine("m1");
-    d.owner.cluster.mark_deleted(m1);
+    let m1 = scene.owner.machine("m1");
+    scene.owner.cluster.mark_deleted(m1);
     replication::publish_changes(
-        &d.owner.cluster,
+        &scene.owner.cluster,
         NORTH,
         MonotonicMillis(900),
         &mut publisher,
@@ -493,50 +515,50 @@
 }
 
 #[test]
-fn switching_it_on_node_by_node_and_going_back_at_any_step_loses_nothing() {
+fn switching_it_on_controller_by_controller_and_back_at_any_step_loses_nothing() {
     for back_after in 0..=3 {
-        let mut w = World::with(4, Standby::Off);
-        w.begin_record_format_v2();
-        let mut ids = submit_batch(&mut w);
+        let mut world = World::with(4, Standby::Off);
+        world.begin_record_format_v2();
+        let mut ids = submit_batch(&mut world);
         let on = (0..back_after).map(|at| (at, Standby::OtherZone));
         let off = (0..back_after).rev().map(|at| (at, Standby::Off));
         for (number, (at, standby)) in on.chain(off).enumerate() {
-            w.run(2000);
-            w.standby = standby;
-            w.end(at);
-            w.run(1000);
-            w.start(at);
+            world.run(2000);
+            world.standby = standby;
+            world.end(at);
+            world.run(1000);
+            world.start(at);
             let id = format!("job-2{number}");
-            assert!(w.submit((at + 1) % 3, job(&id, 3)));
+            assert!(world.submit((at + 1) % 3, job(&id, 3)));
             ids.push(id);
-            w.run(3000);
+            world.run(3000);
         }
-        all_complete(&mut w, &ids, &format!("back after {back_after}"));
+        assert_all_complete(&mut world, &ids, &format!("back after {back_after}"));
     }
 }
 
 #[test]
 fn operators_see_how_far_each_standby_is() {
-    let standing = |replication_lag, follows| ShardStatus {
+    let status = |replication_lag, replica_of_token| ShardStatus {
         shard: 3,
         owner: "stoker-1".into(),
         fencing_token: 41,
         state: "active".into(),
         standby: Some("stoker-2".into()),
         replication_lag,
-        replica_of_token: follows,
+        replica_of_token,
     };
     let shards = [
-        standing(Some(0), None),
-        standing(Some(12), None),
-        standing(None, Some(40)),
-        standing(None, None),
+        status(Some(0), None),
+        status(Some(12), None),
+        status(None, Some(40)),
+        status(None, None),
     ];
-    let reply = PeerResponse::ShardStatuses {
+    let response = PeerResponse::ShardStatuses {
         shards: shards.to_vec(),
     };
-    let sent = peers::encode(&reply).unwrap();
-    assert_eq!(peers::decode_response(&sent), Some(reply));
+    let sent = peers::encode(&response).unwrap();
+    assert_eq!(peers::decode_response(&sent), Some(response));
     let table = observe_command::table(&shards);
     let lines: Vec<&str> = table.lines().collect();
     assert!(lines[0].starts_with("shard  owner"));
@@ -552,10 +574,10 @@
 }
 
 #[test]
-fn after_a_restart_of_all_shards_go_straight_to_whoever_should_have_them() {
-    let (mut store, mut nodes, mut known) = three_nodes(Standby::OtherZone);
-    without_n1(&mut store, &mut nodes);
+fn after_a_restart_of_all_controllers_shards_go_straight_to_their_preferred_owners() {
+    let (mut store, mut controllers, mut view) = three_controllers(Standby::OtherZone);
+    lose_owner_n1(&mut store, &mut controllers);
     // Nobody has been there for long: no standby has followed anyone.
-    known.first_seen.clear();
-    assert_eq!(takers(&nodes[1..], &known, 10_000), ["n2"]);
+    view.first_seen.clear();
+    assert_eq!(successors(&controllers[1..], &view, 10_000), ["n2"]);
 }
