--- a/src/coordination/membership/assignment.rs
+++ b/src/coordination/membership/assignment.rs
@@ -112,7 +112,7 @@
         let changes = if preferred == self.config.controller_name {
             self.may_raise_tokens && self.must_raise_token(shard)
         } else {
-            self.has_been_owned_for_a_moment(shard)
+            self.has_settled_here(shard)
         };
         changes.then_some(preferred)
     }
@@ -148,7 +148,7 @@
 
     /// A shard stays for a moment with whoever gets it: why it came may be in status updates that
     /// are still on their way, and two controllers that disagree would hand it to and fro.
-    fn has_been_owned_for_a_moment(&self, shard: ShardIndex) -> bool {
+    fn has_settled_here(&self, shard: ShardIndex) -> bool {
         let owned_since = self.view.owned_since.get(&shard);
         owned_since.is_some_and(|since| self.now.since(*since) >= ELIGIBLE_AFTER_MS)
     }
--- a/src/coordination/peer_messages/gang_reservations.rs
+++ b/src/coordination/peer_messages/gang_reservations.rs
@@ -13,11 +13,10 @@
 use crate::coordination::scheduler::gang_reservations::gang_reservations;
 use crate::protocol::peers::PeerRequest;
 use crate::state::cluster_state::ClusterState;
+use crate::state::machine::GANG_RESERVATION_MS;
 use crate::state::names::{Index, JobIndex, MachineIndex};
 use std::rc::Rc;
 
-/// How long machines stay reserved for a gang unless that is renewed.
-pub(crate) const GANG_RESERVATION_MS: u64 = 4000;
 /// Machines in one frame of a reservation: a gang may need thousands.
 const MACHINES_PER_RESERVATION: usize = 1000;
 
--- a/src/coordination/replication/committed.rs
+++ b/src/coordination/replication/committed.rs
@@ -2,7 +2,9 @@
 
 use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::draft::DraftTransaction;
-use crate::state::names::{Index, ShardIndex};
+use crate::state::cluster_state::ClusterState;
+use crate::state::job::Placement;
+use crate::state::names::{Index, JobIndex, ShardIndex};
 use standby::ids::Revision;
 use standby::message::{Decision, QueuedTask};
 
@@ -37,12 +39,39 @@
     ended
 }
 
+impl EndedAttempt {
+    fn decision(self, Revision(revision): Revision) -> Decision {
+        Decision::AttemptEnded {
+            task: self.task,
+            attempt: self.attempt,
+            revision,
+        }
+    }
+}
+
+fn claim_decision(
+    cluster: &ClusterState,
+    job: JobIndex,
+    claim: &Placement,
+    Revision(revision): Revision,
+) -> Decision {
+    Decision::TaskClaimed {
+        task: QueuedTask {
+            job: cluster.jobs[job.at()].id.to_string(),
+            task: claim.task,
+        },
+        attempt: claim.attempt,
+        machine: cluster.machine_names.name(claim.machine).to_string(),
+        revision,
+    }
+}
+
 /// Publishes the decisions of a draft that was recorded at a revision.
 pub fn publish_committed(
     controller: &Controller,
     draft: &DraftTransaction,
     ended: Vec<EndedAttempt>,
-    Revision(revision): Revision,
+    revision: Revision,
 ) {
     let mut replication = controller.replication.borrow_mut();
     if replication.published.is_empty() {
@@ -53,30 +82,11 @@
             stream.publisher.publish(decision);
         }
     };
-    for EndedAttempt {
-        shard,
-        task,
-        attempt,
-    } in ended
-    {
-        let decision = Decision::AttemptEnded {
-            task,
-            attempt,
-            revision,
-        };
-        publish(shard, decision);
+    for attempt in ended {
+        publish(attempt.shard, attempt.decision(revision));
     }
     let cluster = controller.cluster.borrow();
-    for (job_index, placement) in &draft.claims {
-        let decision = Decision::TaskClaimed {
-            task: QueuedTask {
-                job: cluster.jobs[job_index.at()].id.to_string(),
-                task: placement.task,
-            },
-            attempt: placement.attempt,
-            machine: cluster.machine_names.name(placement.machine).to_string(),
-            revision,
-        };
-        publish(placement.shard, decision);
+    for (job, claim) in &draft.claims {
+        publish(claim.shard, claim_decision(&cluster, *job, claim, revision));
     }
 }
--- a/src/coordination/replication/restore.rs
+++ b/src/coordination/replication/restore.rs
@@ -1,8 +1,8 @@
 //! After a failover: the new owner goes on with the queues and reservations of the former one.
 
 use crate::coordination::controller::Controller;
-use crate::coordination::peer_messages::gang_reservations::GANG_RESERVATION_MS;
 use crate::state::cluster_state::ClusterState;
+use crate::state::machine::GANG_RESERVATION_MS;
 use crate::state::names::{Index, JobIndex, ShardIndex};
 use crate::state::units::MonotonicMillis;
 use standby::message::{MachineState, QueuedTask};
--- a/src/state/machine.rs
+++ b/src/state/machine.rs
@@ -85,6 +85,9 @@
     pub acknowledged: bool,
 }
 
+/// How long a machine stays reserved for a gang unless the reservation is renewed.
+pub(crate) const GANG_RESERVATION_MS: u64 = 4000;
+
 /// A machine.
 #[derive(Clone, Debug)]
 pub struct Machine {
