--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -12,7 +12,9 @@
 //! | `demand` | tasks that wait or are expected |
 //! | `placement` | on which machines that demand would go, and which machines it lacks |
 //! | `provisioning` | requests for machines, from the record to the answer |
-//! | `scale_in` | which machines are deleted, and the deletion |
+//! | `silence` | how long a machine may be silent, and which zones are partitioned |
+//! | `scale_in_plan` | which machines are to be deleted, and why |
+//! | `scale_in` | their deletion |
 //!
 //! Invariant: an intent to request machines is on record, fenced by the shard's fencing token,
 //! before the request is sent. A new owner repeats it under the same name, and the cloud answers
@@ -38,14 +40,15 @@
 mod placement;
 mod provisioning;
 mod scale_in;
+mod scale_in_plan;
+mod silence;
 mod supply;
 
 pub use machine_list::{list_interval_ms, MachineListReader};
 pub use placement::{ScaleOutPlan, ScaleOutPlanner};
 pub use provisioning::{split_into_requests, PoolRequest};
-pub use scale_in::{
-    partitioned_zones, presumed_lost, ScaleInReason, SilenceLimits, ZoneMachineCounts,
-};
+pub use scale_in_plan::{presumed_lost, ScaleInReason};
+pub use silence::{partitioned_zones, SilenceLimits, ZoneMachineCounts};
 pub use supply::{supply, Pool, Supply};
 
 /// Time between two rounds of the owner.
--- a/src/settings.rs
+++ b/src/settings/platform.rs
@@ -1,110 +1,16 @@
-//! The platform's settings file, the operators' own and the features file.
-//!
-//! `cli` loads them before anything starts; the controller keeps them unchanged for as long as it
-//! runs. Keys of the files are the fields' names, or stand in `serde(rename)`.
-//!
-//! Invariant: settings that were loaded have been checked, so their readers need not.
+//! The platform's settings file: what the deployment fixes.
 
-use crate::features::{Features, FeaturesError};
+use super::errors::{positive, InvalidSetting, SettingsError};
+use super::files::read_toml;
 use crate::protocol::kv::Limits;
 use crate::state::units::millis_from_seconds;
-use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use std::fmt;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
+use std::path::Path;
 
-/// Why a settings file can't be used; one line, naming file and field.
-#[derive(Debug, thiserror::Error)]
-pub enum SettingsError {
-    /// The file can't be read.
-    #[error("{}: {source}", path.display())]
-    Read {
-        /// The file.
-        path: PathBuf,
-        /// What the operating system said.
-        #[source]
-        source: std::io::Error,
-    },
-    /// The file is no TOML, or a field is missing or of the wrong type.
-    #[error("{}: line {line}: {}", path.display(), source.message().replace('\n', " "))]
-    Syntax {
-        /// The file.
-        path: PathBuf,
-        /// The line, counted from 1; 0 if it is not known.
-        line: usize,
-        /// What the parser said.
-        #[source]
-        source: Box<toml::de::Error>,
-    },
-    /// A field has a value that is not allowed.
-    #[error("{}: {source}", path.display())]
-    Value {
-        /// The file.
-        path: PathBuf,
-        /// The field and what is allowed.
-        #[source]
-        source: InvalidSetting,
-    },
-    /// The features file is not what its schema says.
-    #[error("{}: {source}", path.display())]
-    Features {
-        /// The file.
-        path: PathBuf,
-        /// The key and what is allowed.
-        #[source]
-        source: FeaturesError,
-    },
-}
-
-/// A field with a value that is not allowed.
-#[derive(Debug, PartialEq, Eq, thiserror::Error)]
-pub enum InvalidSetting {
-    /// No zone at all.
-    #[error("settings.zones is empty")]
-    NoZones,
-    /// The controller's own zone is not one of the cluster's.
-    #[error("domain is not among settings.zones")]
-    UnknownZone,
-    /// A time or a rate is 0, negative or no number.
-    #[error("{field} must be above 0")]
-    NotPositive {
-        /// The field.
-        field: &'static str,
-    },
-    /// A time or a part is negative or no number.
-    #[error("{field} must not be negative")]
-    Negative {
-        /// The field.
-        field: &'static str,
-    },
-    /// A number is too small for the program to work.
-    #[error("{field} must be at least {least}")]
-    TooSmall {
-        /// The field.
-        field: &'static str,
-        /// The least allowed.
-        least: usize,
-    },
-    /// A number is larger than the program is made for.
-    #[error("{field} must be at most {most}")]
-    TooLarge {
-        /// The field.
-        field: &'static str,
-        /// The most allowed.
-        most: usize,
-    },
-    /// A number is outside its range.
-    #[error("{field} must be {least} to {most}")]
-    OutOfRange {
-        /// The field.
-        field: &'static str,
-        /// The least allowed.
-        least: usize,
-        /// The most allowed.
-        most: usize,
-    },
-}
+/// Fewest changes in a transaction that the scheduler can work with.
+const MIN_TXN_OPS: usize = 2;
 
 /// A team's guarantee and limit; 0 means none.
 #[derive(Deserialize, Clone, Debug)]
@@ -364,97 +270,6 @@
     pub settings: ClusterSettings,
 }
 
-/// The operators' own file. Unknown fields are refused.
-#[derive(Deserialize, Clone, Debug)]
-#[serde(deny_unknown_fields, default)]
-pub struct Operator {
-    /// Machines polled by an idle one.
-    pub polls: usize,
-    /// Tasks in a machine's queue at most.
-    pub queue_cap: usize,
-    /// A gang waiting longer has machines reserved for it.
-    #[serde(rename = "gang_hold_s")]
-    pub gang_reservation_after_s: f64,
-    /// A queued task waiting longer may be taken by any idle machine.
-    pub steal_after_s: f64,
-    /// An idle machine is deleted after this time.
-    #[serde(rename = "idle_return_s")]
-    pub scale_in_after_idle_s: f64,
-    /// Work for spot machines takes empty on-demand ones after this wait.
-    pub spot_patience_s: f64,
-    /// Part of the spot work expected during a boot that capacity is kept free for.
-    #[serde(rename = "headroom")]
-    pub capacity_buffer_spot: f64,
-    /// The same for work that may not use spot machines.
-    #[serde(rename = "headroom_ordinary")]
-    pub capacity_buffer_on_demand: f64,
-    /// Shards per zone.
-    pub shards_per_zone: usize,
-}
-
-impl Default for Operator {
-    fn default() -> Self {
-        Operator {
-            polls: 5,
-            queue_cap: 2,
-            gang_reservation_after_s: 10.0,
-            steal_after_s: 2.0,
-            scale_in_after_idle_s: 10.0,
-            spot_patience_s: 45.0,
-            capacity_buffer_spot: 1.0,
-            capacity_buffer_on_demand: 1.2,
-            shards_per_zone: 2,
-        }
-    }
-}
-
-fn read_toml<T: DeserializeOwned>(path: &Path) -> Result<T, SettingsError> {
-    let text = read_file(path)?;
-    toml::from_str(&text).map_err(|source| SettingsError::Syntax {
-        path: path.into(),
-        line: line_of(&text, &source),
-        source: Box::new(source),
-    })
-}
-
-/// Reads a settings file.
-fn read_file(path: &Path) -> Result<String, SettingsError> {
-    std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
-        path: path.into(),
-        source,
-    })
-}
-
-fn line_of(text: &str, error: &toml::de::Error) -> usize {
-    error
-        .span()
-        .map_or(0, |span| text[..span.start.min(text.len())].lines().count())
-}
-
-/// A field's name and its value.
-type Field = (&'static str, f64);
-
-fn positive(fields: &[Field]) -> Result<(), InvalidSetting> {
-    match fields.iter().find(|(_, x)| !(x.is_finite() && *x > 0.0)) {
-        Some((field, _)) => Err(InvalidSetting::NotPositive { field }),
-        None => Ok(()),
-    }
-}
-
-fn not_negative(fields: &[Field]) -> Result<(), InvalidSetting> {
-    match fields.iter().find(|(_, x)| !(x.is_finite() && *x >= 0.0)) {
-        Some((field, _)) => Err(InvalidSetting::Negative { field }),
-        None => Ok(()),
-    }
-}
-
-fn at_most(field: &'static str, value: usize, most: usize) -> Result<(), InvalidSetting> {
-    if value > most {
-        return Err(InvalidSetting::TooLarge { field, most });
-    }
-    Ok(())
-}
-
 impl Platform {
     /// Reads and checks the platform's file.
     pub fn load(path: &Path) -> Result<Platform, SettingsError> {
@@ -502,58 +317,3 @@
         Ok(())
     }
 }
-
-/// Changes that the smallest transaction of the scheduler makes: a job and its shard.
-const MIN_TXN_OPS: usize = 2;
-/// Most shards of a zone.
-const MAX_SHARDS_PER_ZONE: usize = 64;
-/// Most machines that an idle one polls.
-const MAX_POLLS: usize = 64;
-/// Most tasks in a machine's queue.
-const MAX_QUEUE_CAP: usize = 64;
-
-impl Operator {
-    /// Reads and checks the operators' file.
-    pub fn load(path: &Path) -> Result<Operator, SettingsError> {
-        let operator: Operator = read_toml(path)?;
-        match operator.check() {
-            Ok(()) => Ok(operator),
-            Err(source) => Err(SettingsError::Value {
-                path: path.into(),
-                source,
-            }),
-        }
-    }
-
-    fn check(&self) -> Result<(), InvalidSetting> {
-        if !(1..=MAX_SHARDS_PER_ZONE).contains(&self.shards_per_zone) {
-            return Err(InvalidSetting::OutOfRange {
-                field: "shards_per_zone",
-                least: 1,
-                most: MAX_SHARDS_PER_ZONE,
-            });
-        }
-        at_most("polls", self.polls, MAX_POLLS)?;
-        at_most("queue_cap", self.queue_cap, MAX_QUEUE_CAP)?;
-        not_negative(&[
-            ("gang_hold_s", self.gang_reservation_after_s),
-            ("steal_after_s", self.steal_after_s),
-            ("idle_return_s", self.scale_in_after_idle_s),
-            ("spot_patience_s", self.spot_patience_s),
-            ("headroom", self.capacity_buffer_spot),
-            ("headroom_ordinary", self.capacity_buffer_on_demand),
-        ])
-    }
-}
-
-/// Here and not in `features`, which knows no files: its types are the only source of its keys.
-impl Features {
-    /// Reads and validates the features file.
-    pub fn load(path: &Path) -> Result<Features, SettingsError> {
-        let text = read_file(path)?;
-        Features::parse(&text).map_err(|source| SettingsError::Features {
-            path: path.into(),
-            source,
-        })
-    }
-}
