--- a/src/coordination/peer_messages/gang_reservations.rs
+++ b/src/coordination/peer_messages/gang_reservations.rs
@@ -10,11 +10,11 @@
 use super::status_updates::STATUS_INTERVAL_MS;
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
-use crate::coordination::scheduler::gang_reservations::gang_reservations;
+use crate::coordination::scheduler::gang_reservations::{gang_reservations, GangReservation};
 use crate::protocol::peers::PeerRequest;
 use crate::state::cluster_state::ClusterState;
 use crate::state::machine::GANG_RESERVATION_MS;
-use crate::state::names::{Index, JobIndex, MachineIndex};
+use crate::state::names::{Index, MachineIndex};
 use std::rc::Rc;
 
 /// Machines in one frame of a reservation: a gang may need thousands.
@@ -29,21 +29,17 @@
         now,
         wall_ms(),
     );
-    for (gang, machines) in reservations {
-        let (job, names) = names_of(&controller.cluster.borrow(), gang, &machines);
+    for reservation in reservations {
+        let (job, names) = names_of(&controller.cluster.borrow(), &reservation);
         record_reservation(controller, &job, &names);
         broadcast_reservation(controller, reservation_requests(&job, &names));
     }
 }
 
-fn names_of(
-    cluster: &ClusterState,
-    gang: JobIndex,
-    machines: &[MachineIndex],
-) -> (String, Vec<String>) {
+fn names_of(cluster: &ClusterState, reservation: &GangReservation) -> (String, Vec<String>) {
     let name = |machine: &MachineIndex| cluster.machine_names.name(*machine).to_string();
-    let job = cluster.jobs[gang.at()].id.to_string();
-    (job, machines.iter().map(name).collect())
+    let job = cluster.jobs[reservation.job.at()].id.to_string();
+    (job, reservation.machines.iter().map(name).collect())
 }
 
 fn broadcast_reservation(controller: &Rc<Controller>, requests: Vec<PeerRequest>) {
--- a/src/coordination/replication/committed.rs
+++ b/src/coordination/replication/committed.rs
@@ -1,10 +1,9 @@
 //! Recorded decisions on their way into the owner's streams.
 
 use crate::coordination::controller::Controller;
-use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::coordination::scheduler::draft::{Claim, DraftTransaction};
 use crate::state::cluster_state::ClusterState;
-use crate::state::job::Placement;
-use crate::state::names::{Index, JobIndex, ShardIndex};
+use crate::state::names::{Index, ShardIndex};
 use standby::ids::Revision;
 use standby::message::{Decision, QueuedTask};
 
@@ -51,17 +50,16 @@
 
 fn claim_decision(
     cluster: &ClusterState,
-    job: JobIndex,
-    claim: &Placement,
+    Claim { job, placement }: &Claim,
     Revision(revision): Revision,
 ) -> Decision {
     Decision::TaskClaimed {
         task: QueuedTask {
             job: cluster.jobs[job.at()].id.to_string(),
-            task: claim.task,
+            task: placement.task,
         },
-        attempt: claim.attempt,
-        machine: cluster.machine_names.name(claim.machine).to_string(),
+        attempt: placement.attempt,
+        machine: cluster.machine_names.name(placement.machine).to_string(),
         revision,
     }
 }
@@ -86,7 +84,8 @@
         publish(attempt.shard, attempt.decision(revision));
     }
     let cluster = controller.cluster.borrow();
-    for (job, claim) in &draft.claims {
-        publish(claim.shard, claim_decision(&cluster, *job, claim, revision));
+    for claim in &draft.claims {
+        let decision = claim_decision(&cluster, claim, revision);
+        publish(claim.placement.shard, decision);
     }
 }
--- a/src/coordination/scheduler/binding.rs
+++ b/src/coordination/scheduler/binding.rs
@@ -19,7 +19,16 @@
 use std::collections::HashMap;
 
 /// Machines looked at when there are more: a sample in place of a full search.
-pub const SAMPLE: usize = 64;
+const SAMPLE: usize = 64;
+
+/// A task, and the machine in whose queue it is to wait.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub struct QueueBinding {
+    /// Number of the task.
+    pub task: u32,
+    /// The machine.
+    pub machine: MachineIndex,
+}
 
 /// Binds a job's waiting tasks: to the machine in the stale view that suits best, else to the
 /// shortest queue under the cap.
@@ -29,7 +38,7 @@
     job_index: JobIndex,
     now: MonotonicMillis,
     wall_ms: u64,
-) -> Vec<(u32, MachineIndex)> {
+) -> Vec<QueueBinding> {
     let job = &cluster.jobs[job_index.at()];
     let spec = job.spec.as_ref().filter(|spec| !spec.is_wide_gang());
     let Some(spec) = spec else {
@@ -59,7 +68,10 @@
     for task in job.waiting_tasks() {
         let Some(on) = binder.choose() else { break };
         binder.take(on);
-        bound.push((task, on.index));
+        bound.push(QueueBinding {
+            task,
+            machine: on.index,
+        });
     }
     bound
 }
--- a/src/coordination/scheduler/claims.rs
+++ b/src/coordination/scheduler/claims.rs
@@ -34,7 +34,7 @@
 pub fn claim(pass: &PassContext, draft: &mut DraftTransaction) -> Vec<MachineIndex> {
     let mut free = free_capacity(pass.cluster, draft);
     claim_gangs(pass, draft, &mut free);
-    let mut jobs = waiting_jobs(pass.cluster, pass.config, draft, pass.now, pass.wall_ms);
+    let mut jobs = waiting_jobs(pass, draft);
     if draft.batch_array_updates {
         jobs.retain(|waiting| !can_be_batched(&waiting.spec, waiting.priority));
     }
--- a/src/coordination/scheduler/draft.rs
+++ b/src/coordination/scheduler/draft.rs
@@ -15,6 +15,15 @@
 /// Most bytes of records in a transaction.
 const MAX_TRANSACTION_BYTES: usize = 48 * 1024;
 
+/// A new placement.
+#[derive(Clone, Copy, PartialEq, Debug)]
+pub struct Claim {
+    /// Its job.
+    pub job: JobIndex,
+    /// The placement.
+    pub placement: Placement,
+}
+
 /// Changes to be committed together.
 #[derive(Default, Debug)]
 pub struct DraftTransaction {
@@ -25,7 +34,7 @@
     /// Teams' quota shares as they shall be.
     pub team_quotas: BTreeMap<TeamIndex, TeamRecord>,
     /// New placements.
-    pub claims: Vec<(JobIndex, Placement)>,
+    pub claims: Vec<Claim>,
     /// Leave small updates of arrays for later, when more of them are written at once.
     pub batch_array_updates: bool,
     /// Overflow records of jobs that change with them.
--- a/src/coordination/scheduler/gang_reservations.rs
+++ b/src/coordination/scheduler/gang_reservations.rs
@@ -12,13 +12,22 @@
 use crate::state::names::{Index, JobIndex, MachineIndex, ZoneIndex};
 use crate::state::units::{MonotonicMillis, Resources};
 
+/// Machines to be reserved for a gang.
+#[derive(Clone, PartialEq, Eq, Debug)]
+pub struct GangReservation {
+    /// The gang.
+    pub job: JobIndex,
+    /// A machine for each of its tasks.
+    pub machines: Vec<MachineIndex>,
+}
+
 /// Machines to be reserved for the gangs of this controller that wait for too long.
 pub fn gang_reservations(
     cluster: &ClusterState,
     config: &SchedulerConfig,
     now: MonotonicMillis,
     wall_ms: u64,
-) -> Vec<(JobIndex, Vec<MachineIndex>)> {
+) -> Vec<GangReservation> {
     let gangs = gangs_to_reserve_for(cluster, config, now, wall_ms);
     if gangs.is_empty() {
         return Vec::new();
@@ -39,7 +48,10 @@
         // Taken from all later gangs, also where another controller reserves them.
         machines.retain(|loaded| !chosen.contains(&loaded.on.index));
         if config.owns(cluster, cluster.planning_shard(&job.id)) {
-            reservations.push((job_index, chosen));
+            reservations.push(GangReservation {
+                job: job_index,
+                machines: chosen,
+            });
         }
     }
     reservations
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -6,6 +6,7 @@
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::coordination::scheduler::pass::PassContext;
 use crate::protocol::users::Priority;
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::{Job, Spec};
@@ -140,23 +141,18 @@
 }
 
 /// Jobs with waiting tasks in the order of service, wide gangs apart.
-pub fn waiting_jobs(
-    cluster: &ClusterState,
-    config: &SchedulerConfig,
-    draft: &DraftTransaction,
-    now: MonotonicMillis,
-    wall_ms: u64,
-) -> Vec<Waiting> {
+pub fn waiting_jobs(pass: &PassContext, draft: &DraftTransaction) -> Vec<Waiting> {
+    let cluster = pass.cluster;
     let mut jobs: Vec<(ServiceKey, Rc<Spec>)> = cluster
         .active_jobs()
-        .filter(|(job_index, _)| !is_backed_off(cluster, *job_index, now))
+        .filter(|(job_index, _)| !is_backed_off(cluster, *job_index, pass.now))
         .filter_map(|(job_index, _)| {
             let job = draft.job(cluster, job_index);
             let spec = job.spec.clone()?;
             if job.waiting_count() == 0 || spec.is_wide_gang() {
                 return None;
             }
-            let tier = service_tier(config, job, &spec, wall_ms);
+            let tier = service_tier(pass.config, job, &spec, pass.wall_ms);
             let key = ServiceKey {
                 priority: job.dependency_state.priority,
                 tier,
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -4,7 +4,7 @@
 //! only within the team's quota, within what the job's records and the transaction hold, and under
 //! a permit that the transaction then requires.
 
-use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::coordination::scheduler::draft::{Claim, DraftTransaction};
 use crate::coordination::scheduler::pass::PassContext;
 use crate::coordination::scheduler::placement_rules::MachineRef;
 use crate::coordination::scheduler::quota::{charge, QuotaCharge};
@@ -52,7 +52,7 @@
     let Some(overflow_indices) = include_overflows(pass, draft, job_index, tasks.len()) else {
         return false;
     };
-    let mut new_placements = Vec::with_capacity(tasks.len());
+    let mut claims = Vec::with_capacity(tasks.len());
     let Some(job) = draft.edit(pass.cluster, pass.config, job_index) else {
         return false;
     };
@@ -68,10 +68,13 @@
             charged_shard,
         };
         job.placements.push(placement);
-        new_placements.push((job_index, placement));
+        claims.push(Claim {
+            job: job_index,
+            placement,
+        });
     }
     draft.require_ownership(permit);
-    draft.claims.append(&mut new_placements);
+    draft.claims.append(&mut claims);
     true
 }
 
--- a/src/coordination/scheduler/planner.rs
+++ b/src/coordination/scheduler/planner.rs
@@ -13,13 +13,12 @@
 use crate::coordination::replication;
 use crate::coordination::scheduler::claims;
 use crate::coordination::scheduler::direct_start_delivery::send_direct_starts;
-use crate::coordination::scheduler::draft::DraftTransaction;
+use crate::coordination::scheduler::draft::{Claim, DraftTransaction};
 use crate::coordination::scheduler::pass::PassContext;
 use crate::coordination::scheduler::quota;
 use crate::coordination::scheduler::work_stealing::WorkStealing;
 use crate::coordination::scheduler::write_budget::WriteBudget;
-use crate::state::job::Placement;
-use crate::state::names::{Index, JobIndex, MachineIndex};
+use crate::state::names::{Index, MachineIndex};
 use crate::state::units::MonotonicMillis;
 use crate::transport::http::jittered;
 use crate::transport::pause;
@@ -98,36 +97,43 @@
     idle
 }
 
-/// What one pass changes, and the machines that found nothing in it.
-fn draft_pass(
-    controller: &Controller,
-    batch_array_updates: bool,
-    periodic: &mut PeriodicSteps,
-) -> (DraftTransaction, Vec<MachineIndex>) {
+/// Decides on the view and the permits that a controller has now.
+pub(super) fn with_pass<T>(controller: &Controller, decide: impl FnOnce(&PassContext) -> T) -> T {
+    // Observes the shards, so it comes before the cluster state is borrowed.
     let permits = controller.permits();
     let cluster = controller.cluster.borrow();
-    let pass = PassContext {
+    decide(&PassContext {
         cluster: &cluster,
         config: &controller.config,
         permits: &permits,
         now: controller.now(),
         wall_ms: wall_ms(),
-    };
-    let metrics = &controller.metrics;
-    let mut draft = DraftTransaction::batching(batch_array_updates);
-    if pass.now.since(periodic.cascades_written_at) >= CASCADE_INTERVAL_MS {
-        periodic.cascades_written_at = pass.now;
-        draft.cascade_budget = CASCADES_PER_PASS;
-    }
-    metrics.time("- reconcile", || {
-        reconciliation::reconcile(&pass, &mut draft)
-    });
-    let idle = metrics.time("- claim", || claims::claim(&pass, &mut draft));
-    if pass.now.since(periodic.quota_lowered_at) > QUOTA_LOWERING_INTERVAL_MS {
-        quota::lower_unused_quota(&pass, &mut draft);
-        periodic.quota_lowered_at = pass.now;
-    }
-    (draft, idle)
+    })
+}
+
+/// What one pass changes, and the machines that found nothing in it.
+fn draft_pass(
+    controller: &Controller,
+    batch_array_updates: bool,
+    periodic: &mut PeriodicSteps,
+) -> (DraftTransaction, Vec<MachineIndex>) {
+    with_pass(controller, |pass| {
+        let metrics = &controller.metrics;
+        let mut draft = DraftTransaction::batching(batch_array_updates);
+        if pass.now.since(periodic.cascades_written_at) >= CASCADE_INTERVAL_MS {
+            periodic.cascades_written_at = pass.now;
+            draft.cascade_budget = CASCADES_PER_PASS;
+        }
+        metrics.time("- reconcile", || {
+            reconciliation::reconcile(pass, &mut draft)
+        });
+        let idle = metrics.time("- claim", || claims::claim(pass, &mut draft));
+        if pass.now.since(periodic.quota_lowered_at) > QUOTA_LOWERING_INTERVAL_MS {
+            quota::lower_unused_quota(pass, &mut draft);
+            periodic.quota_lowered_at = pass.now;
+        }
+        (draft, idle)
+    })
 }
 
 /// Commits what a pass changes; true if another pass should follow at once.
@@ -182,8 +188,8 @@
         return Vec::new();
     }
     let cluster = controller.cluster.borrow();
-    let describe = |(job_index, placement): &(JobIndex, Placement)| {
-        let job = &cluster.jobs[job_index.at()];
+    let describe = |Claim { job, placement }: &Claim| {
+        let job = &cluster.jobs[job.at()];
         let spec = job.spec.as_ref()?;
         let machine = cluster.machine(placement.machine)?;
         Some(format!(
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -47,7 +47,7 @@
     }
     let no_draft = DraftTransaction::default();
     let mut free = free_capacity_after_stops(pass.cluster);
-    for waiting in waiting_jobs(pass.cluster, pass.config, &no_draft, pass.now, pass.wall_ms) {
+    for waiting in waiting_jobs(pass, &no_draft) {
         let job = &pass.cluster.jobs[waiting.job_index.at()];
         if victims.len() >= MAX_VICTIMS_PER_ROUND || !may_preempt(pass, job, &waiting) {
             continue;
--- a/src/coordination/scheduler/preemption_round.rs
+++ b/src/coordination/scheduler/preemption_round.rs
@@ -1,9 +1,8 @@
 //! Carries out preemption: marks the victims that `preemption` chooses. The status round calls it
 //! once a second.
 
-use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
-use crate::coordination::scheduler::pass::PassContext;
+use crate::coordination::scheduler::planner::with_pass;
 use crate::coordination::scheduler::preemption;
 use crate::state::names::{Index, ShardIndex};
 
@@ -12,21 +11,12 @@
 
 /// Marks tasks to be stopped for work of a higher priority.
 pub fn preempt_for_waiting(controller: &Controller) {
-    let permits = controller.permits();
-    let victims = {
-        let cluster = controller.cluster.borrow();
-        let pass = PassContext {
-            cluster: &cluster,
-            config: &controller.config,
-            permits: &permits,
-            now: controller.now(),
-            wall_ms: wall_ms(),
-        };
+    let victims = with_pass(controller, |pass| {
         // The last shard is the autoscaler's and has no machines.
-        let shards = cluster.shards.len() - 1;
+        let shards = pass.cluster.shards.len() - 1;
         let turn = (pass.wall_ms / SHARD_TURN_MS) as usize % shards;
-        preemption::preempt(&pass, ShardIndex::new(turn))
-    };
+        preemption::preempt(pass, ShardIndex::new(turn))
+    });
     let mut cluster = controller.cluster.borrow_mut();
     for victim in victims {
         log::info!(
--- a/src/coordination/scheduler/queues.rs
+++ b/src/coordination/scheduler/queues.rs
@@ -7,7 +7,7 @@
 
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
-use crate::coordination::scheduler::binding;
+use crate::coordination::scheduler::binding::{self, QueueBinding};
 use crate::protocol::peers::{PeerRequest, TaskRef};
 use crate::state::names::{Index, JobIndex, MachineIndex};
 use std::collections::HashMap;
@@ -81,12 +81,12 @@
         wall_ms(),
     );
     let mut by_owner: HashMap<String, Vec<(String, TaskRef)>> = HashMap::new();
-    for (task, machine_index) in bound {
-        let Some(target) = bind_target(controller, job_index, task, machine_index) else {
+    for binding in bound {
+        let Some(target) = bind_target(controller, job_index, binding) else {
             continue;
         };
         if target.owner == controller.config.controller_name {
-            enqueue(controller, machine_index, &target.task, QueueEnd::Back);
+            enqueue(controller, binding.machine, &target.task, QueueEnd::Back);
         } else {
             let tasks = by_owner.entry(target.owner).or_default();
             tasks.push((target.machine, target.task));
@@ -109,16 +109,18 @@
 fn bind_target(
     controller: &Controller,
     job_index: JobIndex,
-    task: u32,
-    machine_index: MachineIndex,
+    binding: QueueBinding,
 ) -> Option<BindTarget> {
     let cluster = controller.cluster.borrow();
-    let machine = cluster.machine(machine_index)?;
+    let machine = cluster.machine(binding.machine)?;
     let job = cluster.jobs[job_index.at()].id.to_string();
     Some(BindTarget {
         owner: cluster.shards[machine.shard.at()].record.owner.clone(),
         machine: machine.name.to_string(),
-        task: TaskRef { job, task },
+        task: TaskRef {
+            job,
+            task: binding.task,
+        },
     })
 }
 
--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -145,11 +145,11 @@
 fn reserve_for_gangs(w: &mut World) {
     let now = w.now;
     for c in w.nodes.iter_mut().flatten() {
-        for (ix, machines) in
+        for reservation in
             gang_reservations::gang_reservations(&c.cluster, &c.config, MonotonicMillis(now), now)
         {
-            for mix in machines {
-                let id = c.cluster.jobs[ix.at()].id.to_string();
+            for mix in reservation.machines {
+                let id = c.cluster.jobs[reservation.job.at()].id.to_string();
                 let name = c.cluster.machine_names.name(mix).to_string();
                 digest::note(
                     "held for a gang",
@@ -157,7 +157,7 @@
                     &(&c.config.controller_name, id, name),
                 );
                 if let Some(m) = c.cluster.machine_mut(mix) {
-                    m.reservation = Some((ix, MonotonicMillis(now + 4000)));
+                    m.reservation = Some((reservation.job, MonotonicMillis(now + 4000)));
                 }
             }
         }
@@ -169,9 +169,7 @@
 fn note_order_and_queues(w: &World) {
     let draft = DraftTransaction::default();
     for c in w.nodes.iter().flatten() {
-        for job in
-            job_order::waiting_jobs(&c.cluster, &c.config, &draft, MonotonicMillis(w.now), w.now)
-        {
+        for job in job_order::waiting_jobs(&c.pass(w.now), &draft) {
             let id = c.cluster.jobs[job.job_index.at()].id.to_string();
             let queues = binding::bind(
                 &c.cluster,
@@ -181,7 +179,10 @@
                 w.now,
             );
             let name = |m: MachineIndex| c.cluster.machine_names.name(m).to_string();
-            let queues: Vec<_> = queues.into_iter().map(|(t, m)| (t, name(m))).collect();
+            let queues: Vec<_> = queues
+                .into_iter()
+                .map(|b| (b.task, name(b.machine)))
+                .collect();
             digest::note("queued", w.now, &(&c.config.controller_name, id, queues));
         }
     }
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -6,7 +6,7 @@
 use pointhook::coordination::heartbeats;
 use pointhook::coordination::peer_messages::status_updates;
 use pointhook::coordination::reconciliation;
-use pointhook::coordination::scheduler::binding;
+use pointhook::coordination::scheduler::binding::{self, QueueBinding};
 use pointhook::coordination::scheduler::claims;
 use pointhook::coordination::scheduler::draft;
 use pointhook::coordination::scheduler::gang_reservations::gang_reservations;
@@ -51,7 +51,10 @@
     for _ in 0..20 {
         assert_eq!(
             binding::bind(&c.cluster, &c.config, ix, MonotonicMillis(10), 10),
-            [(0, warm)]
+            [QueueBinding {
+                task: 0,
+                machine: warm
+            }]
         );
     }
 }
@@ -105,7 +108,7 @@
 
 fn order(c: &Controller, wall: u64) -> Vec<String> {
     let draft = draft::DraftTransaction::default();
-    let jobs = job_order::waiting_jobs(&c.cluster, &c.config, &draft, MonotonicMillis(wall), wall);
+    let jobs = job_order::waiting_jobs(&c.pass(wall), &draft);
     let names = jobs
         .iter()
         .map(|w| c.cluster.jobs[w.job_index.0 as usize].id.to_string());
@@ -171,10 +174,10 @@
         if now == 10_000 {
             c.submit(&mut store, gang.clone(), now);
         }
-        for (ix, machines) in gang_reservations(&c.cluster, &c.config, MonotonicMillis(now), now) {
-            for m in machines {
-                c.cluster.machine_mut(m).unwrap().reservation =
-                    Some((ix, MonotonicMillis(now + 4000)));
+        for reservation in gang_reservations(&c.cluster, &c.config, MonotonicMillis(now), now) {
+            let held = (reservation.job, MonotonicMillis(now + 4000));
+            for m in reservation.machines {
+                c.cluster.machine_mut(m).unwrap().reservation = Some(held);
             }
         }
         for (i, w) in workers.iter_mut().enumerate() {
@@ -302,7 +305,7 @@
     c.submit(&mut store, job("job-3", 1), 4000);
     let d = later(&c, 4010);
     assert_eq!(d.claims.len(), 3);
-    assert!(d.claims.iter().all(|(ix, _)| *ix == c.job_ix("job-2")));
+    assert!(d.claims.iter().all(|claim| claim.job == c.job_ix("job-2")));
     // Once the last is done as well, the job's end is written at once, with all of them.
     let r = w.heartbeat(5000);
     take(&mut c, &r);
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -651,8 +651,8 @@
     play(&mut c, &mut store, &mut [&mut w1, &mut w2], 0, 1000);
     let holds = gang_reservations(&c.cluster, &c.config, MonotonicMillis(1000), 10_000);
     assert_eq!(holds.len(), 1);
-    assert_eq!(holds[0].0, c.job_ix("job-1"));
-    assert_eq!(holds[0].1.len(), 2);
+    assert_eq!(holds[0].job, c.job_ix("job-1"));
+    assert_eq!(holds[0].machines.len(), 2);
 }
 
 #[test]
