--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -148,14 +148,14 @@
 fn reserve_for_gangs(cluster: &mut SimulatedCluster) {
     let now = cluster.now;
     for controller in cluster.controllers.iter_mut().flatten() {
-        for (ix, machines) in gang_reservations::gang_reservations(
+        for reservation in gang_reservations::gang_reservations(
             &controller.cluster,
             &controller.config,
             MonotonicMillis(now),
             now,
         ) {
-            for machine in machines {
-                let id = controller.cluster.jobs[ix.at()].id.to_string();
+            for machine in reservation.machines {
+                let id = controller.cluster.jobs[reservation.job.at()].id.to_string();
                 let name = controller.cluster.machine_names.name(machine).to_string();
                 digest::note(
                     "held for a gang",
@@ -163,7 +163,7 @@
                     &(&controller.config.controller_name, id, name),
                 );
                 if let Some(m) = controller.cluster.machine_mut(machine) {
-                    m.reservation = Some((ix, MonotonicMillis(now + 4000)));
+                    m.reservation = Some((reservation.job, MonotonicMillis(now + 4000)));
                 }
             }
         }
@@ -175,13 +175,7 @@
 fn note_order_and_queues(cluster: &SimulatedCluster) {
     let draft = DraftTransaction::default();
     for controller in cluster.controllers.iter().flatten() {
-        for job in job_order::waiting_jobs(
-            &controller.cluster,
-            &controller.config,
-            &draft,
-            MonotonicMillis(cluster.now),
-            cluster.now,
-        ) {
+        for job in job_order::waiting_jobs(&controller.pass(cluster.now), &draft) {
             let id = controller.cluster.jobs[job.job_index.at()].id.to_string();
             let queues = binding::bind(
                 &controller.cluster,
@@ -191,7 +185,10 @@
                 cluster.now,
             );
             let name = |m: MachineIndex| controller.cluster.machine_names.name(m).to_string();
-            let queues: Vec<_> = queues.into_iter().map(|(t, m)| (t, name(m))).collect();
+            let queues: Vec<_> = queues
+                .into_iter()
+                .map(|b| (b.task, name(b.machine)))
+                .collect();
             digest::note(
                 "queued",
                 cluster.now,
--- a/tests/gang_scheduling.rs
+++ b/tests/gang_scheduling.rs
@@ -129,8 +129,8 @@
         10_000,
     );
     assert_eq!(reservations.len(), 1);
-    assert_eq!(reservations[0].0, controller.job_index("job-1"));
-    assert_eq!(reservations[0].1.len(), 2);
+    assert_eq!(reservations[0].job, controller.job_index("job-1"));
+    assert_eq!(reservations[0].machines.len(), 2);
 }
 
 #[test]
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -6,7 +6,7 @@
 use pointhook::coordination::heartbeats;
 use pointhook::coordination::peer_messages::status_updates;
 use pointhook::coordination::reconciliation;
-use pointhook::coordination::scheduler::binding;
+use pointhook::coordination::scheduler::binding::{self, QueueBinding};
 use pointhook::coordination::scheduler::claims;
 use pointhook::coordination::scheduler::draft;
 use pointhook::coordination::scheduler::gang_reservations::gang_reservations;
@@ -62,7 +62,10 @@
                 MonotonicMillis(10),
                 10
             ),
-            [(0, warm)]
+            [QueueBinding {
+                task: 0,
+                machine: warm
+            }]
         );
     }
 }
@@ -119,13 +122,7 @@
 
 fn order(controller: &SimulatedController, wall: u64) -> Vec<String> {
     let draft = draft::DraftTransaction::default();
-    let jobs = job_order::waiting_jobs(
-        &controller.cluster,
-        &controller.config,
-        &draft,
-        MonotonicMillis(wall),
-        wall,
-    );
+    let jobs = job_order::waiting_jobs(&controller.pass(wall), &draft);
     let names = jobs.iter().map(|worker| {
         controller.cluster.jobs[worker.job_index.0 as usize]
             .id
@@ -193,15 +190,15 @@
         if now == 10_000 {
             controller.submit(&mut store, gang.clone(), now);
         }
-        for (job_index, machines) in gang_reservations(
+        for reservation in gang_reservations(
             &controller.cluster,
             &controller.config,
             MonotonicMillis(now),
             now,
         ) {
-            for m in machines {
-                controller.cluster.machine_mut(m).unwrap().reservation =
-                    Some((job_index, MonotonicMillis(now + 4000)));
+            let reserved = (reservation.job, MonotonicMillis(now + 4000));
+            for machine in reservation.machines {
+                controller.cluster.machine_mut(machine).unwrap().reservation = Some(reserved);
             }
         }
         for (i, worker) in workers.iter_mut().enumerate() {
@@ -342,7 +339,7 @@
     assert!(d
         .claims
         .iter()
-        .all(|(job_index, _)| *job_index == controller.job_index("job-2")));
+        .all(|claim| claim.job == controller.job_index("job-2")));
     // Once the last is done as well, the job's end is written at once, with all of them.
     let heartbeat = worker.heartbeat(5000);
     take(&mut controller, &heartbeat);
