--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -7,7 +7,9 @@
 //!
 //! | module | owns |
 //! | --- | --- |
-//! | `machine_list` | the cloud's list of machines, read page by page |
+//! | `state` | what the owner remembers between rounds |
+//! | `machine_list` | the cloud's list of machines, put together from pages |
+//! | `machine_list_refresh` | reading the pages, and taking over a complete list |
 //! | `supply` | machines that waiting tasks can count on |
 //! | `demand` | tasks that wait or are expected |
 //! | `placement` | on which machines that demand would go, and which machines it lacks |
@@ -22,26 +24,26 @@
 
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::fresh_reads::REFRESH_MS;
 use crate::coordination::kv::transactions::set;
-use crate::coordination::rate_limiter::RateLimiter;
-use crate::protocol::cloud::{ListedMachine, MachineTypeCatalog};
+use crate::protocol::cloud::MachineTypeCatalog;
 use crate::protocol::kv::{Condition, Transaction};
 use crate::state::cluster_state::ROOT;
-use crate::state::names::MachineIndex;
-use crate::state::units::{millis_from_seconds, MonotonicMillis};
+use crate::state::units::millis_from_seconds;
 use http_types::Method;
-use provisioning::Backoff;
 use standby::ids::FencingToken;
-use std::collections::{HashMap, HashSet};
+use state::{AutoscalerState, CLOUD_TIMEOUT_MS};
 use std::rc::Rc;
 
 mod demand;
 mod machine_list;
+mod machine_list_refresh;
 mod placement;
 mod provisioning;
 mod scale_in;
 mod scale_in_plan;
 mod silence;
+mod state;
 mod supply;
 
 pub use machine_list::{list_interval_ms, MachineListReader};
@@ -56,61 +58,6 @@
 /// Time between two looks of a controller that does not own the autoscaler's shard; a change of
 /// owner notifies it.
 const IDLE_TICK_MS: u64 = 1000;
-/// Time for an answer of the cloud.
-const CLOUD_TIMEOUT_MS: u64 = 3000;
-/// Time for a fresh read of the key-value store.
-const REFRESH_MS: u64 = 1500;
-/// Most provisioning requests side by side.
-const MAX_CONCURRENT_REQUESTS: usize = 4;
-
-/// What the owner remembers between rounds; lost at a change of owner, which only costs time.
-struct AutoscalerState {
-    fencing_token: FencingToken,
-    owner_since: MonotonicMillis,
-    rate_limiter: RateLimiter,
-    list_reader: MachineListReader,
-    /// The last complete list, by name.
-    listed: HashMap<String, ListedMachine>,
-    /// This owner has read a complete list.
-    list_complete: bool,
-    next_list_at: MonotonicMillis,
-    /// Pools that lately had fewer machines than were asked for.
-    backoffs: HashMap<Pool, Backoff>,
-    /// Requests made by this owner, for their names.
-    request_count: u64,
-    /// When each request on record was last sent or first seen.
-    requested_at: HashMap<String, MonotonicMillis>,
-    /// When the deletion of a machine was last requested.
-    deletion_requested_at: HashMap<String, MonotonicMillis>,
-    /// The last round had machines to delete.
-    scale_in_pending: bool,
-    /// Machines that waiting or expected tasks need, by the last plan.
-    needed_machines: HashSet<MachineIndex>,
-}
-
-impl AutoscalerState {
-    fn new(
-        requests_per_s: f64,
-        fencing_token: FencingToken,
-        owner_since: MonotonicMillis,
-    ) -> AutoscalerState {
-        AutoscalerState {
-            fencing_token,
-            owner_since,
-            rate_limiter: RateLimiter::new(requests_per_s),
-            list_reader: MachineListReader::default(),
-            listed: HashMap::new(),
-            list_complete: false,
-            next_list_at: MonotonicMillis(0),
-            backoffs: HashMap::new(),
-            request_count: 0,
-            requested_at: HashMap::new(),
-            deletion_requested_at: HashMap::new(),
-            scale_in_pending: false,
-            needed_machines: HashSet::new(),
-        }
-    }
-}
 
 /// Background task: scales out and in while this controller owns the autoscaler's shard.
 pub async fn run(controller: Rc<Controller>) {
@@ -231,7 +178,7 @@
     }
     let list_lag_ms = millis_from_seconds(controller.platform.settings.cloud.list_lag_s);
     if controller.now() >= state.next_list_at {
-        machine_list::read(controller, state).await;
+        machine_list_refresh::read(controller, state).await;
     }
     provisioning::retry_unanswered(controller, state).await;
     provisioning::remove_completed(controller, state, list_lag_ms).await;
--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -7,11 +7,12 @@
 //! shard next finds it and repeats it under the same name.
 
 use super::placement::ScaleOutPlanner;
+use super::state::{AutoscalerState, Backoff, CLOUD_TIMEOUT_MS};
 use super::supply::{supply, Pool};
-use super::{AutoscalerState, CLOUD_TIMEOUT_MS, MAX_CONCURRENT_REQUESTS, REFRESH_MS};
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::fresh_reads::REFRESH_MS;
 use crate::coordination::kv::transactions::set;
 use crate::protocol::cloud::{MachineNames, ProvisioningRequest};
 use crate::protocol::kv::{Condition, Transaction, Write};
@@ -35,12 +36,8 @@
 /// Time beyond the lag of the list after which a record is removed though the list lacks some of
 /// its machines.
 const MISSING_MACHINES_MS: u64 = 10_000;
-
-/// How long a pool that lacked machines is left alone.
-pub(super) struct Backoff {
-    until: MonotonicMillis,
-    delay_ms: u64,
-}
+/// Most provisioning requests side by side.
+const MAX_CONCURRENT_REQUESTS: usize = 4;
 
 /// A request and its name.
 struct NamedRequest {
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -7,8 +7,9 @@
 //! silent machine is the only proof that its tasks have ended.
 
 use super::scale_in_plan::{ScaleInPlanner, ScaleInReason};
-use super::{AutoscalerState, CLOUD_TIMEOUT_MS, REFRESH_MS};
+use super::state::{AutoscalerState, CLOUD_TIMEOUT_MS};
 use crate::coordination::controller::Controller;
+use crate::coordination::kv::fresh_reads::REFRESH_MS;
 use crate::coordination::peer_messages::machine_changes;
 use crate::protocol::cloud::MachineNames;
 use crate::protocol::peers::{PeerRequest, PeerResponse};
--- a/src/coordination/autoscaler/scale_in_plan.rs
+++ b/src/coordination/autoscaler/scale_in_plan.rs
@@ -6,7 +6,7 @@
 //! its limit, as far as its owner can tell; an idle one only if nothing needs it.
 
 use super::silence::{machine_counts_by_zone, partitioned_zones, SilenceLimits};
-use super::AutoscalerState;
+use super::state::AutoscalerState;
 use crate::coordination::controller::Controller;
 use crate::coordination::peer_messages::status_updates;
 use crate::protocol::cloud::ListedMachine;
--- a/src/coordination/job_api/attempts.rs
+++ b/src/coordination/job_api/attempts.rs
@@ -2,13 +2,12 @@
 
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::fresh_reads::REFRESH_MS;
 use crate::transport::http::jittered;
 use crate::transport::pause;
 
 /// Time for a submission or cancellation to be written down.
 pub(super) const WRITE_BUDGET_MS: u64 = 3500;
-/// Time for the fresh read behind an answer.
-pub(super) const READ_MS: u64 = 1500;
 /// Wait after a transaction that was refused because too many requests came.
 const RATE_LIMIT_RETRY_MS: u64 = 60;
 
@@ -23,7 +22,7 @@
     match outcome {
         // The newest records tell what is in the way, or whether it was applied after all.
         CommitOutcome::Conflict(_) | CommitOutcome::Unknown => {
-            controller.refresh(READ_MS).await;
+            controller.refresh(REFRESH_MS).await;
             true
         }
         CommitOutcome::REFUSED_BY_RATE_LIMIT => {
--- a/src/coordination/job_api/cancellation.rs
+++ b/src/coordination/job_api/cancellation.rs
@@ -1,10 +1,11 @@
 //! Cancellations by users.
 
 use super::answers::{self, status};
-use super::attempts::{prepare_retry, READ_MS, WRITE_BUDGET_MS};
+use super::attempts::{prepare_retry, WRITE_BUDGET_MS};
 use crate::coordination::cancellations;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::fresh_reads::REFRESH_MS;
 use crate::coordination::kv::transactions::commit_draft;
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::protocol::users::valid_id;
@@ -31,7 +32,7 @@
             return Answer::bare(status::NOT_FOUND);
         } else {
             // Another controller may have accepted the job a moment ago.
-            newest_read = controller.refresh(READ_MS).await;
+            newest_read = controller.refresh(REFRESH_MS).await;
             if !newest_read {
                 break;
             }
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -13,10 +13,10 @@
 
 use crate::coordination::controller::Controller;
 use crate::coordination::heartbeats;
+use crate::coordination::kv::fresh_reads::REFRESH_MS;
 use crate::protocol::users::valid_id;
 use crate::transport::http::{Answer, Incoming};
 use answers::status;
-use attempts::READ_MS;
 use http_types::Method;
 use std::rc::Rc;
 
@@ -103,7 +103,7 @@
     if let Some(answer) = answers::final_state(controller, id) {
         return answer;
     }
-    if !controller.refresh(READ_MS).await {
+    if !controller.refresh(REFRESH_MS).await {
         return answers::retry_later();
     }
     answers::current_state(controller, id).unwrap_or(Answer::bare(status::NOT_FOUND))
--- a/src/coordination/job_api/submission.rs
+++ b/src/coordination/job_api/submission.rs
@@ -5,10 +5,11 @@
 //! after a fresh read that shows that no controller has accepted it.
 
 use super::answers::{self, status};
-use super::attempts::{is_known, prepare_retry, READ_MS, WRITE_BUDGET_MS};
+use super::attempts::{is_known, prepare_retry, WRITE_BUDGET_MS};
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::fresh_reads::REFRESH_MS;
 use crate::coordination::kv::transactions::set;
 use crate::coordination::scheduler::queues;
 use crate::protocol::kv::{Condition, Transaction};
@@ -82,7 +83,7 @@
 
 /// A job that can't run is impossible, unless another controller has accepted it before.
 async fn admit_if_accepted_elsewhere(controller: &Controller, id: &str) -> Admission {
-    if !controller.refresh(READ_MS).await {
+    if !controller.refresh(REFRESH_MS).await {
         Admission::Undecided
     } else if is_known(controller, id) {
         Admission::Admitted
@@ -101,7 +102,7 @@
         return Admission::Impossible;
     }
     let known_before_read = find_dependencies(controller, dependencies) == Dependencies::Known;
-    if !known_before_read && !controller.refresh(READ_MS).await {
+    if !known_before_read && !controller.refresh(REFRESH_MS).await {
         return Admission::Undecided;
     }
     match find_dependencies(controller, dependencies) {
@@ -129,7 +130,7 @@
     if let Some(revision) = commit_submission(controller, &id, &record).await {
         return accept(controller, &id, revision, &record);
     }
-    if is_known(controller, &id) && controller.refresh(READ_MS).await {
+    if is_known(controller, &id) && controller.refresh(REFRESH_MS).await {
         if let Some(answer) = answers::current_state(controller, &id) {
             return answer;
         }
--- a/src/coordination/kv/fresh_reads.rs
+++ b/src/coordination/kv/fresh_reads.rs
@@ -9,6 +9,8 @@
 use crate::transport::pause;
 use std::rc::Rc;
 
+/// Longest wait of those who need the newest state.
+pub const REFRESH_MS: u64 = 1500;
 /// Part of the limit on requests that fresh reads of all controllers may take.
 const REQUEST_LIMIT_PART: f64 = 0.3;
 /// Longest wait for a request.
--- a/src/coordination/membership/lease.rs
+++ b/src/coordination/membership/lease.rs
@@ -2,9 +2,9 @@
 //! count this controller as living.
 
 use super::transfer::{controller_key, controller_unchanged};
-use super::REFRESH_MS;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::fresh_reads::REFRESH_MS;
 use crate::coordination::kv::transactions::set;
 use crate::protocol::kv::Transaction;
 use crate::state::cluster_state::{ClusterState, ControllerRecord};
--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -36,8 +36,6 @@
 const LEASE_RENEWAL_MS: u64 = 900;
 /// Least time between rises of fencing tokens for in-flight starts.
 const TOKEN_RAISE_INTERVAL_MS: u64 = 5000;
-/// Longest wait for a fresh read of the records.
-const REFRESH_MS: u64 = 1500;
 
 /// What the background task remembers from round to round.
 struct Membership {
--- a/src/coordination/membership/record_format.rs
+++ b/src/coordination/membership/record_format.rs
@@ -1,9 +1,9 @@
 //! The second format of records begins once all controllers know it.
 
 use super::transfer::controller_unchanged;
-use super::REFRESH_MS;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::fresh_reads::REFRESH_MS;
 use crate::coordination::kv::transactions::set;
 use crate::protocol::kv::{Condition, Transaction};
 use crate::state::cluster_state::{ClusterState, ROOT};
--- a/src/coordination/membership/transfer.rs
+++ b/src/coordination/membership/transfer.rs
@@ -1,8 +1,8 @@
 //! Carries changes of owners out: one transaction each, conditional on everything it rests on.
 
-use super::REFRESH_MS;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
+use crate::coordination::kv::fresh_reads::REFRESH_MS;
 use crate::coordination::kv::transactions::set;
 use crate::protocol::kv::{Condition, Transaction};
 use crate::state::cluster_state::{ClusterState, ShardRecord, ROOT};
--- a/src/coordination/peer_messages/gang_reservations.rs
+++ b/src/coordination/peer_messages/gang_reservations.rs
@@ -7,7 +7,6 @@
 //! Invariant: a reservation ends by itself unless it is renewed, so one whose gang has started, or
 //! whose sender has failed, keeps nothing from other work for long.
 
-use super::status_updates::STATUS_INTERVAL_MS;
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::gang_reservations::{gang_reservations, GangReservation};
@@ -17,6 +16,8 @@
 use crate::state::names::{Index, MachineIndex};
 use std::rc::Rc;
 
+/// Time for a peer to answer: by then the reservation is renewed.
+const PEER_TIMEOUT_MS: u64 = 1000;
 /// Machines in one frame of a reservation: a gang may need thousands.
 const MACHINES_PER_RESERVATION: usize = 1000;
 
@@ -54,7 +55,7 @@
 async fn send_reservation(controller: Rc<Controller>, peer: usize, requests: Rc<[PeerRequest]>) {
     let client = &controller.peers[peer].client;
     for request in requests.iter() {
-        if client.ask(request, STATUS_INTERVAL_MS).await.is_err() {
+        if client.ask(request, PEER_TIMEOUT_MS).await.is_err() {
             break;
         }
     }
--- a/src/coordination/peer_messages/status_updates.rs
+++ b/src/coordination/peer_messages/status_updates.rs
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 
 /// Time between two broadcasts.
-pub(super) const STATUS_INTERVAL_MS: u64 = 1000;
+const STATUS_INTERVAL_MS: u64 = 1000;
 /// Machines in one frame of a status update: one frame with all of a large fleet would be refused.
 const MACHINES_PER_STATUS: usize = 128;
 /// Rounds between two log lines on utilization.
