--- a/crates/standby/tests/stream.rs
+++ b/crates/standby/tests/stream.rs
@@ -148,7 +148,7 @@
         (FencingToken(5), 1)
     );
     assert_eq!(follower.replica_state(), Some(new.replica_state()));
-    // The records may know of a takeover before the new owner's first message.
+    // The records may know of a failover before the new owner's first message.
     assert_eq!(
         follower.receive(
             &Message::LogTail {
