--- a/src/cli.rs
+++ b/src/cli.rs
@@ -214,11 +214,7 @@
     spawn_supervised(controller, "kv watch", kv::watch::run);
     spawn_supervised(controller, "fresh reads", kv::fresh_reads::run);
     spawn_supervised(controller, "membership", membership::run);
-    spawn_supervised(
-        controller,
-        "announce ownership",
-        worker_connectivity::announce_ownership,
-    );
+    spawn_supervised(controller, "worker connectivity", worker_connectivity::run);
     spawn_supervised(controller, "planner", planner::run);
     spawn_supervised(controller, "cancellations", cancellations::run);
     spawn_supervised(controller, "status broadcast", status_updates::run);
--- a/src/coordination/heartbeats/apply.rs
+++ b/src/coordination/heartbeats/apply.rs
@@ -7,7 +7,7 @@
 use super::quarantine::{record_failed_jobs, record_failed_machine};
 use super::reachability::{update_reachability, IncomingHeartbeat};
 use crate::coordination::scheduler::commands;
-use crate::protocol::workers::{split_task, ExitReason, Heartbeat, TaskState, TaskStatus};
+use crate::protocol::workers::{parse_task_name, ExitReason, Heartbeat, TaskState, TaskStatus};
 use crate::state::cluster_state::ClusterState;
 use crate::state::machine::{Machine, ObservedTask, TaskAttempt};
 use crate::state::names::{JobIndex, MachineIndex};
@@ -89,7 +89,7 @@
 /// The tasks of a heartbeat with their names resolved; what is no task's name is left out.
 fn resolve_tasks(cluster: &ClusterState, heartbeat: &Heartbeat) -> Vec<ObservedTask> {
     let resolve = |status: &TaskStatus| {
-        let (job, task) = split_task(&status.task)?;
+        let (job, task) = parse_task_name(&status.task)?;
         Some(ObservedTask {
             job: cluster.job(job).map(|(job_index, _)| job_index),
             name: status.task.as_str().into(),
--- a/src/coordination/job_api/cancellation.rs
+++ b/src/coordination/job_api/cancellation.rs
@@ -61,7 +61,7 @@
     match commit_draft(controller, draft).await {
         CommitOutcome::Committed(revision) => {
             log::info!("job cancelled: job={id} revision={revision}");
-            cancellations::tell(controller);
+            cancellations::broadcast(controller);
             controller.scheduling.notify();
             true
         }
--- /dev/null
+++ b/src/coordination/worker_connectivity/announce_ownership.rs
@@ -0,0 +1,130 @@
+//! Announcement of ownership: a new owner shows its fencing token to the machines of its shards.
+//!
+//! Without it these would stay with a controller that lost its shards unnoticed, for example
+//! because the key-value store refuses that one alone. The token goes out by direct commands that
+//! hold no command; a worker that has seen it answers no lower one.
+//!
+//! Called by each round of `worker_connectivity::run`.
+
+use super::direct_commands::fetch_status;
+use crate::coordination::controller::{tasks, Controller};
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::protocol::workers::DirectCommands;
+use crate::state::cluster_state::ClusterState;
+use crate::state::machine::Machine;
+use crate::state::names::{Index, MachineIndex, ShardIndex};
+use crate::state::units::MonotonicMillis;
+use standby::ids::FencingToken;
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// For how long after a failover the fencing token is announced.
+const ANNOUNCE_FOR_MS: u64 = 60_000;
+/// Least time between two announcements to one machine.
+const RETRY_INTERVAL_MS: u64 = 3000;
+
+/// When each machine was last tried.
+pub type LastAttempts = HashMap<MachineIndex, MonotonicMillis>;
+
+/// Announces ownership, and remembers which machines it has tried.
+#[derive(Default)]
+pub(super) struct OwnershipAnnouncer {
+    last_attempts: LastAttempts,
+}
+
+/// A machine that has not shown its owner's fencing token.
+#[derive(Clone, Debug)]
+pub struct StaleTokenMachine {
+    /// Machine.
+    pub machine: MachineIndex,
+    /// Address of its worker.
+    pub addr: String,
+    /// The owner's fencing token, to be announced.
+    pub fencing_token: FencingToken,
+}
+
+impl OwnershipAnnouncer {
+    /// Announces the fencing tokens of shards that were acquired lately, to as many machines as
+    /// there are connections left.
+    pub(super) fn announce(&mut self, controller: &Rc<Controller>, now: MonotonicMillis) {
+        let due = machines_with_stale_token(
+            &controller.cluster.borrow(),
+            &controller.config,
+            &mut self.last_attempts,
+            now,
+            |shard| is_announcing(controller, shard, now),
+        );
+        for stale in due {
+            let machine = stale.machine;
+            if !tasks::spawn_with_worker_connection(controller, raise_token(stale)) {
+                break;
+            }
+            self.last_attempts.insert(machine, now);
+        }
+    }
+}
+
+/// True if a shard was acquired long enough ago for its machines to have found their owner by
+/// themselves, and not so long ago that announcing would be of no use.
+fn is_announcing(controller: &Controller, shard: ShardIndex, now: MonotonicMillis) -> bool {
+    let owned_since = controller.owned_since.borrow().get(&shard).copied();
+    let owned_ms = owned_since.map(|since| now.since(since));
+    let find_owner_ms = controller.config.unresponsive_ms / 2;
+    owned_ms.is_some_and(|ms| ms > find_owner_ms && ms < ANNOUNCE_FOR_MS)
+}
+
+/// Machines of owned shards that have not shown their owner's fencing token.
+///
+/// Those come first that were tried least lately: dozens of unreachable machines hold back none of
+/// the rest. Attempts at machines that have shown the token meanwhile are forgotten.
+pub fn machines_with_stale_token(
+    cluster: &ClusterState,
+    config: &SchedulerConfig,
+    last_attempts: &mut LastAttempts,
+    now: MonotonicMillis,
+    is_announcing: impl Fn(ShardIndex) -> bool,
+) -> Vec<StaleTokenMachine> {
+    let announcing: Vec<bool> = config
+        .owned(cluster)
+        .into_iter()
+        .enumerate()
+        .map(|(shard, owned)| owned && is_announcing(ShardIndex::new(shard)))
+        .collect();
+    let owner_token = |m: &Machine| cluster.shards[m.shard.at()].record.fencing_token;
+    let is_stale = |m: &Machine| announcing[m.shard.at()] && m.fencing_token < owner_token(m);
+    last_attempts.retain(|machine, _| cluster.machine(*machine).is_some_and(is_stale));
+    let mut due: Vec<(Option<MonotonicMillis>, MachineIndex, &Machine)> = cluster
+        .all_machines()
+        .filter(|(_, m)| is_stale(m) && !m.addr.is_empty())
+        .map(|(machine, m)| (last_attempts.get(&machine).copied(), machine, m))
+        .filter(|(tried_at, ..)| tried_at.is_none_or(|t| now.since(t) >= RETRY_INTERVAL_MS))
+        .collect();
+    due.sort_by_key(|(tried_at, machine, _)| (*tried_at, *machine));
+    due.into_iter()
+        .map(|(_, machine, m)| StaleTokenMachine {
+            machine,
+            addr: m.addr.clone(),
+            fencing_token: owner_token(m),
+        })
+        .collect()
+}
+
+/// Raises the fencing token that a worker has seen. What it answers is no evidence: a response to
+/// an earlier heartbeat may still be on its way.
+async fn raise_token(stale: StaleTokenMachine) {
+    let Some(worker) = fetch_status(&stale.addr).await else {
+        return;
+    };
+    let Some(status) = worker.status() else {
+        return;
+    };
+    if status.fencing_token >= stale.fencing_token {
+        return;
+    }
+    let announcement = DirectCommands {
+        fencing_token: stale.fencing_token,
+        agent_epoch: status.agent_epoch,
+        commands: Vec::new(),
+    };
+    worker.send(&announcement).await;
+}
--- /dev/null
+++ b/src/coordination/worker_connectivity/probes.rs
@@ -0,0 +1,125 @@
+//! Probes of workers: whether any worker reaches this controller, and whether machines that seem
+//! to receive nothing can be reached after all.
+//!
+//! Called by each round of `worker_connectivity::run`. Machines become unreachable by
+//! `heartbeats::reachability`. Invariant: an unreachable machine takes no work, and is either
+//! reached again or quarantined, and so deleted, after a lease.
+
+use super::direct_commands::fetch_status;
+use crate::coordination::controller::{tasks, Controller};
+use crate::coordination::scheduler::config::SchedulerConfig;
+use crate::state::cluster_state::ClusterState;
+use crate::state::machine::Machine;
+use crate::state::names::{Index, MachineIndex};
+use crate::state::units::{millis_from_seconds, MonotonicMillis};
+use std::rc::Rc;
+
+/// Workers that are probed in one round when none has been heard for a while.
+const WORKERS_PER_PROBE: usize = 4;
+
+/// An unreachable machine that is to be asked for its status.
+#[derive(Clone, Debug)]
+pub struct ProbeTarget {
+    /// Machine.
+    pub machine: MachineIndex,
+    /// Address of its worker.
+    pub addr: String,
+}
+
+/// Asks a few workers for a response if none has been heard for a while. A controller that gets
+/// none is cut off from its workers, and gives its shards away.
+pub(super) fn probe_any_workers(controller: &Rc<Controller>) {
+    let now = controller.now();
+    if !controller.worker_probe_needed(now) {
+        return;
+    }
+    for addr in random_worker_addresses(&controller.cluster.borrow()) {
+        let probe = probe_worker(controller.clone(), addr);
+        if !tasks::spawn_with_worker_connection(controller, probe) {
+            return;
+        }
+    }
+}
+
+fn random_worker_addresses(cluster: &ClusterState) -> Vec<String> {
+    let heard = cluster
+        .all_machines()
+        .filter(|(_, m)| !m.addr.is_empty() && m.last_heartbeat.is_some());
+    let chosen = fastrand::choose_multiple(heard, WORKERS_PER_PROBE);
+    chosen.into_iter().map(|(_, m)| m.addr.clone()).collect()
+}
+
+async fn probe_worker(controller: Rc<Controller>, addr: String) {
+    if fetch_status(&addr).await.is_some() {
+        controller.record_worker_contact();
+    }
+}
+
+/// Asks the unreachable machines of owned shards for their status.
+pub(super) fn probe_unreachable_machines(controller: &Rc<Controller>, now: MonotonicMillis) {
+    let lease_ms = millis_from_seconds(controller.platform.settings.workers.lease_s);
+    let targets = unreachable_machines(
+        &mut controller.cluster.borrow_mut(),
+        &controller.config,
+        lease_ms,
+        now,
+    );
+    for target in targets {
+        let probe = probe_machine(controller.clone(), target);
+        if !tasks::spawn_with_worker_connection(controller, probe) {
+            break;
+        }
+    }
+}
+
+/// Unreachable machines of owned shards, to be probed. Those that have been unreachable for a
+/// lease are quarantined instead, and so deleted by the autoscaler.
+pub fn unreachable_machines(
+    cluster: &mut ClusterState,
+    config: &SchedulerConfig,
+    lease_ms: u64,
+    now: MonotonicMillis,
+) -> Vec<ProbeTarget> {
+    let owned = config.owned(cluster);
+    let mut targets = Vec::new();
+    for machine_index in (0..cluster.machines.len()).map(MachineIndex::new) {
+        let Some(machine) = cluster.machine_mut(machine_index) else {
+            continue;
+        };
+        if !owned[machine.shard.at()] || machine.unreachable_since.is_none() {
+            continue;
+        }
+        quarantine_if_unreachable_for(machine, lease_ms, now);
+        if !machine.quarantined {
+            targets.push(ProbeTarget {
+                machine: machine_index,
+                addr: machine.addr.clone(),
+            });
+        }
+    }
+    targets
+}
+
+fn quarantine_if_unreachable_for(machine: &mut Machine, limit_ms: u64, now: MonotonicMillis) {
+    let unreachable_ms = machine.unreachable_since.map_or(0, |t| now.since(t));
+    if unreachable_ms > limit_ms && !machine.quarantined {
+        log::warn!(
+            "machine quarantined after being unreachable: machine={} elapsed_ms={unreachable_ms}",
+            machine.name
+        );
+        machine.quarantined = true;
+    }
+}
+
+/// Probes an unreachable machine, which takes part again once it responds.
+async fn probe_machine(controller: Rc<Controller>, target: ProbeTarget) {
+    let worker = fetch_status(&target.addr).await;
+    if !worker.is_some_and(|worker| worker.is_ok()) {
+        return;
+    }
+    let mut cluster = controller.cluster.borrow_mut();
+    if let Some(machine) = cluster.machine_mut(target.machine) {
+        log::info!("machine reachable again: machine={}", machine.name);
+        machine.mark_reachable(controller.now());
+    }
+}
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,4 +1,8 @@
-//! What workers report and are told.
+//! Messages between controllers and workers: heartbeats, their responses, and direct commands.
+//!
+//! The protocol's own words stand in `serde(rename)` attributes and nowhere else. A worker has one
+//! agent, which sends heartbeats and runs the commands of the responses. It holds a lease that
+//! each response renews; when the lease expires it ends its tasks and begins a new epoch.
 
 use serde::{Deserialize, Serialize};
 pub use standby::ids::FencingToken;
@@ -20,19 +24,19 @@
 /// State of a task on a machine.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TaskState {
-    /// Waits for its image.
+    /// Its image is being pulled.
     #[serde(rename = "pulling")]
     PullingImage,
-    /// Waits for its gang.
+    /// It waits for the other members of its gang.
     #[serde(rename = "gathering")]
     AwaitingGang,
-    /// Runs.
+    /// It runs.
     #[serde(rename = "running")]
     Running,
-    /// Saves.
+    /// It has been told to stop and writes a checkpoint.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// Ended.
+    /// It has ended. The worker shows it until the exit is acknowledged.
     #[serde(rename = "exited")]
     Exited,
 }
@@ -40,59 +44,59 @@
 /// Why a task ended.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ExitReason {
-    /// Completed.
+    /// It completed.
     #[serde(rename = "done")]
     Done,
-    /// Stopped by command.
+    /// It was stopped by a command.
     #[serde(rename = "halted")]
     Stopped,
-    /// Another task of the gang is gone.
+    /// Another member of its gang was lost.
     #[serde(rename = "mates_gone")]
     GangMemberLost,
-    /// The gang was not complete in time.
+    /// Its gang was not complete in time.
     #[serde(rename = "alone")]
     GangTimeout,
-    /// Failed.
+    /// It failed.
     #[serde(rename = "error")]
     Error,
-    /// Refused: no room.
+    /// Refused by the worker: the machine has not enough free resources.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// Refused: another attempt is there.
+    /// Refused by the worker: another attempt of the task is on the machine.
     #[serde(rename = "busy")]
     OtherAttemptPresent,
-    /// Refused: no such job.
+    /// Refused by the worker: it knows no such task.
     #[serde(rename = "unknown")]
     UnknownTask,
-    /// A cause this version does not know.
+    /// A reason that this version does not know.
     #[serde(other)]
     Other,
 }
 
-/// A task in a report.
+/// A task as a heartbeat shows it.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct TaskStatus {
-    /// `job-1/3`.
+    /// Job and task number, such as `job-1/3`; see [`parse_task_name`].
     #[serde(rename = "piece")]
     pub task: String,
-    /// Attempt.
+    /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
     /// State.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it exited.
+    /// Why it ended, once it has.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub exit_reason: Option<ExitReason>,
-    /// Its progress was saved.
+    /// A checkpoint of its progress was written.
     #[serde(rename = "stored", default, skip_serializing_if = "Option::is_none")]
     pub checkpointed: Option<bool>,
 }
 
-/// A worker's report.
+/// A worker's heartbeat, and the form of its status wherever else it tells it.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct Heartbeat {
-    /// Machine.
+    /// Name of the machine.
     #[serde(rename = "host")]
     pub machine: String,
     /// Address for direct commands.
@@ -104,22 +108,22 @@
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// A spot machine.
+    /// True for a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Session.
+    /// Epoch of the worker's agent.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
-    /// Number of the message.
+    /// Sequence number of the message within the epoch.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// Highest token seen.
+    /// Highest fencing token that the worker has seen; it obeys no lower one.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Seconds until the cloud takes the machine.
+    /// Seconds until the cloud preempts the machine, if it has announced that.
     #[serde(rename = "warning_s", default)]
     pub preemption_notice_s: Option<f64>,
-    /// All tasks on the machine.
+    /// All tasks on the machine, also those that have exited.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskStatus>,
 }
@@ -129,7 +133,7 @@
 pub struct HeartbeatVersion {
     /// Epoch of the worker's agent; it rises whenever the worker's lease expires.
     pub agent_epoch: AgentEpoch,
-    /// Number of the message within its epoch.
+    /// Sequence number of the message within its epoch.
     pub sequence: u64,
 }
 
@@ -143,80 +147,80 @@
     }
 }
 
-/// An order to a worker.
+/// A command to a worker.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 #[serde(tag = "verb")]
 pub enum Command {
-    /// Start a task.
+    /// Start an attempt of a task.
     #[serde(rename = "start")]
     Start {
-        /// Task.
+        /// Task, by its name.
         #[serde(rename = "piece")]
         task: String,
-        /// Attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stop a task.
+    /// Stop an attempt of a task.
     #[serde(rename = "stop")]
     Stop {
-        /// Task.
+        /// Task, by its name.
         #[serde(rename = "piece")]
         task: String,
-        /// Attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Time to save.
+        /// Seconds that it has to write a checkpoint.
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
-    /// Remove an exited task from the reports.
+    /// Forget an exited attempt: its exit has been recorded, heartbeats need not show it any more.
     #[serde(rename = "reap")]
     AcknowledgeExit {
-        /// Task.
+        /// Task, by its name.
         #[serde(rename = "piece")]
         task: String,
-        /// Attempt.
+        /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
 }
 
-/// Answer to a report.
+/// Response to an accepted heartbeat: it renews the worker's lease.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct HeartbeatResponse {
-    /// Token of the commander.
+    /// Fencing token of the owner.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// What to do, in order.
+    /// Commands, to be run in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Direct commands.
+/// Commands that a controller sends of its own accord, instead of in a response to a heartbeat.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct DirectCommands {
-    /// Token of the commander.
+    /// Fencing token; the worker refuses one below the highest that it has seen.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Session that they are for.
+    /// Epoch of the agent that they are meant for; the worker refuses any other.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
-    /// What to do, in order.
+    /// Commands, to be run in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// 421: who is in charge.
+/// Body of a 421: the heartbeat belongs to another controller.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct NotOwner {
-    /// The node in charge, if known.
+    /// Name of the owner of the machine's shard, if it is known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub owner: Option<String>,
 }
 
-/// Splits `job-1/3`.
-pub fn split_task(name: &str) -> Option<(&str, u32)> {
+/// Job id and task number of a task's name such as `job-1/3`; `None` if it is no such name.
+pub fn parse_task_name(name: &str) -> Option<(&str, u32)> {
     let (job, task) = name.split_once('/')?;
     Some((job, task.parse().ok()?))
 }
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -369,7 +369,8 @@
         shown("job-2/0", TaskState::Running),
     ];
     let left: Vec<_> = (0..3).map(|t| (format!("job-1/{t}"), 2)).collect();
-    let c = pointhook::coordination::cancellations::stops(&status, &left).unwrap();
+    let c = pointhook::coordination::cancellations::direct_stops::stop_commands(&status, &left)
+        .unwrap();
     // Under the worker's own token: nobody's right to command it changes.
     assert_eq!(
         (c.fencing_token, c.agent_epoch, c.commands.len()),
@@ -380,7 +381,10 @@
     );
     // Another attempt is none of its business.
     let other = [("job-1/0".to_string(), 1)];
-    assert!(pointhook::coordination::cancellations::stops(&status, &other).is_none());
+    assert!(
+        pointhook::coordination::cancellations::direct_stops::stop_commands(&status, &other)
+            .is_none()
+    );
 }
 
 #[test]
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -10,7 +10,8 @@
 use pointhook::coordination::controller::worker_reachability::WorkerReachability;
 use pointhook::coordination::peer_messages::status_updates;
 use pointhook::coordination::scheduler::commands;
-use pointhook::coordination::{autoscaler, membership, worker_connectivity};
+use pointhook::coordination::worker_connectivity::{announce_ownership, probes};
+use pointhook::coordination::{autoscaler, membership};
 use pointhook::protocol::peers::MachineStatus;
 use pointhook::protocol::users::JobKind;
 use pointhook::protocol::workers::{AgentEpoch, Command, FencingToken};
@@ -141,23 +142,14 @@
     c.visit(&mut store, &mut w, 0);
     let mix = c.machine("m1");
     c.cluster.machine_mut(mix).unwrap().unreachable_since = Some(MonotonicMillis(1000));
-    let asked = worker_connectivity::unreachable_machines(
-        &mut c.cluster,
-        &c.config,
-        10_000,
-        MonotonicMillis(5000),
-    );
+    let asked =
+        probes::unreachable_machines(&mut c.cluster, &c.config, 10_000, MonotonicMillis(5000));
     assert_eq!(asked.len(), 1);
     assert!(!c.cluster.machine(mix).unwrap().quarantined);
     let mut reached = c.cluster.machine(mix).unwrap().clone();
     reached.mark_reachable(MonotonicMillis(5000));
     assert!(reached.is_schedulable(MonotonicMillis(500), 4000));
-    worker_connectivity::unreachable_machines(
-        &mut c.cluster,
-        &c.config,
-        10_000,
-        MonotonicMillis(11_500),
-    );
+    probes::unreachable_machines(&mut c.cluster, &c.config, 10_000, MonotonicMillis(11_500));
     assert!(c.cluster.machine(mix).unwrap().quarantined);
 }
 
@@ -517,14 +509,15 @@
     let mut tried = HashMap::new();
     let mut reached = std::collections::HashSet::new();
     for now in [10_000u64, 11_500, 13_000, 14_500, 16_000] {
-        let due = worker_connectivity::machines_with_stale_token(
+        let due = announce_ownership::machines_with_stale_token(
             &c.cluster,
             &c.config,
             &mut tried,
             MonotonicMillis(now),
-            |_| Some(()),
+            |_| true,
         );
-        for (mix, ..) in due.into_iter().take(60) {
+        for stale in due.into_iter().take(60) {
+            let mix = stale.machine;
             tried.insert(mix, MonotonicMillis(now));
             reached.insert(mix);
         }
@@ -536,14 +529,14 @@
         .record
         .fencing_token
         .max(c.cluster.shards[1].record.fencing_token);
-    let due = worker_connectivity::machines_with_stale_token(
+    let due = announce_ownership::machines_with_stale_token(
         &c.cluster,
         &c.config,
         &mut tried,
         MonotonicMillis(16_500),
-        |_| Some(()),
+        |_| true,
     );
-    assert!(due.iter().all(|(m, ..)| *m != mix));
+    assert!(due.iter().all(|stale| stale.machine != mix));
     assert!(due.len() <= 240);
 }
 
--- a/tests/http_api.rs
+++ b/tests/http_api.rs
@@ -4,7 +4,7 @@
 
 use pointhook::protocol::peers::{decode_request, encode, PeerRequest, TaskRef};
 use pointhook::protocol::users::{parse_job, JobKind, JobSpec};
-use pointhook::protocol::workers::{split_task, Heartbeat};
+use pointhook::protocol::workers::{parse_task_name, Heartbeat};
 use pointhook::settings::{Operator, Platform};
 use pointhook::state::cluster_state::ClusterState;
 use pointhook::state::names::{Interner, MachineIndex};
@@ -126,9 +126,9 @@
         assert!(rmp_serde::from_slice::<Heartbeat>(&noise).is_err());
         let _ = decode_request(&noise);
     }
-    assert_eq!(split_task("job-1"), None);
-    assert_eq!(split_task("job-1/x"), None);
-    assert_eq!(split_task("job-1/3"), Some(("job-1", 3)));
+    assert_eq!(parse_task_name("job-1"), None);
+    assert_eq!(parse_task_name("job-1/x"), None);
+    assert_eq!(parse_task_name("job-1/3"), Some(("job-1", 3)));
 }
 
 #[test]
--- a/tests/support/controller.rs
+++ b/tests/support/controller.rs
@@ -4,7 +4,7 @@
 use super::digest;
 use super::kv_store::{FakeKvStore, NO_RESPONSE};
 use super::worker::FakeWorker;
-use pointhook::coordination::cancellations::{self, CancelledTaskSweeper};
+use pointhook::coordination::cancellations::{self, direct_stops::CancelledTaskSweeper};
 use pointhook::coordination::kv::{apply_outcome, set, transaction, CommitOutcome};
 use pointhook::coordination::reconciliation;
 use pointhook::coordination::scheduler::claims;
@@ -573,14 +573,19 @@
 
     /// Asks a peer for the cancellations it knows, telling those known here.
     pub fn request(&mut self, peer: &mut Controller, now: u64) {
-        cancellations::learn(&mut peer.cluster, &cancellations::names(&self.cluster));
-        let reply = cancellations::tells(&peer.cluster, MonotonicMillis(now), now - peer.began);
+        let jobs = cancellations::cancelled_jobs_to_send(&self.cluster);
+        cancellations::record_cancellations(&mut peer.cluster, &jobs);
+        let reply = cancellations::attestation_response(
+            &peer.cluster,
+            MonotonicMillis(now),
+            now - peer.began,
+        );
         let at = self
             .peers
             .iter()
             .position(|p| *p == peer.config.controller_name);
         let at = at.expect("a peer of its own");
-        cancellations::take(
+        cancellations::apply_peer_response(
             &mut self.cluster,
             at,
             MonotonicMillis(now),
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -5,7 +5,7 @@
 use super::digest;
 use super::kv_store::FakeKvStore;
 use super::worker::FakeWorker;
-use pointhook::coordination::cancellations;
+use pointhook::coordination::cancellations::direct_stops::{self, CancelledTasks};
 use pointhook::coordination::heartbeats::{self, HeartbeatOutcome};
 use pointhook::coordination::kv::CommitOutcome;
 use pointhook::coordination::membership;
@@ -14,7 +14,7 @@
     record_direct_start_outcome, DirectStartOutcome,
 };
 use pointhook::coordination::scheduler::preemption;
-use pointhook::coordination::worker_connectivity;
+use pointhook::coordination::worker_connectivity::probes;
 use pointhook::protocol::users::{JobKind, JobSpec};
 use pointhook::protocol::workers::{DirectCommands, Heartbeat};
 use pointhook::state::cluster_state::ClusterState;
@@ -685,19 +685,16 @@
     /// Asks machines that seem to hear nothing whether they do after all.
     fn probe(&mut self, at: usize, c: &mut Controller) {
         let now = self.now;
-        for (machine, _) in worker_connectivity::unreachable_machines(
-            &mut c.cluster,
-            &c.config,
-            LEASE_MS,
-            MonotonicMillis(now),
-        ) {
-            let name = c.cluster.machine_names.name(machine).clone();
+        for target in
+            probes::unreachable_machines(&mut c.cluster, &c.config, LEASE_MS, MonotonicMillis(now))
+        {
+            let name = c.cluster.machine_names.name(target.machine).clone();
             let host = self.hosts.iter().find(|h| *h.worker.name == *name);
             let reached = host.is_some_and(|h| {
                 let cut = h.cut_off && (h.worker.zone == "south") != (at == 2);
                 !cut && !h.ill.deaf && !h.ill.hangs
             });
-            if let Some(m) = c.cluster.machine_mut(machine).filter(|_| reached) {
+            if let Some(m) = c.cluster.machine_mut(target.machine).filter(|_| reached) {
                 m.mark_reachable(MonotonicMillis(now));
             }
         }
@@ -712,7 +709,7 @@
         })
     }
 
-    fn stop_directly(&mut self, at: usize, left: &cancellations::CancelledTasks) {
+    fn stop_directly(&mut self, at: usize, left: &CancelledTasks) {
         let now = self.now;
         // All stand-ins have the same address; the tasks tell whose it is.
         for host in &mut self.hosts {
@@ -722,7 +719,7 @@
                 continue;
             }
             let status = host.worker.heartbeat(now);
-            if let Some(c) = cancellations::stops(&status, &left.tasks) {
+            if let Some(c) = direct_stops::stop_commands(&status, &left.tasks) {
                 digest::note("direct stop", now, &(NAMES[at], &host.worker.name, &c));
                 host.worker.receive_commands(&c, now);
             }
