--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -378,7 +378,9 @@
         shown("job-2/0", TaskState::Running),
     ];
     let left: Vec<_> = (0..3).map(|t| (format!("job-1/{t}"), 2)).collect();
-    let controller = pointhook::coordination::cancellations::stops(&status, &left).unwrap();
+    let controller =
+        pointhook::coordination::cancellations::direct_stops::stop_commands(&status, &left)
+            .unwrap();
     // Under the worker's own fencing token: ownership does not change.
     assert_eq!(
         (
@@ -393,7 +395,10 @@
     );
     // Other attempts are not affected.
     let other = [("job-1/0".to_string(), 1)];
-    assert!(pointhook::coordination::cancellations::stops(&status, &other).is_none());
+    assert!(
+        pointhook::coordination::cancellations::direct_stops::stop_commands(&status, &other)
+            .is_none()
+    );
 }
 
 #[test]
--- a/tests/shard_ownership.rs
+++ b/tests/shard_ownership.rs
@@ -3,7 +3,8 @@
 mod support;
 
 use pointhook::coordination::kv::{transaction, CommitOutcome};
-use pointhook::coordination::{autoscaler, membership, worker_connectivity};
+use pointhook::coordination::worker_connectivity::announce_ownership;
+use pointhook::coordination::{autoscaler, membership};
 use pointhook::protocol::workers::{Command, FencingToken};
 use pointhook::state::names::{Index, ShardIndex, ZoneIndex};
 use pointhook::state::units::{Incarnation, MonotonicMillis};
@@ -165,14 +166,15 @@
     let mut tried = HashMap::new();
     let mut reached = std::collections::HashSet::new();
     for now in [10_000u64, 11_500, 13_000, 14_500, 16_000] {
-        let due = worker_connectivity::machines_with_stale_token(
+        let due = announce_ownership::machines_with_stale_token(
             &controller.cluster,
             &controller.config,
             &mut tried,
             MonotonicMillis(now),
-            |_| Some(()),
+            |_| true,
         );
-        for (machine, ..) in due.into_iter().take(60) {
+        for stale in due.into_iter().take(60) {
+            let machine = stale.machine;
             tried.insert(machine, MonotonicMillis(now));
             reached.insert(machine);
         }
@@ -188,14 +190,14 @@
         .record
         .fencing_token
         .max(controller.cluster.shards[1].record.fencing_token);
-    let due = worker_connectivity::machines_with_stale_token(
+    let due = announce_ownership::machines_with_stale_token(
         &controller.cluster,
         &controller.config,
         &mut tried,
         MonotonicMillis(16_500),
-        |_| Some(()),
+        |_| true,
     );
-    assert!(due.iter().all(|(m, ..)| *m != machine));
+    assert!(due.iter().all(|stale| stale.machine != machine));
     assert!(due.len() <= 240);
 }
 
--- a/tests/support/simulated_cluster/tick.rs
+++ b/tests/support/simulated_cluster/tick.rs
@@ -7,13 +7,14 @@
 };
 use crate::support::digest;
 use crate::support::simulated_controller::{direct_commands, SimulatedController, LEASE_MS};
+use pointhook::coordination::cancellations::direct_stops::{self, CancelledTasks};
 use pointhook::coordination::heartbeats::{self, HeartbeatOutcome};
 use pointhook::coordination::peer_messages::status_updates;
 use pointhook::coordination::scheduler::direct_starts::{
     record_direct_start_outcome, DirectStartOutcome,
 };
 use pointhook::coordination::scheduler::preemption;
-use pointhook::coordination::{cancellations, worker_connectivity};
+use pointhook::coordination::worker_connectivity::probes;
 use pointhook::protocol::workers::{DirectCommands, Heartbeat, HeartbeatResponse};
 use pointhook::state::names::{Index, ShardIndex};
 use pointhook::state::units::MonotonicMillis;
@@ -337,13 +338,14 @@
     /// Asks machines that seem to be unreachable whether they can be reached after all.
     fn probe_unreachable_machines(&mut self, at: usize, controller: &mut SimulatedController) {
         let now = MonotonicMillis(self.now);
-        let unreachable = worker_connectivity::unreachable_machines(
+        let unreachable = probes::unreachable_machines(
             &mut controller.cluster,
             &controller.config,
             LEASE_MS,
             now,
         );
-        for (index, _) in unreachable {
+        for target in unreachable {
+            let index = target.machine;
             let name = controller.cluster.machine_names.name(index).clone();
             let machine = self.machines.iter().find(|m| *m.worker.name == *name);
             let is_reachable = machine.is_some_and(|m| m.is_reachable_from(at));
@@ -355,7 +357,7 @@
     }
 
     /// Stops tasks of cancelled jobs by direct commands.
-    fn stop_directly(&mut self, at: usize, cancelled: &cancellations::CancelledTasks) {
+    fn stop_directly(&mut self, at: usize, cancelled: &CancelledTasks) {
         let now = self.now;
         // All simulated workers have the same address; the tasks tell whose it is.
         for machine in &mut self.machines {
@@ -366,7 +368,7 @@
                 continue;
             }
             let status = machine.worker.heartbeat(now);
-            if let Some(stops) = cancellations::stops(&status, &cancelled.tasks) {
+            if let Some(stops) = direct_stops::stop_commands(&status, &cancelled.tasks) {
                 let name = &machine.worker.name;
                 digest::note("direct stop", now, &(NAMES[at], name, &stops));
                 machine.worker.receive_commands(&stops, now);
--- a/tests/support/simulated_controller/membership.rs
+++ b/tests/support/simulated_controller/membership.rs
@@ -218,13 +218,14 @@
 
     /// Tells a peer the cancellations known here, and learns those that the peer knows.
     pub fn exchange_cancellations(&mut self, peer: &mut SimulatedController, now: u64) {
-        cancellations::learn(&mut peer.cluster, &cancellations::names(&self.cluster));
+        let jobs = cancellations::cancelled_jobs_to_send(&self.cluster);
+        cancellations::record_cancellations(&mut peer.cluster, &jobs);
         let uptime_ms = now - peer.started_at;
         let now = MonotonicMillis(now);
-        let reply = cancellations::tells(&peer.cluster, now, uptime_ms);
+        let reply = cancellations::attestation_response(&peer.cluster, now, uptime_ms);
         let peer_name = &peer.config.controller_name;
         let index = self.peers.iter().position(|name| name == peer_name);
         let index = index.expect("one of its peers");
-        cancellations::take(&mut self.cluster, index, now, now, &reply);
+        cancellations::apply_peer_response(&mut self.cluster, index, now, now, &reply);
     }
 }
--- a/tests/support/simulated_controller/mod.rs
+++ b/tests/support/simulated_controller/mod.rs
@@ -12,7 +12,7 @@
 use super::digest;
 use super::kv_store::{FakeKvStore, NO_RESPONSE};
 use super::worker::FakeWorker;
-use pointhook::coordination::cancellations::CancelledTaskSweeper;
+use pointhook::coordination::cancellations::direct_stops::CancelledTaskSweeper;
 use pointhook::coordination::kv::{apply_outcome, set, transaction, CommitOutcome};
 use pointhook::coordination::membership::MembershipView;
 use pointhook::coordination::scheduler::config::SchedulerConfig;
--- a/tests/worker_reachability.rs
+++ b/tests/worker_reachability.rs
@@ -2,8 +2,9 @@
 
 mod support;
 
+use pointhook::coordination::autoscaler;
 use pointhook::coordination::controller::worker_reachability::WorkerReachability;
-use pointhook::coordination::{autoscaler, worker_connectivity};
+use pointhook::coordination::worker_connectivity::probes;
 use pointhook::protocol::workers::AgentEpoch;
 use pointhook::state::names::ZoneIndex;
 use pointhook::state::units::MonotonicMillis;
@@ -49,7 +50,7 @@
         .machine_mut(machine)
         .unwrap()
         .unreachable_since = Some(MonotonicMillis(1000));
-    let asked = worker_connectivity::unreachable_machines(
+    let asked = probes::unreachable_machines(
         &mut controller.cluster,
         &controller.config,
         10_000,
@@ -60,7 +61,7 @@
     let mut reached = controller.cluster.machine(machine).unwrap().clone();
     reached.mark_reachable(MonotonicMillis(5000));
     assert!(reached.is_schedulable(MonotonicMillis(500), 4000));
-    worker_connectivity::unreachable_machines(
+    probes::unreachable_machines(
         &mut controller.cluster,
         &controller.config,
         10_000,
