--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -66,9 +66,10 @@
         let Some(machine) = cluster.machine_mut(machine_index) else {
             continue;
         };
-        let busy = has_placements || !machine.queue.is_empty() || machine.owner_queue_length > 0;
-        machine.idle_since = match (busy, machine.last_heartbeat) {
-            (false, Some(_)) => machine.idle_since.or(Some(now)),
+        let busy =
+            has_placements || !machine.queue.is_empty() || machine.owner_status.queue_length > 0;
+        machine.decisions.idle_since = match (busy, machine.heartbeat.last_seen) {
+            (false, Some(_)) => machine.decisions.idle_since.or(Some(now)),
             _ => None,
         };
     }
--- a/src/coordination/autoscaler/scale_in_plan.rs
+++ b/src/coordination/autoscaler/scale_in_plan.rs
@@ -143,9 +143,9 @@
         let machine = self.cluster.machine(machine_index)?;
         if listed.has_failed() {
             Some(ScaleInReason::Failed)
-        } else if machine.quarantined {
+        } else if machine.health.quarantined {
             Some(ScaleInReason::Quarantined)
-        } else if machine.last_heartbeat.is_none() && listed.is_booting() {
+        } else if machine.heartbeat.last_seen.is_none() && listed.is_booting() {
             self.is_stuck(listed, machine)
                 .then_some(ScaleInReason::NeverBooted)
         } else if self.is_silent(machine) {
@@ -174,13 +174,11 @@
         }
         // A cordoned one takes nothing any more, whatever became of its first deletion.
         let is_unused = || {
-            let idle_since = machine.idle_since;
-            machine.last_heartbeat.is_some()
+            let idle_since = machine.decisions.idle_since;
+            machine.heartbeat.last_seen.is_some()
                 && !self.state.needed_machines.contains(&machine_index)
                 && idle_since.is_some_and(|at| self.now.since(at) > self.idle_ms)
-                && machine
-                    .reservation
-                    .is_none_or(|(_, until)| self.now > until)
+                && machine.decisions.is_reservation_over(self.now)
         };
         machine.is_cordoned() || is_unused()
     }
@@ -206,7 +204,7 @@
             Some(self.state.owner_since).max(resumed_at)
         };
         let silent_ms = status_updates::silence_ms(
-            machine.last_heartbeat,
+            machine.heartbeat.last_seen,
             machine.discovered_at,
             observing_since,
             self.now,
--- a/src/coordination/autoscaler/silence.rs
+++ b/src/coordination/autoscaler/silence.rs
@@ -45,11 +45,11 @@
     pub fn of(&self, cluster: &ClusterState, config: &SchedulerConfig, machine: &Machine) -> u64 {
         let token = cluster.shards[machine.shard.at()].record.fencing_token;
         let confirmed = if config.owns(cluster, machine.shard) {
-            machine.fencing_token == token
+            machine.heartbeat.fencing_token == token
         } else {
-            machine.fencing_token_confirmed
+            machine.owner_status.fencing_token_confirmed
         };
-        match machine.last_heartbeat {
+        match machine.heartbeat.last_seen {
             None => self.lease_ms + FIRST_HEARTBEAT_MS,
             Some(_) if confirmed => self.confirmed_ms,
             Some(_) => self.unconfirmed_ms(),
@@ -85,7 +85,7 @@
 ) -> HashMap<ZoneIndex, ZoneMachineCounts> {
     let mut counts: HashMap<ZoneIndex, ZoneMachineCounts> = HashMap::new();
     for (_, machine) in cluster.all_machines() {
-        let Some(last_heartbeat) = machine.last_heartbeat else {
+        let Some(last_heartbeat) = machine.heartbeat.last_seen else {
             continue;
         };
         let zone = counts.entry(machine.zone).or_default();
--- a/src/coordination/autoscaler/supply.rs
+++ b/src/coordination/autoscaler/supply.rs
@@ -99,7 +99,7 @@
     let overdue_ms = machine_type.map_or(0, |machine_type| {
         millis_from_seconds(machine_type.description.boot_s * OVERDUE_BOOT_TIMES)
     });
-    machine.last_heartbeat.is_none()
+    machine.heartbeat.last_seen.is_none()
         && now.since(machine.discovered_at) < overdue_ms
         && !machine.is_cordoned()
 }
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -287,7 +287,7 @@
         // heard once count.
         let is_there = |machine: &Machine| {
             machine.is_schedulable(now, self.config.unresponsive_ms)
-                || owned[machine.shard.at()] && machine.last_heartbeat.is_some()
+                || owned[machine.shard.at()] && machine.heartbeat.last_seen.is_some()
         };
         let any = cluster.all_machines().any(|(_, machine)| is_there(machine));
         any
--- a/src/coordination/failover/permits.rs
+++ b/src/coordination/failover/permits.rs
@@ -98,8 +98,8 @@
         for machine in cluster.machines.iter_mut().flatten() {
             if machine.shard == shard {
                 machine.queue.clear();
-                machine.reservation = None;
-                machine.stopping.clear();
+                machine.decisions.reservation = None;
+                machine.decisions.stopping.clear();
             }
         }
     }
--- a/src/coordination/heartbeats/apply.rs
+++ b/src/coordination/heartbeats/apply.rs
@@ -53,7 +53,7 @@
     let Some(machine) = cluster.machine_mut(machine_index) else {
         return HeartbeatChange::Stale;
     };
-    if heartbeat.version() <= machine.message_version {
+    if heartbeat.version() <= machine.heartbeat.message_version {
         return HeartbeatChange::Stale;
     }
     let change = compare(machine, heartbeat, &tasks);
@@ -104,13 +104,14 @@
 
 /// Whether a newer heartbeat shows something else than the one before it.
 fn compare(machine: &Machine, heartbeat: &Heartbeat, tasks: &[ObservedTask]) -> HeartbeatChange {
-    let changed = machine.message_version.agent_epoch != heartbeat.agent_epoch
-        || machine.fencing_token != heartbeat.fencing_token
-        || machine.preemption_deadline.is_some() != heartbeat.preemption_notice_s.is_some()
-        || machine.tasks.len() != tasks.len()
+    let changed = machine.heartbeat.message_version.agent_epoch != heartbeat.agent_epoch
+        || machine.heartbeat.fencing_token != heartbeat.fencing_token
+        || machine.heartbeat.preemption_deadline.is_some()
+            != heartbeat.preemption_notice_s.is_some()
+        || machine.heartbeat.tasks.len() != tasks.len()
         || tasks
             .iter()
-            .zip(&machine.tasks)
+            .zip(&machine.heartbeat.tasks)
             .any(|(new, old)| !new.same_state_as(old));
     if changed {
         HeartbeatChange::Changed
@@ -127,11 +128,11 @@
     owner_token: FencingToken,
     now: MonotonicMillis,
 ) {
-    machine.heartbeat_version = heartbeat.version();
-    machine.fencing_token = heartbeat.fencing_token;
+    machine.heartbeat.version = heartbeat.version();
+    machine.heartbeat.fencing_token = heartbeat.fencing_token;
     if heartbeat.fencing_token == owner_token {
-        machine.last_heartbeat = Some(now);
-        machine.cordoned_by_owner = false;
+        machine.heartbeat.last_seen = Some(now);
+        machine.owner_status.cordoned = false;
     }
 }
 
@@ -149,9 +150,11 @@
             continue;
         };
         match exit_reason {
-            ExitReason::Done => machine.failed_jobs.clear(),
+            ExitReason::Done => machine.health.failed_jobs.clear(),
             ExitReason::Error => failed_jobs.push(attempt.job),
-            ExitReason::GangTimeout => *machine.gang_timeouts.entry(attempt).or_default() += 1,
+            ExitReason::GangTimeout => {
+                *machine.starts.gang_timeouts.entry(attempt).or_default() += 1
+            }
             _ => {}
         }
     }
@@ -182,22 +185,26 @@
     now: MonotonicMillis,
 ) {
     machine.addr.clone_from(&heartbeat.addr);
-    machine.message_version = heartbeat.version();
+    machine.heartbeat.message_version = heartbeat.version();
     machine.spot = heartbeat.spot;
     record_preemption_notice(machine, heartbeat.preemption_notice_s, now);
-    machine.tasks = tasks;
-    let attempts = machine.tasks.iter().filter_map(ObservedTask::task_attempt);
-    machine.observed_attempts.extend(attempts);
+    machine.heartbeat.tasks = tasks;
+    let attempts = machine
+        .heartbeat
+        .tasks
+        .iter()
+        .filter_map(ObservedTask::task_attempt);
+    machine.starts.observed_or_abandoned.extend(attempts);
 }
 
 fn record_preemption_notice(machine: &mut Machine, notice_s: Option<f64>, now: MonotonicMillis) {
-    if let (Some(notice_s), None) = (notice_s, machine.preemption_deadline) {
+    if let (Some(notice_s), None) = (notice_s, machine.heartbeat.preemption_deadline) {
         log::info!(
             "preemption notice received: machine={} notice_s={notice_s:.0}",
             machine.name
         );
     }
-    machine.preemption_deadline = notice_s.map(|s| now.plus(millis_from_seconds(s)));
+    machine.heartbeat.preemption_deadline = notice_s.map(|s| now.plus(millis_from_seconds(s)));
 }
 
 /// Drops direct starts that can't run any more: the fencing token or the agent epoch has changed,
@@ -207,8 +214,8 @@
     heartbeat: &Heartbeat,
     placed: &[TaskAttempt],
 ) {
-    let shown = &machine.tasks;
-    machine.in_flight_starts.retain(|attempt, start| {
+    let shown = &machine.heartbeat.tasks;
+    machine.starts.in_flight.retain(|attempt, start| {
         let is_shown = || shown.iter().any(|t| t.task_attempt() == Some(*attempt));
         let is_left = || placed.contains(attempt) || is_shown();
         start.fencing_token >= heartbeat.fencing_token
@@ -224,7 +231,7 @@
         return;
     };
     for (attempt, grace_s) in stops {
-        machine.stopping.entry(attempt).or_insert(grace_s);
+        machine.decisions.stopping.entry(attempt).or_insert(grace_s);
     }
 }
 
@@ -238,8 +245,6 @@
     let Some(machine) = cluster.machine_mut(machine_index) else {
         return;
     };
-    machine.start_sent.retain(|a, _| placed.contains(a));
-    machine.observed_attempts.retain(|a| placed.contains(a));
-    machine.gang_timeouts.retain(|a, _| placed.contains(a));
-    machine.stopping.retain(|a, _| placed.contains(a));
+    machine.starts.retain_placed(placed);
+    machine.decisions.stopping.retain(|a, _| placed.contains(a));
 }
--- a/src/coordination/heartbeats/handler.rs
+++ b/src/coordination/heartbeats/handler.rs
@@ -72,7 +72,10 @@
 
 fn adjust_responses_in_progress(controller: &Controller, machine: MachineIndex, by: i32) {
     if let Some(machine) = controller.cluster.borrow_mut().machine_mut(machine) {
-        machine.responses_in_progress = machine.responses_in_progress.saturating_add_signed(by);
+        machine.heartbeat.responses_in_progress = machine
+            .heartbeat
+            .responses_in_progress
+            .saturating_add_signed(by);
     }
 }
 
--- a/src/coordination/heartbeats/quarantine.rs
+++ b/src/coordination/heartbeats/quarantine.rs
@@ -20,14 +20,14 @@
 
 /// Records that tasks of these jobs failed on a machine, and quarantines it after several jobs.
 pub(super) fn record_failed_jobs(machine: &mut Machine, failed_jobs: &[JobIndex]) {
-    machine.failed_jobs.extend(failed_jobs);
-    let failed = machine.failed_jobs.len();
-    if failed >= FAILED_JOBS_BEFORE_QUARANTINE && !machine.quarantined {
+    machine.health.failed_jobs.extend(failed_jobs);
+    let failed = machine.health.failed_jobs.len();
+    if failed >= FAILED_JOBS_BEFORE_QUARANTINE && !machine.health.quarantined {
         log::warn!(
             "machine quarantined after failures of different jobs: machine={} failed_jobs={failed}",
             machine.name
         );
-        machine.quarantined = true;
+        machine.health.quarantined = true;
     }
 }
 
--- a/src/coordination/heartbeats/reachability.rs
+++ b/src/coordination/heartbeats/reachability.rs
@@ -41,7 +41,7 @@
         return;
     }
     if !answered {
-        machine.responding_since = Some(incoming.now);
+        machine.health.responding_since = Some(incoming.now);
     }
     judge_sent_starts(machine, incoming);
 }
@@ -50,14 +50,15 @@
     /// True if the heartbeat before it was taken under the same token, less than half a lease ago:
     /// the worker has been answered here without a gap.
     fn continues_answered(&self, machine: &Machine) -> bool {
-        machine.fencing_token == self.owner_token
+        machine.heartbeat.fencing_token == self.owner_token
             && machine
-                .last_heartbeat
+                .heartbeat
+                .last_seen
                 .is_some_and(|previous| self.now.since(previous) < self.lease_ms / 2)
     }
 
     fn begins_new_epoch(&self, machine: &Machine) -> bool {
-        let previous = machine.message_version.agent_epoch;
+        let previous = machine.heartbeat.message_version.agent_epoch;
         previous.is_known() && self.heartbeat.agent_epoch > previous
     }
 
@@ -76,8 +77,9 @@
 /// An epoch ends when the worker's lease expires. If the worker was answered for longer than a
 /// lease, the responses did not arrive.
 fn judge_ended_epoch(machine: &mut Machine, incoming: &IncomingHeartbeat, answered: bool) {
-    machine.unobserved_starts = 0;
+    machine.health.unobserved_starts = 0;
     let answered_for_a_lease = machine
+        .health
         .responding_since
         .is_some_and(|since| incoming.now.since(since) > incoming.lease_ms);
     if answered && answered_for_a_lease {
@@ -85,34 +87,36 @@
             "machine unreachable, agent epoch ended while heartbeats were answered: machine={}",
             machine.name
         );
-        machine.unreachable_since = machine.unreachable_since.or(Some(incoming.now));
+        machine.health.mark_unreachable(incoming.now);
     }
-    machine.responding_since = Some(incoming.now);
+    machine.health.responding_since = Some(incoming.now);
 }
 
 /// Compares the starts sent in earlier responses with what the heartbeat shows.
 fn judge_sent_starts(machine: &mut Machine, incoming: &IncomingHeartbeat) {
     let mut expected = machine
-        .start_sent
+        .starts
+        .sent
         .iter()
         .filter(|(attempt, sent)| incoming.should_show(attempt, **sent))
         .map(|(attempt, _)| attempt)
         .peekable();
     if expected.peek().is_none() {
-        machine.unobserved_starts = 0;
+        machine.health.unobserved_starts = 0;
         return;
     }
     if expected.any(|attempt| incoming.shows(attempt)) {
-        machine.mark_reachable(incoming.now);
+        machine.health.mark_reachable(incoming.now);
         return;
     }
-    machine.unobserved_starts = machine.unobserved_starts.saturating_add(1);
-    if machine.unobserved_starts >= MAX_UNOBSERVED_STARTS && machine.unreachable_since.is_none() {
+    machine.health.unobserved_starts = machine.health.unobserved_starts.saturating_add(1);
+    if machine.health.unobserved_starts >= MAX_UNOBSERVED_STARTS && !machine.health.is_unreachable()
+    {
         log::warn!(
             "machine unreachable, heartbeats show no start sent to it: machine={} heartbeats={}",
             machine.name,
-            machine.unobserved_starts
+            machine.health.unobserved_starts
         );
-        machine.unreachable_since = Some(incoming.now);
+        machine.health.mark_unreachable(incoming.now);
     }
 }
--- a/src/coordination/heartbeats/respond.rs
+++ b/src/coordination/heartbeats/respond.rs
@@ -31,7 +31,10 @@
         record_refusal(cluster, accepted.machine, now);
         return None;
     }
-    cluster.machine_mut(accepted.machine)?.last_response = Some(now);
+    cluster
+        .machine_mut(accepted.machine)?
+        .heartbeat
+        .last_answered = Some(now);
     Some(HeartbeatResponse {
         fencing_token: accepted.fencing_token,
         commands: commands_for(cluster, config, permits, accepted, now),
@@ -76,7 +79,7 @@
     let Some(machine) = cluster.machine_mut(machine) else {
         return;
     };
-    machine.responding_since = Some(now);
+    machine.health.responding_since = Some(now);
     log::info!(
         "lease renewal refused, cancellations may have been missed: machine={}",
         machine.name
@@ -94,7 +97,7 @@
 ) -> Vec<Command> {
     let newest = cluster
         .machine(accepted.machine)
-        .is_some_and(|machine| machine.message_version == accepted.heartbeat.version());
+        .is_some_and(|machine| machine.heartbeat.message_version == accepted.heartbeat.version());
     if accepted.change == HeartbeatChange::Stale || !newest {
         return Vec::new();
     }
--- a/src/coordination/membership/assignment.rs
+++ b/src/coordination/membership/assignment.rs
@@ -173,7 +173,7 @@
     // Those of older tokens can't run any more, though a silent machine keeps them: to count them
     // would raise the token again and again.
     let can_run = |start: &&InFlightStart| start.fencing_token >= fencing_token;
-    let in_flight = || machine.in_flight_starts.values().filter(can_run);
+    let in_flight = || machine.starts.in_flight.values().filter(can_run);
     let unanswered = |start: &InFlightStart| {
         !start.acknowledged && now.since(start.sent_at) > UNANSWERED_START_MS
     };
--- a/src/coordination/peer_messages/gang_reservations.rs
+++ b/src/coordination/peer_messages/gang_reservations.rs
@@ -85,7 +85,7 @@
             continue;
         };
         if let Some(machine) = cluster.machine_mut(machine_index) {
-            machine.reservation = Some((gang, until));
+            machine.reserve_for(gang, until);
         }
     }
 }
--- a/src/coordination/peer_messages/machine_changes.rs
+++ b/src/coordination/peer_messages/machine_changes.rs
@@ -21,8 +21,7 @@
             continue;
         }
         if let Some(machine) = cluster.machine_mut(machine_index) {
-            machine.cordoned = true;
-            machine.queue.clear();
+            machine.cordon();
             cordoned.push(name.clone());
         }
     }
--- a/src/coordination/peer_messages/status_updates.rs
+++ b/src/coordination/peer_messages/status_updates.rs
@@ -105,7 +105,7 @@
 ) -> MachineStatus {
     let owner_token = cluster.shards[machine.shard.at()].record.fencing_token;
     let silent_ms = silence_ms(
-        machine.last_heartbeat,
+        machine.heartbeat.last_seen,
         machine.discovered_at,
         observing_since,
         now,
@@ -120,13 +120,13 @@
         zone: cluster.zone_names.name(machine.zone).to_string(),
         spot: machine.spot,
         silent_ms,
-        has_sent_heartbeat: machine.last_heartbeat.is_some(),
-        fencing_token_confirmed: machine.fencing_token == owner_token,
+        has_sent_heartbeat: machine.heartbeat.last_seen.is_some(),
+        fencing_token_confirmed: machine.heartbeat.fencing_token == owner_token,
         queue_length: machine.queue.len().min(usize::from(u8::MAX)) as u8,
-        cordoned: machine.cordoned
-            || machine.preemption_deadline.is_some()
-            || machine.unreachable_since.is_some(),
-        quarantined: machine.quarantined,
+        cordoned: machine.decisions.cordoned
+            || machine.heartbeat.preemption_deadline.is_some()
+            || machine.health.unreachable_since.is_some(),
+        quarantined: machine.health.quarantined,
     }
 }
 
@@ -219,10 +219,10 @@
     // A machine that still boots has not been heard, only waited for.
     if status.has_sent_heartbeat {
         let last_heartbeat = now.0.saturating_sub(status.silent_ms);
-        machine.last_heartbeat = Some(MonotonicMillis(last_heartbeat));
+        machine.heartbeat.last_seen = Some(MonotonicMillis(last_heartbeat));
     }
-    machine.fencing_token_confirmed = status.fencing_token_confirmed;
-    machine.owner_queue_length = status.queue_length;
-    machine.cordoned_by_owner = status.cordoned;
-    machine.quarantined = status.quarantined;
+    machine.owner_status.fencing_token_confirmed = status.fencing_token_confirmed;
+    machine.owner_status.queue_length = status.queue_length;
+    machine.owner_status.cordoned = status.cordoned;
+    machine.health.quarantined = status.quarantined;
 }
--- a/src/coordination/reconciliation/gang_timeouts.rs
+++ b/src/coordination/reconciliation/gang_timeouts.rs
@@ -18,10 +18,15 @@
     let timed_out = machine
         .observed(attempt)
         .is_some_and(|task| task.exit_reason == Some(ExitReason::GangTimeout));
-    let timeouts = machine.gang_timeouts.get(&attempt).copied().unwrap_or(0);
+    let timeouts = machine
+        .starts
+        .gang_timeouts
+        .get(&attempt)
+        .copied()
+        .unwrap_or(0);
     timed_out
         && timeouts <= MAX_GANG_WAIT_RETRIES
-        && machine.preemption_deadline.is_none()
+        && machine.heartbeat.preemption_deadline.is_none()
         && !is_unwanted(job, machine, attempt)
 }
 
@@ -36,8 +41,9 @@
     attempt: TaskAttempt,
 ) -> bool {
     let restart_sent = machine
-        .start_sent
+        .starts
+        .sent
         .get(&attempt)
-        .is_some_and(|sent| *sent >= machine.heartbeat_version);
+        .is_some_and(|sent| *sent >= machine.heartbeat.version);
     !restart_sent && !unacknowledged_start(machine, fencing_token, attempt)
 }
--- a/src/coordination/reconciliation/placement_end.rs
+++ b/src/coordination/reconciliation/placement_end.rs
@@ -59,7 +59,7 @@
     // Only under the own token: an owner that was away may remember an exit of an earlier agent
     // epoch, after which another owner has started the same attempt once more; and a copy of an
     // old heartbeat may show an exit that is long past to a new owner.
-    if machine.fencing_token != fencing_token {
+    if machine.heartbeat.fencing_token != fencing_token {
         return None;
     }
     let task = machine.observed(attempt)?;
--- a/src/coordination/reconciliation/proofs.rs
+++ b/src/coordination/reconciliation/proofs.rs
@@ -12,14 +12,15 @@
 /// run at any time until the fencing token is raised or the agent epoch ends. A heartbeat under
 /// the owner's own token shuts out the commands of every older owner.
 pub fn proven_absent(machine: &Machine, fencing_token: FencingToken, attempt: TaskAttempt) -> bool {
-    machine.last_heartbeat.is_some()
-        && machine.fencing_token == fencing_token
+    machine.heartbeat.last_seen.is_some()
+        && machine.heartbeat.fencing_token == fencing_token
         && fencing_token.is_issued()
         && machine.observed(attempt).is_none()
         && machine
-            .start_sent
+            .starts
+            .sent
             .get(&attempt)
-            .is_none_or(|sent| *sent < machine.heartbeat_version)
+            .is_none_or(|sent| *sent < machine.heartbeat.version)
         && !start_in_flight(machine, fencing_token, attempt)
 }
 
@@ -37,9 +38,12 @@
 ) -> bool {
     // A heartbeat that a response to a direct command has overtaken shows nothing new, but the
     // response to it renews the lease all the same.
-    let renewed_at = machine.last_heartbeat.max(machine.last_response);
+    let renewed_at = machine
+        .heartbeat
+        .last_seen
+        .max(machine.heartbeat.last_answered);
     fencing_token.is_issued()
-        && machine.fencing_token == fencing_token
+        && machine.heartbeat.fencing_token == fencing_token
         && renewed_at.is_some_and(|at| now.since(at) > lease_expiry_ms)
 }
 
@@ -52,9 +56,9 @@
     fencing_token: FencingToken,
     attempt: TaskAttempt,
 ) -> bool {
-    machine.in_flight_starts.get(&attempt).is_some_and(|start| {
+    machine.starts.in_flight.get(&attempt).is_some_and(|start| {
         start.fencing_token >= fencing_token
-            && start.agent_epoch == machine.message_version.agent_epoch
+            && start.agent_epoch == machine.heartbeat.message_version.agent_epoch
     })
 }
 
@@ -64,7 +68,7 @@
     fencing_token: FencingToken,
     attempt: TaskAttempt,
 ) -> bool {
-    let sent = machine.in_flight_starts.get(&attempt);
+    let sent = machine.starts.in_flight.get(&attempt);
     sent.is_some_and(|start| !start.acknowledged)
         && start_in_flight(machine, fencing_token, attempt)
 }
--- a/src/coordination/reconciliation/unwanted_attempts.rs
+++ b/src/coordination/reconciliation/unwanted_attempts.rs
@@ -19,14 +19,15 @@
 pub fn is_unwanted(job: &Job, machine: &Machine, attempt: TaskAttempt) -> bool {
     !job.is_open()
         || job.done.has(attempt.task)
-        || machine.stopping.contains_key(&attempt)
+        || machine.decisions.stopping.contains_key(&attempt)
         || is_broken_gang(job)
 }
 
 /// True if an attempt that is not there should not be started there any more: it was there
 /// and is lost, or nothing reaches the machine.
 pub(crate) fn is_abandoned(machine: &Machine, attempt: TaskAttempt) -> bool {
-    machine.observed_attempts.contains(&attempt) || machine.unreachable_since.is_some()
+    machine.starts.observed_or_abandoned.contains(&attempt)
+        || machine.health.unreachable_since.is_some()
 }
 
 /// Marks the placements that a draft removes as abandoned: call it before the draft is sent.
@@ -46,7 +47,7 @@
     }
     for (machine_index, attempt) in removed {
         if let Some(machine) = cluster.machine_mut(machine_index) {
-            machine.observed_attempts.insert(attempt);
+            machine.starts.observed_or_abandoned.insert(attempt);
         }
     }
 }
--- a/src/coordination/replication/publish.rs
+++ b/src/coordination/replication/publish.rs
@@ -109,14 +109,15 @@
     machine: &Machine,
     now: MonotonicMillis,
 ) -> Option<&'a str> {
-    let (gang, until) = machine.reservation?;
-    (now < until).then(|| &*cluster.jobs[gang.at()].id)
+    let reservation = machine.decisions.reservation?;
+    let active = reservation.is_active(now);
+    active.then(|| &*cluster.jobs[reservation.gang.at()].id)
 }
 
 fn machine_state(cluster: &ClusterState, machine: &Machine, now: MonotonicMillis) -> MachineState {
-    let queue = machine.queue.iter().map(|(job, task, _)| QueuedTask {
-        job: cluster.jobs[job.at()].id.to_string(),
-        task: *task,
+    let queue = machine.queue.iter().map(|queued| QueuedTask {
+        job: cluster.jobs[queued.job.at()].id.to_string(),
+        task: queued.task,
     });
     MachineState {
         queue: queue.collect(),
@@ -134,8 +135,8 @@
     let mut pairs = published.queue.iter().zip(&machine.queue);
     published.reserved_for.as_deref() == reserved_for(cluster, machine, now)
         && published.queue.len() == machine.queue.len()
-        && pairs.all(|(published, (job, task, _))| {
-            published.task == *task && *published.job == *cluster.jobs[job.at()].id
+        && pairs.all(|(published, queued)| {
+            published.task == queued.task && *published.job == *cluster.jobs[queued.job.at()].id
         })
 }
 
--- a/src/coordination/replication/restore.rs
+++ b/src/coordination/replication/restore.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::controller::Controller;
 use crate::state::cluster_state::ClusterState;
-use crate::state::machine::GANG_RESERVATION_MS;
+use crate::state::machine::{self, GANG_RESERVATION_MS};
 use crate::state::names::{Index, JobIndex, ShardIndex};
 use crate::state::units::MonotonicMillis;
 use standby::message::{MachineState, QueuedTask};
@@ -65,14 +65,14 @@
             continue;
         };
         for (job, task) in waiting {
-            let mut queued = machine.queue.iter();
-            if !queued.any(|entry| (entry.0, entry.1) == (job, task)) {
-                machine.queue.push_back((job, task, now));
+            if !machine.has_queued(job, task) {
+                let queued = machine::QueuedTask::new(job, task, now);
+                machine.queue.push_back(queued);
                 restored.queued_tasks += 1;
             }
         }
         if let Some(gang) = gang {
-            machine.reservation = Some((gang, now.plus(GANG_RESERVATION_MS)));
+            machine.reserve_for(gang, now.plus(GANG_RESERVATION_MS));
             restored.reservations += 1;
         }
     }
--- a/src/coordination/scheduler/binding.rs
+++ b/src/coordination/scheduler/binding.rs
@@ -80,9 +80,9 @@
 fn free_capacity_beside_queues(cluster: &ClusterState) -> FreeCapacity {
     let mut free = free_capacity(cluster, &DraftTransaction::default());
     for (machine_index, machine) in cluster.all_machines() {
-        for (job_index, task, _) in &machine.queue {
-            let job = &cluster.jobs[job_index.at()];
-            if !job.is_waiting(*task) {
+        for queued in &machine.queue {
+            let job = &cluster.jobs[queued.job.at()];
+            if !job.is_waiting(queued.task) {
                 continue;
             }
             if let Some(spec) = &job.spec {
@@ -107,7 +107,7 @@
     let machines = cluster.all_machines().map(MachineRef::from);
     let candidates = machines.filter(|on| {
         on.machine.is_schedulable(now, config.unresponsive_ms)
-            && on.machine.reservation.is_none()
+            && on.machine.decisions.reservation.is_none()
             && is_allowed(cluster, job, *on)
     });
     let (mut ready, mut others): (Vec<_>, Vec<_>) = candidates.partition(|on| {
@@ -125,7 +125,7 @@
 
 fn queue_lengths(machines: &[MachineRef]) -> HashMap<MachineIndex, usize> {
     let length = |on: &MachineRef| {
-        let told_by_owner = on.machine.owner_queue_length.into();
+        let told_by_owner = on.machine.owner_status.queue_length.into();
         on.machine.queue.len().max(told_by_owner)
     };
     machines.iter().map(|on| (on.index, length(on))).collect()
--- a/src/coordination/scheduler/claims.rs
+++ b/src/coordination/scheduler/claims.rs
@@ -78,8 +78,8 @@
     let queues = pass.cluster.all_machines().map(|(_, m)| &m.queue);
     queues
         .flatten()
-        .filter(|(_, _, since)| pass.now.since(*since) < pass.config.steal_after_ms)
-        .map(|(job_index, task, _)| (*job_index, *task))
+        .filter(|queued| pass.now.since(queued.queued_at) < pass.config.steal_after_ms)
+        .map(|queued| (queued.job, queued.task))
         .collect()
 }
 
@@ -117,8 +117,9 @@
         let state = &job.job.dependency_state;
         let reserved = on
             .machine
+            .decisions
             .reservation
-            .is_some_and(|(_, until)| self.pass.now < until);
+            .is_some_and(|reservation| reservation.is_active(self.pass.now));
         job.spec.need.fits(free)
             && (!reserved || state.priority == Priority::Production)
             && is_allowed(self.cluster(), job, on)
@@ -148,12 +149,12 @@
     fn claim_from_queues(&mut self, draft: &mut DraftTransaction, priority: Priority) {
         for position in 0..self.machines.len() {
             let on = self.machines[position];
-            for (job_index, task, since) in &on.machine.queue {
+            for queued in &on.machine.queue {
                 // What has waited here for long is unbound again, and served in that order.
-                if self.pass.now.since(*since) >= self.pass.config.steal_after_ms {
+                if self.pass.now.since(queued.queued_at) >= self.pass.config.steal_after_ms {
                     continue;
                 }
-                let job = draft.job(self.cluster(), *job_index);
+                let job = draft.job(self.cluster(), queued.job);
                 if job.dependency_state.priority != priority {
                     continue;
                 }
@@ -161,12 +162,12 @@
                     continue;
                 };
                 let job = JobRef {
-                    index: *job_index,
+                    index: queued.job,
                     job,
                     spec: &spec,
                 };
-                if self.may_claim_queued(draft, job, *task, on) {
-                    self.place(draft, *job_index, &spec, *task, on);
+                if self.may_claim_queued(draft, job, queued.task, on) {
+                    self.place(draft, queued.job, &spec, queued.task, on);
                 }
             }
         }
--- a/src/coordination/scheduler/commands.rs
+++ b/src/coordination/scheduler/commands.rs
@@ -44,15 +44,15 @@
         commands: Vec::new(),
         started: Vec::new(),
     };
-    for task in &machine.tasks {
+    for task in &machine.heartbeat.tasks {
         response.respond_to_task(task);
     }
     response.start_missing(machine_index);
     let (commands, started) = (response.commands, response.started);
     if let Some(machine) = cluster.machine_mut(machine_index) {
-        let answered = machine.heartbeat_version;
+        let answered = machine.heartbeat.version;
         let sent = started.into_iter().map(|attempt| (attempt, answered));
-        machine.start_sent.extend(sent);
+        machine.starts.sent.extend(sent);
     }
     commands
 }
@@ -129,7 +129,7 @@
         if !is_unwanted(job, self.machine, attempt) {
             return;
         }
-        let stopping = self.machine.stopping.get(&attempt);
+        let stopping = self.machine.decisions.stopping.get(&attempt);
         let grace_s = stopping
             .copied()
             .filter(|_| job.is_open())
@@ -192,10 +192,11 @@
     machine_index: MachineIndex,
 ) -> Vec<(TaskAttempt, f64)> {
     let machine = cluster.machine(machine_index);
-    let Some(machine) = machine.filter(|machine| machine.preemption_deadline.is_some()) else {
+    let Some(machine) = machine.filter(|machine| machine.heartbeat.preemption_deadline.is_some())
+    else {
         return Vec::new();
     };
-    let leaving = machine.tasks.iter().filter_map(|task| {
+    let leaving = machine.heartbeat.tasks.iter().filter_map(|task| {
         let attempt = task.task_attempt()?;
         let spec = cluster.jobs[attempt.job.at()].spec.as_ref()?;
         let checkpoints = spec.wire.checkpoint_s > 0.0 && task.state == TaskState::Running;
--- a/src/coordination/scheduler/direct_starts.rs
+++ b/src/coordination/scheduler/direct_starts.rs
@@ -85,7 +85,7 @@
         machine: machine_index,
         addr: machine.addr.clone(),
         fencing_token,
-        agent_epoch: machine.message_version.agent_epoch,
+        agent_epoch: machine.heartbeat.message_version.agent_epoch,
         commands: commands.collect(),
         attempts,
     })
@@ -93,9 +93,9 @@
 
 /// True if the worker knows this owner, can be reached, and is not being answered right now.
 fn takes_direct_commands(machine: &Machine, fencing_token: FencingToken) -> bool {
-    machine.responses_in_progress == 0
-        && machine.fencing_token == fencing_token
-        && machine.message_version.agent_epoch.is_known()
+    machine.heartbeat.responses_in_progress == 0
+        && machine.heartbeat.fencing_token == fencing_token
+        && machine.heartbeat.message_version.agent_epoch.is_known()
         && !machine.addr.is_empty()
 }
 
@@ -106,7 +106,8 @@
 ) -> Vec<TaskAttempt> {
     let mut attempts = missing_starts(cluster, machine_index, machine);
     attempts.retain(|attempt| {
-        !machine.start_sent.contains_key(attempt) && !machine.in_flight_starts.contains_key(attempt)
+        !machine.starts.sent.contains_key(attempt)
+            && !machine.starts.in_flight.contains_key(attempt)
     });
     attempts
 }
@@ -120,7 +121,7 @@
     };
     if let Some(machine) = cluster.machine_mut(sent.machine) {
         let attempts = sent.attempts.iter().map(|attempt| (*attempt, in_flight));
-        machine.in_flight_starts.extend(attempts);
+        machine.starts.in_flight.extend(attempts);
     }
 }
 
@@ -148,12 +149,12 @@
         match outcome {
             DirectStartOutcome::Unknown => {}
             DirectStartOutcome::Executed => {
-                if let Some(start) = machine.in_flight_starts.get_mut(attempt) {
+                if let Some(start) = machine.starts.in_flight.get_mut(attempt) {
                     start.acknowledged = true;
                 }
             }
             DirectStartOutcome::Refused => {
-                machine.in_flight_starts.remove(attempt);
+                machine.starts.in_flight.remove(attempt);
             }
         }
     }
--- a/src/coordination/scheduler/gangs.rs
+++ b/src/coordination/scheduler/gangs.rs
@@ -139,8 +139,8 @@
 }
 
 fn is_reserved_for_other(pass: &PassContext, gang: JobRef, on: MachineRef) -> bool {
-    let reservation = on.machine.reservation;
-    reservation.is_some_and(|(job_index, until)| job_index != gang.index && pass.now < until)
+    let reservation = on.machine.decisions.reservation;
+    reservation.is_some_and(|reserved| reserved.gang != gang.index && reserved.is_active(pass.now))
 }
 
 /// As many slots as the gang has tasks, those that pull the image in the shortest time, spot
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -73,7 +73,7 @@
 fn free_capacity_after_stops(cluster: &ClusterState) -> FreeCapacity {
     let mut free = free_capacity(cluster, &DraftTransaction::default());
     for (machine_index, machine) in cluster.all_machines() {
-        for attempt in machine.stopping.keys() {
+        for attempt in machine.decisions.stopping.keys() {
             let spec = cluster.jobs[attempt.job.at()].spec.as_ref();
             if let (Some(spec), Some(_)) = (spec, machine.observed(*attempt)) {
                 free.give(machine_index, spec.need);
@@ -230,6 +230,7 @@
     priority: Priority,
 ) -> Vec<TaskAttempt> {
     let mut stoppable: Vec<(StopCost, Reverse<Priority>, TaskAttempt)> = machine
+        .heartbeat
         .tasks
         .iter()
         .filter_map(|task| {
@@ -239,8 +240,9 @@
             let cost = stop_cost(task, spec.wire.checkpoint_s > 0.0, priority)?;
             // A dependency of a job of the higher priority has that priority too.
             let own = job.dependency_state.priority;
-            let may_stop =
-                own > priority && !spec.is_wide_gang() && !machine.stopping.contains_key(&attempt);
+            let may_stop = own > priority
+                && !spec.is_wide_gang()
+                && !machine.decisions.stopping.contains_key(&attempt);
             may_stop.then_some((cost, Reverse(own), attempt))
         })
         .collect();
--- a/src/coordination/scheduler/preemption_round.rs
+++ b/src/coordination/scheduler/preemption_round.rs
@@ -26,7 +26,10 @@
             cluster.machine_names.name(victim.machine)
         );
         if let Some(machine) = cluster.machine_mut(victim.machine) {
-            machine.stopping.insert(victim.attempt, victim.grace_s);
+            machine
+                .decisions
+                .stopping
+                .insert(victim.attempt, victim.grace_s);
         }
     }
 }
--- a/src/coordination/scheduler/queues.rs
+++ b/src/coordination/scheduler/queues.rs
@@ -9,6 +9,7 @@
 use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::binding::{self, QueueBinding};
 use crate::protocol::peers::{PeerRequest, TaskRef};
+use crate::state::machine::QueuedTask;
 use crate::state::names::{Index, JobIndex, MachineIndex};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -51,14 +52,13 @@
     let Some(machine) = cluster.machine_mut(machine_index) else {
         return false;
     };
-    let queue = &mut machine.queue;
-    if queue.len() >= cap || queue.iter().any(|q| (q.0, q.1) == (job_index, task.task)) {
+    if machine.queue.len() >= cap || machine.has_queued(job_index, task.task) {
         return false;
     }
-    let entry = (job_index, task.task, now);
+    let entry = QueuedTask::new(job_index, task.task, now);
     match end {
-        QueueEnd::Front => queue.push_front(entry),
-        QueueEnd::Back => queue.push_back(entry),
+        QueueEnd::Front => machine.queue.push_front(entry),
+        QueueEnd::Back => machine.queue.push_back(entry),
     }
     true
 }
@@ -142,6 +142,6 @@
     for machine in cluster.machines.iter_mut().flatten() {
         machine
             .queue
-            .retain(|(job_index, task, _)| cluster.jobs[job_index.at()].is_waiting(*task));
+            .retain(|queued| cluster.jobs[queued.job.at()].is_waiting(queued.task));
     }
 }
--- a/src/coordination/scheduler/work_stealing.rs
+++ b/src/coordination/scheduler/work_stealing.rs
@@ -12,7 +12,7 @@
 use crate::protocol::peers::{PeerRequest, PeerResponse, TaskRef};
 use crate::protocol::workers::HeartbeatVersion;
 use crate::state::cluster_state::ClusterState;
-use crate::state::machine::Machine;
+use crate::state::machine::{Machine, QueuedTask};
 use crate::state::names::{Index, JobIndex, MachineIndex, ShardIndex};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -56,7 +56,7 @@
         queues: &mut Option<Vec<MachineWithQueue>>,
     ) -> Option<Vec<MachineWithQueue>> {
         let cluster = controller.cluster.borrow();
-        let version = cluster.machine(idle)?.message_version;
+        let version = cluster.machine(idle)?.heartbeat.message_version;
         if self.last_poll.get(&idle) == Some(&version) {
             return None;
         }
@@ -69,7 +69,8 @@
 }
 
 fn machines_with_queues(cluster: &ClusterState) -> Vec<MachineWithQueue> {
-    let has_queue = |machine: &Machine| !machine.queue.is_empty() || machine.owner_queue_length > 0;
+    let has_queue =
+        |machine: &Machine| !machine.queue.is_empty() || machine.owner_status.queue_length > 0;
     cluster
         .all_machines()
         .filter(|(_, machine)| has_queue(machine))
@@ -158,7 +159,8 @@
     let Some(machine) = cluster.machine_mut(idle) else {
         return false;
     };
-    machine.queue.push_front((job_index, task, now));
+    let queued = QueuedTask::new(job_index, task, now);
+    machine.queue.push_front(queued);
     true
 }
 
@@ -170,8 +172,8 @@
 ) -> Option<(JobIndex, u32)> {
     let position = first_fitting(controller, giver, idle)?;
     let mut cluster = controller.cluster.borrow_mut();
-    let (job_index, task, _) = cluster.machine_mut(giver)?.queue.remove(position)?;
-    Some((job_index, task))
+    let taken = cluster.machine_mut(giver)?.queue.remove(position)?;
+    Some((taken.job, taken.task))
 }
 
 fn first_fitting(
@@ -188,12 +190,12 @@
         machine: cluster.machine(idle)?,
     };
     let free = cluster.free_on(idle)?;
-    giver.queue.iter().position(|(job_index, task, _)| {
-        let job = &cluster.jobs[job_index.at()];
-        let Some(spec) = job.spec.as_ref().filter(|_| job.is_waiting(*task)) else {
+    giver.queue.iter().position(|queued| {
+        let index = queued.job;
+        let job = &cluster.jobs[index.at()];
+        let Some(spec) = job.spec.as_ref().filter(|_| job.is_waiting(queued.task)) else {
             return false;
         };
-        let index = *job_index;
         spec.need.fits(free) && is_allowed(&cluster, JobRef { index, job, spec }, on)
     })
 }
--- a/src/coordination/worker_connectivity/announce_ownership.rs
+++ b/src/coordination/worker_connectivity/announce_ownership.rs
@@ -91,7 +91,8 @@
         .map(|(shard, owned)| owned && is_announcing(ShardIndex::new(shard)))
         .collect();
     let owner_token = |m: &Machine| cluster.shards[m.shard.at()].record.fencing_token;
-    let is_stale = |m: &Machine| announcing[m.shard.at()] && m.fencing_token < owner_token(m);
+    let is_stale =
+        |m: &Machine| announcing[m.shard.at()] && m.heartbeat.fencing_token < owner_token(m);
     last_attempts.retain(|machine, _| cluster.machine(*machine).is_some_and(is_stale));
     let mut due: Vec<(Option<MonotonicMillis>, MachineIndex, &Machine)> = cluster
         .all_machines()
--- a/src/coordination/worker_connectivity/probes.rs
+++ b/src/coordination/worker_connectivity/probes.rs
@@ -44,7 +44,7 @@
 fn random_worker_addresses(cluster: &ClusterState) -> Vec<String> {
     let heard = cluster
         .all_machines()
-        .filter(|(_, m)| !m.addr.is_empty() && m.last_heartbeat.is_some());
+        .filter(|(_, m)| !m.addr.is_empty() && m.heartbeat.last_seen.is_some());
     let chosen = fastrand::choose_multiple(heard, WORKERS_PER_PROBE);
     chosen.into_iter().map(|(_, m)| m.addr.clone()).collect()
 }
@@ -86,11 +86,11 @@
         let Some(machine) = cluster.machine_mut(machine_index) else {
             continue;
         };
-        if !owned[machine.shard.at()] || machine.unreachable_since.is_none() {
+        if !owned[machine.shard.at()] || machine.health.unreachable_since.is_none() {
             continue;
         }
         quarantine_if_unreachable_for(machine, lease_ms, now);
-        if !machine.quarantined {
+        if !machine.health.quarantined {
             targets.push(ProbeTarget {
                 machine: machine_index,
                 addr: machine.addr.clone(),
@@ -101,13 +101,13 @@
 }
 
 fn quarantine_if_unreachable_for(machine: &mut Machine, limit_ms: u64, now: MonotonicMillis) {
-    let unreachable_ms = machine.unreachable_since.map_or(0, |t| now.since(t));
-    if unreachable_ms > limit_ms && !machine.quarantined {
+    let unreachable_ms = machine.health.unreachable_since.map_or(0, |t| now.since(t));
+    if unreachable_ms > limit_ms && !machine.health.quarantined {
         log::warn!(
             "machine quarantined after being unreachable: machine={} elapsed_ms={unreachable_ms}",
             machine.name
         );
-        machine.quarantined = true;
+        machine.health.quarantined = true;
     }
 }
 
@@ -120,6 +120,6 @@
     let mut cluster = controller.cluster.borrow_mut();
     if let Some(machine) = cluster.machine_mut(target.machine) {
         log::info!("machine reachable again: machine={}", machine.name);
-        machine.mark_reachable(controller.now());
+        machine.health.mark_reachable(controller.now());
     }
 }
--- a/src/state/machine.rs
+++ b/src/state/machine.rs
@@ -1,4 +1,4 @@
-//! Machines as their owner sees them.
+//! What a controller knows of one machine, grouped by where the knowledge comes from.
 
 use super::names::{ImageIndex, JobIndex, MachineTypeIndex, ShardIndex, ZoneIndex};
 use super::units::{MonotonicMillis, Resources};
@@ -10,11 +10,11 @@
 /// One attempt to run a task.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct TaskAttempt {
-    /// Job.
+    /// The job.
     pub job: JobIndex,
     /// Task number.
     pub task: u32,
-    /// TaskAttempt number.
+    /// Attempt number.
     pub attempt: u64,
 }
 
@@ -25,29 +25,29 @@
     }
 }
 
-/// A machine type with its amounts.
+/// A machine type and its capacity.
 #[derive(Clone, Debug)]
 pub struct MachineType {
-    /// As the cloud describes it.
+    /// Description by the cloud.
     pub description: crate::protocol::cloud::CloudMachineType,
-    /// What a machine has.
+    /// Resources of a machine of this type.
     pub capacity: Resources,
 }
 
-/// A task in the newest report.
+/// A task in the newest message of a worker.
 #[derive(Clone, Debug)]
 pub struct ObservedTask {
-    /// Job, if its name is known.
+    /// The job, if its name is known.
     pub job: Option<JobIndex>,
-    /// `job-1/3`, for orders.
+    /// Name for commands, `job-1/3`.
     pub name: Rc<str>,
-    /// Task.
+    /// Task number.
     pub task: u32,
-    /// TaskAttempt.
+    /// Attempt number.
     pub attempt: u64,
-    /// State.
+    /// State of the task.
     pub state: TaskState,
-    /// Why it exited.
+    /// Why it exited, if it has.
     pub exit_reason: Option<ExitReason>,
 }
 
@@ -56,28 +56,35 @@
     pub fn task_attempt(&self) -> Option<TaskAttempt> {
         Some(TaskAttempt::new(self.job?, self.task, self.attempt))
     }
-    /// True if it has completed, and so takes nothing of its machine.
+    /// True if it has completed, and so uses no capacity of its machine.
     pub fn is_done(&self) -> bool {
         self.state == TaskState::Exited && self.exit_reason == Some(ExitReason::Done)
     }
     /// True if both show the same attempt in the same state.
-    pub fn same_state_as(&self, o: &ObservedTask) -> bool {
+    pub fn same_state_as(&self, other: &ObservedTask) -> bool {
         (
             self.job,
             self.task,
             self.attempt,
             self.state,
             self.exit_reason,
-        ) == (o.job, o.task, o.attempt, o.state, o.exit_reason)
+        ) == (
+            other.job,
+            other.task,
+            other.attempt,
+            other.state,
+            other.exit_reason,
+        )
     }
 }
 
-/// What a direct start is bound to: it may be delivered once more for as long as that holds.
+/// A start command that was sent directly, not in the response to a heartbeat. It may be
+/// delivered late, or twice, as long as the worker accepts its fencing token and agent epoch.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightStart {
-    /// Token.
+    /// Fencing token of the command.
     pub fencing_token: FencingToken,
-    /// Session.
+    /// Agent epoch that the command is addressed to.
     pub agent_epoch: AgentEpoch,
     /// When it was sent.
     pub sent_at: MonotonicMillis,
@@ -88,82 +95,206 @@
 /// How long a machine stays reserved for a gang unless the reservation is renewed.
 pub(crate) const GANG_RESERVATION_MS: u64 = 4000;
 
+/// What the worker's own messages show.
+#[derive(Clone, Debug, Default)]
+pub struct HeartbeatState {
+    /// Latest proof of life: a heartbeat under the owner's fencing token, or the owner's status
+    /// update.
+    ///
+    /// A heartbeat under an older token may be a delayed duplicate and proves nothing.
+    pub last_seen: Option<MonotonicMillis>,
+    /// When a heartbeat was last answered here, which renews the worker's lease.
+    pub last_answered: Option<MonotonicMillis>,
+    /// Newest message with a task list: a heartbeat, or the answer to a direct command.
+    pub message_version: HeartbeatVersion,
+    /// Newest heartbeat.
+    pub version: HeartbeatVersion,
+    /// Fencing token in the newest heartbeat.
+    pub fencing_token: FencingToken,
+    /// Heartbeats that are being answered right now.
+    pub responses_in_progress: u32,
+    /// When the cloud will preempt the machine, by its notice.
+    pub preemption_deadline: Option<MonotonicMillis>,
+    /// Tasks in the newest message.
+    pub tasks: Vec<ObservedTask>,
+}
+
+/// What is remembered of start commands, so that no attempt is started twice.
+#[derive(Clone, Debug, Default)]
+pub struct StartTracking {
+    /// The newest heartbeat at the time when a start command for the attempt was last sent.
+    pub sent: HashMap<TaskAttempt, HeartbeatVersion>,
+    /// Direct starts that may still be delivered.
+    pub in_flight: HashMap<TaskAttempt, InFlightStart>,
+    /// Attempts that were observed here or are abandoned: they are not started again.
+    pub observed_or_abandoned: HashSet<TaskAttempt>,
+    /// How often an attempt of a gang's task timed out here while it waited for the others.
+    pub gang_timeouts: HashMap<TaskAttempt, u8>,
+}
+
+impl StartTracking {
+    /// Forgets the attempts that are not placed here any more, except in-flight starts, which
+    /// may be delivered after their placement has been removed.
+    pub fn retain_placed(&mut self, placed: &[TaskAttempt]) {
+        self.sent.retain(|attempt, _| placed.contains(attempt));
+        self.observed_or_abandoned
+            .retain(|attempt| placed.contains(attempt));
+        self.gang_timeouts
+            .retain(|attempt, _| placed.contains(attempt));
+    }
+}
+
+/// Whether the machine works and can be reached, as its owner judges by its heartbeats.
+#[derive(Clone, Debug, Default)]
+pub struct MachineHealth {
+    /// Jobs whose tasks failed here since the last task that was done.
+    pub failed_jobs: HashSet<JobIndex>,
+    /// Presumed to be faulty: it gets no tasks and is deleted.
+    pub quarantined: bool,
+    /// Consecutive heartbeats that show no effect of the starts sent before.
+    pub unobserved_starts: u8,
+    /// Since when its heartbeats have been answered without a gap.
+    pub responding_since: Option<MonotonicMillis>,
+    /// Since when its heartbeats arrive but no answer seems to reach it.
+    pub unreachable_since: Option<MonotonicMillis>,
+}
+
+impl MachineHealth {
+    /// Records that no answer seems to reach the machine, unless that is known already.
+    pub fn mark_unreachable(&mut self, now: MonotonicMillis) {
+        self.unreachable_since = self.unreachable_since.or(Some(now));
+    }
+
+    /// Records that the worker has shown the effect of a command.
+    pub fn mark_reachable(&mut self, now: MonotonicMillis) {
+        self.unreachable_since = None;
+        self.unobserved_starts = 0;
+        self.responding_since = Some(now);
+    }
+
+    /// True while no answer seems to reach the machine.
+    pub fn is_unreachable(&self) -> bool {
+        self.unreachable_since.is_some()
+    }
+}
+
+/// A machine's capacity that is kept free for a gang.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub struct Reservation {
+    /// The job that it is reserved for.
+    pub gang: JobIndex,
+    /// When the reservation expires.
+    pub until: MonotonicMillis,
+}
+
+impl Reservation {
+    /// True until the reservation expires.
+    pub fn is_active(&self, now: MonotonicMillis) -> bool {
+        now < self.until
+    }
+}
+
+/// What this controller has decided about the machine as its owner.
+#[derive(Clone, Debug, Default)]
+pub struct OwnerDecisions {
+    /// It is to be deleted and gets no tasks.
+    pub cordoned: bool,
+    /// It is reserved for a gang.
+    pub reservation: Option<Reservation>,
+    /// Attempts to be stopped, with the checkpoint grace period in seconds.
+    pub stopping: HashMap<TaskAttempt, f64>,
+    /// Since when nothing has been placed on it.
+    pub idle_since: Option<MonotonicMillis>,
+}
+
+impl OwnerDecisions {
+    /// True if nothing has been placed on the machine for longer than this.
+    pub fn is_idle_for(&self, idle_ms: u64, now: MonotonicMillis) -> bool {
+        self.idle_since
+            .is_some_and(|since| now.since(since) > idle_ms)
+    }
+
+    /// True if the machine is not reserved, or its reservation has expired before now.
+    pub fn is_reservation_over(&self, now: MonotonicMillis) -> bool {
+        self.reservation
+            .is_none_or(|reservation| now > reservation.until)
+    }
+}
+
+/// The latest status update of the machine's owner, if that is another controller.
+#[derive(Clone, Debug, Default)]
+pub struct OwnerStatus {
+    /// Length of the machine's queue.
+    pub queue_length: u8,
+    /// It gets no tasks, for whatever reason.
+    ///
+    /// The next owner does not rely on it: it decides by the machine's own heartbeats.
+    pub cordoned: bool,
+    /// The machine has sent a heartbeat under the owner's fencing token.
+    pub fencing_token_confirmed: bool,
+}
+
+/// A task in a machine's queue.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub struct QueuedTask {
+    /// The job.
+    pub job: JobIndex,
+    /// Task number.
+    pub task: u32,
+    /// When it was queued here.
+    pub queued_at: MonotonicMillis,
+}
+
+impl QueuedTask {
+    /// A task of a job, queued now.
+    pub fn new(job: JobIndex, task: u32, now: MonotonicMillis) -> QueuedTask {
+        QueuedTask {
+            job,
+            task,
+            queued_at: now,
+        }
+    }
+    /// True if it is this task, whenever it was queued.
+    pub fn is_task(&self, job: JobIndex, task: u32) -> bool {
+        (self.job, self.task) == (job, task)
+    }
+}
+
 /// A machine.
 #[derive(Clone, Debug)]
 pub struct Machine {
     /// Name.
     pub name: Rc<str>,
-    /// Worker's address.
+    /// Address of its worker; empty if unknown.
     pub addr: String,
-    /// Type.
+    /// Machine type.
     pub machine_type: MachineTypeIndex,
     /// Zone.
     pub zone: ZoneIndex,
-    /// Spot.
+    /// The cloud may preempt it.
     pub spot: bool,
-    /// Shard, for good.
+    /// Shard, which never changes.
     pub shard: ShardIndex,
-    /// First time it was known here.
+    /// When this controller first learned of it.
     pub discovered_at: MonotonicMillis,
-    /// Newest sign of life: a report that shows the owner's token, or a peer's news.
-    ///
-    /// A report under an older token may be a late copy and proves no life.
-    pub last_heartbeat: Option<MonotonicMillis>,
-    /// Last time a report of it was answered here.
-    pub last_response: Option<MonotonicMillis>,
-    /// It has shown its owner's token since that took over, as the owner told.
-    pub fencing_token_confirmed: bool,
-    /// Newest message with a task list taken here, be it a report or an answer.
-    pub message_version: HeartbeatVersion,
-    /// Newest report taken here.
-    pub heartbeat_version: HeartbeatVersion,
-    /// Reports being answered right now.
-    pub responses_in_progress: u32,
-    /// Token in that report.
-    pub fencing_token: FencingToken,
-    /// When the cloud takes it away.
-    pub preemption_deadline: Option<MonotonicMillis>,
-    /// Tasks in the newest report.
-    pub tasks: Vec<ObservedTask>,
-    /// Report that an order to start an attempt answered last.
-    pub start_sent: HashMap<TaskAttempt, HeartbeatVersion>,
-    /// Direct starts that may be delivered late, or once more, with what they are bound to.
-    pub in_flight_starts: HashMap<TaskAttempt, InFlightStart>,
-    /// Attempts that were seen here in a report, or are given up: they are not started again.
-    pub observed_attempts: HashSet<TaskAttempt>,
-    /// Gang tasks whose wait ran out here before the others had come, and how often.
-    pub gang_timeouts: HashMap<TaskAttempt, u8>,
-    /// Attempts to be stopped, with the time to save.
-    pub stopping: HashMap<TaskAttempt, f64>,
-    /// Waiting tasks: job, task, since.
-    pub queue: VecDeque<(JobIndex, u32, MonotonicMillis)>,
-    /// Length of the queue as the owner told, for machines of others.
-    pub owner_queue_length: u8,
-    /// It is to be returned and takes nothing.
-    pub cordoned: bool,
-    /// Its owner told that it takes nothing, for whatever reason. Whoever owns it next judges
-    /// anew, by the machine's own reports.
-    pub cordoned_by_owner: bool,
-    /// Kept free for a gang until then.
-    pub reservation: Option<(JobIndex, MonotonicMillis)>,
-    /// Jobs whose tasks failed here since the last success.
-    pub failed_jobs: HashSet<JobIndex>,
-    /// Suspected to be faulty.
-    pub quarantined: bool,
-    /// Reports in a row that show nothing of a start that an earlier answer held.
-    pub unobserved_starts: u8,
-    /// Since when its reports have been answered here without a gap.
-    pub responding_since: Option<MonotonicMillis>,
-    /// Since when its reports arrive here but nothing seems to reach it.
-    pub unreachable_since: Option<MonotonicMillis>,
-    /// Images last used, newest last.
+    /// By the worker's own messages.
+    pub heartbeat: HeartbeatState,
+    /// Start commands sent to it.
+    pub starts: StartTracking,
+    /// Whether it works and can be reached.
+    pub health: MachineHealth,
+    /// Decisions of this controller as its owner.
+    pub decisions: OwnerDecisions,
+    /// Status update of its owner, if that is another controller.
+    pub owner_status: OwnerStatus,
+    /// Tasks that wait for free capacity of this machine, next first.
+    pub queue: VecDeque<QueuedTask>,
+    /// Images in its cache with their sizes in GB, latest used last.
     pub images: Vec<(ImageIndex, f64)>,
-    /// Since when nothing is placed on it.
-    pub idle_since: Option<MonotonicMillis>,
 }
 
 impl Machine {
-    /// A machine just heard of.
+    /// A machine that has just been discovered.
     pub fn new(
         name: Rc<str>,
         machine_type: MachineTypeIndex,
@@ -180,78 +311,74 @@
             spot,
             shard,
             discovered_at: now,
-            last_heartbeat: None,
-            last_response: None,
-            fencing_token_confirmed: false,
-            message_version: HeartbeatVersion::default(),
-            heartbeat_version: HeartbeatVersion::default(),
-            responses_in_progress: 0,
-            fencing_token: FencingToken::default(),
-            preemption_deadline: None,
-            tasks: Vec::new(),
-            start_sent: HashMap::new(),
-            in_flight_starts: HashMap::new(),
-            observed_attempts: HashSet::new(),
-            gang_timeouts: HashMap::new(),
-            stopping: HashMap::new(),
+            heartbeat: HeartbeatState::default(),
+            starts: StartTracking::default(),
+            health: MachineHealth::default(),
+            decisions: OwnerDecisions::default(),
+            owner_status: OwnerStatus::default(),
             queue: VecDeque::new(),
-            owner_queue_length: 0,
-            cordoned: false,
-            cordoned_by_owner: false,
-            reservation: None,
-            failed_jobs: HashSet::new(),
-            quarantined: false,
-            unobserved_starts: 0,
-            responding_since: None,
-            unreachable_since: None,
             images: Vec::new(),
-            idle_since: None,
         }
     }
 
-    /// The task in the newest report.
-    pub fn observed(&self, a: TaskAttempt) -> Option<&ObservedTask> {
-        self.tasks.iter().find(|s| s.task_attempt() == Some(a))
+    /// The task as the worker's newest message shows it.
+    pub fn observed(&self, attempt: TaskAttempt) -> Option<&ObservedTask> {
+        let mut tasks = self.heartbeat.tasks.iter();
+        tasks.find(|task| task.task_attempt() == Some(attempt))
     }
 
-    /// True if it may take a new task now.
-    pub fn is_schedulable(&self, now: MonotonicMillis, silent_ms: u64) -> bool {
+    /// True if it may get a new task now.
+    pub fn is_schedulable(&self, now: MonotonicMillis, unresponsive_ms: u64) -> bool {
+        let last_seen = self.heartbeat.last_seen;
         !self.is_cordoned()
-            && !self.quarantined
-            && self.unreachable_since.is_none()
-            && self.preemption_deadline.is_none()
-            && self
-                .last_heartbeat
-                .is_some_and(|h| now.since(h) <= silent_ms)
+            && !self.health.quarantined
+            && !self.health.is_unreachable()
+            && self.heartbeat.preemption_deadline.is_none()
+            && last_seen.is_some_and(|time| now.since(time) <= unresponsive_ms)
     }
 
-    /// True if it takes nothing new, by this node's decision or by what its owner told.
+    /// True if it gets no tasks, by decision of this controller or of its owner.
     pub fn is_cordoned(&self) -> bool {
-        self.cordoned || self.cordoned_by_owner
+        self.decisions.cordoned || self.owner_status.cordoned
     }
 
-    /// Notes that the worker can be reached after all.
-    pub fn mark_reachable(&mut self, now: MonotonicMillis) {
-        self.unreachable_since = None;
-        self.unobserved_starts = 0;
-        self.responding_since = Some(now);
+    /// Cordons the machine for its deletion: it gets no tasks, and queued ones go elsewhere.
+    pub fn cordon(&mut self) {
+        self.decisions.cordoned = true;
+        self.queue.clear();
     }
 
-    /// True if it is the machine's image or on its way there.
+    /// Reserves the machine for a gang until the given time.
+    pub fn reserve_for(&mut self, gang: JobIndex, until: MonotonicMillis) {
+        self.decisions.reservation = Some(Reservation { gang, until });
+    }
+
+    /// True if the task is in the machine's queue.
+    pub fn has_queued(&self, job: JobIndex, task: u32) -> bool {
+        self.queue.iter().any(|queued| queued.is_task(job, task))
+    }
+
+    /// True if the image is in the machine's cache, or is being pulled.
     pub fn has_image(&self, image: ImageIndex) -> bool {
-        self.images.iter().any(|(i, _)| *i == image)
+        self.images.iter().any(|(cached, _)| *cached == image)
     }
 
-    /// Notes that an image was used; the least used ones go when the room ends.
+    /// Records that an image was used; the least recently used ones are dropped once the cache
+    /// is full.
     pub fn use_image(&mut self, image: ImageIndex, gb: f64, cache_gb: f64) {
-        if let Some(at) = self.images.iter().position(|(i, _)| *i == image) {
-            let entry = self.images.remove(at);
-            self.images.push(entry);
+        let position = self.images.iter().position(|(cached, _)| *cached == image);
+        if let Some(position) = position {
+            let used = self.images.remove(position);
+            self.images.push(used);
             return;
         }
         self.images.push((image, gb));
-        while self.images.len() > 1 && self.images.iter().map(|(_, g)| g).sum::<f64>() > cache_gb {
+        while self.images.len() > 1 && self.cached_gb() > cache_gb {
             self.images.remove(0);
         }
     }
+
+    fn cached_gb(&self) -> f64 {
+        self.images.iter().map(|(_, gb)| gb).sum()
+    }
 }
--- a/src/state/machine_store.rs
+++ b/src/state/machine_store.rs
@@ -157,7 +157,7 @@
             }
         }
         // A task without a placement still uses the machine until its worker has stopped it.
-        let observed = machine.tasks.iter();
+        let observed = machine.heartbeat.tasks.iter();
         for task in observed.filter(|t| t.state != TaskState::Exited) {
             let unplaced = task
                 .job
--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -157,7 +157,7 @@
                     &(&c.config.controller_name, id, name),
                 );
                 if let Some(m) = c.cluster.machine_mut(mix) {
-                    m.reservation = Some((reservation.job, MonotonicMillis(now + 4000)));
+                    m.reserve_for(reservation.job, MonotonicMillis(now + 4000));
                 }
             }
         }
--- a/tests/fault_injection.rs
+++ b/tests/fault_injection.rs
@@ -45,11 +45,20 @@
     assert!(w.has_task("job-1/0"));
     // A copy of the report from before the start, well over a lease later.
     play(&mut c, &mut store, &mut [&mut w], 2500, 30_000);
-    let heard = c.cluster.machine(c.machine("m1")).unwrap().last_heartbeat;
+    let heard = c
+        .cluster
+        .machine(c.machine("m1"))
+        .unwrap()
+        .heartbeat
+        .last_seen;
     let answer = c.report(&mut store, &empty, 30_000).unwrap();
     assert!(answer.commands.is_empty());
     assert_eq!(
-        c.cluster.machine(c.machine("m1")).unwrap().last_heartbeat,
+        c.cluster
+            .machine(c.machine("m1"))
+            .unwrap()
+            .heartbeat
+            .last_seen,
         heard
     );
     assert_eq!(c.job("job-1").placements.len(), 1);
@@ -70,7 +79,8 @@
         .cluster
         .machine(c.machine("m1"))
         .unwrap()
-        .start_sent
+        .starts
+        .sent
         .is_empty());
     c.visit(&mut store, &mut w, 1000);
     assert_eq!(w.started.len(), 1);
@@ -90,7 +100,7 @@
     // The machine is long gone; only copies of its reports still come.
     new.report(&mut store, &copy, 40_000).unwrap();
     let mix = new.machine("m1");
-    assert_eq!(new.cluster.machine(mix).unwrap().last_heartbeat, None);
+    assert_eq!(new.cluster.machine(mix).unwrap().heartbeat.last_seen, None);
     assert!(new.draft(40_000).claims.is_empty());
     // The machine itself, once it has the new token, is heard and gets the work.
     let mut alive = FakeWorker::new("m2", "north", 40_000);
@@ -126,6 +136,7 @@
         .cluster
         .machine(c.machine("m1"))
         .unwrap()
+        .health
         .unreachable_since
         .is_some());
     assert!(c.job("job-1").placements.is_empty());
@@ -141,16 +152,16 @@
     let mut w = FakeWorker::new("m1", "north", 0);
     c.visit(&mut store, &mut w, 0);
     let mix = c.machine("m1");
-    c.cluster.machine_mut(mix).unwrap().unreachable_since = Some(MonotonicMillis(1000));
+    c.cluster.machine_mut(mix).unwrap().health.unreachable_since = Some(MonotonicMillis(1000));
     let asked =
         probes::unreachable_machines(&mut c.cluster, &c.config, 10_000, MonotonicMillis(5000));
     assert_eq!(asked.len(), 1);
-    assert!(!c.cluster.machine(mix).unwrap().quarantined);
+    assert!(!c.cluster.machine(mix).unwrap().health.quarantined);
     let mut reached = c.cluster.machine(mix).unwrap().clone();
-    reached.mark_reachable(MonotonicMillis(5000));
+    reached.health.mark_reachable(MonotonicMillis(5000));
     assert!(reached.is_schedulable(MonotonicMillis(500), 4000));
     probes::unreachable_machines(&mut c.cluster, &c.config, 10_000, MonotonicMillis(11_500));
-    assert!(c.cluster.machine(mix).unwrap().quarantined);
+    assert!(c.cluster.machine(mix).unwrap().health.quarantined);
 }
 
 #[test]
@@ -164,7 +175,9 @@
     }
     assert!(w.agent_epoch > AgentEpoch(1));
     let m = c.cluster.machine(c.machine("m1")).unwrap();
-    assert!(m.unreachable_since.is_some() && !m.is_schedulable(MonotonicMillis(12_000), 4000));
+    assert!(
+        m.health.unreachable_since.is_some() && !m.is_schedulable(MonotonicMillis(12_000), 4000)
+    );
 }
 
 #[test]
@@ -180,6 +193,7 @@
         .cluster
         .machine(c.machine("m1"))
         .unwrap()
+        .health
         .unreachable_since
         .is_none());
 }
@@ -331,7 +345,7 @@
         MonotonicMillis(30_100),
     );
     assert_eq!(
-        third.cluster.machine(mix).unwrap().last_heartbeat,
+        third.cluster.machine(mix).unwrap().heartbeat.last_seen,
         Some(MonotonicMillis(30_000))
     );
 }
@@ -365,7 +379,7 @@
     play(&mut new, &mut store, &mut [&mut worker], 5500, 8000);
     assert!(worker.has_task("job-1/0"));
     // What the owner itself has closed, to return it, stays so.
-    new.cluster.machine_mut(mix).unwrap().cordoned = true;
+    new.cluster.machine_mut(mix).unwrap().decisions.cordoned = true;
     play(&mut new, &mut store, &mut [&mut worker], 8000, 10_000);
     assert!(!new
         .cluster
@@ -395,7 +409,7 @@
         .cluster
         .learn_machine("m1", "oven", "north", true, MonotonicMillis(5000))
         .unwrap();
-    new.cluster.machine_mut(known).unwrap().last_heartbeat = Some(MonotonicMillis(5000));
+    new.cluster.machine_mut(known).unwrap().heartbeat.last_seen = Some(MonotonicMillis(5000));
     new.members(&mut store, 5000);
     assert_eq!(at(&new), 15_000);
     new.visit(&mut store, &mut w, 6000);
@@ -525,7 +539,7 @@
     assert_eq!(reached.len(), 300);
     // One that has shown the token is left alone, and one in vain is tried again only later.
     let mix = c.machine("m299");
-    c.cluster.machine_mut(mix).unwrap().fencing_token = c.cluster.shards[0]
+    c.cluster.machine_mut(mix).unwrap().heartbeat.fencing_token = c.cluster.shards[0]
         .record
         .fencing_token
         .max(c.cluster.shards[1].record.fencing_token);
@@ -576,12 +590,12 @@
     let (owned, woke) = (Some(MonotonicMillis(0)), Some(MonotonicMillis(40_000)));
     let now = MonotonicMillis(41_000);
     assert_eq!(
-        status_updates::silence_ms(m.last_heartbeat, m.discovered_at, owned, now),
+        status_updates::silence_ms(m.heartbeat.last_seen, m.discovered_at, owned, now),
         41_000
     );
     assert_eq!(
         status_updates::silence_ms(
-            m.last_heartbeat,
+            m.heartbeat.last_seen,
             m.discovered_at,
             clock::observing_since(owned, woke),
             now
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -37,7 +37,7 @@
             c.cluster
                 .learn_machine(&machine_name(i), "oven", zone, true, MonotonicMillis(0));
         let machine = c.cluster.machine_mut(learnt.unwrap()).unwrap();
-        machine.last_heartbeat = Some(MonotonicMillis(0));
+        machine.heartbeat.last_seen = Some(MonotonicMillis(0));
     }
     (store, c)
 }
@@ -148,7 +148,7 @@
     let reported = c
         .cluster
         .all_machines()
-        .filter(|(_, m)| m.message_version.agent_epoch > AgentEpoch(0));
+        .filter(|(_, m)| m.heartbeat.message_version.agent_epoch > AgentEpoch(0));
     assert_eq!(reported.count(), MACHINES);
     let shards: BTreeSet<usize> = c
         .cluster
--- a/tests/scaling.rs
+++ b/tests/scaling.rs
@@ -32,7 +32,7 @@
             .cluster
             .learn_machine(&name, "oven", "north", true, MonotonicMillis(0))
             .unwrap();
-        c.cluster.machine_mut(mix).unwrap().last_heartbeat = Some(MonotonicMillis(0));
+        c.cluster.machine_mut(mix).unwrap().heartbeat.last_seen = Some(MonotonicMillis(0));
     }
 }
 
@@ -175,9 +175,9 @@
             c.submit(&mut store, gang.clone(), now);
         }
         for reservation in gang_reservations(&c.cluster, &c.config, MonotonicMillis(now), now) {
-            let held = (reservation.job, MonotonicMillis(now + 4000));
+            let (gang, until) = (reservation.job, MonotonicMillis(now + 4000));
             for m in reservation.machines {
-                c.cluster.machine_mut(m).unwrap().reservation = Some(held);
+                c.cluster.machine_mut(m).unwrap().reserve_for(gang, until);
             }
         }
         for (i, w) in workers.iter_mut().enumerate() {
--- a/tests/scheduling.rs
+++ b/tests/scheduling.rs
@@ -186,14 +186,20 @@
     c.cluster
         .machine_mut(mix)
         .unwrap()
-        .in_flight_starts
+        .starts
+        .in_flight
         .get_mut(&a)
         .unwrap()
         .acknowledged = true;
     c.visit(&mut store, &mut w, 1000);
     // It is stopped, and the task moves to another machine.
-    c.cluster.machine_mut(mix).unwrap().stopping.insert(a, 0.0);
-    c.cluster.machine_mut(mix).unwrap().cordoned = true;
+    c.cluster
+        .machine_mut(mix)
+        .unwrap()
+        .decisions
+        .stopping
+        .insert(a, 0.0);
+    c.cluster.machine_mut(mix).unwrap().decisions.cordoned = true;
     play(&mut c, &mut store, &mut [&mut w], 1500, 4000);
     let mut other = FakeWorker::new("m2", "north", 4000);
     other.run_ms = 60_000;
@@ -534,7 +540,12 @@
     let a = c.report(&mut store, &held, 8000).unwrap();
     assert!(a.commands.is_empty());
     assert_eq!(c.job("job-1").placements, before.placements);
-    let heard = c.cluster.machine(c.machine("m1")).unwrap().last_heartbeat;
+    let heard = c
+        .cluster
+        .machine(c.machine("m1"))
+        .unwrap()
+        .heartbeat
+        .last_seen;
     assert_eq!(heard, Some(MonotonicMillis(1000)));
 }
 
@@ -662,7 +673,10 @@
     c.visit(&mut store, &mut w, 0);
     c.submit(&mut store, job("job-1", 1), 100);
     let (ix, mix) = (c.job_ix("job-1"), c.machine("m1"));
-    c.cluster.machine_mut(mix).unwrap().reservation = Some((ix, MonotonicMillis(5000)));
+    c.cluster
+        .machine_mut(mix)
+        .unwrap()
+        .reserve_for(ix, MonotonicMillis(5000));
     assert_eq!(c.draft(1000).claims.len(), 0);
     assert_eq!(c.draft(3900).claims.len(), 0);
     c.visit(&mut store, &mut w, 5000);
@@ -683,7 +697,13 @@
     }
     play(&mut c, &mut store, &mut [&mut w], 0, 6000);
     assert_eq!(w.started.len(), 2);
-    assert!(c.cluster.machine(c.machine("m1")).unwrap().quarantined);
+    assert!(
+        c.cluster
+            .machine(c.machine("m1"))
+            .unwrap()
+            .health
+            .quarantined
+    );
 }
 
 #[test]
@@ -702,7 +722,7 @@
     play(&mut c, &mut store, &mut all, 0, 5000);
     let tries: usize = workers.iter().map(|w| w.started.len()).sum();
     assert_eq!(tries, 3);
-    assert!(c.cluster.all_machines().all(|(_, m)| !m.quarantined));
+    assert!(c.cluster.all_machines().all(|(_, m)| !m.health.quarantined));
 }
 
 #[test]
@@ -1100,7 +1120,8 @@
         .cluster
         .machine(c.machine("m1"))
         .unwrap()
-        .last_heartbeat
+        .heartbeat
+        .last_seen
         .unwrap();
     // The report waits in a socket while an answer to a direct command is read.
     let late = w.heartbeat(9000);
@@ -1137,7 +1158,7 @@
             acknowledged: true,
         };
         let m = c.cluster.machine_mut(mix).unwrap();
-        m.in_flight_starts = (0..250)
+        m.starts.in_flight = (0..250)
             .map(|i| (TaskAttempt::new(ix, 0, i), late))
             .collect();
     };
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -15,6 +15,7 @@
 use pointhook::protocol::workers::FencingToken;
 use pointhook::settings::Workers;
 use pointhook::state::cluster_state::ROOT;
+use pointhook::state::machine::QueuedTask;
 use pointhook::state::names::ShardIndex;
 use pointhook::state::units::Incarnation;
 use pointhook::state::units::MonotonicMillis;
@@ -450,11 +451,11 @@
     let m1 = scene.owner.machine("m1");
     let machine = scene.owner.cluster.machine_mut(m1).unwrap();
     machine.queue.extend([
-        (queued, 7, MonotonicMillis(600)),
-        (cancelled, 0, MonotonicMillis(600)),
-        (queued, 5, MonotonicMillis(600)),
+        QueuedTask::new(queued, 7, MonotonicMillis(600)),
+        QueuedTask::new(cancelled, 0, MonotonicMillis(600)),
+        QueuedTask::new(queued, 5, MonotonicMillis(600)),
     ]);
-    machine.reservation = Some((gang, MonotonicMillis(5000)));
+    machine.reserve_for(gang, MonotonicMillis(5000));
     // It is streamed in a snapshot, and what changes then in the log tail.
     let mut publisher = Publisher::new(ShardId(0), FencingToken(1), StreamLimits::default());
     let mut follower = Follower::default();
@@ -467,7 +468,9 @@
     };
     stream(&scene.owner, &mut publisher, 700);
     let machine = scene.owner.cluster.machine_mut(m1).unwrap();
-    machine.queue.push_back((queued, 9, MonotonicMillis(800)));
+    machine
+        .queue
+        .push_back(QueuedTask::new(queued, 9, MonotonicMillis(800)));
     let follower = stream(&scene.owner, &mut publisher, 800);
     // One of the queued tasks is no longer to run, and one is queued with the standby already.
     scene.owner.cancel(&mut scene.store, "job-3", 850);
@@ -478,7 +481,9 @@
         .learn_machine("m1", "oven", "north", true, MonotonicMillis(0));
     let (m1, queued) = (scene.standby.machine("m1"), scene.standby.job_ix("job-2"));
     let machine = scene.standby.cluster.machine_mut(m1).unwrap();
-    machine.queue.push_back((queued, 5, MonotonicMillis(100)));
+    machine
+        .queue
+        .push_back(QueuedTask::new(queued, 5, MonotonicMillis(100)));
     let replica = follower.replica_state().expect("no gap");
     let restored = replication::restore_replica(
         &mut scene.standby.cluster,
@@ -488,10 +493,13 @@
     );
     assert_eq!((restored.queued_tasks, restored.reservations), (2, 1));
     let machine = scene.standby.cluster.machine(m1).unwrap();
-    let tasks: Vec<u32> = machine.queue.iter().map(|(_, task, _)| *task).collect();
+    let tasks: Vec<u32> = machine.queue.iter().map(|queued| queued.task).collect();
     assert_eq!(tasks, [5, 7, 9]);
     assert_eq!(
-        machine.reservation.map(|reservation| reservation.0),
+        machine
+            .decisions
+            .reservation
+            .map(|reservation| reservation.gang),
         Some(scene.standby.job_ix("job-4"))
     );
     // What is unchanged is not streamed again, and a machine that is deleted is.
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -516,7 +516,10 @@
                 c.observe(now);
                 for victim in preemption::preempt(&c.pass(now), turn) {
                     if let Some(machine) = c.cluster.machine_mut(victim.machine) {
-                        machine.stopping.insert(victim.attempt, victim.grace_s);
+                        machine
+                            .decisions
+                            .stopping
+                            .insert(victim.attempt, victim.grace_s);
                     }
                 }
             }
@@ -695,7 +698,7 @@
                 !cut && !h.ill.deaf && !h.ill.hangs
             });
             if let Some(m) = c.cluster.machine_mut(target.machine).filter(|_| reached) {
-                m.mark_reachable(MonotonicMillis(now));
+                m.health.mark_reachable(MonotonicMillis(now));
             }
         }
     }
@@ -705,7 +708,7 @@
         self.nodes.iter().flatten().any(|c| {
             let machine = c.cluster.machine_names.find(&host.worker.name);
             let machine = machine.and_then(|m| c.cluster.machine(m));
-            machine.is_some_and(|m| m.quarantined || m.cordoned)
+            machine.is_some_and(|m| m.health.quarantined || m.decisions.cordoned)
         })
     }
 
