--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -180,6 +180,7 @@
     let NamedRequest { request_id, record } = request;
     let now = controller.now();
     let mut cluster = controller.cluster.borrow_mut();
+    // A zone that this controller's settings lack: what came of the request can't be noted.
     let pool = Pool {
         machine_type: cluster.machine_type_names.intern(&record.machine_type),
         zone: cluster.zone_names.find(&record.zone)?,
--- a/src/transport/frames.rs
+++ b/src/transport/frames.rs
@@ -60,9 +60,13 @@
 {
     let open = Rc::new(Cell::new(0usize));
     loop {
-        let Ok((stream, peer)) = listener.accept().await else {
-            super::pause(ACCEPT_RETRY_MS).await;
-            continue;
+        let (stream, peer) = match listener.accept().await {
+            Ok(accepted) => accepted,
+            Err(e) => {
+                log::warn!("accept failed: error={e}");
+                super::pause(ACCEPT_RETRY_MS).await;
+                continue;
+            }
         };
         let Some(slot) = ConnectionSlot::acquire(&open, PEER_CONNECTIONS) else {
             continue;
