--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -163,7 +163,7 @@
                     &(&controller.config.controller_name, id, name),
                 );
                 if let Some(m) = controller.cluster.machine_mut(machine) {
-                    m.reservation = Some((reservation.job, MonotonicMillis(now + 4000)));
+                    m.reserve_for(reservation.job, MonotonicMillis(now + 4000));
                 }
             }
         }
--- a/tests/direct_starts.rs
+++ b/tests/direct_starts.rs
@@ -78,7 +78,8 @@
         .cluster
         .machine_mut(machine)
         .unwrap()
-        .in_flight_starts
+        .starts
+        .in_flight
         .get_mut(&a)
         .unwrap()
         .acknowledged = true;
@@ -88,9 +89,15 @@
         .cluster
         .machine_mut(machine)
         .unwrap()
+        .decisions
         .stopping
         .insert(a, 0.0);
-    controller.cluster.machine_mut(machine).unwrap().cordoned = true;
+    controller
+        .cluster
+        .machine_mut(machine)
+        .unwrap()
+        .decisions
+        .cordoned = true;
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 1500, 4000);
     let mut other = FakeWorker::new("m2", "north", 4000);
     other.run_ms = 60_000;
@@ -169,7 +176,7 @@
             acknowledged: true,
         };
         let m = controller.cluster.machine_mut(mix).unwrap();
-        m.in_flight_starts = (0..250)
+        m.starts.in_flight = (0..250)
             .map(|i| (TaskAttempt::new(job_index, 0, i), late))
             .collect();
     };
--- a/tests/gang_scheduling.rs
+++ b/tests/gang_scheduling.rs
@@ -140,8 +140,11 @@
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     controller.submit(&mut store, job("job-1", 1), 100);
     let (job_index, machine) = (controller.job_index("job-1"), controller.machine("m1"));
-    controller.cluster.machine_mut(machine).unwrap().reservation =
-        Some((job_index, MonotonicMillis(5000)));
+    controller
+        .cluster
+        .machine_mut(machine)
+        .unwrap()
+        .reserve_for(job_index, MonotonicMillis(5000));
     assert_eq!(controller.draft_plan(1000).claims.len(), 0);
     assert_eq!(controller.draft_plan(3900).claims.len(), 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 5000);
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -106,7 +106,8 @@
         .cluster
         .machine(controller.machine("m1"))
         .unwrap()
-        .last_heartbeat;
+        .heartbeat
+        .last_seen;
     assert_eq!(heard, Some(MonotonicMillis(1000)));
 }
 
@@ -122,7 +123,8 @@
         .cluster
         .machine(controller.machine("m1"))
         .unwrap()
-        .last_heartbeat
+        .heartbeat
+        .last_seen
         .unwrap();
     // The heartbeat waits in a socket while the response to a direct command is read.
     let late = worker.heartbeat(9000);
@@ -175,7 +177,8 @@
         .cluster
         .machine(controller.machine("m1"))
         .unwrap()
-        .last_heartbeat;
+        .heartbeat
+        .last_seen;
     let answer = controller
         .receive_heartbeat(&mut store, &empty, 30_000)
         .unwrap();
@@ -185,7 +188,8 @@
             .cluster
             .machine(controller.machine("m1"))
             .unwrap()
-            .last_heartbeat,
+            .heartbeat
+            .last_seen,
         heard
     );
     assert_eq!(controller.job("job-1").placements.len(), 1);
@@ -210,7 +214,8 @@
         .cluster
         .machine(controller.machine("m1"))
         .unwrap()
-        .start_sent
+        .starts
+        .sent
         .is_empty());
     controller.exchange_heartbeat(&mut store, &mut worker, 1000);
     assert_eq!(worker.started.len(), 1);
@@ -230,7 +235,10 @@
     // The machine was deleted long ago; only duplicates of its heartbeats still arrive.
     new.receive_heartbeat(&mut store, &copy, 40_000).unwrap();
     let machine = new.machine("m1");
-    assert_eq!(new.cluster.machine(machine).unwrap().last_heartbeat, None);
+    assert_eq!(
+        new.cluster.machine(machine).unwrap().heartbeat.last_seen,
+        None
+    );
     assert!(new.draft_plan(40_000).claims.is_empty());
     // Heartbeats of the machine itself, once it has the new fencing token, count, and it gets work.
     let mut alive = FakeWorker::new("m2", "north", 40_000);
@@ -263,12 +271,12 @@
     let (owned, woke) = (Some(MonotonicMillis(0)), Some(MonotonicMillis(40_000)));
     let now = MonotonicMillis(41_000);
     assert_eq!(
-        status_updates::silence_ms(m.last_heartbeat, m.discovered_at, owned, now),
+        status_updates::silence_ms(m.heartbeat.last_seen, m.discovered_at, owned, now),
         41_000
     );
     assert_eq!(
         status_updates::silence_ms(
-            m.last_heartbeat,
+            m.heartbeat.last_seen,
             m.discovered_at,
             clock::observing_since(owned, woke),
             now
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -41,7 +41,7 @@
             MonotonicMillis(0),
         );
         let machine = controller.cluster.machine_mut(learnt.unwrap()).unwrap();
-        machine.last_heartbeat = Some(MonotonicMillis(0));
+        machine.heartbeat.last_seen = Some(MonotonicMillis(0));
     }
     (store, controller)
 }
@@ -154,7 +154,7 @@
     let reported = controller
         .cluster
         .all_machines()
-        .filter(|(_, m)| m.message_version.agent_epoch > AgentEpoch(0));
+        .filter(|(_, m)| m.heartbeat.message_version.agent_epoch > AgentEpoch(0));
     assert_eq!(reported.count(), MACHINES);
     let shards: BTreeSet<usize> = controller
         .cluster
--- a/tests/machine_quarantine.rs
+++ b/tests/machine_quarantine.rs
@@ -45,6 +45,7 @@
             .cluster
             .machine(controller.machine("m1"))
             .unwrap()
+            .health
             .quarantined
     );
 }
@@ -68,7 +69,7 @@
     assert!(controller
         .cluster
         .all_machines()
-        .all(|(_, m)| !m.quarantined));
+        .all(|(_, m)| !m.health.quarantined));
 }
 
 #[test]
@@ -99,7 +100,7 @@
         MonotonicMillis(30_100),
     );
     assert_eq!(
-        third.cluster.machine(machine).unwrap().last_heartbeat,
+        third.cluster.machine(machine).unwrap().heartbeat.last_seen,
         Some(MonotonicMillis(30_000))
     );
 }
@@ -133,7 +134,7 @@
     run_heartbeats(&mut new, &mut store, &mut [&mut worker], 5500, 8000);
     assert!(worker.has_task("job-1/0"));
     // What the owner itself cordoned, to scale it in, stays cordoned.
-    new.cluster.machine_mut(machine).unwrap().cordoned = true;
+    new.cluster.machine_mut(machine).unwrap().decisions.cordoned = true;
     run_heartbeats(&mut new, &mut store, &mut [&mut worker], 8000, 10_000);
     assert!(!new
         .cluster
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -36,7 +36,8 @@
             .cluster
             .machine_mut(machine)
             .unwrap()
-            .last_heartbeat = Some(MonotonicMillis(0));
+            .heartbeat
+            .last_seen = Some(MonotonicMillis(0));
     }
 }
 
@@ -196,9 +197,13 @@
             MonotonicMillis(now),
             now,
         ) {
-            let reserved = (reservation.job, MonotonicMillis(now + 4000));
+            let (gang, until) = (reservation.job, MonotonicMillis(now + 4000));
             for machine in reservation.machines {
-                controller.cluster.machine_mut(machine).unwrap().reservation = Some(reserved);
+                controller
+                    .cluster
+                    .machine_mut(machine)
+                    .unwrap()
+                    .reserve_for(gang, until);
             }
         }
         for (i, worker) in workers.iter_mut().enumerate() {
--- a/tests/shard_ownership.rs
+++ b/tests/shard_ownership.rs
@@ -119,7 +119,7 @@
         .cluster
         .learn_machine("m1", "oven", "north", true, MonotonicMillis(5000))
         .unwrap();
-    new.cluster.machine_mut(known).unwrap().last_heartbeat = Some(MonotonicMillis(5000));
+    new.cluster.machine_mut(known).unwrap().heartbeat.last_seen = Some(MonotonicMillis(5000));
     new.apply_membership_moves(&mut store, 5000);
     assert_eq!(at(&new), 15_000);
     new.exchange_heartbeat(&mut store, &mut worker, 6000);
@@ -186,6 +186,7 @@
         .cluster
         .machine_mut(machine)
         .unwrap()
+        .heartbeat
         .fencing_token = controller.cluster.shards[0]
         .record
         .fencing_token
--- a/tests/support/simulated_cluster/mod.rs
+++ b/tests/support/simulated_cluster/mod.rs
@@ -339,7 +339,7 @@
         self.controllers.iter().flatten().any(|controller| {
             let index = controller.cluster.machine_names.find(&machine.worker.name);
             let known = index.and_then(|index| controller.cluster.machine(index));
-            known.is_some_and(|m| m.quarantined || m.cordoned)
+            known.is_some_and(|m| m.health.quarantined || m.decisions.cordoned)
         })
     }
 
--- a/tests/support/simulated_cluster/tick.rs
+++ b/tests/support/simulated_cluster/tick.rs
@@ -351,7 +351,7 @@
             let is_reachable = machine.is_some_and(|m| m.is_reachable_from(at));
             let known = controller.cluster.machine_mut(index);
             if let Some(known) = known.filter(|_| is_reachable) {
-                known.mark_reachable(now);
+                known.health.mark_reachable(now);
             }
         }
     }
@@ -383,7 +383,10 @@
     controller.observe_failovers(now);
     for victim in preemption::preempt(&controller.pass(now), shard) {
         if let Some(machine) = controller.cluster.machine_mut(victim.machine) {
-            machine.stopping.insert(victim.attempt, victim.grace_s);
+            machine
+                .decisions
+                .stopping
+                .insert(victim.attempt, victim.grace_s);
         }
     }
 }
--- a/tests/worker_reachability.rs
+++ b/tests/worker_reachability.rs
@@ -30,6 +30,7 @@
         .cluster
         .machine(controller.machine("m1"))
         .unwrap()
+        .health
         .unreachable_since
         .is_some());
     assert!(controller.job("job-1").placements.is_empty());
@@ -49,6 +50,7 @@
         .cluster
         .machine_mut(machine)
         .unwrap()
+        .health
         .unreachable_since = Some(MonotonicMillis(1000));
     let asked = probes::unreachable_machines(
         &mut controller.cluster,
@@ -57,9 +59,16 @@
         MonotonicMillis(5000),
     );
     assert_eq!(asked.len(), 1);
-    assert!(!controller.cluster.machine(machine).unwrap().quarantined);
+    assert!(
+        !controller
+            .cluster
+            .machine(machine)
+            .unwrap()
+            .health
+            .quarantined
+    );
     let mut reached = controller.cluster.machine(machine).unwrap().clone();
-    reached.mark_reachable(MonotonicMillis(5000));
+    reached.health.mark_reachable(MonotonicMillis(5000));
     assert!(reached.is_schedulable(MonotonicMillis(500), 4000));
     probes::unreachable_machines(
         &mut controller.cluster,
@@ -67,7 +76,14 @@
         10_000,
         MonotonicMillis(11_500),
     );
-    assert!(controller.cluster.machine(machine).unwrap().quarantined);
+    assert!(
+        controller
+            .cluster
+            .machine(machine)
+            .unwrap()
+            .health
+            .quarantined
+    );
 }
 
 #[test]
@@ -86,7 +102,9 @@
         .cluster
         .machine(controller.machine("m1"))
         .unwrap();
-    assert!(m.unreachable_since.is_some() && !m.is_schedulable(MonotonicMillis(12_000), 4000));
+    assert!(
+        m.health.unreachable_since.is_some() && !m.is_schedulable(MonotonicMillis(12_000), 4000)
+    );
 }
 
 #[test]
@@ -108,6 +126,7 @@
         .cluster
         .machine(controller.machine("m1"))
         .unwrap()
+        .health
         .unreachable_since
         .is_none());
 }
