--- a/crates/standby/src/lib.rs
+++ b/crates/standby/src/lib.rs
@@ -10,6 +10,9 @@
 //!   with [`message`] and [`replica_state`];
 //! - [`failover_bound`]: how long a failover may take.
 
+// Input never ends the process: tests may unwrap, the service may not.
+#![deny(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
+
 pub mod failover;
 pub mod failover_bound;
 pub mod follower;
--- a/src/coordination/cancellations/direct_stops.rs
+++ b/src/coordination/cancellations/direct_stops.rs
@@ -5,7 +5,7 @@
 //! asks the worker for its status and stops what is left, under the fencing token and agent epoch
 //! that the worker itself shows: nobody's right to command it changes by that.
 //!
-//! [`stop_due_tasks`] is called by each round of the background task.
+//! `stop_due_tasks` is called by each round of the background task.
 
 use crate::coordination::controller::{tasks, Controller};
 use crate::coordination::scheduler::config::SchedulerConfig;
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -1,7 +1,7 @@
 //! The public HTTP interface: users' jobs, workers' heartbeats and health checks.
 //!
-//! `cli` passes every request to [`handle`], which finds its [`Route`] and times its handler. A user's
-//! job goes through `submission`, `cancellation` or [`job_status`]; `answers` has what they answer, `attempts` how often
+//! `cli` passes every request to [`handle`], which finds its `Route` and times its handler. A user's
+//! job goes through `submission`, `cancellation` or `job_status`; `answers` has what they answer, `attempts` how often
 //! they try.
 //! Invariant: a state that is not final is answered only after a fresh read of the key-value store, so
 //! that no user sees a job go back to an earlier state by asking another controller.
--- a/src/coordination/kv/watch.rs
+++ b/src/coordination/kv/watch.rs
@@ -1,7 +1,7 @@
 //! Keeps the cached state close to the records of the key-value store.
 //!
 //! The background task [`run`] reads all records once and watches for changes from then on;
-//! `fresh_reads` calls [`watch_once`] for those who need the newest state. Invariant: the cached
+//! `fresh_reads` calls `watch_once` for those who need the newest state. Invariant: the cached
 //! state is that of one revision, which only grows.
 
 use crate::coordination::controller::Controller;
--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! The background task here keeps the key alive and moves shards, one look a second or at once when
 //! the records of controllers and shards change. What it does in a round stands in the files beside
-//! it: [`lease`] keeps the key, [`record_format`] begins the second format of records, [`view`] is
-//! what a controller knows beside the records, [`assignment`] decides (pure), [`transfer`] commits.
+//! it: `lease` keeps the key, `record_format` begins the second format of records, `view` is
+//! what a controller knows beside the records, `assignment` decides (pure), `transfer` commits.
 //!
 //! Invariant: a shard changes its owner only by a transaction that is conditional on the shard's
 //! record and on the keys of both controllers, and raises the shard's fencing token. So two
--- a/src/coordination/scheduler/work_stealing.rs
+++ b/src/coordination/scheduler/work_stealing.rs
@@ -1,7 +1,7 @@
 //! Work stealing: an idle machine polls a few random machines with queues and takes the first
 //! queued task that fits.
 //!
-//! The planner calls [`WorkStealing::steal`] with the machines for which its last pass found
+//! The planner calls `WorkStealing::steal` with the machines for which its last pass found
 //! nothing; the handler of peer messages calls [`hand_over`] for the polls of other controllers.
 //! Queues are hints: a task that is lost on its way is unbound again, since the job's record alone
 //! says what has been started.
--- a/src/coordination/worker_connectivity/mod.rs
+++ b/src/coordination/worker_connectivity/mod.rs
@@ -4,7 +4,7 @@
 //!   older owner.
 //! - [`probes`]: whether workers reach this controller at all, and whether unreachable machines
 //!   can be reached after all.
-//! - [`direct_commands`]: the requests themselves, for these and for stops of cancelled tasks.
+//! - `direct_commands`: the requests themselves, for these and for stops of cancelled tasks.
 //!
 //! `cli` starts [`run`]. Invariant: what a worker answers here is no evidence about its tasks, and
 //! the connections are bounded in number by the controller, as the machine's sockets are.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -4,6 +4,9 @@
 //! steals work from the others' queues. All durable state is in a consensus-backed key-value
 //! store; see `docs/architecture.md` for a map of the modules.
 
+// Input never ends the process: tests may unwrap, the service may not.
+#![deny(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
+
 pub mod cli;
 pub mod coordination;
 pub mod features;
--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -32,7 +32,7 @@
 /// Overflow records of a job at most.
 const MAX_OVERFLOW_RECORDS: u16 = 2000;
 
-/// A placement as it is stored, in the order of [`PlacementFields`].
+/// A placement as it is stored, in the order of `PlacementFields`.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Eq, Hash, Debug)]
 #[serde(from = "PlacementFields", into = "PlacementFields")]
 pub struct StoredPlacement {
