--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -23,6 +23,7 @@
 //! a repeated request as it did the first.
 
 use crate::coordination::controller::Controller;
+use crate::coordination::failover;
 use crate::coordination::kv::client::CommitOutcome;
 use crate::coordination::kv::fresh_reads::REFRESH_MS;
 use crate::coordination::kv::transactions::set;
@@ -104,7 +105,7 @@
 ///
 /// There is no permit before the predecessor's requests are known: they would be made once more.
 fn owned_fencing_token(controller: &Controller) -> Option<FencingToken> {
-    let permits = controller.permits();
+    let permits = failover::permits(controller);
     let cluster = controller.cluster.borrow();
     let shard = cluster.autoscaler_shard();
     let permit = controller.config.permit(&cluster, &permits, shard);
--- a/src/coordination/heartbeats/handler.rs
+++ b/src/coordination/heartbeats/handler.rs
@@ -7,6 +7,7 @@
 use super::receive::{receive, AcceptedHeartbeat, HeartbeatOutcome};
 use super::respond::respond;
 use crate::coordination::controller::Controller;
+use crate::coordination::failover;
 use crate::protocol::workers::{Heartbeat, NotOwner};
 use crate::state::names::MachineIndex;
 use crate::state::units::millis_from_seconds;
@@ -33,7 +34,7 @@
         HeartbeatOutcome::Accepted(accepted) => accepted,
         HeartbeatOutcome::NotOwner { owner } => return not_owner(owner),
         HeartbeatOutcome::StaleFencingToken { shard, seen } => {
-            controller.token_refused(shard, Refusal::Worker { seen });
+            failover::token_refused(controller, shard, Refusal::Worker { seen });
             return not_owner(None);
         }
     };
@@ -80,7 +81,7 @@
 }
 
 fn respond_now(controller: &Controller, accepted: &AcceptedHeartbeat) -> Answer {
-    let permits = controller.permits();
+    let permits = failover::permits(controller);
     let mut cluster = controller.cluster.borrow_mut();
     let now = controller.now();
     match respond(&mut cluster, &controller.config, &permits, accepted, now) {
--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -57,7 +57,7 @@
         let moves = membership.plan_moves(&controller, now);
         let moves_done = transfer::execute_moves(&controller, moves).await;
         view::record_owned_shards(&controller);
-        controller.observe_shards();
+        failover::observe_shards(&controller);
         controller
             .availability
             .record(ExternalService::KeyValueStore, controller.kv.is_reachable());
--- a/src/coordination/membership/transfer.rs
+++ b/src/coordination/membership/transfer.rs
@@ -1,6 +1,7 @@
 //! Carries changes of owners out: one transaction each, conditional on everything it rests on.
 
 use crate::coordination::controller::Controller;
+use crate::coordination::failover;
 use crate::coordination::kv::client::CommitOutcome;
 use crate::coordination::kv::fresh_reads::REFRESH_MS;
 use crate::coordination::kv::transactions::set;
@@ -68,19 +69,19 @@
             continue;
         };
         if planned.to == controller.config.controller_name {
-            controller.record_fence_step(planned.shard, Failovers::fence_sent);
+            failover::record_fence_step(controller, planned.shard, Failovers::fence_sent);
         }
         match controller.kv.commit(&transaction).await {
             CommitOutcome::Committed(revision) => {
                 apply_move(controller, &planned, revision, record);
             }
             CommitOutcome::Conflict(_) => {
-                controller.record_fence_step(planned.shard, Failovers::fence_refused);
+                failover::record_fence_step(controller, planned.shard, Failovers::fence_refused);
                 controller.refresh(REFRESH_MS).await;
                 return false;
             }
             CommitOutcome::Refused(_) => {
-                controller.record_fence_step(planned.shard, Failovers::fence_refused);
+                failover::record_fence_step(controller, planned.shard, Failovers::fence_refused);
                 return false;
             }
             // It may have been carried out, or still be: the records will tell.
--- a/src/coordination/replication/publish.rs
+++ b/src/coordination/replication/publish.rs
@@ -2,6 +2,7 @@
 
 use super::streams::Replication;
 use crate::coordination::controller::Controller;
+use crate::coordination::failover;
 use crate::protocol::peers::{PeerRequest, PeerResponse};
 use crate::state::cluster_state::ClusterState;
 use crate::state::machine::Machine;
@@ -43,7 +44,7 @@
 
 /// Publishes what has changed of all owned shards; the shards with something to send.
 fn publish_owned_shards(controller: &Controller) -> Vec<ShardIndex> {
-    let permits = controller.permits();
+    let permits = failover::permits(controller);
     let cluster = controller.cluster.borrow();
     let standby_of = controller.standby_of.borrow();
     let mut replication = controller.replication.borrow_mut();
--- a/src/coordination/replication/status.rs
+++ b/src/coordination/replication/status.rs
@@ -1,12 +1,13 @@
 //! How far all shards and their standbys are, for operators.
 
 use crate::coordination::controller::Controller;
+use crate::coordination::failover;
 use crate::protocol::peers::ShardStatus;
 use crate::state::names::{Index, ShardIndex};
 
 /// The status of all shards, as this controller sees them.
 pub fn shard_statuses(controller: &Controller) -> Vec<ShardStatus> {
-    controller.observe_shards();
+    failover::observe_shards(controller);
     let shards = controller.cluster.borrow().shards.len();
     (0..shards)
         .map(|at| shard_status(controller, ShardIndex::new(at)))
--- a/src/coordination/replication/streams.rs
+++ b/src/coordination/replication/streams.rs
@@ -26,7 +26,7 @@
 #[derive(Default)]
 pub struct Replication {
     pub(super) published: BTreeMap<ShardIndex, OutgoingStream>,
-    pub(super) followed: BTreeMap<ShardIndex, Follower>,
+    pub(in crate::coordination) followed: BTreeMap<ShardIndex, Follower>,
     sent_since_log: Traffic,
 }
 
--- a/src/coordination/scheduler/direct_start_delivery.rs
+++ b/src/coordination/scheduler/direct_start_delivery.rs
@@ -3,6 +3,7 @@
 
 use crate::coordination::controller::worker_connections::WorkerConnectionSlot;
 use crate::coordination::controller::Controller;
+use crate::coordination::failover;
 use crate::coordination::heartbeats::{self, StatusSource};
 use crate::coordination::scheduler::direct_starts::{
     direct_starts, record_direct_start_outcome, DirectStart, DirectStartOutcome,
@@ -24,7 +25,7 @@
         let connection = controller.worker_connections.acquire();
         connection.map(|c| connections.push(c)).is_some()
     };
-    let permits = controller.permits();
+    let permits = failover::permits(controller);
     let starts = direct_starts(
         &mut controller.cluster.borrow_mut(),
         &controller.config,
--- a/src/coordination/scheduler/planner.rs
+++ b/src/coordination/scheduler/planner.rs
@@ -7,6 +7,7 @@
 
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
+use crate::coordination::failover;
 use crate::coordination::kv::client::CommitOutcome;
 use crate::coordination::kv::transactions::commit_draft;
 use crate::coordination::reconciliation;
@@ -100,7 +101,7 @@
 /// Decides on the view and the permits that a controller has now.
 pub(super) fn with_pass<T>(controller: &Controller, decide: impl FnOnce(&PassContext) -> T) -> T {
     // Observes the shards, so it comes before the cluster state is borrowed.
-    let permits = controller.permits();
+    let permits = failover::permits(controller);
     let cluster = controller.cluster.borrow();
     decide(&PassContext {
         cluster: &cluster,
@@ -177,7 +178,7 @@
         let key = controller.cluster.borrow().shard_key(*shard);
         if keys.contains(&key) {
             let fencing_token = *fencing_token;
-            controller.token_refused(*shard, Refusal::KeyValueStore { fencing_token });
+            failover::token_refused(controller, *shard, Refusal::KeyValueStore { fencing_token });
         }
     }
 }
--- a/src/coordination/scheduler/work_stealing.rs
+++ b/src/coordination/scheduler/work_stealing.rs
@@ -7,6 +7,7 @@
 //! says what has been started.
 
 use crate::coordination::controller::Controller;
+use crate::coordination::failover;
 use crate::coordination::scheduler::placement_rules::{is_allowed, JobRef, MachineRef};
 use crate::coordination::scheduler::queues::{enqueue, QueueEnd, PEER_TIMEOUT_MS};
 use crate::protocol::peers::{PeerRequest, PeerResponse, TaskRef};
@@ -181,7 +182,7 @@
     giver: MachineIndex,
     idle: MachineIndex,
 ) -> Option<usize> {
-    let permits = controller.permits();
+    let permits = failover::permits(controller);
     let cluster = controller.cluster.borrow();
     let giver = cluster.machine(giver)?;
     controller.config.permit(&cluster, &permits, giver.shard)?;
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -3,6 +3,7 @@
 
 mod support;
 
+use pointhook::coordination::failover;
 use pointhook::coordination::kv::CommitOutcome;
 use pointhook::coordination::membership::{MembershipView, Move};
 use pointhook::coordination::reconciliation;
@@ -508,7 +509,7 @@
         .queue
         .push_back(QueuedTask::new(queued, 5, MonotonicMillis(100)));
     let replica = follower.replica_state().expect("no gap");
-    let restored = replication::restore_replica(
+    let restored = failover::restore_replica(
         &mut scene.standby.cluster,
         NORTH,
         replica,
