--- a/src/coordination/autoscaler/scale_in_plan.rs
+++ b/src/coordination/autoscaler/scale_in_plan.rs
@@ -174,10 +174,9 @@
         }
         // A cordoned one takes nothing any more, whatever became of its first deletion.
         let is_unused = || {
-            let idle_since = machine.decisions.idle_since;
             machine.heartbeat.last_seen.is_some()
                 && !self.state.needed_machines.contains(&machine_index)
-                && idle_since.is_some_and(|at| self.now.since(at) > self.idle_ms)
+                && machine.decisions.is_idle_for(self.idle_ms, self.now)
                 && machine.decisions.is_reservation_over(self.now)
         };
         machine.is_cordoned() || is_unused()
