--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -1,9 +1,10 @@
-//! The demand: tasks that wait for capacity, and tasks that are expected while a machine boots.
+//! Demand for machines: waiting tasks, and tasks that are expected to be submitted while a machine
+//! boots.
 //!
-//! `placement` asks for it. Pure functions of the cluster state.
+//! Pure functions of the cluster state, called by `placement`.
 //!
-//! Invariant: no team's demand exceeds what is left of its quota, so that no machine is
-//! requested for tasks that may not start.
+//! Invariant: the demand of a team's waiting tasks never exceeds what is left of the team's quota,
+//! so that no machine is requested for tasks that may not start.
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::draft::DraftTransaction;
@@ -16,38 +17,39 @@
 use std::collections::{BTreeMap, HashSet};
 use std::rc::Rc;
 
-/// Most tasks of one job that machines are requested for at a time.
+/// Maximum number of tasks of one job that are counted as demand in one round.
 const MAX_TASKS_PER_JOB: u32 = 200;
 
-/// Time over which submissions are counted.
+/// Length of the sliding window over which the submission rate is computed.
 const RECENT_MS: u64 = 150_000;
 
-/// Least time that the rate of submissions is taken over.
+/// Minimum time that the submission rate is computed over, however short the window is.
 const MIN_RATE_MS: u64 = 60_000;
 
-/// Jobs that came this soon after the first are the backlog of the opening.
+/// Jobs submitted within this time after the first one are the backlog from before the service
+/// started, and are left out of the submission rate.
 const BACKLOG_MS: u64 = 10_000;
 
-/// Tasks of a class that are expected at most; for a large fleet it is a quarter of its machines
-/// if that is more.
+/// Maximum number of expected tasks of one class; a fleet with more than four times as many
+/// machines is allowed a quarter of its machine count instead.
 const MAX_EXPECTED_TASKS: u32 = 256;
 
-/// Tasks that need capacity.
+/// A number of tasks with the same spec that need capacity.
 pub(super) struct Demand {
-    /// The job that waits; none if the tasks are expected only.
+    /// The job whose tasks wait; `None` for expected tasks.
     pub(super) job: Option<JobIndex>,
     pub(super) spec: Rc<Spec>,
     pub(super) tasks: u32,
 }
 
-/// How many of each job's waiting tasks its team's quota lets run now, in the order in which the
-/// jobs are served.
+/// The waiting tasks of each job that its team's quota allows to run now, in scheduling order.
 ///
-/// As in the scheduler (`StarvedGangs::would_starve`), younger work of a team leaves the quota to a
-/// gang that waits for it. The rule stands here a second time because it counts differently: the
-/// scheduler compares running tasks with one gang's demand, this shares out what is left to all
-/// waiting jobs in turn, and the gang need not have waited for long. What both must agree on is
-/// shared: `reservation_expired` and `fits_beside_services`.
+/// As in the scheduler (`StarvedGangs::would_starve`), younger jobs of a team leave the quota to a
+/// gang that waits for it. The rule is implemented twice because the two count differently: the
+/// scheduler compares running tasks with the demand of one gang, while this function divides the
+/// remaining quota among all waiting jobs in order, and does so for a gang that has only begun to
+/// wait, too. `reservation_expired` and `fits_beside_services` are shared because both must give
+/// the same result in both places.
 pub(super) fn waiting(cluster: &ClusterState, now: MonotonicMillis, wall_ms: u64) -> Vec<Demand> {
     let mut remaining = remaining_quotas(cluster);
     let mut teams_with_waiting_gang: HashSet<TeamIndex> = HashSet::new();
@@ -61,7 +63,8 @@
         let remaining = &mut remaining[spec.team.at()];
         let (tasks, after) = tasks_within_quota(job, spec, *remaining);
         if spec.is_wide_gang() && tasks < spec.tasks() {
-            // A gang that services keep out of the quota would hold the team up for nothing.
+            // While services use too much of the quota for the gang to start, keeping the rest
+            // free would only delay the team's other jobs.
             if fits_beside_services(cluster, spec) {
                 teams_with_waiting_gang.insert(spec.team);
             }
@@ -79,7 +82,8 @@
     out
 }
 
-/// What is left of each team's quota.
+/// The unused part of each team's quota, indexed by team: `i64::MAX` for an unlimited resource,
+/// negative if the team uses more than its quota.
 fn remaining_quotas(cluster: &ClusterState) -> Vec<QuotaUsage> {
     let left = |limit: i64, used: i64| if limit == 0 { i64::MAX } else { limit - used };
     let no_draft = DraftTransaction::default();
@@ -95,8 +99,8 @@
         .collect()
 }
 
-/// Jobs with waiting tasks, without those that failed lately: highest priority first, then those
-/// that have been eligible for longest.
+/// Jobs with waiting tasks, ordered by priority, then by how long they have been eligible to run.
+/// Jobs that are backed off after failures are left out.
 fn waiting_jobs(cluster: &ClusterState, now: MonotonicMillis) -> Vec<(JobIndex, &Job)> {
     let may_retry = |job_index: &JobIndex| {
         let failures = cluster.failures.get(job_index);
@@ -116,7 +120,8 @@
     jobs
 }
 
-/// How many of a job's waiting tasks fit into what remains of the quota, and what then remains.
+/// The number of a job's waiting tasks that fit into the remaining quota, and the quota that
+/// remains after them.
 fn tasks_within_quota(job: &Job, spec: &Spec, mut remaining: QuotaUsage) -> (u32, QuotaUsage) {
     let per_task = spec.need.quota();
     let most = job.waiting_count().min(MAX_TASKS_PER_JOB);
@@ -128,14 +133,15 @@
     (tasks, remaining)
 }
 
-/// The tasks of a class of jobs that were submitted lately.
+/// Recently submitted tasks of one job class.
 struct RecentClass {
     tasks: u32,
-    /// The last of its jobs stands for all.
+    /// The spec of the class's latest job, assumed for all its expected tasks.
     spec: Rc<Spec>,
 }
 
-/// Tasks that are likely to be submitted while a machine boots, by what was submitted lately.
+/// Tasks that are likely to be submitted while a machine boots, extrapolated from the recent
+/// submission rate of each job class.
 pub(super) fn expected(
     cluster: &ClusterState,
     config: &SchedulerConfig,
@@ -144,7 +150,7 @@
     let Some(first) = cluster.first_submission else {
         return Vec::new();
     };
-    // What is there when the service opens is a backlog, not a rate.
+    // Jobs that were already waiting when the service started do not indicate a submission rate.
     let from = wall_ms.saturating_sub(RECENT_MS).max(first + BACKLOG_MS);
     let span_ms = wall_ms.saturating_sub(from).max(MIN_RATE_MS);
     let boot_ms = longest_boot_ms(cluster);
--- a/src/coordination/autoscaler/machine_list.rs
+++ b/src/coordination/autoscaler/machine_list.rs
@@ -1,36 +1,41 @@
-//! The cloud's list of machines, put together from pages.
+//! Assembles the cloud's list of machines from pages.
 //!
-//! `machine_list_refresh` reads the pages; nothing here does any I/O.
+//! `machine_list_refresh` fetches the pages; this module does no I/O.
 //!
-//! Invariant: only complete lists replace the last one, so that a machine is never taken for
+//! Invariant: only a complete list replaces the previous one, so that no machine is presumed
 //! missing because its page was refused.
 
 use crate::protocol::cloud::{ListedMachine, MachineListPage};
 use crate::state::units::MonotonicMillis;
 
-/// Part of the cloud's limit that reading the machine list may take.
+/// Fraction of the cloud's rate limit that reading the machine list may use.
 const LIST_PART: f64 = 0.4;
 
-/// Age at which a list of few pages is begun anew.
+/// Time after which an incomplete list is discarded and read from its first page. Lists of many
+/// pages are allowed more time, see [`STALE_READS`].
 pub(super) const STALE_MS: u64 = 15_000;
 
-/// A list of many pages is begun anew after this many times the time that reading them takes.
+/// Multiple of the time needed to read the pages after which an incomplete list of many pages is
+/// discarded.
 const STALE_READS: u64 = 2;
 
-/// Machines in a page of the list, by the cloud's protocol at most.
+/// Number of machines requested per page, the maximum of the cloud's protocol.
 pub(super) const PAGE_SIZE: usize = 500;
 
-/// Requests in whose time a small list is read once.
+/// Minimum interval between lists, in requests: the interval is at least the time in which the
+/// cloud's rate limit allows this many, within 1.5 s to 4 s.
 const REQUESTS_PER_LIST: f64 = 4.0;
 
-/// Time from one list of machines to the next: a large one takes no more than its part of the
-/// cloud's limit, so that scaling out and in have the rest.
+/// Interval between the end of one machine list and the start of the next, ms.
+///
+/// It grows with the number of pages, so that reading a large list uses at most a fixed fraction of
+/// the cloud's rate limit and leaves the rest to scaling out and in.
 pub fn list_interval_ms(requests_per_s: f64, pages: usize) -> u64 {
     let least = ((REQUESTS_PER_LIST * 1000.0 / requests_per_s) as u64).clamp(1500, 4000);
     least.max(read_time_ms(requests_per_s, pages))
 }
 
-/// Time that reading so many pages takes at the list's part of the cloud's limit.
+/// Time that reading this many pages takes within the list's fraction of the cloud's rate limit.
 fn read_time_ms(requests_per_s: f64, pages: usize) -> u64 {
     (pages as f64 * 1000.0 / (requests_per_s * LIST_PART)) as u64
 }
@@ -39,8 +44,8 @@
     machines / PAGE_SIZE + 1
 }
 
-/// A machine list that is read page by page. What was read stays when a page is refused, and
-/// the next round goes on from there.
+/// A machine list that is read page by page. If a page is refused, the pages read so far are kept,
+/// and the next round continues after them.
 #[derive(Default)]
 pub struct MachineListReader {
     machines: Vec<ListedMachine>,
@@ -48,10 +53,11 @@
 }
 
 impl MachineListReader {
-    /// The name after which the next page begins; a list that took too long is begun anew.
+    /// The machine name after which the next page starts; empty for the first page. A list that has
+    /// taken too long is discarded first.
     ///
-    /// The time allowed grows with what was read: a fixed one would begin the list of a large
-    /// fleet anew for ever where the cloud serves few requests a second.
+    /// The time allowed grows with the number of pages read. With a fixed limit, the list of a
+    /// large fleet would never be completed where the cloud allows few requests per second.
     pub fn next_page_after(&mut self, now: MonotonicMillis, requests_per_s: f64) -> &str {
         let pages = page_count(self.machines.len());
         let stale_ms = STALE_MS.max(STALE_READS * read_time_ms(requests_per_s, pages));
@@ -62,7 +68,7 @@
         self.machines.last().map_or("", |last| last.name.as_str())
     }
 
-    /// Adds a page; the complete list if it was the last.
+    /// Adds a page. Returns the complete list if the page was the last one.
     pub fn add_page(&mut self, page: MachineListPage) -> Option<Vec<ListedMachine>> {
         let more = page.more && !page.machines.is_empty();
         self.machines.extend(page.machines);
--- a/src/coordination/autoscaler/machine_list_refresh.rs
+++ b/src/coordination/autoscaler/machine_list_refresh.rs
@@ -1,7 +1,7 @@
-//! Reads the cloud's list of machines, and takes over a list that is complete.
+//! Reads the cloud's list of machines, and applies a complete list to the cluster state.
 //!
-//! The autoscaler's round calls [`read`] when a list is due. Reading goes on from round to round, as
-//! far as the cloud's limit on requests lets it.
+//! Each round of the autoscaler calls [`read`] if a list is due. Reading continues from round to
+//! round, as fast as the cloud's rate limit allows.
 
 use super::machine_list::{list_interval_ms, page_count, PAGE_SIZE, STALE_MS};
 use super::state::{AutoscalerState, CLOUD_TIMEOUT_MS};
@@ -12,11 +12,11 @@
 use http_types::Method;
 use std::rc::Rc;
 
-/// Pause after a page that was refused.
+/// Delay before a page is requested again after an error or a refusal.
 const RETRY_MS: u64 = 500;
 
-/// Reads pages of the machine list as far as the cloud's limit lets it, and takes over a list
-/// that is complete.
+/// Reads as many pages of the machine list as the cloud's rate limit allows now. Once the list is
+/// complete, adds its machines to the cluster state and replaces the previous list.
 pub(super) async fn read(controller: &Rc<Controller>, state: &mut AutoscalerState) {
     let requests_per_s = controller.platform.settings.cloud.rps;
     let machines = loop {
@@ -43,13 +43,14 @@
         .map(|listed| (listed.name.clone(), listed))
         .collect();
     let listed = &state.listed;
-    // The list lags behind: a deleted machine may leave it and show up once more.
+    // The list lags: a deleted machine may be missing from one list and be in the next one, so its
+    // entry is kept for some time.
     state
         .deletion_requested_at
         .retain(|name, at| listed.contains_key(name) || now.since(*at) < STALE_MS);
 }
 
-/// Adds listed machines to the view, and addresses that it lacks.
+/// Adds listed machines to the cluster state, and sets addresses that are missing there.
 fn learn_machines(controller: &Controller, machines: &[ListedMachine], now: MonotonicMillis) {
     let mut cluster = controller.cluster.borrow_mut();
     for listed in machines {
@@ -67,7 +68,7 @@
     }
 }
 
-/// One page; `None`, with a log line, if the cloud does not serve it.
+/// Fetches one page of the machine list. Logs a failure and returns `None`.
 async fn fetch_page(controller: &Controller, after: &str) -> Option<MachineListPage> {
     let path = format!("/hosts?from={after}&most={PAGE_SIZE}");
     let answer = controller
@@ -83,7 +84,7 @@
         }
         Ok(answer) => {
             log::debug!("machine list refused: status={}", answer.status);
-            // 429 is our own haste, not the cloud's trouble.
+            // With status 429 the cloud is available; this controller exceeded its rate limit.
             controller
                 .availability
                 .record(ExternalService::Cloud, answer.status == 429);
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -1,26 +1,26 @@
-//! Scales the fleet out and in: requests machines from the cloud for tasks that wait or are
-//! expected, and deletes those that are idle or have failed.
+//! The autoscaler: requests machines from the cloud for waiting and expected tasks, and deletes
+//! machines that are idle or have failed.
 //!
-//! A background task of each controller; the owner of the autoscaler's shard alone acts. A round
-//! is: read the list of machines, repeat unanswered requests, drop completed ones, scale out,
-//! scale in.
+//! It runs as a background task on each controller, but only the owner of the autoscaler's shard
+//! acts. Each round reads the list of machines, repeats unanswered requests, removes the records of
+//! completed ones, scales out and scales in.
 //!
-//! | module | owns |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `state` | what the owner remembers between rounds |
-//! | `machine_list` | the cloud's list of machines, put together from pages |
-//! | `machine_list_refresh` | reading the pages, and taking over a complete list |
-//! | `supply` | machines that waiting tasks can count on |
-//! | `demand` | tasks that wait or are expected |
-//! | `placement` | on which machines that demand would go, and which machines it lacks |
-//! | `provisioning` | requests for machines, from the record to the answer |
-//! | `silence` | how long a machine may be silent, and which zones are partitioned |
-//! | `scale_in_plan` | which machines are to be deleted, and why |
-//! | `scale_in` | their deletion |
+//! | `state` | in-memory state of the shard's owner |
+//! | `machine_list` | assembling the cloud's list of machines from pages |
+//! | `machine_list_refresh` | fetching the pages and applying a complete list |
+//! | `supply` | capacity of running, booting and requested machines |
+//! | `demand` | waiting and expected tasks |
+//! | `placement` | assigning demand to supply, and planning the machines that are missing |
+//! | `provisioning` | provisioning requests: their records, the requests and their responses |
+//! | `silence` | limits on missing heartbeats, and detection of partitioned zones |
+//! | `scale_in_plan` | selecting the machines to delete, with reasons |
+//! | `scale_in` | deleting machines |
 //!
-//! Invariant: an intent to request machines is on record, fenced by the shard's fencing token,
-//! before the request is sent. A new owner repeats it under the same name, and the cloud answers
-//! a repeated request as it did the first.
+//! Invariant: the intent to request machines is recorded, fenced by the shard's fencing token,
+//! before the request is sent. A new owner repeats the request under the same name, and the cloud
+//! answers a repeated request as it did the first.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::failover;
@@ -54,13 +54,13 @@
 pub use silence::{partitioned_zones, SilenceLimits, ZoneMachineCounts};
 pub use supply::{supply, Pool, Supply};
 
-/// Time between two rounds of the owner.
+/// Time between rounds on the owner of the autoscaler's shard.
 const TICK_MS: u64 = 250;
-/// Time between two looks of a controller that does not own the autoscaler's shard; a change of
-/// owner notifies it.
+/// Maximum time between ownership checks on a controller that does not own the autoscaler's shard.
+/// A change of owner wakes it earlier.
 const IDLE_TICK_MS: u64 = 1000;
 
-/// Background task: scales out and in while this controller owns the autoscaler's shard.
+/// Background task that scales out and in while this controller owns the autoscaler's shard.
 pub async fn run(controller: Rc<Controller>) {
     let requests_per_s = controller.platform.settings.cloud.rps;
     let mut state: Option<AutoscalerState> = None;
@@ -85,8 +85,9 @@
     }
 }
 
-/// Waits for the next round: a short time for the owner, and for one that has yet to learn the
-/// machine types; until it is notified, or for longer, for all others.
+/// Waits for the next round. The wait is short on the shard's owner and on a controller that has
+/// not loaded the machine types yet; other controllers wait longer, unless a notification wakes
+/// them.
 async fn wait_for_round(controller: &Controller, is_owner: bool) {
     let idle = !is_owner && {
         let cluster = controller.cluster.borrow();
@@ -101,9 +102,11 @@
     }
 }
 
-/// The fencing token if this controller owns the autoscaler's shard and may decide for it.
+/// The shard's fencing token if this controller owns the autoscaler's shard and has a permit to
+/// decide for it.
 ///
-/// There is no permit before the predecessor's requests are known: they would be made once more.
+/// A new owner gets no permit before it knows the previous owner's provisioning requests, which it
+/// would make a second time otherwise.
 fn owned_fencing_token(controller: &Controller) -> Option<FencingToken> {
     let permits = failover::permits(controller);
     let cluster = controller.cluster.borrow();
@@ -112,8 +115,8 @@
     permit.map(|permit| permit.fencing_token())
 }
 
-/// Learns the machine types from the cloud unless the key-value store has them, and shares them
-/// through the store.
+/// Fetches the machine types from the cloud and stores them in the key-value store, unless they
+/// have been loaded from the store.
 async fn load_machine_types(controller: &Rc<Controller>) {
     let loaded = {
         let cluster = controller.cluster.borrow();
@@ -155,7 +158,7 @@
     }
 }
 
-/// Stores the machine types unless another controller has done so.
+/// Stores the machine types. If another controller has stored them first, reads those instead.
 async fn store_machine_types(controller: &Controller, catalog: &MachineTypeCatalog) {
     let key = format!("{ROOT}flavors/all");
     let txn = Transaction {
@@ -174,7 +177,7 @@
 
 async fn run_round(controller: &Rc<Controller>, state: &mut AutoscalerState) {
     if !controller.kv.is_reachable() {
-        // Whether the shard is still ours can't be known, and nothing could be recorded.
+        // Without the store, ownership of the shard can't be confirmed and no intent recorded.
         return;
     }
     let list_lag_ms = millis_from_seconds(controller.platform.settings.cloud.list_lag_s);
--- a/src/coordination/autoscaler/placement.rs
+++ b/src/coordination/autoscaler/placement.rs
@@ -1,10 +1,11 @@
-//! Places demand on supply, and plans machines for what finds no capacity.
+//! Assigns demand to supply, and plans new machines for tasks that find no capacity.
 //!
-//! `provisioning` runs one [`ScaleOutPlanner`] a round. Pure functions of the cluster state, but
-//! for the random choice between pools of equal cost.
+//! `provisioning` runs one [`ScaleOutPlanner`] per round. Pure functions of the cluster state,
+//! except for the random choice between pools of equal cost.
 //!
-//! Invariant: a task is placed only where the scheduler would start it, by the same rules of
-//! zones, machine types and reservations; a machine that it would not use is not requested.
+//! Invariant: a task is assigned only to a machine on which the scheduler would start it, by the
+//! same rules for zones, machine types and reservations. A machine that the scheduler would not use
+//! is not requested.
 
 use super::demand::{self, Demand};
 use super::supply::{Pool, Supply};
@@ -21,41 +22,42 @@
 use crate::state::units::{MonotonicMillis, Resources};
 use std::collections::{BTreeMap, HashSet};
 
-/// Tasks on one machine that its cost is shared by at most.
+/// Maximum number of tasks among which the cost of one machine is divided.
 const MAX_TASKS_PER_MACHINE: u32 = 64;
 
-/// Boot time, in seconds, that makes a machine twice as dear.
+/// Boot time, in seconds, that doubles the cost at which a machine is compared with others.
 const BOOT_S_THAT_DOUBLES_COST: f64 = 300.0;
 
-/// Random part of a cost, by which equal pools share the load between zones.
+/// Maximum random increase of a cost, as a fraction of it. It spreads requests over zones whose
+/// pools cost the same.
 const COST_JITTER: f64 = 0.02;
 
-/// Machines to request, and machines to keep.
+/// The result of planning: machines to request, and existing machines to keep.
 #[derive(Default)]
 pub struct ScaleOutPlan {
-    /// Machines to request, by pool.
+    /// Number of machines to request from each pool.
     pub machines_to_request: BTreeMap<Pool, u32>,
-    /// Machines that waiting or expected tasks need.
+    /// Existing machines that waiting or expected tasks are assigned to; scale-in must keep them.
     pub needed_machines: HashSet<MachineIndex>,
 }
 
-/// What a plan goes by.
+/// Plans which machines to request; holds the input of one plan.
 pub struct ScaleOutPlanner<'a> {
-    /// The cluster.
+    /// Cluster state as this controller knows it.
     pub cluster: &'a ClusterState,
-    /// The scheduler's settings.
+    /// Scheduling parameters, the same as the scheduler's.
     pub config: &'a SchedulerConfig,
-    /// Pools that lately had fewer machines than were asked for.
+    /// Pools that recently had fewer machines than requested; none is requested from them.
     pub backed_off: &'a HashSet<Pool>,
-    /// Now.
+    /// Current monotonic time, against which job failure backoffs are checked.
     pub now: MonotonicMillis,
-    /// Time of day, ms.
+    /// Current wall-clock time, ms since the Unix epoch.
     pub wall_ms: u64,
 }
 
 impl ScaleOutPlanner<'_> {
-    /// Plans machines so that waiting and expected tasks find capacity, waiting ones first. The
-    /// supply is used up as tasks are placed.
+    /// Plans machines so that all waiting and expected tasks find capacity, waiting tasks first.
+    /// Reduces `supply` by the assigned tasks, and adds the planned machines to it.
     pub fn plan(&self, supply: &mut Vec<Supply>) -> ScaleOutPlan {
         let mut plan = ScaleOutPlan::default();
         let expected = demand::expected(self.cluster, self.config, self.wall_ms);
@@ -69,7 +71,7 @@
     }
 }
 
-/// Where the tasks of one demand may go, given those that are placed already.
+/// Assigns the tasks of one demand to machines, within the job's placement rules.
 struct DemandPlacement<'a> {
     cluster: &'a ClusterState,
     config: &'a SchedulerConfig,
@@ -78,9 +80,9 @@
     job: Option<(JobIndex, &'a Job)>,
     priority: Priority,
     waited_ms: u64,
-    /// Tasks by zone, those that run included.
+    /// The job's tasks in each zone: placed ones and those assigned by this plan.
     tasks_by_zone: TasksByZone,
-    /// The only zone in which a gang of one zone can be complete.
+    /// The zone chosen for a one-zone gang; `None` for all other demand.
     gang_zone: Option<ZoneIndex>,
 }
 
@@ -103,14 +105,16 @@
         }
     }
 
-    /// True if all tasks have to be in one zone. Expected jobs are many: what binds the tasks of
-    /// one to a zone does not bind theirs.
+    /// True if all tasks have to be in one zone. Expected tasks belong to many jobs, so the rule
+    /// does not apply to them.
     fn one_zone(&self) -> bool {
         self.demand.spec.wire.one_zone && self.job.is_some()
     }
 
-    /// For a gang that must be in one zone: where it can be complete, with the most free capacity
-    /// now.
+    /// Chooses the zone of a one-zone gang; does nothing for other jobs.
+    ///
+    /// Zones in which the whole gang fits, or machines for it can be requested, come first; among
+    /// them the zone with the most machines that have free capacity for a task now.
     fn choose_zone(&mut self, supply: &[Supply]) {
         let spec = &self.demand.spec;
         if !self.one_zone() || !spec.is_wide_gang() {
@@ -126,7 +130,7 @@
             });
     }
 
-    /// True if machines for the job can be requested in this zone.
+    /// True if machines that the job may use can be requested in this zone.
     fn can_request_in(&self, zone: ZoneIndex) -> bool {
         self.cluster.machine_types.keys().any(|machine_type| {
             [false, true].into_iter().any(|spot| {
@@ -140,13 +144,14 @@
         })
     }
 
-    /// Places all tasks, on what is there or on what is to be requested.
+    /// Assigns the demand's tasks to supply, or to machines to be requested, until all are assigned
+    /// or no pool is left for the next one.
     fn place(&mut self, supply: &mut Vec<Supply>, plan: &mut ScaleOutPlan) {
         let need = self.demand.spec.need;
         let mut next = 0;
         for _ in 0..self.demand.tasks {
-            // Capacity, zones and kinds only get fewer while one job's tasks are placed: what did
-            // not suit one task suits none of the next.
+            // While the tasks of one job are assigned, free capacity and allowed zones only shrink:
+            // a machine that did not suit one task suits none of the following ones.
             while supply.get(next).is_some_and(|s| !self.suits(s)) {
                 next += 1;
             }
@@ -169,7 +174,8 @@
         }
     }
 
-    /// The cheapest pool for the next task, and the capacity of a machine of it.
+    /// The cheapest pool from which a machine may be requested for the next task, and the capacity
+    /// of one of its machines.
     fn pool_to_request(&self) -> Option<(Pool, Resources)> {
         let is_eligible = |pool: &Pool| {
             self.allows(pool)
@@ -183,7 +189,7 @@
         Some((pool, machine_type.capacity))
     }
 
-    /// True if the next task may go to this machine.
+    /// True if the next task may be assigned to this machine.
     fn suits(&self, supply: &Supply) -> bool {
         let empty = is_empty(self.cluster, supply);
         self.demand.spec.need.fits(supply.free)
@@ -193,8 +199,8 @@
             && self.scheduler_allows(supply)
     }
 
-    /// True unless the scheduler would keep the job off this machine, for example because it
-    /// failed there.
+    /// True unless the scheduler's placement rules exclude this machine, for example because the
+    /// job failed on it.
     fn scheduler_allows(&self, supply: &Supply) -> bool {
         let machine_index = supply.machine;
         let machine = machine_index.and_then(|index| Some((index, self.cluster.machine(index)?)));
@@ -206,7 +212,7 @@
         is_allowed(self.cluster, job, MachineRef::from(on))
     }
 
-    /// True if the job allows machines of this pool beside its other tasks.
+    /// True if the job allows machines of this pool, given the zones of its other tasks.
     fn allows(&self, pool: &Pool) -> bool {
         self.allows_kind(pool)
             && self.allows_zone(pool.zone)
@@ -230,7 +236,8 @@
         here < cap && (!self.one_zone() || self.tasks_by_zone.are_all_in(zone))
     }
 
-    /// True for on-demand machines that the job leaves to others for now.
+    /// True for an empty on-demand machine that is kept for now for jobs that must not use spot
+    /// machines.
     fn reserved_for_on_demand(&self, pool: &Pool, empty: bool) -> bool {
         let work = SpotWork {
             spec: &self.demand.spec,
@@ -245,14 +252,14 @@
         is_reserved_for_on_demand(self.cluster, self.config, work, offered)
     }
 
-    /// True for on-demand machines if the tasks are only expected and may use spot machines:
-    /// capacity for what may come is kept at the low price only.
+    /// True for on-demand pools if the tasks are only expected and may run on spot machines:
+    /// capacity for such tasks is held at the spot price only.
     fn too_dear_for_expected_tasks(&self, pool: &Pool) -> bool {
         self.job.is_none() && self.demand.spec.wire.spot && !pool.spot
     }
 }
 
-/// Machines of a zone with free capacity for a task.
+/// The number of machines in a zone that have free capacity for one task of the job.
 fn machines_that_fit(spec: &Spec, supply: &[Supply], zone: ZoneIndex) -> u32 {
     let fits = |s: &&Supply| {
         s.pool.zone == zone && (spec.wire.spot || !s.pool.spot) && spec.need.fits(s.free)
@@ -260,13 +267,13 @@
     supply.iter().filter(fits).count() as u32
 }
 
-/// True if nothing runs on a machine.
+/// True if the machine's whole capacity is free.
 fn is_empty(cluster: &ClusterState, supply: &Supply) -> bool {
     let machine_type = cluster.machine_types.get(&supply.pool.machine_type);
     machine_type.is_some_and(|machine_type| machine_type.capacity == supply.free)
 }
 
-/// The pool with the least cost for a task.
+/// The eligible pool with the lowest cost per task.
 fn cheapest_pool(
     cluster: &ClusterState,
     need: Resources,
@@ -292,7 +299,7 @@
     cheapest.map(|(_, pool)| pool)
 }
 
-/// The pools of a machine type, in all zones that have it.
+/// The spot and on-demand pools of a machine type in each zone that offers it.
 fn pools<'a>(
     cluster: &'a ClusterState,
     index: MachineTypeIndex,
@@ -310,10 +317,12 @@
         })
 }
 
-/// What a task costs an hour on a machine that takes so many of them; boot time counts a little.
+/// Hourly cost of one task on a machine that holds `fitting` of them, with a surcharge for the
+/// boot time.
 fn cost_per_task(machine_type: &MachineType, spot: bool, need: Resources, fitting: u32) -> f64 {
     let description = &machine_type.description;
-    // What a task leaves free is used by others more often than not.
+    // Capacity that these tasks leave free is usually used by other tasks, so only a part of it is
+    // charged to them.
     let share = need.share_of(machine_type.capacity) * f64::from(fitting);
     let used = share.clamp(0.5, 1.0) * 0.5 + share.min(1.0) * 0.5;
     let price = if spot {
@@ -324,7 +333,8 @@
     price * used / f64::from(fitting.max(1)) * (1.0 + description.boot_s / BOOT_S_THAT_DOUBLES_COST)
 }
 
-/// How many of these tasks an empty machine takes.
+/// The number of these tasks that fit on an empty machine, between 0 and
+/// [`MAX_TASKS_PER_MACHINE`].
 fn tasks_that_fit(capacity: Resources, need: Resources, tasks: u32) -> u32 {
     let most = tasks.clamp(1, MAX_TASKS_PER_MACHINE);
     let mut free = capacity;
--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -1,10 +1,12 @@
-//! Requests for machines: the intent on record, the request to the cloud, and what came of it.
+//! Provisioning requests: writes the intent to the key-value store, sends the request to the cloud,
+//! and records the result.
 //!
-//! The autoscaler's round calls [`retry_unanswered`], [`remove_completed`] and [`scale_out`].
+//! Each round of the autoscaler calls [`retry_unanswered`], [`remove_completed`] and [`scale_out`].
 //!
-//! Invariant: a request is on record, written under the autoscaler shard's fencing token, before
-//! it is sent; its record stays until its machines are in the cloud's list. Whoever owns the
-//! shard next finds it and repeats it under the same name.
+//! Invariant: a provisioning request is recorded, under the fencing token of the autoscaler's
+//! shard, before it is sent, and the record is kept until its machines are in the cloud's list or
+//! should long have been. The next owner of the shard finds the record and repeats the request
+//! under the same name.
 
 use super::placement::ScaleOutPlanner;
 use super::state::{AutoscalerState, Backoff, CLOUD_TIMEOUT_MS};
@@ -23,55 +25,56 @@
 use std::collections::{BTreeMap, HashSet};
 use std::rc::Rc;
 
-/// Most machines in one request, by the cloud's protocol.
+/// Maximum number of machines in one request, set by the cloud's protocol.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
-/// Time after which a request without an answer is repeated.
+/// Time after which an unanswered request is sent again.
 const RETRY_AFTER_MS: u64 = 2000;
-/// Half of the first backoff of a pool; each is twice the one before.
+/// Half of a pool's first backoff; each backoff is twice the previous one.
 const BASE_BACKOFF_MS: u64 = 3000;
 /// Longest backoff of a pool.
 const MAX_BACKOFF_MS: u64 = 20_000;
-/// Requests left to scale-in while it has machines to delete.
+/// Number of requests within the cloud's rate limit that scale-out leaves to scale-in while
+/// machines are to be deleted.
 const RESERVED_FOR_SCALE_IN: f64 = 1.0;
-/// Time beyond the lag of the list after which a record is removed though the list lacks some of
-/// its machines.
+/// Time, in addition to four times the list's lag, after which a record is removed although some of
+/// its machines are not in the list.
 const MISSING_MACHINES_MS: u64 = 10_000;
-/// Most provisioning requests side by side.
+/// Maximum number of provisioning requests that are sent concurrently.
 const MAX_CONCURRENT_REQUESTS: usize = 4;
 
-/// A request and its name.
+/// A provisioning request with the name under which it is recorded and sent.
 struct NamedRequest {
     request_id: String,
     record: ProvisioningRecord,
 }
 
-/// What the cloud answered to a request.
+/// The cloud's response to a provisioning request.
 enum ProvisioningResponse {
-    /// These machines, as many as were asked for or fewer.
+    /// Names of the new machines, as many as requested or fewer.
     Provisioned(Vec<String>),
-    /// The pool has no machine.
+    /// The pool has no machines available.
     NoCapacity,
-    /// Too many requests at a time; nothing was done.
+    /// The request exceeded the rate limit and was not executed.
     RateLimited,
-    /// Anything else, by its status.
+    /// Any other response, with its HTTP status.
     Rejected(u16),
-    /// No answer: it may have been executed.
+    /// No response was received; the request may have been executed.
     Unanswered,
 }
 
-/// What becomes of the record of a request.
+/// A change to the record of a provisioning request.
 enum RecordUpdate {
     Put(ProvisioningRecord),
     Remove,
 }
 
-/// An update and the name of its request.
+/// A record update with the name of its request.
 struct NamedUpdate {
     request_id: String,
     update: RecordUpdate,
 }
 
-/// Repeats requests without an answer: the cloud executes none twice.
+/// Sends unanswered requests again. The cloud executes a repeated request only once.
 pub(super) async fn retry_unanswered(controller: &Rc<Controller>, state: &mut AutoscalerState) {
     let now = controller.now();
     let unanswered: Vec<NamedRequest> = {
@@ -97,7 +100,7 @@
     send_requests(controller, state, unanswered).await;
 }
 
-/// Sends requests side by side, and records together what came of them.
+/// Sends requests concurrently, and commits their results together.
 async fn send_requests(
     controller: &Rc<Controller>,
     state: &mut AutoscalerState,
@@ -125,7 +128,7 @@
     commit_updates(controller, &updates).await;
 }
 
-/// Sends one request to the cloud.
+/// Sends one provisioning request to the cloud and waits for its response.
 async fn send_request(controller: &Controller, request: &NamedRequest) -> ProvisioningResponse {
     let NamedRequest { request_id, record } = request;
     let message = ProvisioningRequest {
@@ -169,8 +172,8 @@
     }
 }
 
-/// Takes over the answer to a request. Returns what its record shall be; `None` leaves it as it
-/// is, and the request is repeated.
+/// Applies a response to the cluster state and the pool's backoff. Returns the update of the
+/// request's record; `None` leaves the record unchanged, and the request is repeated.
 fn apply_response(
     controller: &Controller,
     state: &mut AutoscalerState,
@@ -180,7 +183,7 @@
     let NamedRequest { request_id, record } = request;
     let now = controller.now();
     let mut cluster = controller.cluster.borrow_mut();
-    // A zone that this controller's settings lack: what came of the request can't be noted.
+    // The response can't be recorded if the zone is missing from this controller's settings.
     let pool = Pool {
         machine_type: cluster.machine_type_names.intern(&record.machine_type),
         zone: cluster.zone_names.find(&record.zone)?,
@@ -225,7 +228,7 @@
     );
 }
 
-/// Adds provisioned machines to the view and to the request's record.
+/// Adds provisioned machines to the cluster state, and returns the update that records them.
 fn record_machines(
     cluster: &mut ClusterState,
     record: ProvisioningRecord,
@@ -242,7 +245,7 @@
 }
 
 impl AutoscalerState {
-    /// Leaves a pool alone for twice as long as the last time.
+    /// Excludes a pool from requests for twice as long as its last backoff.
     fn back_off(&mut self, pool: Pool, now: MonotonicMillis) {
         let last = self.backoffs.get(&pool);
         let last_ms = last.map_or(BASE_BACKOFF_MS, |backoff| backoff.delay_ms);
@@ -257,8 +260,8 @@
     }
 }
 
-/// Writes updates as long as this controller owns the autoscaler's shard; true if all are written
-/// and read back.
+/// Commits record updates on the condition that the autoscaler's shard record is unchanged. True if
+/// all were committed and then read back into the cluster state.
 async fn commit_updates(controller: &Controller, updates: &[NamedUpdate]) -> bool {
     if updates.is_empty() {
         return true;
@@ -273,11 +276,11 @@
         let outcome = controller.kv.commit(&txn).await;
         all_committed &= matches!(outcome, CommitOutcome::Committed(_));
     }
-    // The next step depends on what the records say.
+    // The next step of the round reads the records from the cluster state.
     controller.refresh(REFRESH_MS).await && all_committed
 }
 
-/// A transaction that fails if the autoscaler's shard has changed hands.
+/// Record updates as a transaction that fails if the autoscaler's shard has a new owner.
 fn updates_transaction(cluster: &ClusterState, updates: &[NamedUpdate]) -> Transaction {
     let shard = cluster.autoscaler_shard();
     let write = |named: &NamedUpdate| {
@@ -296,7 +299,8 @@
     }
 }
 
-/// Removes the records of requests whose machines are all in the list, or should long be.
+/// Removes the records of requests whose machines are all in the cloud's list, or should long have
+/// been.
 pub(super) async fn remove_completed(
     controller: &Rc<Controller>,
     state: &mut AutoscalerState,
@@ -332,7 +336,7 @@
         .provisioning_requests
         .iter()
         .filter(|(id, request)| {
-            // A request of a predecessor counts from when it is first seen here.
+            // The age of a previous owner's request counts from when this owner first sees it.
             let at = *requested_at.entry((*id).clone()).or_insert(now);
             let elapsed_ms = now.since(at);
             let machines = &request.record.machines;
@@ -346,9 +350,9 @@
         .collect()
 }
 
-/// Requests machines for tasks that wait or are expected.
+/// Requests machines for waiting and expected tasks that find no capacity.
 pub(super) async fn scale_out(controller: &Rc<Controller>, state: &mut AutoscalerState) {
-    // Without a list of this owner's time, the machines that exist are not known.
+    // Which machines exist is unknown until this owner has read a complete list.
     if !state.list_complete {
         return;
     }
@@ -357,7 +361,7 @@
     if requests.is_empty() {
         return;
     }
-    // The intent is on record before the request: the next owner repeats it.
+    // The intent is recorded before the request is sent, so that the next owner can repeat it.
     let intents: Vec<NamedUpdate> = requests
         .iter()
         .map(|request| NamedUpdate {
@@ -370,7 +374,7 @@
     }
 }
 
-/// Plans a round; notes the machines that are needed, for scale-in.
+/// Plans the machines to request in this round, and stores the needed ones for scale-in.
 fn plan(controller: &Controller, state: &mut AutoscalerState) -> BTreeMap<Pool, u32> {
     let now = controller.now();
     let cluster = controller.cluster.borrow();
@@ -388,14 +392,14 @@
     plan.machines_to_request
 }
 
-/// Names requests for planned machines, as many as the cloud's limit allows now.
+/// Creates named requests for planned machines, as many as the cloud's rate limit allows now.
 fn new_requests(
     controller: &Controller,
     state: &mut AutoscalerState,
     machines_to_request: BTreeMap<Pool, u32>,
 ) -> Vec<NamedRequest> {
-    // While there is something to delete one request is left for that: those who wait for a
-    // machine to be proven deleted wait as long as those who need a new one.
+    // One request is left for a pending deletion: tasks that can restart only once their silent
+    // machine is deleted wait just as long as tasks that need a new machine.
     let reserve = if state.scale_in_pending {
         RESERVED_FOR_SCALE_IN
     } else {
@@ -407,7 +411,7 @@
             break;
         }
         state.request_count += 1;
-        // The token is of this owner alone, so no name is ever used twice.
+        // No other owner has this fencing token, so no name is ever used twice.
         let request_id = format!("b-{}-{}", state.fencing_token, state.request_count);
         let cluster = controller.cluster.borrow();
         let machine_type = cluster.machine_type_names.name(pool.machine_type);
@@ -423,16 +427,17 @@
     requests
 }
 
-/// Machines of one pool, as many as one request may ask for.
+/// Part of a plan that fits into one provisioning request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct PoolRequest {
-    /// The pool.
+    /// Pool to request machines from.
     pub pool: Pool,
-    /// How many.
+    /// Number of machines, at most the limit of the cloud's protocol.
     pub count: u32,
 }
 
-/// Splits planned machines into requests of the size that the cloud takes, the pools in turn.
+/// Splits planned machines into requests no larger than the cloud accepts, alternating between the
+/// pools. Machines beyond the maximum number of concurrent requests are left for the next round.
 pub fn split_into_requests(machines_to_request: BTreeMap<Pool, u32>) -> Vec<PoolRequest> {
     let mut remaining = machines_to_request;
     let mut requests = Vec::new();
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -1,10 +1,10 @@
 //! Deletes machines that can't be used or that nothing needs.
 //!
-//! The autoscaler's round calls [`scale_in`] last.
+//! Each round of the autoscaler calls [`scale_in`] last.
 //!
-//! Invariants: nothing is deleted before a fresh read has shown that this controller still owns
-//! the autoscaler's shard; an idle machine only after its owner has cordoned it. The deletion of a
-//! silent machine is the only proof that its tasks have ended.
+//! Invariants: no machine is deleted before a fresh read of the key-value store has confirmed that
+//! this controller still owns the autoscaler's shard, and no idle machine before its owner has
+//! cordoned it. The deletion of a silent machine is the only proof that its tasks have ended.
 
 use super::scale_in_plan::{ScaleInPlanner, ScaleInReason};
 use super::state::{AutoscalerState, CLOUD_TIMEOUT_MS};
@@ -20,13 +20,14 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Most machines in one deletion, by the cloud's protocol.
+/// Maximum number of machines in one deletion request, set by the cloud's protocol.
 const MAX_MACHINES_PER_DELETION: usize = 100;
-/// Time after a change of owner in which nothing is deleted: too little is known yet.
+/// Time after a change of owner during which no machine is deleted, because the new owner knows too
+/// little about the machines yet.
 const OWNER_WARM_UP_MS: u64 = 3000;
-/// Time for a peer to cordon machines.
+/// Timeout of a request to a peer to cordon machines.
 const CORDON_TIMEOUT_MS: u64 = 800;
-/// Time for a peer to take note of deleted machines.
+/// Timeout of the announcement of deleted machines to a peer.
 const ANNOUNCE_TIMEOUT_MS: u64 = 500;
 
 /// Deletes machines that can't be used or that nothing needs.
@@ -59,7 +60,7 @@
     delete(controller, state, deletions).await;
 }
 
-/// Notes since when machines have had nothing to do.
+/// Updates since when each machine has been idle, with no placements and an empty queue.
 fn update_idle_since(cluster: &mut ClusterState, now: MonotonicMillis) {
     for machine_index in (0..cluster.machines.len()).map(MachineIndex::new) {
         let has_placements = !cluster.placed_on(machine_index).is_empty();
@@ -75,10 +76,12 @@
     }
 }
 
-/// True if this controller still owns the autoscaler's shard, by a fresh read.
+/// True if a fresh read of the key-value store shows that this controller still owns the
+/// autoscaler's shard.
 ///
-/// Nothing fences a deletion but this: an owner that was cut off from the key-value store would go
-/// on deleting machines that others have long put to use.
+/// This is the only fencing of deletions, because the cloud does not check fencing tokens. Without
+/// it, a former owner that was disconnected from the store would go on deleting machines that other
+/// controllers use by now.
 async fn confirm_ownership(controller: &Controller) -> bool {
     if !controller.refresh(REFRESH_MS).await {
         return false;
@@ -88,8 +91,8 @@
     controller.config.owns(&cluster, shard)
 }
 
-/// Has owners cordon idle machines, so that nothing new is started there; returns those that are
-/// cordoned now.
+/// Cordons idle machines through their owners, so that no new task starts on them. Returns the
+/// machines that are now cordoned.
 async fn cordon_idle(controller: &Rc<Controller>, idle: &[String]) -> Vec<String> {
     let by_owner = group_by_owner(&controller.cluster.borrow(), idle);
     let mut cordoned = Vec::new();
@@ -115,7 +118,8 @@
     by_owner
 }
 
-/// Those that the peer has cordoned; none if it does not answer, to be asked again next round.
+/// Asks a peer to cordon machines that it owns, and returns those that it has cordoned. Without an
+/// answer the result is empty, and the next round tries again.
 async fn ask_peer_to_cordon(
     controller: &Controller,
     owner: &str,
@@ -135,7 +139,8 @@
     }
 }
 
-/// Requests a deletion from the cloud, and announces the machines as deleted if it succeeds.
+/// Requests the deletion of machines from the cloud, and announces it to all controllers if it
+/// succeeds.
 async fn delete(
     controller: &Rc<Controller>,
     state: &mut AutoscalerState,
@@ -174,8 +179,8 @@
     }
 }
 
-/// Takes note of deleted machines, here and at all peers: the only proof there is that the tasks
-/// of a machine that does not talk any more have ended.
+/// Marks machines as deleted on this controller and on all peers. For a silent machine this is the
+/// only proof that its tasks have ended.
 async fn announce_deleted(controller: &Controller, machines: Vec<String>) {
     machine_changes::mark_machines_deleted(controller, &machines);
     let announcement = PeerRequest::MachinesDeleted { machines };
--- a/src/coordination/autoscaler/scale_in_plan.rs
+++ b/src/coordination/autoscaler/scale_in_plan.rs
@@ -1,9 +1,9 @@
-//! Which machines are to be deleted, and why.
+//! Selects the machines to delete, and the reason for each.
 //!
-//! `scale_in` asks for a plan in each round and carries it out.
+//! `scale_in` makes a plan in each round and carries it out.
 //!
-//! Invariants: a machine that runs tasks is planned only after its silence has lasted longer than
-//! its limit, as far as its owner can tell; an idle one only if nothing needs it.
+//! Invariants: a silent machine is selected only after the owner of its shard has received no
+//! heartbeat for longer than the machine's limit; an idle machine only if no task needs it.
 
 use super::silence::{machine_counts_by_zone, partitioned_zones, SilenceLimits};
 use super::state::AutoscalerState;
@@ -17,19 +17,19 @@
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 
-/// Boot times after which a machine that still boots is deleted.
+/// Multiple of its type's usual boot time after which a machine that still boots is deleted.
 const STUCK_BOOT_TIMES: f64 = 2.5;
-/// Time beyond that, for the list's lag.
+/// Time, in addition to that multiple, that allows for the lag of the machine list.
 const STUCK_GRACE_S: f64 = 10.0;
-/// Boot time of a machine whose type is not known.
+/// Boot time assumed for a machine of unknown type.
 const DEFAULT_BOOT_S: f64 = 60.0;
-/// A machine whose deletion was requested is left alone for this long.
+/// Time after which the deletion of a machine that is still listed is requested again.
 const DELETION_RETRY_MS: u64 = 5000;
-/// Age up to which the last status of a machine's owner counts.
+/// Maximum age of the last status update from a machine's owner for its silence to count.
 const OWNER_STATUS_MS: u64 = 3000;
-/// Heartbeats that a machine may miss.
+/// Number of heartbeat intervals that a machine may miss.
 const MISSED_HEARTBEATS: f64 = 4.0;
-/// Time beyond the missed heartbeats after which a machine counts as silent.
+/// Time, in addition to the missed heartbeats, after which a machine counts as silent.
 const SILENCE_GRACE_MS: u64 = 4000;
 
 /// Why a machine is deleted.
@@ -39,13 +39,13 @@
     Failed,
     /// Tasks of different jobs failed on it.
     Quarantined,
-    /// It booted for much longer than its type takes.
+    /// It is still booting, long after the usual boot time of its type.
     NeverBooted,
-    /// No heartbeat for longer than its limit.
+    /// Its owner has received no heartbeat for longer than its limit.
     Silent,
-    /// It has tasks, is in no list and silent.
+    /// It has placements, but is silent and not in the cloud's list.
     PresumedLost,
-    /// Nothing needs it.
+    /// No task runs on it or needs it, or it is cordoned and empty.
     Idle,
 }
 
@@ -62,12 +62,12 @@
     }
 }
 
-/// Machines to be deleted.
+/// Machines to delete in this round.
 #[derive(Default)]
 pub(super) struct ScaleInPlan {
-    /// Those that can't be used, with the reason.
+    /// Machines that can't be used, with the reason; they are deleted without being cordoned.
     pub(super) unusable: Vec<(String, ScaleInReason)>,
-    /// Those that nothing needs. Their owners have to cordon them first.
+    /// Machines that nothing needs; their owners have to cordon them before they are deleted.
     pub(super) idle: Vec<String>,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// What a plan goes by.
+/// Plans which machines to delete; holds the input of one plan.
 pub(super) struct ScaleInPlanner<'a> {
     controller: &'a Controller,
     cluster: &'a ClusterState,
@@ -127,18 +127,18 @@
                 plan.unusable.push((name, ScaleInReason::PresumedLost));
             }
         }
-        // Names are unique, so the order does not depend on the reasons.
+        // Machine names are unique, so the order does not depend on the reasons.
         plan.unusable.sort_by(|(a, _), (b, _)| a.cmp(b));
         plan.idle.sort();
         plan
     }
 
-    /// Why a listed machine is to be deleted; `None` if it is to stay.
+    /// The reason to delete a listed machine; `None` if it is to be kept.
     fn reason(&self, listed: &ListedMachine) -> Option<ScaleInReason> {
         if self.deletion_requested_lately(&listed.name) {
             return None;
         }
-        // A list may show a deleted machine for some time.
+        // The list may still contain a deleted machine, which the cluster state no longer has.
         let machine_index = self.cluster.machine_names.find(&listed.name)?;
         let machine = self.cluster.machine(machine_index)?;
         if listed.has_failed() {
@@ -167,12 +167,14 @@
         listed.age_s > boot_s * STUCK_BOOT_TIMES + STUCK_GRACE_S
     }
 
-    /// True if nothing runs on a machine, and nothing needs or will use it.
+    /// True if a machine has no placements, and is either cordoned or unused: idle for long enough,
+    /// not reserved, and needed by no waiting or expected task.
     fn is_idle(&self, machine_index: MachineIndex, machine: &Machine) -> bool {
         if !self.cluster.placed_on(machine_index).is_empty() {
             return false;
         }
-        // A cordoned one takes nothing any more, whatever became of its first deletion.
+        // A cordoned machine gets no more tasks, so it is deleted even if its first deletion
+        // failed.
         let is_unused = || {
             machine.heartbeat.last_seen.is_some()
                 && !self.state.needed_machines.contains(&machine_index)
@@ -192,8 +194,8 @@
             .is_some_and(|overdue_ms| overdue_ms > allowance_ms)
     }
 
-    /// By how long its owner has waited for a machine beyond the limit; `None` if it has not, or
-    /// if that owner sent no status lately.
+    /// The time by which a machine's silence exceeds its limit; `None` if it does not, or if the
+    /// machine's owner has sent no recent status update.
     fn overdue_ms(&self, machine: &Machine) -> Option<u64> {
         let owned_here = self.controller.config.owns(self.cluster, machine.shard);
         let observing_since = if owned_here {
@@ -225,17 +227,17 @@
     fn is_silent_or_unknown(&self, machine_index: MachineIndex) -> bool {
         match self.cluster.machine(machine_index) {
             Some(machine) => self.is_silent(machine),
-            // No status has named it since this controller became the owner.
+            // No status update has contained it since this controller became the owner.
             None => self.now.since(self.state.owner_since) > self.limits.unconfirmed_ms(),
         }
     }
 }
 
-/// Machines with placements that are not in the list and silent.
+/// Silent machines that have placements but are not in the cloud's list.
 ///
-/// The cloud deleted them while no owner lived that had heard them: nothing else proves that
-/// their tasks have ended, and their jobs would wait for ever. The cloud also answers a deletion
-/// of a name that it does not know.
+/// The cloud deleted them while no owner was running that had received their heartbeats. Only a
+/// confirmed deletion proves that their tasks have ended; without it their jobs would wait forever.
+/// The cloud confirms the deletion of a name that it does not know, too.
 pub fn presumed_lost(
     cluster: &ClusterState,
     listed: &HashMap<String, ListedMachine>,
--- a/src/coordination/autoscaler/silence.rs
+++ b/src/coordination/autoscaler/silence.rs
@@ -1,10 +1,11 @@
-//! How long a machine may be silent before it is taken for failed, and whether its zone is
-//! partitioned instead.
+//! Limits on how long a machine may send no heartbeat before it is presumed failed, and detection
+//! of zones that are partitioned from the network instead.
 //!
-//! `scale_in_plan` goes by it.
+//! Used by `scale_in_plan`.
 //!
-//! Invariant: a machine that may still talk to an older owner, or whose zone is likely
-//! partitioned, has more time than one that its owner has surely lost.
+//! Invariant: the limit is longer for a machine that may still send heartbeats to a previous owner,
+//! and for one in a zone that is likely partitioned, than for one with which its current owner has
+//! surely lost contact.
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::state::cluster_state::ClusterState;
@@ -13,35 +14,37 @@
 use crate::state::units::MonotonicMillis;
 use std::collections::{HashMap, HashSet};
 
-/// Fewest machines of a zone of which a part can tell of a partition.
+/// Minimum number of machines in a zone for their silence to be evidence of a partition.
 const MIN_MACHINES_OF_PARTITIONED_ZONE: u32 = 12;
-/// A zone in which more than one in so many machines is silent is likely partitioned.
+/// A zone is presumed partitioned if more than one in this many of its machines are silent.
 const PARTITIONED_ZONE_PART: u32 = 3;
-/// Time in which a machine has to send its first heartbeat, beside the lease.
+/// Time, in addition to the lease, within which a machine must send its first heartbeat.
 const FIRST_HEARTBEAT_MS: u64 = 20_000;
 
-/// How long a machine may be silent before it is deleted.
+/// Limits on how long a machine may send no heartbeat before it is deleted.
 pub struct SilenceLimits {
-    /// For one that has shown its owner's fencing token.
+    /// Limit for a machine whose newest heartbeat has its current owner's fencing token, ms.
     pub confirmed_ms: u64,
-    /// The workers' lease.
+    /// Duration of a worker's lease, ms; the other limits are derived from it.
     pub lease_ms: u64,
 }
 
 impl SilenceLimits {
-    /// How much longer machines of a zone that is likely partitioned are waited for. Inside they
-    /// go on, answered by the controllers there, and what runs on them would be lost with them.
+    /// Time by which the limit is extended for machines in a zone that is likely partitioned, ms.
+    /// Such machines keep running, served by the controllers in their zone, and deleting them would
+    /// lose the tasks that run on them.
     pub fn partition_allowance_ms(&self) -> u64 {
         self.lease_ms * 2
     }
 
-    /// For a machine that may still talk to an older owner.
+    /// Limit for a machine that may still send heartbeats to a previous owner, ms.
     pub(super) fn unconfirmed_ms(&self) -> u64 {
         self.confirmed_ms + self.lease_ms / 2
     }
 
-    /// The limit of a machine. After a change of owner it may still talk to the old one, who
-    /// does not know: until the new token has reached it, its silence here proves little.
+    /// Limit for one machine, ms. After a change of owner, the machine may still send heartbeats to
+    /// the previous owner, which does not know of the change. Until the machine has the new fencing
+    /// token, its silence towards the new owner proves little, so its limit is longer.
     pub fn of(&self, cluster: &ClusterState, config: &SchedulerConfig, machine: &Machine) -> u64 {
         let token = cluster.shards[machine.shard.at()].record.fencing_token;
         let confirmed = if config.owns(cluster, machine.shard) {
@@ -57,17 +60,17 @@
     }
 }
 
-/// Machines of a zone that have ever sent a heartbeat.
+/// Counts of a zone's machines; only machines that have ever sent a heartbeat are counted.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 pub struct ZoneMachineCounts {
-    /// All of them.
+    /// Machines that have ever sent a heartbeat.
     pub total: u32,
-    /// Those that are silent now.
+    /// Machines that have sent heartbeats before, but none recently.
     pub silent: u32,
 }
 
-/// Zones of which so many machines are silent at once that the zone's network and not they will
-/// have failed.
+/// Zones in which so many machines are silent at once that a failure of the zone's network is more
+/// likely than failures of the machines.
 pub fn partitioned_zones(counts: &HashMap<ZoneIndex, ZoneMachineCounts>) -> HashSet<ZoneIndex> {
     let is_partitioned = |counts: &ZoneMachineCounts| {
         counts.total >= MIN_MACHINES_OF_PARTITIONED_ZONE
@@ -77,7 +80,8 @@
     zones.map(|(zone, _)| *zone).collect()
 }
 
-/// How many machines of each zone have ever sent a heartbeat, and how many are silent now.
+/// Counts the machines of each zone that have ever sent a heartbeat, and those of them from which
+/// none has arrived for longer than `unresponsive_ms`.
 pub(super) fn machine_counts_by_zone(
     cluster: &ClusterState,
     unresponsive_ms: u64,
--- a/src/coordination/autoscaler/state.rs
+++ b/src/coordination/autoscaler/state.rs
@@ -1,6 +1,7 @@
-//! What the owner of the autoscaler's shard remembers between rounds, and what its rounds share.
+//! In-memory state of the owner of the autoscaler's shard, kept between rounds.
 //!
-//! `autoscaler` creates it when ownership begins; the steps of a round read and change it.
+//! `autoscaler` creates it when this controller acquires the shard; the steps of each round read
+//! and update it.
 
 use super::machine_list::MachineListReader;
 use super::supply::Pool;
@@ -11,37 +12,38 @@
 use standby::ids::FencingToken;
 use std::collections::{HashMap, HashSet};
 
-/// Time for an answer of the cloud.
+/// Timeout of a request to the cloud.
 pub(super) const CLOUD_TIMEOUT_MS: u64 = 3000;
 
-/// How long a pool that lacked machines is left alone.
+/// Backoff of a pool that had too few machines; none is requested from it until the backoff ends.
 pub(super) struct Backoff {
     pub(super) until: MonotonicMillis,
     pub(super) delay_ms: u64,
 }
 
-/// What the owner remembers between rounds; lost at a change of owner, which only costs time.
+/// In-memory state of the shard's owner. It is lost at a change of owner, which delays decisions
+/// but makes none of them wrong.
 pub(super) struct AutoscalerState {
     pub(super) fencing_token: FencingToken,
     pub(super) owner_since: MonotonicMillis,
     pub(super) rate_limiter: RateLimiter,
     pub(super) list_reader: MachineListReader,
-    /// The last complete list, by name.
+    /// Machines of the last complete list, by name.
     pub(super) listed: HashMap<String, ListedMachine>,
-    /// This owner has read a complete list.
+    /// True once this owner has read a complete machine list.
     pub(super) list_complete: bool,
     pub(super) next_list_at: MonotonicMillis,
-    /// Pools that lately had fewer machines than were asked for.
+    /// Backoffs of pools that had fewer machines than requested, including expired backoffs.
     pub(super) backoffs: HashMap<Pool, Backoff>,
-    /// Requests made by this owner, for their names.
+    /// Number of provisioning requests made by this owner; part of each request's name.
     pub(super) request_count: u64,
-    /// When each request on record was last sent or first seen.
+    /// When this owner last sent each recorded request, or first saw it if it never sent it.
     pub(super) requested_at: HashMap<String, MonotonicMillis>,
-    /// When the deletion of a machine was last requested.
+    /// When the deletion of each machine was last requested, by name.
     pub(super) deletion_requested_at: HashMap<String, MonotonicMillis>,
-    /// The last round had machines to delete.
+    /// True if the last round planned machines to delete.
     pub(super) scale_in_pending: bool,
-    /// Machines that waiting or expected tasks need, by the last plan.
+    /// Machines that waiting or expected tasks need according to the last scale-out plan.
     pub(super) needed_machines: HashSet<MachineIndex>,
 }
 
--- a/src/coordination/autoscaler/supply.rs
+++ b/src/coordination/autoscaler/supply.rs
@@ -1,9 +1,9 @@
-//! The supply: machines that waiting tasks can count on, whether they are up, boot or were
-//! requested.
+//! Supply of machines: capacity that is available to waiting tasks, on machines that are running,
+//! booting or requested.
 //!
-//! `provisioning` asks for it before each plan. Pure functions of the cluster state.
+//! Pure functions of the cluster state, called by `provisioning` before each plan.
 //!
-//! Invariant: what was requested counts until the request is answered, so that no machine is
+//! Invariant: requested machines are counted until the request is answered, so that no machine is
 //! requested twice for the same tasks.
 
 use crate::coordination::scheduler::draft::DraftTransaction;
@@ -15,32 +15,33 @@
 use crate::state::units::{millis_from_seconds, MonotonicMillis, Resources};
 use std::collections::{HashMap, HashSet};
 
-/// Boot times after which a machine is no longer counted on.
+/// Multiple of its type's usual boot time after which a booting machine is no longer counted.
 const OVERDUE_BOOT_TIMES: f64 = 1.7;
 
-/// A kind of machine that the cloud offers.
+/// A kind of machine that the cloud offers: one type in one zone, either spot or on-demand.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
 pub struct Pool {
-    /// Type.
+    /// Machine type.
     pub machine_type: MachineTypeIndex,
     /// Zone.
     pub zone: ZoneIndex,
-    /// Spot.
+    /// True for spot machines, false for on-demand machines.
     pub spot: bool,
 }
 
-/// A machine that is up or on its way.
+/// The capacity of one machine that is running, booting or requested.
 #[derive(Clone, Debug)]
 pub struct Supply {
-    /// What it is.
+    /// Pool that the machine belongs to.
     pub pool: Pool,
-    /// Capacity that waiting tasks may use.
+    /// Capacity that no task uses; a planner reduces it as it places tasks on the machine.
     pub free: Resources,
-    /// Its index, if the cloud has named it.
+    /// The machine's index; `None` until the cloud has answered the request for it.
     pub machine: Option<MachineIndex>,
 }
 
-/// All machines that are up or on their way.
+/// The capacity of all machines that are running, booting or requested, in the order in which the
+/// scale-out planner uses them.
 pub fn supply(
     cluster: &ClusterState,
     listed: &HashMap<String, ListedMachine>,
@@ -49,12 +50,13 @@
 ) -> Vec<Supply> {
     let mut out = named_machines(cluster, listed, unresponsive_ms, now);
     out.extend(unanswered_requests(cluster));
-    // Spot first, as the planner does; the fullest first, so that others empty out.
+    // Spot machines first, as in the scheduler's planner. Then those with the least free capacity,
+    // so that other machines become idle.
     out.sort_by_key(|s| (!s.pool.spot, s.free.gpu, s.free.cpu));
     out
 }
 
-/// Machines that the cloud has named and that are up or boot.
+/// The capacity of running and booting machines whose names the cloud has returned.
 fn named_machines(
     cluster: &ClusterState,
     listed: &HashMap<String, ListedMachine>,
@@ -67,7 +69,7 @@
         .values()
         .flat_map(|request| request.record.machines.iter().map(String::as_str))
         .collect();
-    // The list lags behind: a machine that was just provisioned may not be in it yet.
+    // The machine list lags: it may not contain a machine that was just provisioned.
     let exists = |machine: &Machine| {
         let listed = listed.get(&*machine.name);
         provisioned.contains(&*machine.name) || listed.is_some_and(|l| !l.has_failed())
@@ -92,8 +94,8 @@
         .collect()
 }
 
-/// True if a machine has sent no heartbeat yet and is not overdue. One that is long overdue may
-/// never come up: what waits is not to wait for it.
+/// True if a machine is not cordoned, has sent no heartbeat yet and its boot is not overdue. An
+/// overdue machine may never come up, so waiting tasks must not be planned for it.
 fn is_booting(cluster: &ClusterState, machine: &Machine, now: MonotonicMillis) -> bool {
     let machine_type = cluster.machine_types.get(&machine.machine_type);
     let overdue_ms = machine_type.map_or(0, |machine_type| {
@@ -104,7 +106,7 @@
         && !machine.is_cordoned()
 }
 
-/// Requests without an answer may have provisioned all that they ask for.
+/// The machines of unanswered requests. The cloud may have provisioned all of them.
 fn unanswered_requests(cluster: &ClusterState) -> impl Iterator<Item = Supply> + '_ {
     cluster
         .provisioning_requests
@@ -115,7 +117,7 @@
         .flat_map(|(count, machine)| (0..count).map(move |_| machine.clone()))
 }
 
-/// A machine as a request asks for it; `None` if this controller does not know the type or zone.
+/// An empty machine as requested; `None` if this controller does not know its type or zone.
 fn requested_machine(cluster: &ClusterState, record: &ProvisioningRecord) -> Option<Supply> {
     let machine_type = cluster.machine_type_names.find(&record.machine_type)?;
     let zone = cluster.zone_names.find(&record.zone)?;
