--- a/src/coordination/autoscaler/machine_list_refresh.rs
+++ b/src/coordination/autoscaler/machine_list_refresh.rs
@@ -79,11 +79,11 @@
         Ok(answer) if answer.status == 200 => {
             controller.availability.record(ExternalService::Cloud, true);
             let page = rmp_serde::from_slice(&answer.body);
-            page.inspect_err(|e| log::debug!("machine list unreadable: error={e}"))
+            page.inspect_err(|e| log::debug!("machine list page not decoded: error={e}"))
                 .ok()
         }
         Ok(answer) => {
-            log::debug!("machine list refused: status={}", answer.status);
+            log::debug!("machine list request refused: status={}", answer.status);
             // With status 429 the cloud is available; this controller exceeded its rate limit.
             controller
                 .availability
@@ -91,7 +91,7 @@
             None
         }
         Err(e) => {
-            log::debug!("machine list not read: error={e}");
+            log::debug!("machine list request failed: error={e}");
             controller
                 .availability
                 .record(ExternalService::Cloud, false);
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -140,19 +140,19 @@
     let answer = match answer {
         Ok(answer) => answer,
         Err(e) => {
-            log::debug!("machine types not read: error={e}");
+            log::debug!("machine types request failed: error={e}");
             controller.cloud.reset();
             return None;
         }
     };
     if answer.status != 200 {
-        log::debug!("machine types refused: status={}", answer.status);
+        log::debug!("machine types request refused: status={}", answer.status);
         return None;
     }
     match rmp_serde::from_slice::<MachineTypeCatalog>(&answer.body) {
         Ok(catalog) => Some(catalog).filter(|catalog| !catalog.types.is_empty()),
         Err(e) => {
-            log::debug!("machine types unreadable: error={e}");
+            log::debug!("machine types not decoded: error={e}");
             None
         }
     }
--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -153,7 +153,7 @@
         Ok(answer) => ProvisioningResponse::new(answer.status, &answer.body),
         Err(e) => {
             log::warn!(
-                "provisioning request unanswered, to be repeated: request={request_id} error={e}"
+                "provisioning request unanswered, will be retried: request={request_id} error={e}"
             );
             controller.cloud.reset();
             ProvisioningResponse::Unanswered
