--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -21,14 +21,14 @@
 const MAX_TASKS_PER_JOB: u32 = 200;
 
 /// Length of the sliding window over which the submission rate is computed.
-const RECENT_MS: u64 = 150_000;
+const RATE_WINDOW_MS: u64 = 150_000;
 
 /// Minimum time that the submission rate is computed over, however short the window is.
-const MIN_RATE_MS: u64 = 60_000;
+const MIN_RATE_WINDOW_MS: u64 = 60_000;
 
 /// Jobs submitted within this time after the first one are the backlog from before the service
 /// started, and are left out of the submission rate.
-const BACKLOG_MS: u64 = 10_000;
+const INITIAL_BACKLOG_MS: u64 = 10_000;
 
 /// Maximum number of expected tasks of one class; a fleet with more than four times as many
 /// machines is allowed a quarter of its machine count instead.
@@ -53,11 +53,11 @@
 pub(super) fn waiting(cluster: &ClusterState, now: MonotonicMillis, wall_ms: u64) -> Vec<Demand> {
     let mut remaining = remaining_quotas(cluster);
     let mut teams_with_waiting_gang: HashSet<TeamIndex> = HashSet::new();
-    let mut out = Vec::new();
+    let mut demand = Vec::new();
     for (job_index, job) in waiting_jobs(cluster, now) {
         let Some(spec) = &job.spec else { continue };
-        let left_to_gang = teams_with_waiting_gang.contains(&spec.team);
-        if left_to_gang && !reservation_expired(job, wall_ms) {
+        let quota_left_to_gang = teams_with_waiting_gang.contains(&spec.team);
+        if quota_left_to_gang && !reservation_expired(job, wall_ms) {
             continue;
         }
         let remaining = &mut remaining[spec.team.at()];
@@ -72,28 +72,28 @@
         }
         *remaining = after;
         if tasks > 0 {
-            out.push(Demand {
+            demand.push(Demand {
                 job: Some(job_index),
                 spec: spec.clone(),
                 tasks,
             });
         }
     }
-    out
+    demand
 }
 
 /// The unused part of each team's quota, indexed by team: `i64::MAX` for an unlimited resource,
 /// negative if the team uses more than its quota.
 fn remaining_quotas(cluster: &ClusterState) -> Vec<QuotaUsage> {
-    let left = |limit: i64, used: i64| if limit == 0 { i64::MAX } else { limit - used };
+    let unused = |limit: i64, used: i64| if limit == 0 { i64::MAX } else { limit - used };
     let no_draft = DraftTransaction::default();
     let teams = cluster.team_limits.iter().enumerate();
     teams
         .map(|(team, limits)| {
             let used = used_by_team(cluster, &no_draft, TeamIndex::new(team));
             QuotaUsage {
-                cpu_milli: left(limits.limit.cpu_milli, used.cpu_milli),
-                gpu_milli: left(limits.limit.gpu_milli, used.gpu_milli),
+                cpu_milli: unused(limits.limit.cpu_milli, used.cpu_milli),
+                gpu_milli: unused(limits.limit.gpu_milli, used.gpu_milli),
             }
         })
         .collect()
@@ -124,9 +124,9 @@
 /// remains after them.
 fn tasks_within_quota(job: &Job, spec: &Spec, mut remaining: QuotaUsage) -> (u32, QuotaUsage) {
     let per_task = spec.need.quota();
-    let most = job.waiting_count().min(MAX_TASKS_PER_JOB);
+    let max_tasks = job.waiting_count().min(MAX_TASKS_PER_JOB);
     let mut tasks = 0;
-    while tasks < most && per_task.within(remaining) {
+    while tasks < max_tasks && per_task.within(remaining) {
         remaining = remaining.minus(per_task);
         tasks += 1;
     }
@@ -151,33 +151,37 @@
         return Vec::new();
     };
     // Jobs that were already waiting when the service started do not indicate a submission rate.
-    let from = wall_ms.saturating_sub(RECENT_MS).max(first + BACKLOG_MS);
-    let span_ms = wall_ms.saturating_sub(from).max(MIN_RATE_MS);
+    let window_start_ms = wall_ms
+        .saturating_sub(RATE_WINDOW_MS)
+        .max(first + INITIAL_BACKLOG_MS);
+    let window_ms = wall_ms
+        .saturating_sub(window_start_ms)
+        .max(MIN_RATE_WINDOW_MS);
     let boot_ms = longest_boot_ms(cluster);
-    let most = max_expected_tasks(cluster);
-    recent_classes(cluster, from)
+    let max_tasks = max_expected_tasks(cluster);
+    recent_classes(cluster, window_start_ms)
         .into_values()
         .filter_map(|RecentClass { tasks, spec }| {
-            let buffer = if spec.wire.spot {
+            let buffer_factor = if spec.wire.spot {
                 config.capacity_buffer_spot
             } else {
                 config.capacity_buffer_on_demand
             };
-            let per_boot = f64::from(tasks) * boot_ms as f64 / span_ms as f64;
-            let tasks = (per_boot * buffer).round() as u32;
+            let tasks_per_boot = f64::from(tasks) * boot_ms as f64 / window_ms as f64;
+            let tasks = (tasks_per_boot * buffer_factor).round() as u32;
             (tasks > 0).then(|| Demand {
                 job: None,
                 spec,
-                tasks: tasks.min(most),
+                tasks: tasks.min(max_tasks),
             })
         })
         .collect()
 }
 
-fn recent_classes(cluster: &ClusterState, from_ms: u64) -> BTreeMap<&str, RecentClass> {
+fn recent_classes(cluster: &ClusterState, since_ms: u64) -> BTreeMap<&str, RecentClass> {
     let mut classes: BTreeMap<&str, RecentClass> = BTreeMap::new();
     let recent = cluster.recent_submissions.iter();
-    for submission in recent.filter(|s| s.submitted_at >= from_ms) {
+    for submission in recent.filter(|s| s.submitted_at >= since_ms) {
         let spec = &submission.spec;
         let class = classes
             .entry(spec.wire.class.as_str())
--- a/src/coordination/autoscaler/machine_list.rs
+++ b/src/coordination/autoscaler/machine_list.rs
@@ -9,35 +9,36 @@
 use crate::state::units::MonotonicMillis;
 
 /// Fraction of the cloud's rate limit that reading the machine list may use.
-const LIST_PART: f64 = 0.4;
+const LIST_RATE_FRACTION: f64 = 0.4;
 
 /// Time after which an incomplete list is discarded and read from its first page. Lists of many
-/// pages are allowed more time, see [`STALE_READS`].
+/// pages are allowed more time, see [`STALE_READ_FACTOR`].
 pub(super) const STALE_MS: u64 = 15_000;
 
 /// Multiple of the time needed to read the pages after which an incomplete list of many pages is
 /// discarded.
-const STALE_READS: u64 = 2;
+const STALE_READ_FACTOR: u64 = 2;
 
 /// Number of machines requested per page, the maximum of the cloud's protocol.
 pub(super) const PAGE_SIZE: usize = 500;
 
 /// Minimum interval between lists, in requests: the interval is at least the time in which the
 /// cloud's rate limit allows this many, within 1.5 s to 4 s.
-const REQUESTS_PER_LIST: f64 = 4.0;
+const MIN_INTERVAL_REQUESTS: f64 = 4.0;
 
 /// Interval between the end of one machine list and the start of the next, ms.
 ///
 /// It grows with the number of pages, so that reading a large list uses at most a fixed fraction of
 /// the cloud's rate limit and leaves the rest to scaling out and in.
 pub fn list_interval_ms(requests_per_s: f64, pages: usize) -> u64 {
-    let least = ((REQUESTS_PER_LIST * 1000.0 / requests_per_s) as u64).clamp(1500, 4000);
-    least.max(read_time_ms(requests_per_s, pages))
+    let min_interval_ms =
+        ((MIN_INTERVAL_REQUESTS * 1000.0 / requests_per_s) as u64).clamp(1500, 4000);
+    min_interval_ms.max(read_time_ms(requests_per_s, pages))
 }
 
 /// Time that reading this many pages takes within the list's fraction of the cloud's rate limit.
 fn read_time_ms(requests_per_s: f64, pages: usize) -> u64 {
-    (pages as f64 * 1000.0 / (requests_per_s * LIST_PART)) as u64
+    (pages as f64 * 1000.0 / (requests_per_s * LIST_RATE_FRACTION)) as u64
 }
 
 pub(super) fn page_count(machines: usize) -> usize {
@@ -60,7 +61,7 @@
     /// large fleet would never be completed where the cloud allows few requests per second.
     pub fn next_page_after(&mut self, now: MonotonicMillis, requests_per_s: f64) -> &str {
         let pages = page_count(self.machines.len());
-        let stale_ms = STALE_MS.max(STALE_READS * read_time_ms(requests_per_s, pages));
+        let stale_ms = STALE_MS.max(STALE_READ_FACTOR * read_time_ms(requests_per_s, pages));
         if self.started_at.is_some_and(|t| now.since(t) >= stale_ms) {
             *self = MachineListReader::default();
         }
@@ -70,8 +71,8 @@
 
     /// Adds a page. Returns the complete list if the page was the last one.
     pub fn add_page(&mut self, page: MachineListPage) -> Option<Vec<ListedMachine>> {
-        let more = page.more && !page.machines.is_empty();
+        let has_more = page.more && !page.machines.is_empty();
         self.machines.extend(page.machines);
-        (!more).then(|| std::mem::take(self).machines)
+        (!has_more).then(|| std::mem::take(self).machines)
     }
 }
--- a/src/coordination/autoscaler/placement.rs
+++ b/src/coordination/autoscaler/placement.rs
@@ -148,14 +148,14 @@
     /// or no pool is left for the next one.
     fn place(&mut self, supply: &mut Vec<Supply>, plan: &mut ScaleOutPlan) {
         let need = self.demand.spec.need;
-        let mut next = 0;
+        let mut supply_index = 0;
         for _ in 0..self.demand.tasks {
-            // While the tasks of one job are assigned, free capacity and allowed zones only shrink:
-            // a machine that did not suit one task suits none of the following ones.
-            while supply.get(next).is_some_and(|s| !self.suits(s)) {
-                next += 1;
+            // While the tasks of one demand are assigned, free capacity and allowed zones only
+            // shrink: a machine that did not suit one task suits none of the following ones.
+            while supply.get(supply_index).is_some_and(|s| !self.suits(s)) {
+                supply_index += 1;
             }
-            if let Some(machine) = supply.get_mut(next) {
+            if let Some(machine) = supply.get_mut(supply_index) {
                 machine.free = machine.free.minus(need);
                 self.tasks_by_zone.add(machine.pool.zone);
                 plan.needed_machines.extend(machine.machine);
@@ -181,7 +181,7 @@
             self.allows(pool)
                 && !self.backed_off.contains(pool)
                 && !self.reserved_for_on_demand(pool, true)
-                && !self.too_dear_for_expected_tasks(pool)
+                && !self.too_expensive_for_expected_tasks(pool)
         };
         let need = self.demand.spec.need;
         let pool = cheapest_pool(self.cluster, need, self.demand.tasks, is_eligible)?;
@@ -194,7 +194,7 @@
         let empty = is_empty(self.cluster, supply);
         self.demand.spec.need.fits(supply.free)
             && self.allows(&supply.pool)
-            && !(self.too_dear_for_expected_tasks(&supply.pool) && empty)
+            && !(self.too_expensive_for_expected_tasks(&supply.pool) && empty)
             && !self.reserved_for_on_demand(&supply.pool, empty)
             && self.scheduler_allows(supply)
     }
@@ -232,8 +232,8 @@
             Some(_) => self.demand.spec.zone_cap(),
             None => u32::MAX,
         };
-        let here = self.tasks_by_zone.count(zone);
-        here < cap && (!self.one_zone() || self.tasks_by_zone.are_all_in(zone))
+        let tasks_in_zone = self.tasks_by_zone.count(zone);
+        tasks_in_zone < cap && (!self.one_zone() || self.tasks_by_zone.are_all_in(zone))
     }
 
     /// True for an empty on-demand machine that is kept for now for jobs that must not use spot
@@ -254,7 +254,7 @@
 
     /// True for on-demand pools if the tasks are only expected and may run on spot machines:
     /// capacity for such tasks is held at the spot price only.
-    fn too_dear_for_expected_tasks(&self, pool: &Pool) -> bool {
+    fn too_expensive_for_expected_tasks(&self, pool: &Pool) -> bool {
         self.job.is_none() && self.demand.spec.wire.spot && !pool.spot
     }
 }
@@ -324,22 +324,23 @@
     // Capacity that these tasks leave free is usually used by other tasks, so only a part of it is
     // charged to them.
     let share = need.share_of(machine_type.capacity) * f64::from(fitting);
-    let used = share.clamp(0.5, 1.0) * 0.5 + share.min(1.0) * 0.5;
+    let charged_share = share.clamp(0.5, 1.0) * 0.5 + share.min(1.0) * 0.5;
     let price = if spot {
         description.spot_price
     } else {
         description.price
     };
-    price * used / f64::from(fitting.max(1)) * (1.0 + description.boot_s / BOOT_S_THAT_DOUBLES_COST)
+    price * charged_share / f64::from(fitting.max(1))
+        * (1.0 + description.boot_s / BOOT_S_THAT_DOUBLES_COST)
 }
 
 /// The number of these tasks that fit on an empty machine, between 0 and
 /// [`MAX_TASKS_PER_MACHINE`].
 fn tasks_that_fit(capacity: Resources, need: Resources, tasks: u32) -> u32 {
-    let most = tasks.clamp(1, MAX_TASKS_PER_MACHINE);
+    let max_tasks = tasks.clamp(1, MAX_TASKS_PER_MACHINE);
     let mut free = capacity;
     let mut fitting = 0;
-    while fitting < most && need.fits(free) {
+    while fitting < max_tasks && need.fits(free) {
         free = free.minus(need);
         fitting += 1;
     }
--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -38,7 +38,7 @@
 const RESERVED_FOR_SCALE_IN: f64 = 1.0;
 /// Time, in addition to four times the list's lag, after which a record is removed although some of
 /// its machines are not in the list.
-const MISSING_MACHINES_MS: u64 = 10_000;
+const MISSING_MACHINES_GRACE_MS: u64 = 10_000;
 /// Maximum number of provisioning requests that are sent concurrently.
 const MAX_CONCURRENT_REQUESTS: usize = 4;
 
@@ -271,8 +271,8 @@
         .limits(&controller.cluster.borrow())
         .txn_ops;
     let mut all_committed = true;
-    for part in updates.chunks(txn_ops) {
-        let txn = updates_transaction(&controller.cluster.borrow(), part);
+    for chunk in updates.chunks(txn_ops) {
+        let txn = updates_transaction(&controller.cluster.borrow(), chunk);
         let outcome = controller.kv.commit(&txn).await;
         all_committed &= matches!(outcome, CommitOutcome::Committed(_));
     }
@@ -343,7 +343,7 @@
             let all_listed = machines.iter().all(|name| listed.contains_key(name));
             !machines.is_empty()
                 && elapsed_ms > list_lag_ms * 2
-                && (all_listed || elapsed_ms > list_lag_ms * 4 + MISSING_MACHINES_MS)
+                && (all_listed || elapsed_ms > list_lag_ms * 4 + MISSING_MACHINES_GRACE_MS)
         })
         .map(|(id, _)| id.clone())
         .take(controller.config.limits(&cluster).txn_ops)
--- a/src/coordination/autoscaler/scale_in_plan.rs
+++ b/src/coordination/autoscaler/scale_in_plan.rs
@@ -18,17 +18,17 @@
 use std::fmt;
 
 /// Multiple of its type's usual boot time after which a machine that still boots is deleted.
-const STUCK_BOOT_TIMES: f64 = 2.5;
+const STUCK_BOOT_FACTOR: f64 = 2.5;
 /// Time, in addition to that multiple, that allows for the lag of the machine list.
-const STUCK_GRACE_S: f64 = 10.0;
+const STUCK_BOOT_GRACE_S: f64 = 10.0;
 /// Boot time assumed for a machine of unknown type.
 const DEFAULT_BOOT_S: f64 = 60.0;
 /// Time after which the deletion of a machine that is still listed is requested again.
 const DELETION_RETRY_MS: u64 = 5000;
 /// Maximum age of the last status update from a machine's owner for its silence to count.
-const OWNER_STATUS_MS: u64 = 3000;
+const MAX_OWNER_STATUS_AGE_MS: u64 = 3000;
 /// Number of heartbeat intervals that a machine may miss.
-const MISSED_HEARTBEATS: f64 = 4.0;
+const MAX_MISSED_HEARTBEATS: f64 = 4.0;
 /// Time, in addition to the missed heartbeats, after which a machine counts as silent.
 const SILENCE_GRACE_MS: u64 = 4000;
 
@@ -102,7 +102,7 @@
             cluster,
             state,
             limits: SilenceLimits {
-                confirmed_ms: millis_from_seconds(workers.heartbeat_s * MISSED_HEARTBEATS)
+                confirmed_ms: millis_from_seconds(workers.heartbeat_s * MAX_MISSED_HEARTBEATS)
                     + SILENCE_GRACE_MS,
                 lease_ms: millis_from_seconds(workers.lease_s),
             },
@@ -123,7 +123,7 @@
         }
         let is_silent = |machine_index| self.is_silent_or_unknown(machine_index);
         for name in presumed_lost(self.cluster, &self.state.listed, is_silent) {
-            if !self.deletion_requested_lately(&name) {
+            if !self.deletion_recently_requested(&name) {
                 plan.unusable.push((name, ScaleInReason::PresumedLost));
             }
         }
@@ -135,7 +135,7 @@
 
     /// The reason to delete a listed machine; `None` if it is to be kept.
     fn reason(&self, listed: &ListedMachine) -> Option<ScaleInReason> {
-        if self.deletion_requested_lately(&listed.name) {
+        if self.deletion_recently_requested(&listed.name) {
             return None;
         }
         // The list may still contain a deleted machine, which the cluster state no longer has.
@@ -146,7 +146,7 @@
         } else if machine.health.quarantined {
             Some(ScaleInReason::Quarantined)
         } else if machine.heartbeat.last_seen.is_none() && listed.is_booting() {
-            self.is_stuck(listed, machine)
+            self.is_boot_stuck(listed, machine)
                 .then_some(ScaleInReason::NeverBooted)
         } else if self.is_silent(machine) {
             Some(ScaleInReason::Silent)
@@ -156,15 +156,15 @@
         }
     }
 
-    fn deletion_requested_lately(&self, name: &str) -> bool {
+    fn deletion_recently_requested(&self, name: &str) -> bool {
         let requested = self.state.deletion_requested_at.get(name);
         requested.is_some_and(|at| self.now.since(*at) < DELETION_RETRY_MS)
     }
 
-    fn is_stuck(&self, listed: &ListedMachine, machine: &Machine) -> bool {
+    fn is_boot_stuck(&self, listed: &ListedMachine, machine: &Machine) -> bool {
         let machine_type = self.cluster.machine_types.get(&machine.machine_type);
         let boot_s = machine_type.map_or(DEFAULT_BOOT_S, |t| t.description.boot_s);
-        listed.age_s > boot_s * STUCK_BOOT_TIMES + STUCK_GRACE_S
+        listed.age_s > boot_s * STUCK_BOOT_FACTOR + STUCK_BOOT_GRACE_S
     }
 
     /// True if a machine has no placements, and is either cordoned or unused: idle for long enough,
@@ -212,7 +212,7 @@
         );
         let limit_ms = self
             .limits
-            .of(self.cluster, &self.controller.config, machine);
+            .limit_ms(self.cluster, &self.controller.config, machine);
         let overdue_ms = silent_ms.checked_sub(limit_ms)?;
         (owned_here || self.owner_sent_status(machine)).then_some(overdue_ms)
     }
@@ -221,7 +221,7 @@
         let owner = self.cluster.live_owner(machine.shard);
         let peer = owner.and_then(|owner| self.controller.peer(owner));
         let last_status = peer.and_then(|peer| peer.last_status());
-        last_status.is_some_and(|at| self.now.since(at) < OWNER_STATUS_MS)
+        last_status.is_some_and(|at| self.now.since(at) < MAX_OWNER_STATUS_AGE_MS)
     }
 
     fn is_silent_or_unknown(&self, machine_index: MachineIndex) -> bool {
--- a/src/coordination/autoscaler/silence.rs
+++ b/src/coordination/autoscaler/silence.rs
@@ -17,9 +17,9 @@
 /// Minimum number of machines in a zone for their silence to be evidence of a partition.
 const MIN_MACHINES_OF_PARTITIONED_ZONE: u32 = 12;
 /// A zone is presumed partitioned if more than one in this many of its machines are silent.
-const PARTITIONED_ZONE_PART: u32 = 3;
+const SILENT_MACHINES_DIVISOR: u32 = 3;
 /// Time, in addition to the lease, within which a machine must send its first heartbeat.
-const FIRST_HEARTBEAT_MS: u64 = 20_000;
+const FIRST_HEARTBEAT_GRACE_MS: u64 = 20_000;
 
 /// Limits on how long a machine may send no heartbeat before it is deleted.
 pub struct SilenceLimits {
@@ -45,7 +45,12 @@
     /// Limit for one machine, ms. After a change of owner, the machine may still send heartbeats to
     /// the previous owner, which does not know of the change. Until the machine has the new fencing
     /// token, its silence towards the new owner proves little, so its limit is longer.
-    pub fn of(&self, cluster: &ClusterState, config: &SchedulerConfig, machine: &Machine) -> u64 {
+    pub fn limit_ms(
+        &self,
+        cluster: &ClusterState,
+        config: &SchedulerConfig,
+        machine: &Machine,
+    ) -> u64 {
         let token = cluster.shards[machine.shard.at()].record.fencing_token;
         let confirmed = if config.owns(cluster, machine.shard) {
             machine.heartbeat.fencing_token == token
@@ -53,7 +58,7 @@
             machine.owner_status.fencing_token_confirmed
         };
         match machine.heartbeat.last_seen {
-            None => self.lease_ms + FIRST_HEARTBEAT_MS,
+            None => self.lease_ms + FIRST_HEARTBEAT_GRACE_MS,
             Some(_) if confirmed => self.confirmed_ms,
             Some(_) => self.unconfirmed_ms(),
         }
@@ -74,7 +79,7 @@
 pub fn partitioned_zones(counts: &HashMap<ZoneIndex, ZoneMachineCounts>) -> HashSet<ZoneIndex> {
     let is_partitioned = |counts: &ZoneMachineCounts| {
         counts.total >= MIN_MACHINES_OF_PARTITIONED_ZONE
-            && counts.silent * PARTITIONED_ZONE_PART > counts.total
+            && counts.silent * SILENT_MACHINES_DIVISOR > counts.total
     };
     let zones = counts.iter().filter(|(_, counts)| is_partitioned(counts));
     zones.map(|(zone, _)| *zone).collect()
--- a/src/coordination/autoscaler/supply.rs
+++ b/src/coordination/autoscaler/supply.rs
@@ -16,7 +16,7 @@
 use std::collections::{HashMap, HashSet};
 
 /// Multiple of its type's usual boot time after which a booting machine is no longer counted.
-const OVERDUE_BOOT_TIMES: f64 = 1.7;
+const OVERDUE_BOOT_FACTOR: f64 = 1.7;
 
 /// A kind of machine that the cloud offers: one type in one zone, either spot or on-demand.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
@@ -48,12 +48,12 @@
     unresponsive_ms: u64,
     now: MonotonicMillis,
 ) -> Vec<Supply> {
-    let mut out = named_machines(cluster, listed, unresponsive_ms, now);
-    out.extend(unanswered_requests(cluster));
+    let mut machines = named_machines(cluster, listed, unresponsive_ms, now);
+    machines.extend(unanswered_requests(cluster));
     // Spot machines first, as in the scheduler's planner. Then those with the least free capacity,
     // so that other machines become idle.
-    out.sort_by_key(|s| (!s.pool.spot, s.free.gpu, s.free.cpu));
-    out
+    machines.sort_by_key(|s| (!s.pool.spot, s.free.gpu, s.free.cpu));
+    machines
 }
 
 /// The capacity of running and booting machines whose names the cloud has returned.
@@ -99,7 +99,7 @@
 fn is_booting(cluster: &ClusterState, machine: &Machine, now: MonotonicMillis) -> bool {
     let machine_type = cluster.machine_types.get(&machine.machine_type);
     let overdue_ms = machine_type.map_or(0, |machine_type| {
-        millis_from_seconds(machine_type.description.boot_s * OVERDUE_BOOT_TIMES)
+        millis_from_seconds(machine_type.description.boot_s * OVERDUE_BOOT_FACTOR)
     });
     machine.heartbeat.last_seen.is_none()
         && now.since(machine.discovered_at) < overdue_ms
--- a/tests/shard_ownership.rs
+++ b/tests/shard_ownership.rs
@@ -109,7 +109,7 @@
             .cluster
             .machine(controller.machine("m1"))
             .unwrap();
-        limits.of(&controller.cluster, &controller.config, m)
+        limits.limit_ms(&controller.cluster, &controller.config, m)
     };
     assert_eq!(at(&old), 10_000);
     // The new owner knows it from status updates; the worker still talks to the old one.
