--- a/tests/autoscaling.rs
+++ b/tests/autoscaling.rs
@@ -1,4 +1,4 @@
-//! Autoscaling: which machines are requested, and that none is requested twice.
+//! Scale-out: which machines are requested, and that none is requested twice for the same tasks.
 
 mod support;
 
@@ -97,7 +97,7 @@
     spec.spot = false;
     spec.vcpus = 16.0;
     controller.submit(&mut store, spec, 0);
-    // Two fit in the north, but nothing more is available there.
+    // The north has machines for two of the three tasks, and no more can be requested there.
     let none = Pool {
         machine_type: oven(&controller),
         zone: ZoneIndex(0),
@@ -187,13 +187,13 @@
         ));
         controller.sync(store);
     };
-    // Asked for, but not answered: it may have provisioned all it asks for.
+    // An unanswered request may have provisioned all of its machines.
     put(&mut controller, &mut store, &rec);
     let list = HashMap::new();
     let have = supply(&controller.cluster, &list, 4000, MonotonicMillis(1000));
     assert_eq!(have.len(), 2);
     assert!(plan(&controller, have, &[]).machines_to_request.is_empty());
-    // Answered with one machine, which the list does not show yet.
+    // The response names one machine, which is not in the list yet.
     rec.machines = vec!["n-000007".into()];
     put(&mut controller, &mut store, &rec);
     controller
@@ -233,7 +233,7 @@
     let mut pages = MachineListReader::default();
     assert_eq!(pages.next_page_after(MonotonicMillis(0), 3.5), "");
     assert!(pages.add_page(page(0, 500, true)).is_none());
-    // The next page is refused twice; it is asked for again, not the first.
+    // The second page is refused twice; it is requested again, not the first page.
     assert_eq!(pages.next_page_after(MonotonicMillis(500), 3.5), "n-000499");
     assert_eq!(
         pages.next_page_after(MonotonicMillis(1000), 3.5),
@@ -241,7 +241,7 @@
     );
     assert!(pages.add_page(page(500, 500, true)).is_none());
     assert_eq!(pages.add_page(page(1000, 3, false)).unwrap().len(), 1003);
-    // A list that takes too long would show a state of long ago.
+    // A list that takes too long is discarded, because its first pages are outdated.
     assert!(pages.add_page(page(0, 500, true)).is_none());
     assert_eq!(
         pages.next_page_after(MonotonicMillis(2000), 3.5),
@@ -252,7 +252,7 @@
 
 #[test]
 fn the_machine_list_of_a_large_fleet_is_completed_under_a_low_request_limit() {
-    // Eight pages of 500, one in three seconds, half of the requests refused.
+    // Eight pages of 500 machines, one request every three seconds, half of them refused.
     let mut pages = MachineListReader::default();
     let mut listed_names = 0;
     for turn in 0..16u64 {
@@ -282,7 +282,7 @@
     let rate = 3.5;
     let mut pace = RateLimiter::new(rate);
     let (mut rented, mut returned) = (0u32, 0u32);
-    // Scale-out requests come as often as possible, scale-in requests once a second.
+    // Scale-out requests are made as often as allowed, scale-in requests once a second.
     for now in (0..60_000u64).step_by(50) {
         rented += u32::from(pace.try_acquire(MonotonicMillis(now), 1.0));
         if now % 1000 == 0 {
@@ -295,10 +295,10 @@
     }
     assert!(f64::from(rented + returned) <= 60.0 * rate + 2.0 * rate);
     assert!(rented > 100);
-    // The list of two thousand machines takes less than half of the limit.
+    // Reading the list of two thousand machines uses at most half of the limit.
     let every = list_interval_ms(rate, 4);
     assert!(4.0 * 1000.0 / every as f64 <= rate / 2.0);
-    // That of a small deployment is as fresh as it can be.
+    // The list of a small deployment is read at the shortest interval.
     assert_eq!(list_interval_ms(4.0, 1), 1500);
 }
 
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,5 +1,5 @@
-//! A fleet of 4,000 machines that one controller owns while its peers are down: no fixed limit is
-//! too small for it.
+//! A fleet of 4,000 machines that one controller owns while its peers are down. No fixed limit,
+//! such as the size of a frame, is too small for it.
 
 mod support;
 
@@ -18,17 +18,17 @@
 
 const MACHINES: usize = 4000;
 
-/// A machine name like those of the cloud.
+/// A machine name in the format of the cloud's names.
 fn machine_name(i: usize) -> String {
     format!("n-{i:06}")
 }
 
-/// A name of several times that length, for the sizes of frames.
+/// A machine name several times as long as the cloud's, for testing the sizes of frames.
 fn long_name(i: usize) -> String {
     format!("machine-in-a-large-fleet-{i:06}")
 }
 
-/// One controller that owns all shards and has heartbeats of all machines of both zones.
+/// One controller that owns all shards and has received heartbeats from all machines in both zones.
 fn large_fleet() -> (FakeKvStore, SimulatedController) {
     let (store, mut controller) = start_single_controller();
     for i in 0..MACHINES {
@@ -112,7 +112,8 @@
 #[test]
 fn one_owner_claims_work_for_all_machines() {
     let (mut store, mut controller) = large_fleet();
-    // Each machine holds four of these tasks; a record and its overflow records hold a job's 1,000.
+    // Four of these tasks fit on a machine. The 1,000 placements of a job fit into its record and
+    // its overflow records.
     controller.cluster.record_format_v2 = true;
     for i in 0..MACHINES * 4 / 1000 {
         controller.submit(&mut store, job(&format!("job-{i}"), 1000), 0);
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -112,7 +112,7 @@
 #[test]
 fn a_wide_job_with_time_left_starts_within_two_minutes_of_smaller_ones() {
     let (mut store, mut controller) = start_single_controller();
-    // Its deadline is far off, so it is in time all the while; smaller jobs keep coming.
+    // Its deadline is so far off that it stays on time. A smaller job is submitted every second.
     controller.submit(&mut store, due("job-1", 200, 900.0), 0);
     for t in 100..130u64 {
         controller.submit(&mut store, due(&format!("job-{t}"), 2, 900.0), t * 1000);
@@ -151,7 +151,7 @@
 fn a_late_wide_job_is_not_starved_by_younger_and_smaller_ones() {
     let (mut store, mut controller) = start_single_controller();
     controller.submit(&mut store, due("job-1", 200, 60.0), 0);
-    // Every second a small job comes that can be in time.
+    // Every second a small job is submitted that can meet its deadline.
     let mut first = 0;
     for t in 1..=40u64 {
         controller.submit(
@@ -162,9 +162,9 @@
         let turn = order(&controller, 55_000 + t * 1000);
         first += u32::from(turn[0] == "job-1");
     }
-    // One second of five is its own although it is late all the while.
+    // The late job goes first in one of every five seconds.
     assert_eq!(first, 8);
-    // Before two minutes are over its first task goes first in any second.
+    // After two minutes its first task goes before all other jobs in every second.
     for t in 120..125u64 {
         controller.submit(
             &mut store,
@@ -186,7 +186,7 @@
     gang.vcpus = 16.0;
     let mut begun = None;
     for now in (0..120_000u64).step_by(500) {
-        // More small work than the machines can run, all the time.
+        // Small jobs always demand more than the machines can run.
         controller.submit(&mut store, job(&format!("job-{}", now / 500), 2), now);
         if now == 10_000 {
             controller.submit(&mut store, gang.clone(), now);
@@ -207,7 +207,7 @@
             }
         }
         for (i, worker) in workers.iter_mut().enumerate() {
-            // No two tasks end together, so that a machine is never empty by chance.
+            // Tasks end at different times, so that a machine does not become empty by chance.
             worker.run_ms = 3000 + (now / 500 * 7 + i as u64 * 3) % 11 * 500;
             controller.exchange_heartbeat(&mut store, worker, now);
         }
@@ -219,7 +219,8 @@
             begun = Some(now);
         }
     }
-    // It comes after ten seconds, its reservation begins after five more, and what runs then ends.
+    // The gang is submitted after ten seconds. Machines are reserved for it five seconds later, and
+    // it starts once the tasks that run on them have ended.
     assert!(begun.is_some_and(|at| at < 30_000), "began at {begun:?}");
 }
 
@@ -266,7 +267,7 @@
         received += machines.len();
     }
     assert_eq!(received, 1000);
-    // A controller without machines still broadcasts that it is there.
+    // A controller without machines still sends one status update, which shows that it is alive.
     assert_eq!(status_updates::status_requests(&sender, &[]).len(), 1);
 }
 
@@ -320,7 +321,7 @@
         claims::claim(&controller.pass(now), &mut d);
         d
     };
-    // Three of four are done: nothing is written yet, but urgent work has their capacity.
+    // Three of four tasks are done: nothing is written yet, but urgent jobs can use their capacity.
     let mut heartbeat = worker.heartbeat(4000);
     heartbeat.tasks[3].state = TaskState::Running;
     heartbeat.tasks[3].exit_reason = None;
@@ -345,7 +346,7 @@
         .claims
         .iter()
         .all(|claim| claim.job == controller.job_index("job-2")));
-    // Once the last is done as well, the job's end is written at once, with all of them.
+    // Once the last task is done, too, the job's end is written at once, with all four tasks.
     let heartbeat = worker.heartbeat(5000);
     take(&mut controller, &heartbeat);
     let d = later(&controller, 5000);
@@ -368,7 +369,7 @@
     };
     assert_eq!(passes(20), 200);
     assert!(passes(50) < 100);
-    // At the limit once a second, and never less often.
+    // Above the limit, updates are still written at least once a second.
     assert!((20..60).contains(&passes(90)));
 }
 
@@ -381,7 +382,7 @@
         controller.cluster.mark_deleted(machine);
     }
     assert_eq!(controller.cluster.all_machines().count(), 10);
-    // Delayed lists and heartbeats revive none.
+    // A delayed machine list or heartbeat does not add a deleted machine again.
     let again = controller
         .cluster
         .learn_machine("m005", "oven", "north", true, MonotonicMillis(9));
@@ -403,7 +404,8 @@
         [150_000, 250_000, 350_000]
     );
     let mut controller = begun_at_once(controller, &mut store, "job-1", 40);
-    // Younger work keeps coming that can make the first time.
+    // Ages are in seconds. The job is on time while it can finish within 150 s. After that, younger
+    // jobs that can meet their first target go before it, until its last target is in doubt.
     let tier = |controller: &SimulatedController, age: u64| {
         let job = controller.job("job-1");
         job_order::service_tier(
@@ -414,13 +416,16 @@
         )
     };
     assert_eq!(tier(&controller, 100), ServiceTier::OnTime);
-    // It can't make 150 s any more, but the last: it goes first before that is in doubt.
+    // It can't finish within 150 s any more, but still within 350 s, the last target. It goes first
+    // once two fifths of that time have passed.
     assert_eq!(tier(&controller, 141), ServiceTier::First);
     assert_eq!(tier(&controller, 300), ServiceTier::First);
-    // Once that is gone too, it goes behind, but for one second of five.
+    // Once it has missed the last target as well, it goes behind other jobs, except in one of every
+    // five seconds.
     assert_eq!(tier(&controller, 341), ServiceTier::Late);
     assert_eq!(tier(&controller, 345), ServiceTier::First);
-    // With a deadline of its own that it missed early, it is patient for a while.
+    // A job that misses its own, earlier deadline goes behind others until the class's target is in
+    // doubt.
     controller
         .config
         .completion_targets
@@ -445,7 +450,7 @@
     assert_eq!(at(140), ServiceTier::First);
 }
 
-/// Adds machines and a job of which some tasks have begun.
+/// Adds 15 machines and a job of which some tasks are placed at once.
 fn begun_at_once(
     mut controller: SimulatedController,
     store: &mut FakeKvStore,
