--- a/tests/autoscaling.rs
+++ b/tests/autoscaling.rs
@@ -20,21 +20,21 @@
 use support::simulated_controller::SimulatedController;
 use support::worker::FakeWorker;
 
-fn ready() -> (FakeKvStore, SimulatedController) {
+fn start_controller() -> (FakeKvStore, SimulatedController) {
     let mut store = FakeKvStore::default();
     let mut controller = SimulatedController::start("n1", 1, &mut store, 0);
     controller.apply_membership_moves(&mut store, 0);
     (store, controller)
 }
 
-fn oven(controller: &SimulatedController) -> MachineTypeIndex {
+fn oven_type(controller: &SimulatedController) -> MachineTypeIndex {
     controller.cluster.machine_type_names.find("oven").unwrap()
 }
 
-fn empty(controller: &SimulatedController, zone: usize, spot: bool) -> Supply {
+fn empty_machine(controller: &SimulatedController, zone: usize, spot: bool) -> Supply {
     Supply {
         pool: Pool {
-            machine_type: oven(controller),
+            machine_type: oven_type(controller),
             zone: ZoneIndex::new(zone),
             spot,
         },
@@ -46,12 +46,12 @@
 fn plan(
     controller: &SimulatedController,
     mut supply: Vec<Supply>,
-    blocked: &[Pool],
+    backed_off: &[Pool],
 ) -> ScaleOutPlan {
     let planner = ScaleOutPlanner {
         cluster: &controller.cluster,
         config: &controller.config,
-        backed_off: &blocked.iter().copied().collect(),
+        backed_off: &backed_off.iter().copied().collect(),
         now: MonotonicMillis(1000),
         wall_ms: 1000,
     };
@@ -60,37 +60,37 @@
 
 #[test]
 fn waiting_tasks_scale_out_to_as_many_machines_as_they_fill() {
-    let (mut store, mut controller) = ready();
+    let (mut store, mut controller) = start_controller();
     controller.submit(&mut store, job("job-1", 10), 0);
-    let w = plan(&controller, Vec::new(), &[]);
-    assert_eq!(w.machines_to_request.values().sum::<u32>(), 3);
-    assert!(w.machines_to_request.keys().all(|p| p.spot));
+    let plan = plan(&controller, Vec::new(), &[]);
+    assert_eq!(plan.machines_to_request.values().sum::<u32>(), 3);
+    assert!(plan.machines_to_request.keys().all(|p| p.spot));
 }
 
 #[test]
 fn machines_being_provisioned_are_not_requested_again() {
-    let (mut store, mut controller) = ready();
+    let (mut store, mut controller) = start_controller();
     controller.submit(&mut store, job("job-1", 4), 0);
-    let coming = vec![empty(&controller, 0, true)];
-    assert!(plan(&controller, coming, &[])
+    let supply = vec![empty_machine(&controller, 0, true)];
+    assert!(plan(&controller, supply, &[])
         .machines_to_request
         .is_empty());
 }
 
 #[test]
 fn jobs_that_exclude_spot_get_on_demand_machines() {
-    let (mut store, mut controller) = ready();
+    let (mut store, mut controller) = start_controller();
     let mut spec = job("job-1", 1);
     spec.spot = false;
     controller.submit(&mut store, spec, 0);
-    let w = plan(&controller, vec![empty(&controller, 0, true)], &[]);
-    assert_eq!(w.machines_to_request.len(), 1);
-    assert!(w.machines_to_request.keys().all(|p| !p.spot));
+    let plan = plan(&controller, vec![empty_machine(&controller, 0, true)], &[]);
+    assert_eq!(plan.machines_to_request.len(), 1);
+    assert!(plan.machines_to_request.keys().all(|p| !p.spot));
 }
 
 #[test]
 fn a_one_zone_gang_scales_out_where_it_can_be_complete() {
-    let (mut store, mut controller) = ready();
+    let (mut store, mut controller) = start_controller();
     let mut spec = job("job-1", 3);
     spec.kind = JobKind::Gang;
     spec.one_zone = true;
@@ -98,44 +98,50 @@
     spec.vcpus = 16.0;
     controller.submit(&mut store, spec, 0);
     // The north has machines for two of the three tasks, and no more can be requested there.
-    let none = Pool {
-        machine_type: oven(&controller),
+    let exhausted = Pool {
+        machine_type: oven_type(&controller),
         zone: ZoneIndex(0),
         spot: false,
     };
-    let w = plan(
+    let plan = plan(
         &controller,
-        vec![empty(&controller, 0, false), empty(&controller, 0, false)],
-        &[none],
+        vec![
+            empty_machine(&controller, 0, false),
+            empty_machine(&controller, 0, false),
+        ],
+        &[exhausted],
     );
-    assert_eq!(w.machines_to_request.values().sum::<u32>(), 3);
-    assert!(w.machines_to_request.keys().all(|p| p.zone == ZoneIndex(1)));
+    assert_eq!(plan.machines_to_request.values().sum::<u32>(), 3);
+    assert!(plan
+        .machines_to_request
+        .keys()
+        .all(|p| p.zone == ZoneIndex(1)));
 }
 
 #[test]
 fn a_team_at_its_quota_scales_out_no_further() {
-    let (mut store, mut controller) = ready();
+    let (mut store, mut controller) = start_controller();
     let mut spec = job("job-1", 40);
     spec.team = "mixers".into();
     controller.submit(&mut store, spec, 0);
-    let w = plan(&controller, Vec::new(), &[]);
-    assert_eq!(w.machines_to_request.values().sum::<u32>(), 1);
+    let plan = plan(&controller, Vec::new(), &[]);
+    assert_eq!(plan.machines_to_request.values().sum::<u32>(), 1);
 }
 
 #[test]
-fn a_gang_whose_quota_services_use_holds_up_no_scale_out() {
-    let (mut store, mut controller) = ready();
-    let of_mixers = |id: &str, tasks, shape| pointhook::protocol::users::JobSpec {
+fn a_gang_whose_quota_services_use_does_not_block_scale_out() {
+    let (mut store, mut controller) = start_controller();
+    let job_of_mixers = |id: &str, tasks, kind| pointhook::protocol::users::JobSpec {
         team: "mixers".into(),
-        kind: shape,
+        kind,
         ..job(id, tasks)
     };
     let mut worker = FakeWorker::new("m1", "north", 0);
-    controller.submit(&mut store, of_mixers("job-1", 1, JobKind::Service), 0);
+    controller.submit(&mut store, job_of_mixers("job-1", 1, JobKind::Service), 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     assert_eq!(controller.job("job-1").placements.len(), 1);
-    controller.submit(&mut store, of_mixers("job-2", 2, JobKind::Gang), 100);
-    controller.submit(&mut store, of_mixers("job-3", 1, JobKind::Array), 200);
+    controller.submit(&mut store, job_of_mixers("job-2", 2, JobKind::Gang), 100);
+    controller.submit(&mut store, job_of_mixers("job-3", 1, JobKind::Array), 200);
     assert_eq!(
         plan(&controller, Vec::new(), &[])
             .machines_to_request
@@ -147,7 +153,7 @@
 
 #[test]
 fn replicas_are_spread_over_the_zones() {
-    let (mut store, mut controller) = ready();
+    let (mut store, mut controller) = start_controller();
     let mut spec = job("job-1", 2);
     spec.kind = JobKind::Service;
     spec.spread = true;
@@ -163,9 +169,9 @@
 
 #[test]
 fn provisioning_requests_count_before_their_machines_are_listed() {
-    let (mut store, mut controller) = ready();
+    let (mut store, mut controller) = start_controller();
     controller.submit(&mut store, job("job-1", 8), 0);
-    let mut rec = ProvisioningRecord {
+    let mut record = ProvisioningRecord {
         machine_type: "oven".into(),
         zone: "north".into(),
         spot: true,
@@ -174,10 +180,10 @@
     };
     let put = |controller: &mut SimulatedController,
                store: &mut FakeKvStore,
-               rec: &ProvisioningRecord| {
+               record: &ProvisioningRecord| {
         let txn = Transaction {
             conditions: Vec::new(),
-            writes: set(format!("{ROOT}book/b-1-1"), rec, None)
+            writes: set(format!("{ROOT}book/b-1-1"), record, None)
                 .into_iter()
                 .collect(),
         };
@@ -188,21 +194,23 @@
         controller.sync(store);
     };
     // An unanswered request may have provisioned all of its machines.
-    put(&mut controller, &mut store, &rec);
+    put(&mut controller, &mut store, &record);
     let list = HashMap::new();
-    let have = supply(&controller.cluster, &list, 4000, MonotonicMillis(1000));
-    assert_eq!(have.len(), 2);
-    assert!(plan(&controller, have, &[]).machines_to_request.is_empty());
+    let available = supply(&controller.cluster, &list, 4000, MonotonicMillis(1000));
+    assert_eq!(available.len(), 2);
+    assert!(plan(&controller, available, &[])
+        .machines_to_request
+        .is_empty());
     // The response names one machine, which is not in the list yet.
-    rec.machines = vec!["n-000007".into()];
-    put(&mut controller, &mut store, &rec);
+    record.machines = vec!["n-000007".into()];
+    put(&mut controller, &mut store, &record);
     controller
         .cluster
         .learn_machine("n-000007", "oven", "north", true, MonotonicMillis(1000));
-    let have = supply(&controller.cluster, &list, 4000, MonotonicMillis(1000));
-    assert_eq!(have.len(), 1);
+    let available = supply(&controller.cluster, &list, 4000, MonotonicMillis(1000));
+    assert_eq!(available.len(), 1);
     assert_eq!(
-        plan(&controller, have, &[])
+        plan(&controller, available, &[])
             .machines_to_request
             .values()
             .sum::<u32>(),
@@ -223,53 +231,56 @@
 }
 
 #[test]
-fn a_refused_page_of_the_machine_list_loses_no_page_that_was_read() {
-    let page = |from: usize, n: usize, more| MachineListPage {
-        machines: (from..from + n)
+fn a_refused_page_of_the_machine_list_keeps_the_pages_already_read() {
+    let page = |from: usize, count: usize, more| MachineListPage {
+        machines: (from..from + count)
             .map(|i| listed(&format!("n-{i:06}")))
             .collect(),
         more,
     };
-    let mut pages = MachineListReader::default();
-    assert_eq!(pages.next_page_after(MonotonicMillis(0), 3.5), "");
-    assert!(pages.add_page(page(0, 500, true)).is_none());
+    let mut reader = MachineListReader::default();
+    assert_eq!(reader.next_page_after(MonotonicMillis(0), 3.5), "");
+    assert!(reader.add_page(page(0, 500, true)).is_none());
     // The second page is refused twice; it is requested again, not the first page.
-    assert_eq!(pages.next_page_after(MonotonicMillis(500), 3.5), "n-000499");
     assert_eq!(
-        pages.next_page_after(MonotonicMillis(1000), 3.5),
+        reader.next_page_after(MonotonicMillis(500), 3.5),
+        "n-000499"
+    );
+    assert_eq!(
+        reader.next_page_after(MonotonicMillis(1000), 3.5),
         "n-000499"
     );
-    assert!(pages.add_page(page(500, 500, true)).is_none());
-    assert_eq!(pages.add_page(page(1000, 3, false)).unwrap().len(), 1003);
+    assert!(reader.add_page(page(500, 500, true)).is_none());
+    assert_eq!(reader.add_page(page(1000, 3, false)).unwrap().len(), 1003);
     // A list that takes too long is discarded, because its first pages are outdated.
-    assert!(pages.add_page(page(0, 500, true)).is_none());
+    assert!(reader.add_page(page(0, 500, true)).is_none());
     assert_eq!(
-        pages.next_page_after(MonotonicMillis(2000), 3.5),
+        reader.next_page_after(MonotonicMillis(2000), 3.5),
         "n-000499"
     );
-    assert_eq!(pages.next_page_after(MonotonicMillis(60_000), 3.5), "");
+    assert_eq!(reader.next_page_after(MonotonicMillis(60_000), 3.5), "");
 }
 
 #[test]
 fn the_machine_list_of_a_large_fleet_is_completed_under_a_low_request_limit() {
     // Eight pages of 500 machines, one request every three seconds, half of them refused.
-    let mut pages = MachineListReader::default();
+    let mut reader = MachineListReader::default();
     let mut listed_names = 0;
-    for turn in 0..16u64 {
-        let from = pages.next_page_after(MonotonicMillis(turn * 3000), 0.5);
+    for round in 0..16u64 {
+        let after = reader.next_page_after(MonotonicMillis(round * 3000), 0.5);
         assert_eq!(
-            from.is_empty(),
+            after.is_empty(),
             listed_names == 0,
-            "restarted in round {turn}"
+            "list restarted in round {round}"
         );
-        if turn % 2 == 0 {
+        if round % 2 == 0 {
             continue;
         }
         let names = listed_names..listed_names + 500;
         listed_names += 500;
         let machines = names.map(|i| listed(&format!("n-{i:06}"))).collect();
         let more = listed_names < 4000;
-        if let Some(list) = pages.add_page(MachineListPage { machines, more }) {
+        if let Some(list) = reader.add_page(MachineListPage { machines, more }) {
             assert_eq!(list.len(), 4000);
             return;
         }
@@ -279,49 +290,50 @@
 
 #[test]
 fn cloud_requests_stay_within_their_limit_and_leave_one_for_scale_in() {
-    let rate = 3.5;
-    let mut pace = RateLimiter::new(rate);
-    let (mut rented, mut returned) = (0u32, 0u32);
+    let requests_per_s = 3.5;
+    let mut rate_limiter = RateLimiter::new(requests_per_s);
+    let (mut scale_out_requests, mut scale_in_requests) = (0u32, 0u32);
     // Scale-out requests are made as often as allowed, scale-in requests once a second.
     for now in (0..60_000u64).step_by(50) {
-        rented += u32::from(pace.try_acquire(MonotonicMillis(now), 1.0));
+        scale_out_requests += u32::from(rate_limiter.try_acquire(MonotonicMillis(now), 1.0));
         if now % 1000 == 0 {
             assert!(
-                now == 0 || pace.try_acquire(MonotonicMillis(now), 0.0),
-                "a scale-in request waits at {now}"
+                now == 0 || rate_limiter.try_acquire(MonotonicMillis(now), 0.0),
+                "a scale-in request was delayed at {now} ms"
             );
-            returned += 1;
+            scale_in_requests += 1;
         }
     }
-    assert!(f64::from(rented + returned) <= 60.0 * rate + 2.0 * rate);
-    assert!(rented > 100);
+    let all_requests = f64::from(scale_out_requests + scale_in_requests);
+    assert!(all_requests <= 60.0 * requests_per_s + 2.0 * requests_per_s);
+    assert!(scale_out_requests > 100);
     // Reading the list of two thousand machines uses at most half of the limit.
-    let every = list_interval_ms(rate, 4);
-    assert!(4.0 * 1000.0 / every as f64 <= rate / 2.0);
+    let interval_ms = list_interval_ms(requests_per_s, 4);
+    assert!(4.0 * 1000.0 / interval_ms as f64 <= requests_per_s / 2.0);
     // The list of a small deployment is read at the shortest interval.
     assert_eq!(list_interval_ms(4.0, 1), 1500);
 }
 
 #[test]
 fn a_thousand_machines_are_requested_in_few_requests_alternating_between_pools() {
-    let (_, controller) = ready();
+    let (_, controller) = start_controller();
     let pool = |zone, spot| Pool {
-        machine_type: oven(&controller),
+        machine_type: oven_type(&controller),
         zone: ZoneIndex::new(zone),
         spot,
     };
-    let wanted = BTreeMap::from([(pool(0, true), 700), (pool(1, true), 20)]);
-    let out = split_into_requests(wanted);
-    assert!(out.iter().all(|r| (1..=50).contains(&r.count)));
-    assert_eq!(out.len(), 4);
+    let machines_to_request = BTreeMap::from([(pool(0, true), 700), (pool(1, true), 20)]);
+    let requests = split_into_requests(machines_to_request);
+    assert!(requests.iter().all(|r| (1..=50).contains(&r.count)));
+    assert_eq!(requests.len(), 4);
     let pool = pool(1, true);
-    assert_eq!(out[1], PoolRequest { pool, count: 20 });
+    assert_eq!(requests[1], PoolRequest { pool, count: 20 });
     assert!(split_into_requests(BTreeMap::new()).is_empty());
 }
 
 #[test]
-fn a_long_overdue_machine_is_not_waited_for() {
-    let (mut store, mut controller) = ready();
+fn a_machine_whose_boot_is_overdue_is_not_counted_as_supply() {
+    let (mut store, mut controller) = start_controller();
     controller.submit(&mut store, job("job-1", 4), 0);
     controller
         .cluster
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -19,28 +19,31 @@
 const MACHINES: usize = 4000;
 
 /// A machine name in the format of the cloud's names.
-fn machine_name(i: usize) -> String {
-    format!("n-{i:06}")
+fn machine_name(number: usize) -> String {
+    format!("n-{number:06}")
 }
 
 /// A machine name several times as long as the cloud's, for testing the sizes of frames.
-fn long_name(i: usize) -> String {
-    format!("machine-in-a-large-fleet-{i:06}")
+fn long_name(number: usize) -> String {
+    format!("machine-in-a-large-fleet-{number:06}")
 }
 
 /// One controller that owns all shards and has received heartbeats from all machines in both zones.
 fn large_fleet() -> (FakeKvStore, SimulatedController) {
     let (store, mut controller) = start_single_controller();
-    for i in 0..MACHINES {
-        let zone = ["north", "south"][i % 2];
-        let learnt = controller.cluster.learn_machine(
-            &machine_name(i),
+    for number in 0..MACHINES {
+        let zone = ["north", "south"][number % 2];
+        let machine_index = controller.cluster.learn_machine(
+            &machine_name(number),
             "oven",
             zone,
             true,
             MonotonicMillis(0),
         );
-        let machine = controller.cluster.machine_mut(learnt.unwrap()).unwrap();
+        let machine = controller
+            .cluster
+            .machine_mut(machine_index.unwrap())
+            .unwrap();
         machine.heartbeat.last_seen = Some(MonotonicMillis(0));
     }
     (store, controller)
@@ -78,7 +81,7 @@
 
 #[test]
 fn bindings_of_a_wide_job_fit_frames_that_are_accepted() {
-    let bound: Vec<(String, TaskRef)> = (0..2 * MACHINES)
+    let bindings: Vec<(String, TaskRef)> = (0..2 * MACHINES)
         .map(|i| {
             let job = "job-000001".to_string();
             let task = i as u32;
@@ -86,13 +89,13 @@
         })
         .collect();
     let mut received = Vec::new();
-    for request in queues::bind_requests(&bound) {
+    for request in queues::bind_requests(&bindings) {
         assert_fits_a_frame(&request);
         if let PeerRequest::EnqueueTasks { tasks } = request {
             received.extend(tasks);
         }
     }
-    assert_eq!(received, bound);
+    assert_eq!(received, bindings);
 }
 
 #[test]
@@ -115,48 +118,48 @@
     // Four of these tasks fit on a machine. The 1,000 placements of a job fit into its record and
     // its overflow records.
     controller.cluster.record_format_v2 = true;
-    for i in 0..MACHINES * 4 / 1000 {
-        controller.submit(&mut store, job(&format!("job-{i}"), 1000), 0);
+    for number in 0..MACHINES * 4 / 1000 {
+        controller.submit(&mut store, job(&format!("job-{number}"), 1000), 0);
     }
-    let mut before = usize::MAX;
-    let waiting = |controller: &SimulatedController| -> usize {
+    let mut previously_waiting = usize::MAX;
+    let waiting_tasks = |controller: &SimulatedController| -> usize {
         let jobs = controller.cluster.active_jobs();
         jobs.map(|(_, j)| j.waiting_count() as usize).sum()
     };
-    while waiting(&controller) < before {
-        before = waiting(&controller);
+    while waiting_tasks(&controller) < previously_waiting {
+        previously_waiting = waiting_tasks(&controller);
         let draft = controller.draft_plan(10);
         let transaction = pointhook::coordination::kv::transaction(&controller.cluster, &draft);
         let outcome = SimulatedController::commit(&mut store, &transaction, 10);
         pointhook::coordination::kv::apply_outcome(&mut controller.cluster, &draft, &outcome);
     }
-    assert_eq!(before, 0);
+    assert_eq!(previously_waiting, 0);
     assert_eq!(controller.cluster.occupied().count(), MACHINES);
 }
 
 #[test]
 fn one_owner_receives_the_heartbeats_of_all_machines() {
     let (_, mut controller) = large_fleet();
-    for i in 0..MACHINES {
-        let zone = ["north", "south"][i % 2];
-        let report = FakeWorker::new(&machine_name(i), zone, 0).heartbeat(1000);
-        let received = heartbeats::receive(
+    for number in 0..MACHINES {
+        let zone = ["north", "south"][number % 2];
+        let heartbeat = FakeWorker::new(&machine_name(number), zone, 0).heartbeat(1000);
+        let outcome = heartbeats::receive(
             &mut controller.cluster,
             &controller.config,
-            &report,
+            &heartbeat,
             10_000,
             MonotonicMillis(1000),
         );
         assert!(matches!(
-            received,
+            outcome,
             heartbeats::HeartbeatOutcome::Accepted(..)
         ));
     }
-    let reported = controller
+    let with_heartbeat = controller
         .cluster
         .all_machines()
         .filter(|(_, m)| m.heartbeat.message_version.agent_epoch > AgentEpoch(0));
-    assert_eq!(reported.count(), MACHINES);
+    assert_eq!(with_heartbeat.count(), MACHINES);
     let shards: BTreeSet<usize> = controller
         .cluster
         .all_machines()
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -25,16 +25,16 @@
 use support::worker::FakeWorker;
 
 /// Adds machines that have just sent a heartbeat.
-fn fleet(controller: &mut SimulatedController, n: usize) {
-    for i in 0..n {
-        let name = format!("m{i:03}");
-        let machine = controller
+fn add_machines(controller: &mut SimulatedController, count: usize) {
+    for number in 0..count {
+        let name = format!("m{number:03}");
+        let machine_index = controller
             .cluster
             .learn_machine(&name, "oven", "north", true, MonotonicMillis(0))
             .unwrap();
         controller
             .cluster
-            .machine_mut(machine)
+            .machine_mut(machine_index)
             .unwrap()
             .heartbeat
             .last_seen = Some(MonotonicMillis(0));
@@ -44,13 +44,13 @@
 #[test]
 fn a_task_finds_the_one_machine_of_hundreds_that_has_its_image() {
     let (mut store, mut controller) = start_single_controller();
-    fleet(&mut controller, 400);
+    add_machines(&mut controller, 400);
     controller.submit(&mut store, job("job-1", 1), 0);
     let image = controller.job("job-1").spec.as_ref().unwrap().image;
-    let warm = controller.machine("m333");
+    let with_image = controller.machine("m333");
     controller
         .cluster
-        .machine_mut(warm)
+        .machine_mut(with_image)
         .unwrap()
         .use_image(image, 1.0, 100.0);
     let job_index = controller.job_index("job-1");
@@ -65,7 +65,7 @@
             ),
             [QueueBinding {
                 task: 0,
-                machine: warm
+                machine: with_image
             }]
         );
     }
@@ -76,7 +76,7 @@
     let mut store = FakeKvStore::default();
     let mut controller = SimulatedController::start("n1", 1, &mut store, 0);
     controller.apply_membership_moves(&mut store, 0);
-    fleet(&mut controller, 8);
+    add_machines(&mut controller, 8);
     let mut spec = job("job-1", 12);
     spec.team = "mixers".into();
     controller.submit(&mut store, spec, 0);
@@ -84,55 +84,62 @@
     controller.run_planner(&mut store, 10);
     controller.cancel(&mut store, "job-2", 20);
     let mut placed = 0;
-    for (machine, m) in controller.cluster.all_machines() {
-        let mut free = controller.cluster.machine_types[&m.machine_type].capacity;
-        for (job_index, j) in controller.cluster.active_jobs() {
-            for p in j.placements.iter().filter(|p| p.machine == machine) {
-                free = free.minus(j.spec.as_ref().unwrap().need);
+    for (machine_index, machine) in controller.cluster.all_machines() {
+        let mut free = controller.cluster.machine_types[&machine.machine_type].capacity;
+        for (job_index, job) in controller.cluster.active_jobs() {
+            let placements = job.placements.iter();
+            for placement in placements.filter(|p| p.machine == machine_index) {
+                free = free.minus(job.spec.as_ref().unwrap().need);
+                let attempt = TaskAttempt::new(job_index, placement.task, placement.attempt);
                 assert!(controller
                     .cluster
-                    .placed_on(machine)
-                    .contains(&TaskAttempt::new(job_index, p.task, p.attempt)));
+                    .placed_on(machine_index)
+                    .contains(&attempt));
                 placed += 1;
             }
         }
         assert_eq!(
-            controller.cluster.free_capacity()[machine.0 as usize],
+            controller.cluster.free_capacity()[machine_index.0 as usize],
             Some(free)
         );
     }
     assert!(placed > 10);
     let need = Resources::new(4.0, 1.0, 8.0);
     let team = controller.cluster.team_names.find("mixers").unwrap();
-    let n = controller.job("job-1").placements.len() as i64;
-    assert_eq!(controller.cluster.quota_used(team), need.quota().times(n));
-    assert_eq!(n, 2);
+    let placed_of_team = controller.job("job-1").placements.len() as i64;
+    assert_eq!(
+        controller.cluster.quota_used(team),
+        need.quota().times(placed_of_team)
+    );
+    assert_eq!(placed_of_team, 2);
 }
 
 #[test]
 fn a_wide_job_with_time_left_starts_within_two_minutes_of_smaller_ones() {
     let (mut store, mut controller) = start_single_controller();
     // Its deadline is so far off that it stays on time. A smaller job is submitted every second.
-    controller.submit(&mut store, due("job-1", 200, 900.0), 0);
-    for t in 100..130u64 {
-        controller.submit(&mut store, due(&format!("job-{t}"), 2, 900.0), t * 1000);
-        let first = order(&controller, t * 1000).swap_remove(0);
-        assert_eq!(first == "job-1", t >= 120, "at {t} s");
+    controller.submit(&mut store, job_due_within("job-1", 200, 900.0), 0);
+    for second in 100..130u64 {
+        let smaller = job_due_within(&format!("job-{second}"), 2, 900.0);
+        controller.submit(&mut store, smaller, second * 1000);
+        let first = waiting_job_ids(&controller, second * 1000).swap_remove(0);
+        assert_eq!(first == "job-1", second >= 120, "at {second} s");
     }
 }
 
-fn order(controller: &SimulatedController, wall: u64) -> Vec<String> {
+/// Ids of the waiting jobs in scheduling order.
+fn waiting_job_ids(controller: &SimulatedController, now: u64) -> Vec<String> {
     let draft = draft::DraftTransaction::default();
-    let jobs = job_order::waiting_jobs(&controller.pass(wall), &draft);
-    let names = jobs.iter().map(|worker| {
-        controller.cluster.jobs[worker.job_index.0 as usize]
+    let jobs = job_order::waiting_jobs(&controller.pass(now), &draft);
+    let ids = jobs.iter().map(|waiting| {
+        controller.cluster.jobs[waiting.job_index.0 as usize]
             .id
             .to_string()
     });
-    names.collect()
+    ids.collect()
 }
 
-fn due(id: &str, tasks: u32, deadline_s: f64) -> pointhook::protocol::users::JobSpec {
+fn job_due_within(id: &str, tasks: u32, deadline_s: f64) -> pointhook::protocol::users::JobSpec {
     let mut spec = job(id, tasks);
     spec.deadline_s = Some(deadline_s);
     spec
@@ -141,37 +148,34 @@
 #[test]
 fn among_jobs_that_can_meet_their_deadline_the_smaller_goes_first() {
     let (mut store, mut controller) = start_single_controller();
-    controller.submit(&mut store, due("job-1", 100, 100.0), 0);
-    controller.submit(&mut store, due("job-2", 5, 100.0), 1000);
-    controller.submit(&mut store, due("job-3", 6, 100.0), 2000);
-    assert_eq!(order(&controller, 3000), ["job-2", "job-3", "job-1"]);
+    controller.submit(&mut store, job_due_within("job-1", 100, 100.0), 0);
+    controller.submit(&mut store, job_due_within("job-2", 5, 100.0), 1000);
+    controller.submit(&mut store, job_due_within("job-3", 6, 100.0), 2000);
+    assert_eq!(
+        waiting_job_ids(&controller, 3000),
+        ["job-2", "job-3", "job-1"]
+    );
 }
 
 #[test]
 fn a_late_wide_job_is_not_starved_by_younger_and_smaller_ones() {
     let (mut store, mut controller) = start_single_controller();
-    controller.submit(&mut store, due("job-1", 200, 60.0), 0);
+    controller.submit(&mut store, job_due_within("job-1", 200, 60.0), 0);
     // Every second a small job is submitted that can meet its deadline.
-    let mut first = 0;
-    for t in 1..=40u64 {
-        controller.submit(
-            &mut store,
-            due(&format!("job-{}", t + 1), 2, 60.0),
-            55_000 + t * 1000,
-        );
-        let turn = order(&controller, 55_000 + t * 1000);
-        first += u32::from(turn[0] == "job-1");
+    let mut seconds_first = 0;
+    for second in 56..=95u64 {
+        let small = job_due_within(&format!("job-{second}"), 2, 60.0);
+        controller.submit(&mut store, small, second * 1000);
+        let ids = waiting_job_ids(&controller, second * 1000);
+        seconds_first += u32::from(ids[0] == "job-1");
     }
     // The late job goes first in one of every five seconds.
-    assert_eq!(first, 8);
+    assert_eq!(seconds_first, 8);
     // After two minutes its first task goes before all other jobs in every second.
-    for t in 120..125u64 {
-        controller.submit(
-            &mut store,
-            due(&format!("job-{}", t + 1), 2, 60.0),
-            t * 1000,
-        );
-        assert_eq!(order(&controller, t * 1000)[0], "job-1");
+    for second in 120..125u64 {
+        let small = job_due_within(&format!("job-{second}"), 2, 60.0);
+        controller.submit(&mut store, small, second * 1000);
+        assert_eq!(waiting_job_ids(&controller, second * 1000)[0], "job-1");
     }
 }
 
@@ -184,7 +188,7 @@
     let mut gang = job("job-1000", 3);
     gang.kind = JobKind::Gang;
     gang.vcpus = 16.0;
-    let mut begun = None;
+    let mut started_at = None;
     for now in (0..120_000u64).step_by(500) {
         // Small jobs always demand more than the machines can run.
         controller.submit(&mut store, job(&format!("job-{}", now / 500), 2), now);
@@ -215,22 +219,25 @@
             .cluster
             .job("job-1000")
             .map(|j| j.1.placements.len());
-        if begun.is_none() && placed == Some(3) {
-            begun = Some(now);
+        if started_at.is_none() && placed == Some(3) {
+            started_at = Some(now);
         }
     }
     // The gang is submitted after ten seconds. Machines are reserved for it five seconds later, and
     // it starts once the tasks that run on them have ended.
-    assert!(begun.is_some_and(|at| at < 30_000), "began at {begun:?}");
+    assert!(
+        started_at.is_some_and(|at| at < 30_000),
+        "started at {started_at:?}"
+    );
 }
 
 #[test]
-fn a_job_as_wide_as_the_largest_arrays_runs_whole_within_one_record() {
+fn all_placements_of_a_wide_job_fit_into_one_record() {
     let mut store = FakeKvStore::default();
     store.max_value_bytes = 8 * 1024;
     let mut controller = SimulatedController::start("n1", 1, &mut store, 0);
     controller.apply_membership_moves(&mut store, 0);
-    fleet(&mut controller, 40);
+    add_machines(&mut controller, 40);
     controller.submit(&mut store, job("job-1", 80), 0);
     controller.run_planner(&mut store, 10);
     assert_eq!(controller.job("job-1").placements.len(), 80);
@@ -259,10 +266,10 @@
     };
     let requests = status_updates::status_requests(&sender, &all);
     let mut received = 0;
-    for a in &requests {
-        assert!(peers::encode(a).unwrap().len() < peers::MAX_FRAME);
-        let PeerRequest::Status { machines, .. } = a else {
-            panic!("news")
+    for request in &requests {
+        assert!(peers::encode(request).unwrap().len() < peers::MAX_FRAME);
+        let PeerRequest::Status { machines, .. } = request else {
+            panic!("a request that is no status update")
         };
         received += machines.len();
     }
@@ -274,9 +281,9 @@
 #[test]
 fn the_loss_of_hundreds_of_machines_costs_one_write_per_job() {
     let (mut store, mut controller) = start_single_controller();
-    fleet(&mut controller, 300);
-    for i in 0..12 {
-        controller.submit(&mut store, job(&format!("job-{i}"), 60), 0);
+    add_machines(&mut controller, 300);
+    for number in 0..12 {
+        controller.submit(&mut store, job(&format!("job-{number}"), 60), 0);
     }
     controller.run_planner(&mut store, 10);
     let placed = |controller: &SimulatedController| -> usize {
@@ -289,20 +296,20 @@
     assert_eq!(placed(&controller), 720);
     let machines: Vec<_> = controller.cluster.occupied().collect();
     assert!(machines.len() >= 180);
-    for m in &machines {
-        controller.cluster.mark_deleted(*m);
+    for machine in &machines {
+        controller.cluster.mark_deleted(*machine);
     }
     let mut changes = 0;
     loop {
-        let mut d = draft::DraftTransaction::default();
-        reconciliation::reconcile(&controller.pass(20), &mut d);
-        if d.is_empty() {
+        let mut draft = draft::DraftTransaction::default();
+        reconciliation::reconcile(&controller.pass(20), &mut draft);
+        if draft.is_empty() {
             break;
         }
-        changes += d.jobs.len();
-        let txn = pointhook::coordination::kv::transaction(&controller.cluster, &d);
-        let out = SimulatedController::commit(&mut store, &txn, 20);
-        pointhook::coordination::kv::apply_outcome(&mut controller.cluster, &d, &out);
+        changes += draft.jobs.len();
+        let transaction = pointhook::coordination::kv::transaction(&controller.cluster, &draft);
+        let outcome = SimulatedController::commit(&mut store, &transaction, 20);
+        pointhook::coordination::kv::apply_outcome(&mut controller.cluster, &draft, &outcome);
     }
     assert_eq!((placed(&controller), changes), (0, 12));
 }
@@ -315,17 +322,17 @@
     controller.submit(&mut store, job("job-1", 4), 0);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 1500);
     assert_eq!(controller.job("job-1").placements.len(), 4);
-    let later = |controller: &SimulatedController, now| {
-        let mut d = draft::DraftTransaction::batching(true);
-        reconciliation::reconcile(&controller.pass(now), &mut d);
-        claims::claim(&controller.pass(now), &mut d);
-        d
+    let batching_draft = |controller: &SimulatedController, now| {
+        let mut draft = draft::DraftTransaction::batching(true);
+        reconciliation::reconcile(&controller.pass(now), &mut draft);
+        claims::claim(&controller.pass(now), &mut draft);
+        draft
     };
     // Three of four tasks are done: nothing is written yet, but urgent jobs can use their capacity.
     let mut heartbeat = worker.heartbeat(4000);
     heartbeat.tasks[3].state = TaskState::Running;
     heartbeat.tasks[3].exit_reason = None;
-    let take = |controller: &mut SimulatedController, heartbeat| {
+    let receive = |controller: &mut SimulatedController, heartbeat| {
         heartbeats::receive(
             &mut controller.cluster,
             &controller.config,
@@ -334,76 +341,78 @@
             MonotonicMillis(4000),
         )
     };
-    take(&mut controller, &heartbeat);
-    assert!(later(&controller, 4000).is_empty());
+    receive(&mut controller, &heartbeat);
+    assert!(batching_draft(&controller, 4000).is_empty());
     let mut urgent = job("job-2", 3);
     urgent.priority = Priority::High;
     controller.submit(&mut store, urgent, 4000);
     controller.submit(&mut store, job("job-3", 1), 4000);
-    let d = later(&controller, 4010);
-    assert_eq!(d.claims.len(), 3);
-    assert!(d
+    let draft = batching_draft(&controller, 4010);
+    assert_eq!(draft.claims.len(), 3);
+    assert!(draft
         .claims
         .iter()
         .all(|claim| claim.job == controller.job_index("job-2")));
     // Once the last task is done, too, the job's end is written at once, with all four tasks.
     let heartbeat = worker.heartbeat(5000);
-    take(&mut controller, &heartbeat);
-    let d = later(&controller, 5000);
-    assert_eq!(d.jobs[&controller.job_index("job-1")].state, JobState::Done);
+    receive(&mut controller, &heartbeat);
+    let draft = batching_draft(&controller, 5000);
+    let job_index = controller.job_index("job-1");
+    assert_eq!(draft.jobs[&job_index].state, JobState::Done);
 }
 
 #[test]
 fn array_updates_are_batched_longer_near_the_write_limit() {
-    let passes = |a_second: u64| {
+    let unbatched_rounds = |changes_per_s: u64| {
         let mut write_budget = WriteBudget::default();
-        let (mut total, mut now, mut whole) = (0, 0, 0);
+        let (mut total_changes, mut now, mut unbatched) = (0, 0, 0);
         while now < 20_000 {
-            whole +=
-                u32::from(!write_budget.batch_array_updates(MonotonicMillis(now), total, 70.0));
+            let batch = write_budget.batch_array_updates(MonotonicMillis(now), total_changes, 70.0);
+            unbatched += u32::from(!batch);
             now += 100;
-            total = a_second * now / 1000;
+            total_changes = changes_per_s * now / 1000;
             assert!(write_budget.planner_sleep_ms(MonotonicMillis(now)) <= 700);
         }
-        whole
+        unbatched
     };
-    assert_eq!(passes(20), 200);
-    assert!(passes(50) < 100);
+    assert_eq!(unbatched_rounds(20), 200);
+    assert!(unbatched_rounds(50) < 100);
     // Above the limit, updates are still written at least once a second.
-    assert!((20..60).contains(&passes(90)));
+    assert!((20..60).contains(&unbatched_rounds(90)));
 }
 
 #[test]
-fn a_deleted_machine_leaves_nothing_behind_but_its_name() {
+fn only_the_name_of_a_deleted_machine_is_kept() {
     let (_, mut controller) = start_single_controller();
-    fleet(&mut controller, 2000);
-    for i in 0..1990 {
-        let machine = controller.machine(&format!("m{i:03}"));
+    add_machines(&mut controller, 2000);
+    for number in 0..1990 {
+        let machine = controller.machine(&format!("m{number:03}"));
         controller.cluster.mark_deleted(machine);
     }
     assert_eq!(controller.cluster.all_machines().count(), 10);
     // A delayed machine list or heartbeat does not add a deleted machine again.
-    let again = controller
-        .cluster
-        .learn_machine("m005", "oven", "north", true, MonotonicMillis(9));
-    assert!(again.is_none());
+    let added_again =
+        controller
+            .cluster
+            .learn_machine("m005", "oven", "north", true, MonotonicMillis(9));
+    assert!(added_again.is_none());
     assert_eq!(controller.cluster.all_machines().count(), 10);
 }
 
 #[test]
 fn a_job_that_missed_one_of_several_deadlines_still_meets_the_last() {
     let (mut store, mut controller) = start_single_controller();
-    let times = [350.0, 150.0, 250.0].map(|t| Objective {
+    let objectives = [350.0, 150.0, 250.0].map(|within_s| Objective {
         kind: "finished".into(),
         class: Some("bake".into()),
-        within_s: Some(t),
+        within_s: Some(within_s),
     });
-    controller.config.completion_targets = finish_times(&times);
+    controller.config.completion_targets = finish_times(&objectives);
     assert_eq!(
         controller.config.completion_targets["bake"],
         [150_000, 250_000, 350_000]
     );
-    let mut controller = begun_at_once(controller, &mut store, "job-1", 40);
+    let mut controller = with_started_job(controller, &mut store, "job-1", 40);
     // Ages are in seconds. The job is on time while it can finish within 150 s. After that, younger
     // jobs that can meet their first target go before it, until its last target is in doubt.
     let tier = |controller: &SimulatedController, age: u64| {
@@ -430,12 +439,12 @@
         .config
         .completion_targets
         .insert("bake".into(), vec![350_000]);
-    let mut spec = due("job-2", 40, 60.0);
+    let mut spec = job_due_within("job-2", 40, 60.0);
     spec.class = "bake".into();
     controller.submit(&mut store, spec, 1);
     controller.run_planner(&mut store, 10);
     let job = controller.job("job-2");
-    let at = |age: u64| {
+    let tier_at = |age: u64| {
         job_order::service_tier(
             &controller.config,
             job,
@@ -444,20 +453,20 @@
         )
     };
     assert!(!job.placements.is_empty());
-    assert_eq!(at(40), ServiceTier::OnTime);
-    assert_eq!(at(61), ServiceTier::LateForFirst);
-    assert_eq!(at(139), ServiceTier::LateForFirst);
-    assert_eq!(at(140), ServiceTier::First);
+    assert_eq!(tier_at(40), ServiceTier::OnTime);
+    assert_eq!(tier_at(61), ServiceTier::LateForFirst);
+    assert_eq!(tier_at(139), ServiceTier::LateForFirst);
+    assert_eq!(tier_at(140), ServiceTier::First);
 }
 
 /// Adds 15 machines and a job of which some tasks are placed at once.
-fn begun_at_once(
+fn with_started_job(
     mut controller: SimulatedController,
     store: &mut FakeKvStore,
     id: &str,
     tasks: u32,
 ) -> SimulatedController {
-    fleet(&mut controller, 15);
+    add_machines(&mut controller, 15);
     controller.submit(store, job(id, tasks), 1);
     controller.run_planner(store, 10);
     assert!(!controller.job(id).placements.is_empty());
