--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -147,13 +147,13 @@
     config: &SchedulerConfig,
     wall_ms: u64,
 ) -> Vec<Demand> {
-    let Some(first) = cluster.first_submission else {
+    let Some(first_submission_ms) = cluster.first_submission else {
         return Vec::new();
     };
     // Jobs that were already waiting when the service started do not indicate a submission rate.
     let window_start_ms = wall_ms
         .saturating_sub(RATE_WINDOW_MS)
-        .max(first + INITIAL_BACKLOG_MS);
+        .max(first_submission_ms + INITIAL_BACKLOG_MS);
     let window_ms = wall_ms
         .saturating_sub(window_start_ms)
         .max(MIN_RATE_WINDOW_MS);
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -55,10 +55,10 @@
 pub use supply::{supply, Pool, Supply};
 
 /// Time between rounds on the owner of the autoscaler's shard.
-const TICK_MS: u64 = 250;
+const ROUND_INTERVAL_MS: u64 = 250;
 /// Maximum time between ownership checks on a controller that does not own the autoscaler's shard.
 /// A change of owner wakes it earlier.
-const IDLE_TICK_MS: u64 = 1000;
+const OWNERSHIP_CHECK_INTERVAL_MS: u64 = 1000;
 
 /// Background task that scales out and in while this controller owns the autoscaler's shard.
 pub async fn run(controller: Rc<Controller>) {
@@ -95,10 +95,10 @@
     };
     if idle {
         controller
-            .tick(IDLE_TICK_MS, Some(&controller.autoscaling))
+            .tick(OWNERSHIP_CHECK_INTERVAL_MS, Some(&controller.autoscaling))
             .await;
     } else {
-        controller.pause(TICK_MS).await;
+        controller.pause(ROUND_INTERVAL_MS).await;
     }
 }
 
--- a/src/coordination/autoscaler/placement.rs
+++ b/src/coordination/autoscaler/placement.rs
@@ -204,12 +204,12 @@
     fn scheduler_allows(&self, supply: &Supply) -> bool {
         let machine_index = supply.machine;
         let machine = machine_index.and_then(|index| Some((index, self.cluster.machine(index)?)));
-        let (Some(on), Some((index, job))) = (machine, self.job) else {
+        let (Some(machine), Some((index, job))) = (machine, self.job) else {
             return true;
         };
         let spec = &self.demand.spec;
         let job = JobRef { index, job, spec };
-        is_allowed(self.cluster, job, MachineRef::from(on))
+        is_allowed(self.cluster, job, MachineRef::from(machine))
     }
 
     /// True if the job allows machines of this pool, given the zones of its other tasks.
@@ -291,7 +291,7 @@
         for pool in pools(cluster, *index, machine_type).filter(&is_eligible) {
             let cost = cost_per_task(machine_type, pool.spot, need, fitting)
                 * (1.0 + fastrand::f64() * COST_JITTER);
-            if cheapest.as_ref().is_none_or(|(least, _)| cost < *least) {
+            if cheapest.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
                 cheapest = Some((cost, pool));
             }
         }
--- a/src/coordination/autoscaler/scale_in_plan.rs
+++ b/src/coordination/autoscaler/scale_in_plan.rs
@@ -115,7 +115,7 @@
     pub(super) fn plan(&self) -> ScaleInPlan {
         let mut plan = ScaleInPlan::default();
         for listed in self.state.listed.values() {
-            match self.reason(listed) {
+            match self.deletion_reason(listed) {
                 Some(ScaleInReason::Idle) => plan.idle.push(listed.name.clone()),
                 Some(reason) => plan.unusable.push((listed.name.clone(), reason)),
                 None => {}
@@ -134,7 +134,7 @@
     }
 
     /// The reason to delete a listed machine; `None` if it is to be kept.
-    fn reason(&self, listed: &ListedMachine) -> Option<ScaleInReason> {
+    fn deletion_reason(&self, listed: &ListedMachine) -> Option<ScaleInReason> {
         if self.deletion_recently_requested(&listed.name) {
             return None;
         }
