--- a/src/coordination/autoscaler/state.rs
+++ b/src/coordination/autoscaler/state.rs
@@ -18,11 +18,12 @@
 /// Backoff of a pool that had too few machines; none is requested from it until the backoff ends.
 pub(super) struct Backoff {
     pub(super) until: MonotonicMillis,
+    /// Length of this backoff; the next one of the pool is twice as long.
     pub(super) delay_ms: u64,
 }
 
-/// In-memory state of the shard's owner. It is lost at a change of owner, which delays decisions
-/// but makes none of them wrong.
+/// In-memory state of the shard's owner. It is lost at a change of owner, which only delays
+/// decisions.
 pub(super) struct AutoscalerState {
     pub(super) fencing_token: FencingToken,
     pub(super) owner_since: MonotonicMillis,
