--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -245,7 +245,8 @@
 }
 
 impl AutoscalerState {
-    /// Excludes a pool from requests for twice as long as its last backoff, up to [`MAX_BACKOFF_MS`].
+    /// Excludes a pool from requests for twice as long as its last backoff, at most
+    /// [`MAX_BACKOFF_MS`].
     fn back_off(&mut self, pool: Pool, now: MonotonicMillis) {
         let last = self.backoffs.get(&pool);
         let last_ms = last.map_or(BASE_BACKOFF_MS, |backoff| backoff.delay_ms);
