--- a/src/coordination/reconciliation/gang_timeouts.rs
+++ b/src/coordination/reconciliation/gang_timeouts.rs
@@ -1,4 +1,4 @@
-//! Gang tasks that exit because their worker stopped waiting for the rest of the gang.
+//! Gang tasks that exit because their worker timed out waiting for the rest of the gang.
 
 use super::proofs::unacknowledged_start;
 use super::unwanted_attempts::is_unwanted;
@@ -7,13 +7,13 @@
 use crate::state::machine::{Machine, TaskAttempt};
 use standby::ids::FencingToken;
 
-/// How often a gang task that timed out waiting is started again in its place.
+/// How often a gang task that timed out waiting is restarted on the same machine.
 const MAX_GANG_WAIT_RETRIES: u8 = 3;
 
-/// True if a gang task that timed out should wait once more, under the same attempt.
+/// True if a gang task that timed out should be restarted under the same attempt number.
 ///
-/// The rest of its gang may still pull an image for longer than the workers' wait. A whole new
-/// attempt would pull it anew elsewhere and time out there in the same way, for ever.
+/// Pulling an image may take the other tasks of the gang longer than a worker waits. A new attempt
+/// would pull the image again on another machine and time out there too, without end.
 pub fn retry_gang_wait(job: &Job, machine: &Machine, attempt: TaskAttempt) -> bool {
     let timed_out = machine
         .observed(attempt)
@@ -30,11 +30,12 @@
         && !is_unwanted(job, machine, attempt)
 }
 
-/// True if an attempt that timed out, as the newest heartbeat under the owner's fencing token
-/// shows, has ended for good.
+/// True if an attempt can't run again after it timed out waiting for its gang, as shown by the
+/// newest heartbeat under the owner's fencing token.
 ///
-/// Its owner may start it again under its number. The command for that may be in the response to
-/// the very heartbeat that shows its end, still on its way when the rest of the gang is lost.
+/// The owner may restart it under the same attempt number. The start command may be in the
+/// response to the same heartbeat that shows the exit, and still be in flight when the rest of the
+/// gang is lost.
 pub fn ended_by_gang_timeout(
     machine: &Machine,
     fencing_token: FencingToken,
--- a/src/coordination/reconciliation/mod.rs
+++ b/src/coordination/reconciliation/mod.rs
@@ -1,10 +1,10 @@
 //! Reconciliation of job records with what heartbeats and deletions of machines prove.
 //!
-//! This module decides when a placement may leave its job's record. The scheduler calls
+//! This module decides when a placement may be removed from its job's record. The scheduler calls
 //! [`reconcile`] at the start of each pass and [`mark_abandoned`] before it sends the pass's
-//! transaction; the commands to workers rest on the same proofs. The invariant: a placement is
-//! removed only on proof that its attempt is not there and can't begin later, so that no task
-//! ever runs twice at the same time.
+//! transaction; the commands to workers depend on the same proofs. Invariant: a placement is
+//! removed only on proof that its attempt does not run on the machine and can't start there later,
+//! so that no task ever runs twice at the same time.
 
 mod gang_timeouts;
 mod overflow;
--- a/src/coordination/reconciliation/overflow.rs
+++ b/src/coordination/reconciliation/overflow.rs
@@ -1,13 +1,15 @@
-//! Moves placements out of job records that are too large for the limits of the key-value store
-//! that come next.
+//! Moves placements to overflow records when a job record exceeds the upcoming size limit of the
+//! key-value store.
 
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::coordination::scheduler::pass::PassContext;
 use crate::state::job::Job;
 use crate::state::names::JobIndex;
 
-/// Moves placements of a record that is too large into overflow records, one job in a pass. What
-/// the lower limit finds too large could not even be written back smaller.
+/// Moves placements of an oversized job record into overflow records, for one job per pass.
+///
+/// This must happen before a lower limit takes effect: after that, a record above the limit can't
+/// be written back, even if it has become smaller.
 pub(super) fn move_to_overflow(pass: &PassContext, draft: &mut DraftTransaction) {
     if !pass.cluster.record_format_v2 {
         return;
@@ -27,7 +29,7 @@
     }
 }
 
-/// The first job of this controller whose record is too large and holds placements to move.
+/// The first job planned by this controller whose record is too large and holds placements to move.
 fn first_oversized_job<'a>(
     pass: &PassContext<'a>,
     draft: &DraftTransaction,
@@ -41,8 +43,8 @@
     })
 }
 
-/// Moves the record's first placement into an overflow record; false if there is none left, or
-/// neither the records nor the transaction have capacity for it.
+/// Moves the record's first placement into an overflow record; false if none is left, or if no
+/// overflow record or the transaction has no capacity for it.
 fn move_one_placement(
     pass: &PassContext,
     draft: &mut DraftTransaction,
--- a/src/coordination/reconciliation/placement_end.rs
+++ b/src/coordination/reconciliation/placement_end.rs
@@ -1,4 +1,4 @@
-//! Whether, and by which proof, a placement has ended.
+//! Decides whether a placement has ended, and by which proof.
 
 use super::gang_timeouts::{ended_by_gang_timeout, retry_gang_wait};
 use super::proofs::{lease_expired, proven_absent};
@@ -9,14 +9,15 @@
 use crate::state::machine::{Machine, ObservedTask, TaskAttempt};
 use standby::ids::FencingToken;
 
-/// The proof by which a placement may leave its job's record.
+/// The proof on which a placement may be removed from its job's record.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PlacementEnd {
     /// A heartbeat under the owner's fencing token shows the exit, with its reason.
     Exited(Option<ExitReason>),
-    /// The attempt is not there, can't begin later and will not be started there again.
+    /// The attempt does not run on the machine, can't start there later and won't be restarted
+    /// there.
     ProvenAbsent,
-    /// The worker's lease has expired, so it has killed its tasks.
+    /// The worker's lease has expired, so the worker has killed its tasks.
     LeaseExpired,
     /// The cloud has deleted the machine.
     MachineDeleted,
@@ -29,7 +30,7 @@
     }
 }
 
-/// How an attempt on an owned machine ended; `None` without proof that it did.
+/// How an attempt on an owned machine ended; `None` without proof that it has ended.
 pub fn placement_end(
     pass: &PassContext,
     job: &Job,
@@ -49,16 +50,17 @@
         .then_some(PlacementEnd::LeaseExpired)
 }
 
-/// The exit that the newest heartbeat shows, unless the attempt may run again.
+/// The exited task that the newest heartbeat shows, unless the attempt may run again.
 fn final_exit<'m>(
     job: &Job,
     machine: &'m Machine,
     attempt: TaskAttempt,
     fencing_token: FencingToken,
 ) -> Option<&'m ObservedTask> {
-    // Only under the own token: an owner that was away may remember an exit of an earlier agent
-    // epoch, after which another owner has started the same attempt once more; and a copy of an
-    // old heartbeat may show an exit that is long past to a new owner.
+    // Exits count only under the owner's current fencing token, for two reasons. A controller that
+    // owns the shard again may remember an exit of an earlier agent epoch, while another owner has
+    // restarted the same attempt since. And a delayed duplicate of an old heartbeat may show a new
+    // owner an exit that is outdated.
     if machine.heartbeat.fencing_token != fencing_token {
         return None;
     }
--- a/src/coordination/reconciliation/proofs.rs
+++ b/src/coordination/reconciliation/proofs.rs
@@ -1,16 +1,18 @@
-//! What heartbeats, fencing tokens and time prove of an attempt. Pure functions of one machine.
+//! What heartbeats, fencing tokens and elapsed time prove about an attempt. All functions here are
+//! pure functions of the state of one machine.
 
 use crate::state::machine::{Machine, TaskAttempt};
 use crate::state::units::MonotonicMillis;
 use standby::ids::FencingToken;
 
-/// True if the newest heartbeat proves that the attempt is not there and can't begin later.
+/// True if the newest heartbeat proves that the attempt does not run and can't start later.
 ///
-/// A start in the response to a heartbeat can't run late: a heartbeat newer than the one it
-/// responds to shows its effect or its loss. Responses to direct commands prove no absence, since
-/// such a response may still be on its way to the worker. A direct start without a response may
-/// run at any time until the fencing token is raised or the agent epoch ends. A heartbeat under
-/// the owner's own token shuts out the commands of every older owner.
+/// A start command in a heartbeat response can't take effect late: any heartbeat newer than the one
+/// responded to shows that the start was executed or lost. The status in the response to a direct
+/// command proves no absence, since the response to an earlier heartbeat, with a start command, may
+/// still be on its way to the worker. A direct start without a response may be executed at any
+/// time until the fencing token is raised or the agent epoch ends. Once a heartbeat shows the
+/// owner's own token, the worker refuses the commands of every older owner.
 pub fn proven_absent(machine: &Machine, fencing_token: FencingToken, attempt: TaskAttempt) -> bool {
     machine.heartbeat.last_seen.is_some()
         && machine.heartbeat.fencing_token == fencing_token
@@ -26,18 +28,18 @@
 
 /// True if the worker's lease has expired under this owner.
 ///
-/// The worker has accepted this owner's fencing token, so no response of an older owner renews
-/// its lease, and a younger owner would make the transaction fail that rests on this. Its tasks
-/// are dead, and whatever was sent to its agent epoch runs no more. For a new owner time alone
-/// proves nothing.
+/// The worker has accepted this owner's fencing token, so no response of an older owner renews its
+/// lease; and if there is a newer owner, a transaction based on this proof fails. After expiry the
+/// worker's tasks are dead, and no command sent to its agent epoch takes effect. For a new owner,
+/// whose token the worker has not accepted, elapsed time proves nothing.
 pub fn lease_expired(
     machine: &Machine,
     fencing_token: FencingToken,
     lease_expiry_ms: u64,
     now: MonotonicMillis,
 ) -> bool {
-    // A heartbeat that a response to a direct command has overtaken shows nothing new, but the
-    // response to it renews the lease all the same.
+    // A heartbeat may arrive after the response to a newer direct command. It then changes no
+    // state, but the response to it still renews the lease.
     let renewed_at = machine
         .heartbeat
         .last_seen
@@ -47,10 +49,12 @@
         && renewed_at.is_some_and(|at| now.since(at) > lease_expiry_ms)
 }
 
-/// True if a direct start may still take effect, late or once more.
+/// True if a direct start may still take effect, late or a second time.
 ///
-/// One that was acknowledged may be repeated on its way. As long as the worker still shows the
-/// attempt that changes nothing, and so such an exit is kept until the fencing token has risen.
+/// The network may also duplicate a start that was acknowledged. A duplicate has no effect while
+/// the worker still lists the attempt. Acknowledging an exit removes it from that list, so an exit
+/// other than done is acknowledged only once the fencing token has been raised or the agent epoch
+/// has ended.
 pub fn start_in_flight(
     machine: &Machine,
     fencing_token: FencingToken,
--- a/src/coordination/reconciliation/reconcile.rs
+++ b/src/coordination/reconciliation/reconcile.rs
@@ -10,7 +10,7 @@
 use crate::state::names::{Index, JobIndex};
 use standby::permit::Permit;
 
-/// Takes what heartbeats and deletions prove into the draft.
+/// Adds to the draft what heartbeats and machine deletions prove.
 pub fn reconcile(pass: &PassContext, draft: &mut DraftTransaction) {
     let permits = pass.permits_by_shard();
     move_to_overflow(pass, draft);
@@ -18,8 +18,8 @@
     write_cascaded_cancellations(pass, draft);
     for (job_index, job) in pass.cluster.active_jobs() {
         if pass.cluster.jobs_with_unknown_outcome.contains(&job_index) {
-            // A write with an unknown outcome may still be applied: writing the record once
-            // more, whatever it says, shuts the late one out.
+            // A write with an unknown outcome may still be applied. Any new write of the record
+            // changes its version, so that the late transaction fails.
             let _ = draft.edit(pass.cluster, pass.config, job_index);
         }
         for placement in &job.placements {
@@ -35,7 +35,8 @@
     }
 }
 
-/// Writes team quotas with an unknown outcome once more, which shuts the late transaction out.
+/// Rewrites team quotas whose last write has an unknown outcome. The new version makes that
+/// transaction fail if it is executed late.
 fn rewrite_quotas_with_unknown_outcome(pass: &PassContext, draft: &mut DraftTransaction) {
     for team in &pass.cluster.teams_with_unknown_outcome {
         if draft.has_capacity_for(pass.cluster, pass.config, 1) {
@@ -45,8 +46,10 @@
     }
 }
 
-/// Writes down jobs that are cancelled with a dependency, a few at a time: they are so for every
-/// controller without being written, and a large graph should cost no burst of changes.
+/// Writes the state of jobs that are cancelled because a dependency is, a few per pass.
+///
+/// Every controller derives these cancellations without the write, so it can wait; a large
+/// dependency graph must not cause a burst of writes.
 fn write_cascaded_cancellations(pass: &PassContext, draft: &mut DraftTransaction) {
     let unwritten = pass.cluster.dependency_graph.unwritten.iter();
     let own = unwritten.filter(|job| {
@@ -59,11 +62,11 @@
     }
 }
 
-/// How a placement ended, and the permit on which this proof rests.
+/// How a placement ended, and the permit that the proof depends on.
 #[derive(Clone, Copy)]
 struct ProvenEnd<'a> {
     end: PlacementEnd,
-    /// `None` for a deletion, which is proof for everyone, whoever owns the shard.
+    /// `None` for a deletion of the machine, which is proof whoever owns the shard.
     permit: Option<&'a Permit>,
     /// The machine, unless it is deleted.
     machine: Option<&'a Machine>,
@@ -95,8 +98,10 @@
     })
 }
 
-/// True if a task's end may be written a little later, with others of its job: it is done, its
-/// job is an array that goes on, and its capacity counts as free already.
+/// True if the write of a task's end may be delayed and batched with others of its job.
+///
+/// That holds for a done task of an array job with other tasks left; its capacity counts as free
+/// already.
 fn can_wait_for_batch(
     pass: &PassContext,
     job: &Job,
--- a/src/coordination/reconciliation/unwanted_attempts.rs
+++ b/src/coordination/reconciliation/unwanted_attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts that must not run any more, and attempts that must not be started again.
+//! Attempts that must be stopped, and attempts that must not be restarted.
 
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::state::cluster_state::ClusterState;
@@ -6,7 +6,7 @@
 use crate::state::machine::{Machine, TaskAttempt};
 use crate::state::names::{Index, MachineIndex};
 
-/// True if a gang has lost some of its tasks and the rest has to be stopped.
+/// True if a gang has lost some of its tasks, so that its remaining tasks must be stopped.
 pub fn is_broken_gang(job: &Job) -> bool {
     let Some(spec) = &job.spec else { return false };
     spec.is_wide_gang()
@@ -15,7 +15,8 @@
         && (job.placements.len() as u32) < spec.tasks()
 }
 
-/// True if the attempt must not run any more.
+/// True if the attempt must be stopped: its job has ended, its task is done, its stop was decided,
+/// or its gang has lost tasks.
 pub fn is_unwanted(job: &Job, machine: &Machine, attempt: TaskAttempt) -> bool {
     !job.is_open()
         || job.done.has(attempt.task)
@@ -23,18 +24,20 @@
         || is_broken_gang(job)
 }
 
-/// True if an attempt that is not there should not be started there any more: it was there
-/// and is lost, or nothing reaches the machine.
+/// True if an attempt that is absent from the machine must not be started there again.
+///
+/// Either it was observed there before and is lost, or its removal is being committed, or the
+/// machine is unreachable.
 pub(crate) fn is_abandoned(machine: &Machine, attempt: TaskAttempt) -> bool {
     machine.starts.observed_or_abandoned.contains(&attempt)
         || machine.health.unreachable_since.is_some()
 }
 
-/// Marks the placements that a draft removes as abandoned: call it before the draft is sent.
+/// Marks the placements that a draft removes as abandoned. Must be called before the draft is sent.
 ///
-/// What proves an attempt absent holds for as long as no start for it goes out. While the
-/// transaction is on its way, which may take seconds, the machine may send another heartbeat that
-/// lacks the attempt: to start it then would run it when the record says that it does not.
+/// The proof of an attempt's absence holds only while no start command is sent for it. While the
+/// transaction is in flight, which may take seconds, the machine may send another heartbeat without
+/// the attempt. A start in the response would run an attempt that the record no longer lists.
 pub fn mark_abandoned(cluster: &mut ClusterState, draft: &DraftTransaction) {
     let mut removed: Vec<(MachineIndex, TaskAttempt)> = Vec::new();
     for (job_index, job) in &draft.jobs {
