--- a/src/coordination/heartbeats/apply.rs
+++ b/src/coordination/heartbeats/apply.rs
@@ -1,8 +1,8 @@
-//! What a heartbeat changes in the cluster state.
+//! Applies worker statuses to the cluster state.
 //!
-//! Called by `receive` for heartbeats, and by the planner for the status that a worker returns to
-//! direct commands. Invariant: a message of a worker is applied only if it is newer than all that
-//! were applied before, so a late copy changes nothing.
+//! Called by `receive` for heartbeats, and by the planner for the status in a worker's response to
+//! direct commands. Invariant: a worker's message is applied only if it is newer than all that
+//! were applied before, so a delayed or duplicate message changes nothing.
 
 use super::quarantine::{record_failed_jobs, record_failed_machine};
 use super::reachability::{update_reachability, IncomingHeartbeat};
@@ -14,29 +14,30 @@
 use crate::state::units::{millis_from_seconds, MonotonicMillis};
 use standby::ids::FencingToken;
 
-/// How a worker's status got here.
+/// The kind of message that contained a worker's status.
 #[derive(Clone, Copy, Debug)]
 pub enum StatusSource {
-    /// As a heartbeat to the owner of the machine's shard.
+    /// A heartbeat to the owner of the machine's shard.
     Heartbeat {
         /// The owner's fencing token.
         owner_token: FencingToken,
-        /// Lease of the workers.
+        /// Duration of a worker's lease.
         lease_ms: u64,
     },
-    /// In the response to direct commands. It proves presence of tasks, and no sign of life: the
-    /// worker has not asked for its lease to be renewed.
+    /// The response to direct commands. It proves that its tasks are present, but does not count as
+    /// a sign of life: the worker has not asked for a renewal of its lease.
     CommandResponse,
 }
 
 /// What a heartbeat changed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum HeartbeatChange {
-    /// Nothing: it is no newer than what is known, a late copy or overtaken by another message.
+    /// Nothing: it is a duplicate, or a newer message arrived before it.
     Stale,
-    /// It is newer, and shows what was known.
+    /// Nothing that the planner acts on: it is newer, but shows the same agent epoch, fencing
+    /// token, preemption notice and task states.
     Unchanged,
-    /// It shows something that the planner should consider before the response.
+    /// Something that the planner should consider before the response is sent.
     Changed,
 }
 
@@ -86,7 +87,7 @@
     change
 }
 
-/// The tasks of a heartbeat with their names resolved; what is no task's name is left out.
+/// The tasks of a heartbeat with their names resolved; entries with a malformed name are skipped.
 fn resolve_tasks(cluster: &ClusterState, heartbeat: &Heartbeat) -> Vec<ObservedTask> {
     let resolve = |status: &TaskStatus| {
         let (job, task) = parse_task_name(&status.task)?;
@@ -102,7 +103,7 @@
     heartbeat.tasks.iter().filter_map(resolve).collect()
 }
 
-/// Whether a newer heartbeat shows something else than the one before it.
+/// Whether a newer heartbeat differs from the worker's previous message.
 fn compare(machine: &Machine, heartbeat: &Heartbeat, tasks: &[ObservedTask]) -> HeartbeatChange {
     let changed = machine.heartbeat.message_version.agent_epoch != heartbeat.agent_epoch
         || machine.heartbeat.fencing_token != heartbeat.fencing_token
@@ -120,8 +121,9 @@
     }
 }
 
-/// Records a heartbeat as such. It is a sign of life only if it shows the owner's token: one
-/// under an older token may be a late copy, whose machine may be gone.
+/// Records the version and fencing token of a heartbeat. It counts as a sign of life only if it
+/// shows the owner's token: one with an older token may be a delayed duplicate from a machine that
+/// no longer exists.
 fn record_sign_of_life(
     machine: &mut Machine,
     heartbeat: &Heartbeat,
@@ -136,7 +138,8 @@
     }
 }
 
-/// Records tasks that have exited since the last heartbeat; returns the jobs of those that failed.
+/// Records tasks that have exited since the worker's previous message; returns the jobs of those
+/// that failed.
 fn record_exits(machine: &mut Machine, tasks: &[ObservedTask]) -> Vec<JobIndex> {
     let mut failed_jobs = Vec::new();
     for task in tasks.iter().filter(|task| task.state == TaskState::Exited) {
@@ -145,7 +148,7 @@
         }
         let exit_reason = task.exit_reason.unwrap_or(ExitReason::Other);
         log_exit(machine, task, exit_reason);
-        // What is no job's task, or of an unknown job, says nothing of the machine.
+        // A task of an unknown job tells nothing about the machine's health.
         let Some(attempt) = task.task_attempt() else {
             continue;
         };
@@ -177,7 +180,7 @@
     }
 }
 
-/// Records what a message says of its machine and the tasks there.
+/// Records the machine's address, spot flag, preemption notice and tasks from a worker's message.
 fn record_status(
     machine: &mut Machine,
     heartbeat: &Heartbeat,
@@ -207,8 +210,9 @@
     machine.heartbeat.preemption_deadline = notice_s.map(|s| now.plus(millis_from_seconds(s)));
 }
 
-/// Drops direct starts that can't run any more: the fencing token or the agent epoch has changed,
-/// or the start was executed and nothing of it is left.
+/// Drops in-flight direct starts that can't take effect any more: the fencing token or the agent
+/// epoch has changed, or the start was acknowledged and its attempt is neither placed here nor
+/// shown by the worker.
 fn drop_settled_in_flight_starts(
     machine: &mut Machine,
     heartbeat: &Heartbeat,
@@ -224,7 +228,8 @@
     });
 }
 
-/// Stops what can be saved or moved before the cloud takes the machine away.
+/// Decides which tasks to stop before the cloud preempts the machine, so that they checkpoint or
+/// run elsewhere.
 fn stop_before_preemption(cluster: &mut ClusterState, machine_index: MachineIndex) {
     let stops = commands::checkpoint_before_preemption(cluster, machine_index);
     let Some(machine) = cluster.machine_mut(machine_index) else {
@@ -235,8 +240,8 @@
     }
 }
 
-/// Drops what is remembered of attempts that are no longer placed on the machine. Direct starts
-/// in flight stay: they outlive their placement.
+/// Drops the tracking data of attempts that are no longer placed on the machine. In-flight direct
+/// starts are kept, since they may take effect after their placement has been removed.
 fn forget_unplaced_attempts(
     cluster: &mut ClusterState,
     machine_index: MachineIndex,
--- a/src/coordination/heartbeats/handler.rs
+++ b/src/coordination/heartbeats/handler.rs
@@ -1,7 +1,7 @@
-//! The HTTP handler of heartbeats: decoding, waiting for the planner, and the status codes.
+//! The HTTP handler of heartbeats: decoding, waiting for the planner, and status codes.
 //!
-//! `job_api` calls [`handle`] for each request of a worker. What is decided about a heartbeat
-//! stands in the other modules of this folder.
+//! `job_api` calls [`handle`] for each heartbeat request. The other modules of this folder decide
+//! about the heartbeat and its response.
 
 use super::apply::HeartbeatChange;
 use super::receive::{receive, AcceptedHeartbeat, HeartbeatOutcome};
@@ -15,12 +15,12 @@
 use standby::failover::Refusal;
 use std::rc::Rc;
 
-/// How long a response waits for the planner to reconcile and claim first.
+/// Longest delay of a response while the planner reconciles and claims tasks.
 const SCHEDULING_WAIT_MS: u64 = 400;
-/// After how many seconds a worker should try again while the records are being read.
+/// `Retry-After` of responses, in seconds, until this controller has loaded all records.
 const RETRY_WHILE_LOADING_S: u32 = 1;
 
-/// Handles one heartbeat: 200 renews the lease, 421 sends the worker to another controller.
+/// Handles one heartbeat: 200 renews the worker's lease, 421 redirects it to another controller.
 pub async fn handle(controller: &Rc<Controller>, body: Option<Vec<u8>>) -> Answer {
     let Some(heartbeat) = decode(body) else {
         controller.warn_rate_limited("malformed heartbeat ignored");
@@ -59,9 +59,10 @@
     receive(&mut cluster, &controller.config, heartbeat, lease_ms, now)
 }
 
-/// Lets the planner act on the heartbeat, so that its response can hold the resulting commands.
+/// Waits for the planner to act on the heartbeat, so that the response includes the resulting
+/// commands.
 ///
-/// Until then starts for the machine are not sent directly: the response will carry them.
+/// Meanwhile no direct starts are sent to the machine, since the response will contain them.
 async fn wait_for_scheduling_round(controller: &Controller, machine: MachineIndex) {
     adjust_responses_in_progress(controller, machine, 1);
     controller
--- a/src/coordination/heartbeats/mod.rs
+++ b/src/coordination/heartbeats/mod.rs
@@ -1,19 +1,20 @@
-//! Heartbeats of workers: which are accepted, what they change, and how they are answered.
+//! Heartbeats of workers: acceptance, effect on the cluster state, and response.
 //!
-//! `job_api` routes each heartbeat to [`handle`], which runs the steps in this order:
+//! `job_api` routes each heartbeat to [`handle`], which runs these steps in order:
 //!
-//! 1. [`receive`] accepts a heartbeat only if this controller owns the machine's shard under a
-//!    fencing token that the worker has not seen exceeded.
-//! 2. [`apply`] records it in the cluster state, which judges on the way whether the owner's
-//!    responses reach the worker (`reachability`) and whether the machine or a job fails too
-//!    often (`quarantine`).
-//! 3. The planner gets a moment to claim tasks if the heartbeat showed a change.
-//! 4. [`respond`] renews the worker's lease and hands out commands, or refuses.
+//! 1. [`receive`] accepts a heartbeat only if this controller owns the machine's shard and the
+//!    worker has not seen a higher fencing token than the owner's.
+//! 2. [`apply`] records it in the cluster state. It also decides whether the owner's responses
+//!    reach the worker (`reachability`) and whether the machine or a job fails too often
+//!    (`quarantine`).
+//! 3. If the heartbeat showed a change, the handler waits briefly for the planner to claim tasks.
+//! 4. [`respond`] renews the worker's lease and returns commands, or refuses the renewal.
 //!
-//! All but the handler are pure: their inputs are the cluster state, the heartbeat and the time.
+//! All steps but the handler use only the cluster state, the heartbeat and the time as input.
 //!
-//! Invariant: a lease is renewed only by the owner of the shard, under its present fencing token,
-//! and only while it knows all cancellations that are old enough to have to be obeyed.
+//! Invariant: a lease is renewed only by the owner of the shard, under its current fencing token.
+//! A machine with tasks gets a renewal only while the owner knows every cancellation that is old
+//! enough that it must be carried out.
 
 mod apply;
 mod handler;
--- a/src/coordination/heartbeats/quarantine.rs
+++ b/src/coordination/heartbeats/quarantine.rs
@@ -1,21 +1,25 @@
-//! Failures of tasks: machines that fail tasks of several jobs, jobs that fail on several machines.
+//! Reactions to task failures: quarantine of machines and backoff of jobs.
 //!
-//! Called by `apply` with the jobs whose tasks have newly failed. A machine is quarantined so that
-//! the autoscaler deletes it; a job is backed off so that neither machines nor other jobs suffer
-//! from it.
+//! Called by `apply` with the jobs whose tasks have newly failed. A machine on which several jobs
+//! fail is quarantined, so that the autoscaler deletes it. A job that fails on several machines is
+//! backed off, so that it does not get healthy machines quarantined or delay other jobs.
 
 use crate::state::cluster_state::ClusterState;
 use crate::state::machine::Machine;
 use crate::state::names::{Index, JobIndex, MachineIndex};
 use crate::state::units::MonotonicMillis;
 
-/// Different jobs that may fail on a machine, without a success between, before it is quarantined.
+/// Number of different jobs that fail on a machine, with no task done in between, at which the
+/// machine is quarantined.
 const FAILED_JOBS_BEFORE_QUARANTINE: usize = 2;
-/// Different machines on which a job may fail before it is backed off.
+/// Number of different machines on which a job fails at which the job is backed off.
 const FAILED_MACHINES_BEFORE_BACKOFF: usize = 3;
-/// First backoff of a job; it doubles with each further machine.
+/// Backoff of a job that has failed on [`FAILED_MACHINES_BEFORE_BACKOFF`] machines.
+///
+/// It should double with each further machine. In fact it stays at this value: each backoff clears
+/// the set of machines, so their number never exceeds the threshold.
 const FIRST_BACKOFF_MS: u64 = 5000;
-/// How often the backoff doubles at most.
+/// Largest number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: usize = 4;
 
 /// Records that tasks of these jobs failed on a machine, and quarantines it after several jobs.
--- a/src/coordination/heartbeats/reachability.rs
+++ b/src/coordination/heartbeats/reachability.rs
@@ -1,39 +1,41 @@
-//! Whether what a machine's owner answers reaches the worker.
+//! Detects machines whose workers do not receive the responses to their heartbeats.
 //!
-//! Heartbeats that arrive prove one direction only. A machine whose responses are lost would take
-//! starts for ever without running any of them, so `apply` has each heartbeat judged here before
-//! it is recorded. `worker_connectivity` probes machines that are found unreachable.
+//! A heartbeat that arrives proves only that messages from the worker get through. A machine whose
+//! responses are lost would be assigned tasks for ever without running any, so `apply` calls this
+//! module for each heartbeat before it is recorded. `worker_connectivity` probes machines that are
+//! found unreachable.
 
 use crate::protocol::workers::{Heartbeat, HeartbeatVersion};
 use crate::state::machine::{Machine, ObservedTask, TaskAttempt};
 use crate::state::units::MonotonicMillis;
 use standby::ids::FencingToken;
 
-/// Heartbeats in a row without any start sent in earlier responses, after which the machine counts
-/// as unreachable.
+/// Number of consecutive heartbeats that lack all starts sent in earlier responses, at which the
+/// machine counts as unreachable.
 const MAX_UNOBSERVED_STARTS: u8 = 3;
 
-/// A heartbeat that is about to be recorded, and what it is judged by.
+/// A heartbeat that is about to be recorded, with the values needed to detect lost responses.
 pub(super) struct IncomingHeartbeat<'a> {
     /// The heartbeat.
     pub(super) heartbeat: &'a Heartbeat,
-    /// Its tasks, names resolved.
+    /// Its tasks, with names resolved.
     pub(super) tasks: &'a [ObservedTask],
-    /// Attempts that are placed on the machine.
+    /// Attempts that the job records place on the machine.
     pub(super) placed: &'a [TaskAttempt],
     /// The owner's fencing token.
     pub(super) owner_token: FencingToken,
-    /// Lease of the workers.
+    /// Duration of a worker's lease.
     pub(super) lease_ms: u64,
     /// When it arrived.
     pub(super) now: MonotonicMillis,
 }
 
-/// Updates whether the machine is reachable; `machine` is as the heartbeat before left it.
+/// Updates whether the machine is reachable; `machine` still has the state from before this
+/// heartbeat.
 ///
-/// Two signs tell that it is not: an agent epoch that ended although its heartbeats were answered
-/// all along, and starts in responses that later heartbeats do not show. A machine that shows the
-/// effect of a command is reachable again.
+/// Two signs show that it is not: an agent epoch that ended although its heartbeats were answered
+/// without a gap, and starts in responses that later heartbeats do not show. A machine that shows
+/// the effect of a command is reachable again.
 pub(super) fn update_reachability(machine: &mut Machine, incoming: &IncomingHeartbeat) {
     let answered = incoming.continues_answered(machine);
     if incoming.begins_new_epoch(machine) {
@@ -47,8 +49,8 @@
 }
 
 impl IncomingHeartbeat<'_> {
-    /// True if the heartbeat before it was taken under the same token, less than half a lease ago:
-    /// the worker has been answered here without a gap.
+    /// True if the previous heartbeat was accepted under the same token less than half a lease ago,
+    /// so that this controller has answered the worker without a gap.
     fn continues_answered(&self, machine: &Machine) -> bool {
         machine.heartbeat.fencing_token == self.owner_token
             && machine
@@ -74,8 +76,10 @@
     }
 }
 
-/// An epoch ends when the worker's lease expires. If the worker was answered for longer than a
-/// lease, the responses did not arrive.
+/// Marks the machine unreachable if its agent epoch ended although its heartbeats were answered.
+///
+/// An epoch ends when the worker's lease expires. If this controller answered the worker for longer
+/// than a lease, the responses did not arrive.
 fn judge_ended_epoch(machine: &mut Machine, incoming: &IncomingHeartbeat, answered: bool) {
     machine.health.unobserved_starts = 0;
     let answered_for_a_lease = machine
@@ -92,7 +96,7 @@
     machine.health.responding_since = Some(incoming.now);
 }
 
-/// Compares the starts sent in earlier responses with what the heartbeat shows.
+/// Compares the starts sent in earlier responses with the tasks that the heartbeat shows.
 fn judge_sent_starts(machine: &mut Machine, incoming: &IncomingHeartbeat) {
     let mut expected = machine
         .starts
--- a/src/coordination/heartbeats/receive.rs
+++ b/src/coordination/heartbeats/receive.rs
@@ -1,7 +1,8 @@
 //! Acceptance of heartbeats: the ownership and fencing checks.
 //!
-//! Called by the handler for each heartbeat. Invariant: the cluster state takes a heartbeat in
-//! only if this controller owns the machine's shard and no worker's fencing token exceeds its own.
+//! Called by the handler for each heartbeat. Invariant: a heartbeat is applied to the cluster state
+//! only if this controller owns the machine's shard and the worker's fencing token does not exceed
+//! the owner's.
 
 use super::apply::{apply, HeartbeatChange, StatusSource};
 use crate::coordination::scheduler::config::SchedulerConfig;
@@ -11,7 +12,7 @@
 use crate::state::units::MonotonicMillis;
 use standby::ids::FencingToken;
 
-/// A heartbeat that has been recorded, and what its response depends on.
+/// A heartbeat that has been recorded, with the values that its response depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptedHeartbeat<'h> {
     /// The heartbeat.
@@ -32,14 +33,15 @@
         /// The live owner, if it is known and is not this controller.
         owner: Option<String>,
     },
-    /// The worker has seen a fencing token above the own one: another controller commands it.
+    /// The worker has seen a higher fencing token than this controller's: another controller owns
+    /// the shard now.
     StaleFencingToken {
         /// The shard of the machine.
         shard: ShardIndex,
         /// The token that the worker has seen.
         seen: FencingToken,
     },
-    /// The heartbeat was recorded.
+    /// This controller owns the shard, and the heartbeat was recorded.
     Accepted(AcceptedHeartbeat<'h>),
 }
 
@@ -96,7 +98,8 @@
     Some((machine, cluster.machine(machine)?.shard))
 }
 
-/// The controller to send a worker to. An earlier incarnation of this one is none.
+/// The live owner of a shard, to which a worker is redirected; `None` if none is known, or if the
+/// record names an earlier incarnation of this controller.
 fn other_live_owner(
     cluster: &ClusterState,
     config: &SchedulerConfig,
--- a/src/coordination/heartbeats/respond.rs
+++ b/src/coordination/heartbeats/respond.rs
@@ -1,7 +1,7 @@
-//! Responses to accepted heartbeats: lease renewal or refusal, and the commands handed out.
+//! Responses to accepted heartbeats: lease renewal or refusal, and commands.
 //!
-//! Called by the handler once the planner has had its moment. Invariant: no response renews the
-//! lease of a machine with tasks while cancellations of them may have been missed for too long.
+//! Called by the handler after the wait for the planner. Invariant: no response renews the lease of
+//! a machine with tasks while this controller may have missed their cancellations for too long.
 
 use super::apply::HeartbeatChange;
 use super::receive::AcceptedHeartbeat;
@@ -15,8 +15,8 @@
 
 /// The response that renews the worker's lease.
 ///
-/// `None` refuses it: ownership was lost while the planner was waited for, or too little is known
-/// of recent cancellations.
+/// `None` means refusal: ownership was lost during the wait for the planner, or this controller's
+/// knowledge of recent cancellations is not complete enough.
 pub fn respond(
     cluster: &mut ClusterState,
     config: &SchedulerConfig,
@@ -41,8 +41,8 @@
     })
 }
 
-/// True if the shard is still owned under the token of acceptance; `None` if the machine has been
-/// deleted since.
+/// True if this controller still owns the shard under the fencing token with which the heartbeat
+/// was accepted; `None` if the machine has been deleted since.
 fn still_owned(
     cluster: &ClusterState,
     config: &SchedulerConfig,
@@ -53,10 +53,10 @@
     Some(config.owns(cluster, shard) && fencing_token == accepted.fencing_token)
 }
 
-/// True if a response would renew the lease of a machine with tasks although some of them may
-/// have been cancelled too long ago, see [`SchedulerConfig::may_renew`].
+/// True if the lease must not be renewed: the machine has tasks, and this controller may not know
+/// of cancellations that must be carried out by now, see [`SchedulerConfig::may_renew`].
 ///
-/// A machine without tasks is always answered: nothing on it can outlive its cancellation.
+/// A machine without tasks always gets a renewal: it runs nothing that could be cancelled.
 fn lease_must_lapse(
     cluster: &ClusterState,
     config: &SchedulerConfig,
@@ -73,8 +73,10 @@
     states.any(|state| state != TaskState::Exited)
 }
 
-/// The agent's epoch will end by this refusal, and not because nothing reaches the machine: the
-/// time for which its heartbeats have been answered begins anew.
+/// Records that the renewal of a machine's lease is refused.
+///
+/// The refusal ends the agent epoch. `responding_since` is reset so that this is not mistaken for
+/// lost responses, which would make the machine count as unreachable.
 fn record_refusal(cluster: &mut ClusterState, machine: MachineIndex, now: MonotonicMillis) {
     let Some(machine) = cluster.machine_mut(machine) else {
         return;
@@ -86,8 +88,8 @@
     );
 }
 
-/// The commands of the response. A late copy of a heartbeat gets none: its worker waits for the
-/// response to a newer one, and commands in this response would never arrive.
+/// The commands of the response. A stale heartbeat gets none: the worker already waits for the
+/// response to a newer one, so commands in this response would be lost.
 fn commands_for(
     cluster: &mut ClusterState,
     config: &SchedulerConfig,
