--- a/src/coordination/cancellations/direct_stops.rs
+++ b/src/coordination/cancellations/direct_stops.rs
@@ -1,11 +1,12 @@
-//! Direct stops: tasks of cancelled jobs that are left for long are stopped at their workers.
+//! Direct stops: every controller may stop tasks of cancelled jobs that keep running for too long.
 //!
-//! A task's owner stops it in its next response to a heartbeat. An owner that does not know of the
-//! cancellation, or whose responses don't arrive, does not. So every controller that knows of it
-//! asks the worker for its status and stops what is left, under the fencing token and agent epoch
-//! that the worker itself shows: nobody's right to command it changes by that.
+//! Normally the owner of a machine stops such a task in its next heartbeat response. That fails if
+//! the owner does not know of the cancellation, or if its responses don't arrive. So every
+//! controller that knows of the cancellation asks the worker for its status and stops the remaining
+//! tasks. The stop carries the fencing token and agent epoch from the worker's own status, so it
+//! does not change which controller the worker obeys.
 //!
-//! `stop_due_tasks` is called by each round of the background task.
+//! Each round of the background task calls `stop_due_tasks`.
 
 use crate::coordination::controller::{tasks, Controller};
 use crate::coordination::scheduler::config::SchedulerConfig;
@@ -18,12 +19,11 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The part of the time for cancellations after which others than the owner stop tasks as well:
-/// one over this.
+/// Controllers other than the owner stop a cancelled task after `cancel_ms` divided by this.
 const DIRECT_STOP_FRACTION: u64 = 4;
-/// Least time between two attempts at one machine.
+/// Minimum time between two requests to stop tasks on the same machine.
 const RETRY_INTERVAL_MS: u64 = 3000;
-/// Most machines in one round.
+/// Maximum number of machines per round.
 const MACHINES_PER_ROUND: usize = 32;
 
 /// Tasks of cancelled jobs on one machine, to be stopped by direct commands.
@@ -35,14 +35,16 @@
     pub tasks: Vec<(String, u64)>,
 }
 
-/// What is left of cancelled jobs, since when that is known, and which machines were tried lately.
+/// Tracks since when each placement of a cancelled job is known, and when each machine was last
+/// asked to stop tasks.
 #[derive(Default)]
 pub struct CancelledTaskSweeper {
     first_seen: HashMap<TaskAttempt, MonotonicMillis>,
     last_attempt: HashMap<MachineIndex, MonotonicMillis>,
 }
 
-/// An attempt that is due to be stopped. In the order of these fields: the oldest first.
+/// An attempt that is due to be stopped. Orders by the time at which it was first seen, oldest
+/// first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DueAttempt {
     first_seen: MonotonicMillis,
@@ -50,8 +52,8 @@
     attempt: TaskAttempt,
 }
 
-/// Stops what is due, as far as there are connections to workers left. What finds none is the
-/// first of a later round.
+/// Stops due tasks while connections to workers are available; the remaining ones come first in a
+/// later round.
 pub(super) fn stop_due_tasks(controller: &Rc<Controller>, sweeper: &mut CancelledTaskSweeper) {
     let due = sweeper.due(
         &controller.cluster.borrow(),
@@ -67,11 +69,11 @@
 }
 
 impl CancelledTaskSweeper {
-    /// Tasks of cancelled jobs that have been left for long, by machine, on machines that were not
-    /// tried lately; these then count as tried.
+    /// Tasks of cancelled jobs that are due for a direct stop, grouped by machine. The returned
+    /// machines count as tried, and are not returned again for 3 seconds (`RETRY_INTERVAL_MS`).
     ///
-    /// A stop that arrives before its start does nothing, so it is repeated until the placement is
-    /// gone, which is for the owner alone to prove.
+    /// A stop that arrives before the start of its task has no effect, so stops are repeated until
+    /// the placement is removed. Only the owner can prove that it may be.
     pub fn due(
         &mut self,
         cluster: &ClusterState,
@@ -88,7 +90,8 @@
         by_machine.into_iter().map(|(_, tasks)| tasks).collect()
     }
 
-    /// Notes since when each placement of a cancelled job is known, and forgets those that are gone.
+    /// Records when each placement of a cancelled job was first seen, and forgets those that have
+    /// been removed.
     fn note_cancelled_attempts(&mut self, cluster: &ClusterState, now: MonotonicMillis) {
         let left = cancelled_attempts(cluster).map(|(_, attempt)| {
             let first_seen = self.first_seen.get(&attempt).copied().unwrap_or(now);
@@ -97,7 +100,8 @@
         self.first_seen = left.collect();
     }
 
-    /// Attempts that have been left for long on machines that were not tried lately.
+    /// Attempts known for at least `cancel_ms` divided by [`DIRECT_STOP_DIVISOR`], on machines that
+    /// were not tried within [`RETRY_INTERVAL_MS`].
     fn due_attempts(
         &self,
         cluster: &ClusterState,
@@ -133,8 +137,8 @@
     })
 }
 
-/// Groups attempts by machine, in the order of the first of each machine. Machines whose address
-/// is unknown can't be tried.
+/// Groups attempts by machine, in the order of each machine's first attempt. Skips machines whose
+/// address is unknown, and machines beyond [`MACHINES_PER_ROUND`].
 fn group_by_machine(
     cluster: &ClusterState,
     due: Vec<DueAttempt>,
@@ -167,7 +171,8 @@
     (!addr.is_empty()).then_some(addr)
 }
 
-/// The stops for those of these tasks that a worker's status shows; `None` if none of them runs.
+/// Stop commands for those of these tasks that a worker's status shows as not exited; `None` if
+/// there are none.
 pub fn stop_commands(status: &Heartbeat, tasks: &[(String, u64)]) -> Option<DirectCommands> {
     let is_shown = |(task, attempt): &&(String, u64)| {
         let mut left = status.tasks.iter().filter(|t| t.state != TaskState::Exited);
@@ -186,7 +191,7 @@
     })
 }
 
-/// Asks a worker for its status, and stops what it shows of these tasks.
+/// Fetches a worker's status, and stops those of these tasks that have not exited.
 async fn stop_directly(controller: Rc<Controller>, cancelled: CancelledTasks) {
     let Some(worker) = direct_commands::fetch_status(&cancelled.addr).await else {
         return;
--- a/src/coordination/cancellations/exchange.rs
+++ b/src/coordination/cancellations/exchange.rs
@@ -1,11 +1,12 @@
 //! The exchange of cancelled jobs between controllers.
 //!
-//! Each request tells the jobs known here and is answered with those known there, together with
-//! an attestation: how long the peer has run and how complete its knowledge is. From these the
-//! cancellation watermark is derived ([`crate::state::cancellation_watermark`]).
+//! Each request lists the cancelled jobs known to this controller. The response lists those known
+//! to the peer, together with an attestation: the uptime of the peer's process and the age of its
+//! cancellation watermark. This controller's own watermark advances by the attestations of its
+//! peers ([`crate::state::cancellation_watermark`]).
 //!
-//! Invariant: at most one exchange with a peer is under way. What is confirmed meanwhile is sent
-//! by one more exchange at once.
+//! Invariant: at most one exchange per peer is in progress. If a cancellation is confirmed
+//! meanwhile, another exchange follows immediately.
 
 use crate::coordination::controller::Controller;
 use crate::protocol::peers::{PeerRequest, PeerResponse, MAX_CANCELLED_JOBS};
@@ -16,13 +17,13 @@
 
 /// Time that a peer has to respond.
 const RESPONSE_TIMEOUT_MS: u64 = 900;
-/// Stands for a controller without a watermark in a response.
+/// Value of `watermark_age_ms` in the response of a controller that has no watermark.
 const NO_WATERMARK: u32 = u32::MAX;
 
 /// Exchanges cancellations with all peers.
 ///
-/// Called at once when a cancellation is confirmed, and by each round. A peer that can't be
-/// reached is tried again by the next round, for as long as tasks of the job may be left.
+/// Called as soon as a cancellation is confirmed, and by each round of the background task. An
+/// exchange that failed is retried by the next round, as long as tasks of the job may remain.
 pub fn broadcast(controller: &Rc<Controller>) {
     for (peer_index, peer) in controller.peers.iter().enumerate() {
         if peer.begin_cancellation_broadcast(controller.now()) {
@@ -32,7 +33,8 @@
     }
 }
 
-/// Exchanges with one peer until it has been told all, or does not respond.
+/// Repeats the exchange with one peer until nothing new is left to send, or until it does not
+/// respond.
 async fn exchange_until_done(controller: Rc<Controller>, peer_index: usize) {
     let peer = &controller.peers[peer_index];
     while exchange(&controller, peer_index).await && peer.continue_cancellation_broadcast() {}
@@ -42,8 +44,8 @@
 /// One exchange with a peer; false if it did not respond.
 async fn exchange(controller: &Rc<Controller>, peer_index: usize) -> bool {
     let peer = &controller.peers[peer_index];
-    // What the peer knew when the request went out, it tells; a response that is held back on its
-    // way proves nothing newer.
+    // The response proves what the peer knew when the request was sent. It may be delayed in
+    // transit, so it proves nothing about the time after that.
     let requested_at = controller.now();
     let jobs = cancelled_jobs_to_send(&controller.cluster.borrow());
     let request = PeerRequest::CancelledJobs { jobs };
@@ -71,7 +73,8 @@
     true
 }
 
-/// Handles a peer's request: records its cancelled jobs and responds with those known here.
+/// Handles a peer's request: records its cancelled jobs, and responds with those known to this
+/// controller.
 pub fn handle_cancelled_jobs(controller: &Rc<Controller>, jobs: &[String]) -> PeerResponse {
     let new_jobs = record_cancellations(&mut controller.cluster.borrow_mut(), jobs);
     announce_new_cancellations(controller, &new_jobs);
@@ -79,7 +82,8 @@
     attestation_response(&controller.cluster.borrow(), now, now.0)
 }
 
-/// Logs jobs whose cancellation is news here, and wakes the planner to stop their tasks.
+/// Logs the jobs whose cancellation was not known before, and wakes the planner to stop their
+/// tasks.
 fn announce_new_cancellations(controller: &Controller, new_jobs: &[&String]) {
     for id in new_jobs {
         log::info!("job cancelled by a peer's message: job={id}");
@@ -89,21 +93,21 @@
     }
 }
 
-/// The cancelled jobs that go into one frame.
+/// The cancelled jobs to list in one frame, at most [`MAX_CANCELLED_JOBS`].
 pub fn cancelled_jobs_to_send(cluster: &ClusterState) -> Vec<String> {
     let mut jobs = cluster.cancelled_names();
     jobs.truncate(MAX_CANCELLED_JOBS);
     jobs
 }
 
-/// Records that these jobs are cancelled; returns those for which that was new.
+/// Records that these jobs are cancelled; returns those whose cancellation was not known before.
 pub fn record_cancellations<'a>(cluster: &mut ClusterState, jobs: &'a [String]) -> Vec<&'a String> {
     jobs.iter()
         .filter(|id| cluster.learn_cancelled(id))
         .collect()
 }
 
-/// The response of a controller whose process has run for `uptime_ms`.
+/// The response to a peer's request, from a controller whose process has run for `uptime_ms`.
 pub fn attestation_response(
     cluster: &ClusterState,
     now: MonotonicMillis,
@@ -122,7 +126,7 @@
 }
 
 /// Applies a peer's response to a request that was sent at `requested_at`; returns the jobs whose
-/// cancellation was new.
+/// cancellation was not known before.
 pub fn apply_peer_response<'a>(
     cluster: &mut ClusterState,
     peer_index: usize,
@@ -139,7 +143,7 @@
         return Vec::new();
     };
     let new_jobs = record_cancellations(cluster, jobs);
-    // A list of full length may have been truncated, and then attests nothing.
+    // A list of the maximum length may have been truncated, so it attests nothing.
     if jobs.len() < MAX_CANCELLED_JOBS {
         let has_watermark = *watermark_age_ms != NO_WATERMARK;
         cluster.cancellation_watermark.record_attestation(
