--- a/src/coordination/job_api/answers.rs
+++ b/src/coordination/job_api/answers.rs
@@ -1,4 +1,4 @@
-//! What users are answered.
+//! Responses to users' requests.
 
 use crate::coordination::controller::Controller;
 use crate::protocol::users::JobStatus;
@@ -6,33 +6,34 @@
 use crate::state::job::Job;
 use crate::transport::http::Answer;
 
-/// HTTP statuses of answers.
+/// HTTP status codes of responses.
 pub(super) mod status {
-    /// Served.
+    /// The request was served.
     pub const OK: u16 = 200;
-    /// A new job was accepted.
+    /// The job was accepted.
     pub const CREATED: u16 = 201;
-    /// Malformed.
+    /// The request is malformed.
     pub const BAD_REQUEST: u16 = 400;
-    /// No such path, or no such job.
+    /// The path or the job does not exist.
     pub const NOT_FOUND: u16 = 404;
-    /// The path exists, but not for this method.
+    /// The path does not support this method.
     pub const METHOD_NOT_ALLOWED: u16 = 405;
-    /// Well-formed, but the job can never run.
+    /// The job is well-formed, but can never run.
     pub const UNPROCESSABLE: u16 = 422;
-    /// Not now.
+    /// The request can't be served at present.
     pub const UNAVAILABLE: u16 = 503;
 }
 
-/// When to come back after a request that could not be served now.
+/// `Retry-After` of a response to a request that can't be served at present, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
-/// The request can't be served now; another controller, or this one later, may serve it.
+/// The response to a request that can't be served at present; a retry, here or at another
+/// controller, may succeed.
 pub(super) fn retry_later() -> Answer {
     Answer::later(RETRY_AFTER_S)
 }
 
-/// A job's state.
+/// A response with the state of a job.
 pub(super) fn job_state(status: u16, job: &Job) -> Answer {
     let (word, done, running) = ClusterState::status(job);
     let state = JobStatus {
@@ -44,7 +45,8 @@
     Answer::of(status, &state)
 }
 
-/// The state of a job that was just accepted, and of which nothing else is known.
+/// The response to the submission of a job that was just accepted and of which nothing else is
+/// known.
 pub(super) fn pending(id: &str) -> Answer {
     let state = JobStatus {
         id: id.to_string(),
@@ -55,15 +57,17 @@
     Answer::of(status::CREATED, &state)
 }
 
-/// The state of a job as it is cached here; `None` if the job is not known.
+/// A response with the cached state of a job; `None` if the job is not known.
 pub(super) fn current_state(controller: &Controller, id: &str) -> Option<Answer> {
     let cluster = controller.cluster.borrow();
     let (_, job) = cluster.job(id)?;
     Some(job_state(status::OK, job))
 }
 
-/// The state of a job that has ended. It never changes again, so it needs no fresh read; any other
-/// cached state could be older than what another controller has answered.
+/// A response with the state of a job that has ended; `None` if it has not or is not known.
+///
+/// A final state never changes again, so it needs no fresh read. Any other cached state could be
+/// older than the state that another controller has already returned to a user.
 pub(super) fn final_state(controller: &Controller, id: &str) -> Option<Answer> {
     let cluster = controller.cluster.borrow();
     let (_, job) = cluster.job(id)?;
--- a/src/coordination/job_api/attempts.rs
+++ b/src/coordination/job_api/attempts.rs
@@ -1,4 +1,4 @@
-//! How long and how often the records of users' jobs are read and written for one request.
+//! Retries of the transactions behind one user's request.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
@@ -6,21 +6,22 @@
 use crate::transport::http::jittered;
 use crate::transport::pause;
 
-/// Time for a submission or cancellation to be written down.
+/// Time limit for committing a submission or a cancellation, retries included.
 pub(super) const WRITE_BUDGET_MS: u64 = 3500;
-/// Wait after a transaction that was refused because too many requests came.
+/// Delay before the retry of a transaction that the key-value store refused for its request rate
+/// limit.
 const RATE_LIMIT_RETRY_MS: u64 = 60;
 
-/// True if a job is known here, in whatever state.
+/// True if a job is in the cached state, whatever its own state is.
 pub(super) fn is_known(controller: &Controller, id: &str) -> bool {
     controller.cluster.borrow().job(id).is_some()
 }
 
-/// Prepares another attempt after a transaction that was not or may not have been applied; false if
-/// another attempt now would be as futile.
+/// Prepares a retry after a transaction that was not applied, or may not have been; false if an
+/// immediate retry would not help.
 pub(super) async fn prepare_retry(controller: &Controller, outcome: CommitOutcome) -> bool {
     match outcome {
-        // The newest records tell what is in the way, or whether it was applied after all.
+        // The newest records show what caused the conflict, or whether the transaction was applied.
         CommitOutcome::Conflict(_) | CommitOutcome::Unknown => {
             controller.refresh(REFRESH_MS).await;
             true
--- a/src/coordination/job_api/cancellation.rs
+++ b/src/coordination/job_api/cancellation.rs
@@ -1,4 +1,4 @@
-//! Cancellations by users.
+//! Handler of users' requests to cancel a job.
 
 use super::answers::{self, status};
 use super::attempts::{prepare_retry, WRITE_BUDGET_MS};
@@ -13,7 +13,7 @@
 use crate::transport::http::Answer;
 use std::rc::Rc;
 
-/// Cancels a job; one that has ended already is answered as it is.
+/// Cancels a job; if it has ended already, returns its final state.
 pub(super) async fn cancel(controller: &Rc<Controller>, id: &str) -> Answer {
     if !valid_id(id) {
         return Answer::bare(status::NOT_FOUND);
@@ -31,7 +31,7 @@
         } else if newest_read {
             return Answer::bare(status::NOT_FOUND);
         } else {
-            // Another controller may have accepted the job a moment ago.
+            // Another controller may have accepted the job since the last read.
             newest_read = controller.refresh(REFRESH_MS).await;
             if !newest_read {
                 break;
@@ -41,7 +41,7 @@
     answers::final_state(controller, id).unwrap_or_else(answers::retry_later)
 }
 
-/// `None` if the job is not known here.
+/// A draft that cancels the job; `None` if the job is not in the cached state.
 fn draft_cancellation(controller: &Controller, id: &str) -> Option<DraftTransaction> {
     let cluster = controller.cluster.borrow();
     let (job_index, job) = cluster.job(id)?;
@@ -52,7 +52,7 @@
     Some(draft)
 }
 
-/// False if the cancellation can't be written down now.
+/// Commits a cancellation; false if it could not be committed and a retry would not help now.
 async fn commit_cancellation(
     controller: &Rc<Controller>,
     id: &str,
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -1,10 +1,11 @@
 //! The public HTTP interface: users' jobs, workers' heartbeats and health checks.
 //!
-//! `cli` passes every request to [`handle`], which finds its `Route` and times its handler. A user's
-//! job goes through `submission`, `cancellation` or `job_status`; `answers` has what they answer, `attempts` how often
-//! they try.
-//! Invariant: a state that is not final is answered only after a fresh read of the key-value store, so
-//! that no user sees a job go back to an earlier state by asking another controller.
+//! `cli` passes every request to [`handle`], which resolves its `Route`, calls the handler and
+//! measures its duration. Users' requests are handled by `submission`, `cancellation` and
+//! `job_status`; `answers` builds their responses, and `attempts` limits their retries.
+//!
+//! Invariant: a state that is not final is returned only after a fresh read of the key-value store,
+//! so that a user who asks another controller never sees a job in an earlier state than before.
 
 mod answers;
 mod attempts;
@@ -22,10 +23,10 @@
 
 pub use submission::accepted;
 
-/// Path of workers' heartbeats.
+/// Path to which workers send heartbeats.
 const HEARTBEAT_PATH: &str = "/v1/report";
 
-/// What a request asks for.
+/// The endpoint that a request is addressed to.
 enum Route<'a> {
     HealthCheck,
     Heartbeat,
@@ -56,12 +57,12 @@
     }
 }
 
-/// True for the path of workers' heartbeats.
+/// True for the path to which workers send heartbeats.
 pub fn is_heartbeat_path(path: &str) -> bool {
     path == HEARTBEAT_PATH
 }
 
-/// Answers users, workers and health checks.
+/// Handles a request of a user, a worker or a health check.
 pub async fn handle(controller: Rc<Controller>, request: Incoming) -> Answer {
     let path: Vec<&str> = request.path.trim_start_matches('/').split('/').collect();
     let metrics = &controller.metrics;
--- a/src/coordination/job_api/submission.rs
+++ b/src/coordination/job_api/submission.rs
@@ -1,8 +1,11 @@
-//! Submissions of jobs.
+//! Handler of users' requests to submit a job.
 //!
-//! Invariants: a job is accepted at most once, whichever controllers its submission reaches, since its
-//! record is written on condition that it does not exist; and a job is refused as impossible only
-//! after a fresh read that shows that no controller has accepted it.
+//! Invariants:
+//!
+//! - A job is accepted at most once, whichever controllers receive its submission, because its
+//!   record is written on condition that it does not exist.
+//! - A job is refused as impossible only after a fresh read that shows that no controller has
+//!   accepted it.
 
 use super::answers::{self, status};
 use super::attempts::{is_known, prepare_retry, WRITE_BUDGET_MS};
@@ -19,31 +22,31 @@
 use crate::transport::http::Answer;
 use std::rc::Rc;
 
-/// Version of a key that does not exist.
+/// Version that stands for a key that does not exist.
 const ABSENT: u64 = 0;
 
 /// Whether a job may be stored.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Admission {
-    /// It may: it can run, or it was accepted before.
+    /// The job can run, or was accepted before.
     Admitted,
-    /// It can never run, or depends on a job that was never accepted.
+    /// The job can never run, or depends on a job that was never accepted.
     Impossible,
-    /// That can't be said now.
+    /// The controller lacks the information to decide at present.
     Undecided,
 }
 
-/// Whether all dependencies of a job are known here.
+/// Whether all dependencies of a job are in the cached state.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Dependencies {
     Known,
     SomeUnknown,
-    /// A controller of a version that knows no dependencies may be in the cluster, and would run the
-    /// job at once.
+    /// The cluster may include a controller of a version that does not support dependencies, which
+    /// would run the job immediately.
     NotSupportedByAll,
 }
 
-/// Accepts a job, or answers why not.
+/// Accepts a job, or responds with the status that tells why it was not accepted.
 pub(super) async fn submit(controller: &Rc<Controller>, body: Option<Vec<u8>>) -> Answer {
     let Some(spec) = body.as_deref().and_then(parse_job) else {
         return Answer::bare(status::BAD_REQUEST);
@@ -62,7 +65,8 @@
 }
 
 async fn admit(controller: &Controller, spec: &JobSpec) -> Admission {
-    // A known job is answered with its state, whatever the machine types and dependencies are now.
+    // For a known job the response is its state, whatever the machine types and dependencies are
+    // now.
     if is_known(controller, &spec.id) {
         return Admission::Admitted;
     }
@@ -74,14 +78,15 @@
     }
 }
 
-/// True if a job can ever run; `None` while the machine types are not known.
+/// True if a job can ever run; `None` while this controller knows no machine types.
 fn can_run(cluster: &mut ClusterState, spec: &JobSpec) -> Option<bool> {
     let machine_types_known = !cluster.machine_types.is_empty();
     let interned = cluster.intern_spec(spec);
     machine_types_known.then(|| interned.is_some_and(|spec| cluster.can_run(&spec)))
 }
 
-/// A job that can't run is impossible, unless another controller has accepted it before.
+/// Decides about a job that can't run: it is impossible, unless another controller has accepted it
+/// before.
 async fn admit_if_accepted_elsewhere(controller: &Controller, id: &str) -> Admission {
     if !controller.refresh(REFRESH_MS).await {
         Admission::Undecided
@@ -92,8 +97,10 @@
     }
 }
 
-/// Another controller may have accepted a dependency a moment ago, so one that is not known here is
-/// unknown only to a read begun now; and a controller that can't read can't say so.
+/// Decides about a job that can run, by its dependencies.
+///
+/// Another controller may have accepted a dependency that is missing from the cached state, so only
+/// a fresh read shows that it does not exist. If the read fails, the answer is undecided.
 async fn admit_dependencies(controller: &Controller, dependencies: &[String]) -> Admission {
     if dependencies.is_empty() {
         return Admission::Admitted;
@@ -123,7 +130,7 @@
     }
 }
 
-/// Stores a job that may be accepted, and answers its submission.
+/// Stores an admitted job, and returns the response to its submission.
 async fn store_job(controller: &Rc<Controller>, spec: JobSpec) -> Answer {
     let id = spec.id.clone();
     let record = JobRecord::submitted(spec, wall_ms());
@@ -138,8 +145,8 @@
     answers::retry_later()
 }
 
-/// The revision at which the job was accepted; `None` if it was known already or can't be written
-/// down now.
+/// Commits a submission and returns its revision; `None` if the job was known already or could not
+/// be committed.
 async fn commit_submission(controller: &Controller, id: &str, record: &JobRecord) -> Option<u64> {
     let began = controller.now();
     while controller.now().since(began) < WRITE_BUDGET_MS && !is_known(controller, id) {
@@ -154,7 +161,7 @@
     None
 }
 
-/// The transaction that accepts a job, on condition that nobody has.
+/// The transaction that accepts a job, on condition that its record does not exist.
 fn submission(id: &str, record: &JobRecord) -> Transaction {
     let key = ClusterState::job_key(id);
     let not_accepted_yet = Condition {
@@ -167,8 +174,8 @@
     }
 }
 
-/// Takes a job that was just stored into the cached state, binds its tasks to machines, and answers
-/// its submission.
+/// Adds a job that was just stored to the cached state, binds its tasks to machines, and returns
+/// the response to its submission.
 fn accept(controller: &Rc<Controller>, id: &str, revision: u64, record: &JobRecord) -> Answer {
     controller
         .cluster
@@ -182,10 +189,11 @@
     accepted(&controller.cluster.borrow(), id, revision)
 }
 
-/// The answer to a job that was accepted at this revision.
+/// The response to the submission of a job that was accepted at this revision.
 ///
-/// By now the cached state may be newer, and may have been answered by another controller; and a job
-/// that depends on a cancelled one is cancelled with it from the start.
+/// It has the cached state if that is newer than the submission, because another controller may
+/// have returned that state already. The state may also be final from the start: a job that depends
+/// on a cancelled one is cancelled too.
 pub fn accepted(cluster: &ClusterState, id: &str, revision: u64) -> Answer {
     match cluster.job(id) {
         Some((_, job)) if job.version > revision || !job.is_open() => {
