--- a/src/coordination/kv/client.rs
+++ b/src/coordination/kv/client.rs
@@ -1,8 +1,8 @@
 //! Calls to the key-value store.
 //!
-//! [`KvClient`] owns the connections and knows when the store last served. Each call is sent once:
-//! what to do about a failure depends on the caller, and a transaction whose outcome is unknown may
-//! still be applied.
+//! [`KvClient`] owns the connections and records when the store last served a call. It never
+//! retries: how to react to a failure depends on the caller, and a transaction whose outcome is
+//! unknown may still be applied.
 
 use crate::coordination::controller::clock::MonotonicClock;
 use crate::coordination::scheduler::config::SchedulerConfig;
@@ -14,14 +14,14 @@
 use std::cell::Cell;
 use std::net::SocketAddr;
 
-/// Time for a call.
+/// Timeout of a call other than a watch.
 const CALL_MS: u64 = 1500;
-/// Time for the answer to a watch, beyond the time it may wait for a change.
+/// Timeout of a watch, in addition to the time that the store may wait for a change.
 const WATCH_MARGIN_MS: u64 = 2000;
-/// Time after the last served call for which the store counts as reachable.
+/// Time for which the store counts as reachable after it last served a call.
 const REACHABLE_MS: u64 = 3000;
 
-/// Statuses of the key-value store's answers.
+/// HTTP status codes of the key-value store's responses.
 mod status {
     pub const OK: u16 = 200;
     pub const BAD_REQUEST: u16 = 400;
@@ -31,26 +31,28 @@
     pub const UNAVAILABLE: u16 = 503;
 }
 
-/// How a transaction ended.
+/// The outcome of a transaction.
 #[derive(Debug, PartialEq)]
 pub enum CommitOutcome {
-    /// Applied at this revision.
+    /// The transaction was applied at this revision.
     Committed(u64),
-    /// Nothing applied: these keys had other versions.
+    /// The transaction was not applied, because these keys had other versions than required.
     Conflict(Vec<String>),
-    /// Nothing applied, with the status of the refusal.
+    /// The transaction was not applied: the store refused it with this HTTP status, or it was never
+    /// sent, which has status 0.
     Refused(u16),
-    /// Nothing is known: it may be applied, even later.
+    /// The transaction may have been applied, or may be applied later.
     Unknown,
 }
 
 impl CommitOutcome {
-    /// Refused as malformed, or for its size.
+    /// The transaction was refused because it is malformed or exceeds a size limit.
     pub const REFUSED_AS_INVALID: CommitOutcome = CommitOutcome::Refused(status::BAD_REQUEST);
-    /// Refused since too many requests came; one sent a moment later may not be.
+    /// The transaction was refused by the store's request rate limit; a retry a moment later may
+    /// succeed.
     pub const REFUSED_BY_RATE_LIMIT: CommitOutcome =
         CommitOutcome::Refused(status::TOO_MANY_REQUESTS);
-    /// Never sent: no connection.
+    /// The transaction was not sent, because no connection could be opened.
     const NOT_SENT: CommitOutcome = CommitOutcome::Refused(0);
 
     fn of_answer(answer: &ClientResponse) -> CommitOutcome {
@@ -70,14 +72,14 @@
 /// The connections to the key-value store.
 pub struct KvClient {
     calls: Client,
-    /// Long polls have connections of their own, which hold back no other call.
+    /// Separate connections for long polls, so that these delay no other call.
     watches: Client,
     clock: MonotonicClock,
     last_available: Cell<Option<MonotonicMillis>>,
 }
 
 impl KvClient {
-    /// A client that is not connected yet.
+    /// Creates a client, which connects at the first call.
     pub fn new(address: SocketAddr, clock: MonotonicClock) -> KvClient {
         KvClient {
             calls: Client::new(address),
@@ -87,7 +89,7 @@
         }
     }
 
-    /// True if the store served a call a moment ago.
+    /// True if the store served a call within the last 3 seconds (`REACHABLE_WINDOW_MS`).
     pub fn is_reachable(&self) -> bool {
         let now = self.clock.now();
         self.last_available
@@ -104,7 +106,7 @@
         }
     }
 
-    /// One call, sent once.
+    /// Sends a call, without retries.
     pub async fn call(
         &self,
         method: Method,
@@ -114,13 +116,14 @@
         let answer = self.calls.call(method, path, body, CALL_MS).await;
         self.record_answer(&answer);
         if answer.is_err() {
-            // Connections kept from before a network partition hang; new ones fail at once.
+            // Connections from before a network partition would hang until the timeout; new ones
+            // fail immediately.
             self.calls.reset();
         }
         answer
     }
 
-    /// One long poll, answered after `wait_ms` at the latest.
+    /// Sends a long poll, which the store answers after `wait_ms` at the latest.
     pub(super) async fn call_watch(
         &self,
         path: &str,
@@ -135,12 +138,12 @@
         answer
     }
 
-    /// Drops the connections of long polls after a failed one.
+    /// Closes the connections for long polls; to be called after one has failed.
     pub(super) fn reset_watches(&self) {
         self.watches.reset();
     }
 
-    /// One transaction, sent once.
+    /// Sends a transaction, without retries.
     pub async fn commit(&self, transaction: &Transaction) -> CommitOutcome {
         let Ok(body) = rmp_serde::to_vec_named(transaction) else {
             return CommitOutcome::REFUSED_AS_INVALID;
@@ -152,15 +155,17 @@
         }
     }
 
-    /// Renews a lease; false if the store says that it has expired. One that could not be asked
-    /// leaves the lease in force until it says otherwise.
+    /// Renews a lease; false if the store reports that it has expired.
+    ///
+    /// If the store can't be reached, the result is true: the lease counts as valid until the store
+    /// reports otherwise.
     pub async fn renew_lease(&self, lease: u64) -> bool {
         let path = format!("/grants/{lease}/touch");
         let answer = self.call(Method::Post, &path, Vec::new()).await;
         !answer.is_ok_and(|answer| answer.status == status::NOT_FOUND)
     }
 
-    /// Takes a new lease.
+    /// Requests a new lease; `None` if the store grants none.
     pub async fn grant_lease(&self, ttl_ms: u64) -> Option<u64> {
         let body = rmp_serde::to_vec_named(&LeaseRequest { ttl_ms }).ok()?;
         let answer = self.call(Method::Post, "/grants", body).await.ok()?;
@@ -169,7 +174,8 @@
     }
 }
 
-/// Takes the refusal of a transaction that is well formed as a sign of a smaller limit.
+/// Lowers the observed limits after the store has refused a well-formed transaction, which means
+/// that its limits are lower than assumed.
 pub(super) fn adapt_limits(config: &SchedulerConfig, transaction: &Transaction) {
     let value_bytes = |write: &Write| match write {
         Write::Set { v, .. } => v.to_string().len(),
--- a/src/coordination/kv/fresh_reads.rs
+++ b/src/coordination/kv/fresh_reads.rs
@@ -1,7 +1,8 @@
-//! Serves all who need the newest state with one read of the key-value store each time.
+//! Fresh reads of the key-value store, each of which serves all callers that wait for one.
 //!
-//! The more requests come, the more share one read: the fresh reads of all controllers together leave
-//! most of the store's request limit to watches and transactions.
+//! The time between two reads is bounded below, so that under load more callers share one read. The
+//! fresh reads of all controllers together leave most of the store's request rate limit to watches
+//! and transactions.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::watch::watch_once;
@@ -9,18 +10,19 @@
 use crate::transport::pause;
 use std::rc::Rc;
 
-/// Longest wait of those who need the newest state.
+/// Time limit that callers pass to [`Controller::refresh`].
 pub const REFRESH_MS: u64 = 1500;
-/// Part of the limit on requests that fresh reads of all controllers may take.
+/// Share of the store's request rate limit that fresh reads of all controllers together may use.
 const REQUEST_LIMIT_PART: f64 = 0.3;
-/// Longest wait for a request.
+/// Longest wait for a caller before the background task checks again.
 const IDLE_MS: u64 = 60_000;
-/// Attempts at a read: over the limit one is refused, while the next moment's may not be.
+/// Number of attempts at a read. The store refuses a read above its rate limit, but may accept one
+/// a moment later.
 const ATTEMPTS: usize = 3;
-/// Wait after a failed attempt.
+/// Delay after a failed attempt.
 const RETRY_MS: u64 = 60;
 
-/// Background task: makes the reads that [`Controller::refresh`] asks for.
+/// Background task: executes the reads that [`Controller::refresh`] requests.
 pub async fn run(controller: Rc<Controller>) {
     let interval_ms = interval_ms(&controller);
     let mut began = MonotonicMillis(0);
@@ -42,7 +44,7 @@
     }
 }
 
-/// Least time between two reads of this controller.
+/// Minimum time between two fresh reads of this controller.
 fn interval_ms(controller: &Controller) -> u64 {
     let controllers = controller.peers.len() as f64 + 1.0;
     let requests_per_second = controller.platform.settings.kv.rps * REQUEST_LIMIT_PART;
--- a/src/coordination/kv/mod.rs
+++ b/src/coordination/kv/mod.rs
@@ -1,5 +1,5 @@
-//! The key-value store, which holds all durable state: calls, transactions, the watch that feeds the
-//! cached state, and fresh reads.
+//! Access to the key-value store, which holds all durable state: calls, transactions, the watch
+//! that updates the cached state, and fresh reads.
 
 pub mod client;
 pub mod fresh_reads;
--- a/src/coordination/kv/transactions.rs
+++ b/src/coordination/kv/transactions.rs
@@ -1,7 +1,8 @@
-//! Drafts as compare-and-swap transactions, and what their outcomes mean for the cached state.
+//! Conversion of drafts into compare-and-swap transactions, and the effect of their outcomes on the
+//! cached state.
 //!
-//! Invariant: a transaction is conditional on the version of every record that it changes or rests
-//! on, so a decision made on stale records is refused as a whole.
+//! Invariant: a transaction is conditional on the version of every record that it changes or
+//! depends on, so the store rejects a decision based on stale records as a whole.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::{adapt_limits, CommitOutcome};
@@ -25,7 +26,8 @@
     outcome
 }
 
-/// The transaction of a draft: conditional on every record it changes or rests on.
+/// The transaction of a draft, conditional on the versions of all records that it changes or
+/// depends on.
 pub fn transaction(cluster: &ClusterState, draft: &DraftTransaction) -> Transaction {
     let mut writes = Vec::new();
     for (job_index, job) in &draft.jobs {
@@ -62,8 +64,10 @@
     conditions
 }
 
-/// The job's record and those of its overflow records that change with it. These have no conditions
-/// of their own: they change with the job's record only, whose version stands for all of them.
+/// Writes of the job's record and of the overflow records that change with it.
+///
+/// Overflow records have no conditions of their own. They change only together with the job's
+/// record, whose version covers them all.
 fn job_writes(cluster: &ClusterState, job_index: JobIndex, job: &Job) -> Vec<Write> {
     let record = cluster.record(job);
     let mut writes = Vec::new();
@@ -111,8 +115,10 @@
     }
 }
 
-/// The transaction may still be applied, until its records have other versions: nothing else is
-/// decided for these jobs and teams before that.
+/// Marks the jobs and teams of a transaction with an unknown outcome.
+///
+/// The transaction may still be applied until its records have other versions. Until then, nothing
+/// else is decided for these jobs and teams.
 fn mark_unknown_outcome(cluster: &mut ClusterState, draft: &DraftTransaction) {
     let unchanged: Vec<JobIndex> = draft
         .jobs
@@ -126,9 +132,9 @@
         .extend(draft.team_quotas.keys());
 }
 
-/// A write of a value; `None` if the value can't be stored.
+/// A write that sets a key to a value; `None` if the value can't be serialized.
 pub fn set<T: serde::Serialize>(key: String, value: &T, lease: Option<u64>) -> Option<Write> {
-    // By way of bytes: the same named maps that the store reads back.
+    // Serializes to bytes first, so that the value has the same named maps that a read returns.
     let bytes = rmp_serde::to_vec_named(value).ok()?;
     let v = rmp_serde::from_slice(&bytes).ok()?;
     Some(Write::Set { set: key, v, lease })
--- a/src/coordination/kv/watch.rs
+++ b/src/coordination/kv/watch.rs
@@ -1,8 +1,8 @@
-//! Keeps the cached state close to the records of the key-value store.
+//! Keeps the cached state up to date with the records in the key-value store.
 //!
-//! The background task [`run`] reads all records once and watches for changes from then on;
-//! `fresh_reads` calls `watch_once` for those who need the newest state. Invariant: the cached
-//! state is that of one revision, which only grows.
+//! The background task [`run`] reads all records once and then watches for changes; `fresh_reads`
+//! calls `watch_once` for callers that need the newest state. Invariant: the cached state is that
+//! of one revision, which never decreases.
 
 use crate::coordination::controller::Controller;
 use crate::protocol::kv::{Changes, Committed, Event, Page};
@@ -14,19 +14,20 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// Longest wait of a watch for a change.
+/// Longest time that the store waits for a change before it answers a watch.
 const WATCH_MS: u64 = 5000;
-/// Wait after a watch or a read that failed.
+/// Delay after a failed watch or read, before jitter.
 const RETRY_MS: u64 = 300;
-/// Age of the cached state from which on a controller asks first how many changes it has missed.
+/// Age of the cached state above which a controller first asks how many changes it has missed.
 const STALE_AFTER_MS: u64 = 20_000;
-/// Changes that may be read by a watch; after more, all records are read by pages.
+/// Largest number of missed changes that is read by a watch; if there are more, all records are
+/// read in pages.
 const MAX_MISSED_CHANGES: u64 = 2000;
-/// Records in a page.
+/// Maximum number of records per page.
 const PAGE_RECORDS: usize = 500;
-/// Status of an answer with changes.
+/// HTTP status of a watch response with changes.
 const CHANGES: u16 = 200;
-/// Status of a watch from a revision whose changes the store no longer has.
+/// HTTP status of a watch from a revision whose changes the store has discarded.
 const COMPACTED: u16 = 410;
 
 /// Background task: reads all records, then watches them.
@@ -44,15 +45,16 @@
     }
 }
 
-/// True if the cached state was current so long ago that much may have been missed.
+/// True if the cached state was last up to date so long ago that many changes may be missing.
 pub fn watch_is_stale(updated_at: Option<MonotonicMillis>, now: MonotonicMillis) -> bool {
     updated_at.is_some_and(|updated_at| now.since(updated_at) > STALE_AFTER_MS)
 }
 
-/// One watch; false if it did not bring the cached state up to date.
+/// Executes one watch, or a full read if too many changes are missing; false if the cached state is
+/// not up to date afterwards.
 pub(super) async fn watch_once(controller: &Controller, wait_ms: u64) -> bool {
-    // An answer to a watch has no size limit: all that was missed in a long partition could be more
-    // than this process may hold, while pages are small.
+    // A watch response has no size limit. All changes missed during a long network partition could
+    // exceed this process's memory limit, while pages are small.
     if watch_is_stale(controller.view_updated_at.get(), controller.now()) {
         match missed_changes(controller).await {
             Some(missed) if missed > MAX_MISSED_CHANGES => {
@@ -91,7 +93,8 @@
     }
 }
 
-/// Applies the changes that a watch begun at `began` has brought; false if they can't be read.
+/// Applies the changes in the response to a watch that began at `began`; false if the response is
+/// malformed.
 fn apply_changes(
     controller: &Controller,
     from: u64,
@@ -117,16 +120,16 @@
     true
 }
 
-/// True for changes of controllers and shards.
+/// True for a change of a controller's or shard's record.
 fn affects_membership(event: &Event) -> bool {
     let key = event.set.as_ref().or(event.remove.as_ref());
     let kind = key.and_then(|key| key.strip_prefix(ROOT)?.split_once('/'));
     matches!(kind, Some(("node" | "shard", _)))
 }
 
-/// How many changes the cached state lacks; `None` if the store can't be asked.
+/// Number of changes that the cached state lacks; `None` if the store does not answer.
 async fn missed_changes(controller: &Controller) -> Option<u64> {
-    // A key that never exists: the answer is nothing but the revision.
+    // This key never exists, so the response has only the store's current revision.
     let path = format!("/keys/{ROOT}none");
     let answer = controller.kv.call(Method::Get, &path, Vec::new()).await;
     let newest = rmp_serde::from_slice::<Committed>(&answer.ok()?.body).ok()?;
@@ -134,10 +137,10 @@
     Some(newest.revision.saturating_sub(revision))
 }
 
-/// Reads all records by pages; false if one could not be read.
+/// Reads all records in pages; false if a page could not be read.
 ///
-/// The state is then that of the first page's revision: a watch from there repeats what later pages
-/// may have shown already.
+/// The cached state then counts as that of the first page's revision. A watch from there repeats
+/// changes that later pages may already include.
 async fn read_all_records(controller: &Controller) -> bool {
     let began = controller.now();
     let mut fleeting = HashSet::new();
@@ -171,7 +174,7 @@
     true
 }
 
-/// One page of records in key order, from the key `after` on.
+/// Reads one page of records in key order, after the key `after`; `None` if the read fails.
 async fn read_page(controller: &Controller, after: Option<&str>) -> Option<Page> {
     let from = after.map_or(String::new(), |key| format!("&from={key}"));
     let path = format!("/keys?prefix={ROOT}&most={PAGE_RECORDS}{from}");
