--- a/src/coordination/peer_messages/gang_reservations.rs
+++ b/src/coordination/peer_messages/gang_reservations.rs
@@ -1,11 +1,11 @@
-//! Machines reserved for gangs that have waited for too long.
+//! Reservation of machines for gangs that have waited for too long.
 //!
-//! All controllers derive the same order of gangs. The one that plans a gang reserves machines of
-//! any owner for it, here and, by a message, at the others. Called by `status_updates` each round
-//! and by `requests` for the messages of peers.
+//! All controllers derive the same order of gangs. The controller that plans a gang reserves
+//! machines of any owner for it, in its own state and by messages to its peers. `status_updates`
+//! calls this module each round, and `requests` for the messages of peers.
 //!
-//! Invariant: a reservation ends by itself unless it is renewed, so one whose gang has started, or
-//! whose sender has failed, keeps nothing from other work for long.
+//! Invariant: a reservation expires unless it is renewed. So if its gang has started or its sender
+//! has failed, it does not keep other work off the machines for long.
 
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
@@ -16,12 +16,12 @@
 use crate::state::names::{Index, MachineIndex};
 use std::rc::Rc;
 
-/// Time for a peer to answer: by then the reservation is renewed.
+/// Timeout of a message to a peer; after this time the next round renews the reservation anyway.
 const PEER_TIMEOUT_MS: u64 = 1000;
-/// Machines in one frame of a reservation: a gang may need thousands.
+/// Maximum number of machines in one frame of a reservation; a gang may need thousands.
 const MACHINES_PER_RESERVATION: usize = 1000;
 
-/// Reserves machines for the gangs that this controller plans, here and at all peers.
+/// Reserves machines for the gangs that this controller plans, in its own state and at all peers.
 pub(super) fn reserve_for_gangs(controller: &Rc<Controller>) {
     let now = controller.now();
     let reservations = gang_reservations(
@@ -51,7 +51,7 @@
     }
 }
 
-/// Sends the frames of one reservation to one peer, until one fails.
+/// Sends the frames of one reservation to one peer, and stops at the first that fails.
 async fn send_reservation(controller: Rc<Controller>, peer: usize, requests: Rc<[PeerRequest]>) {
     let client = &controller.peers[peer].client;
     for request in requests.iter() {
@@ -61,7 +61,7 @@
     }
 }
 
-/// The requests that reserve machines for a gang, in as many frames as it takes.
+/// The requests that reserve machines for a gang, split into frames.
 pub fn reservation_requests(job: &str, machines: &[String]) -> Vec<PeerRequest> {
     let request = |machines: &[String]| PeerRequest::ReserveMachines {
         job: job.to_string(),
@@ -73,7 +73,7 @@
         .collect()
 }
 
-/// Reserves machines for a gang for a while; names that are unknown here are passed over.
+/// Reserves machines for a gang for [`GANG_RESERVATION_MS`]; unknown jobs and machines are ignored.
 pub(super) fn record_reservation(controller: &Controller, job: &str, machines: &[String]) {
     let until = controller.now().plus(GANG_RESERVATION_MS);
     let mut cluster = controller.cluster.borrow_mut();
--- a/src/coordination/peer_messages/machine_changes.rs
+++ b/src/coordination/peer_messages/machine_changes.rs
@@ -1,15 +1,16 @@
-//! Machines that the autoscaler takes out of service: cordoned first, deleted later.
+//! Machines that the autoscaler removes: cordoned first, deleted later.
 //!
-//! Called by the autoscaler for the own machines, and by `requests` when the controller that runs
-//! the autoscaler asks an owner for it. Invariant: a machine is cordoned for deletion only by its
-//! owner, and only while nothing is placed on it.
+//! Called by the autoscaler for this controller's machines, and by `requests` when the controller
+//! that runs the autoscaler asks the owner to do it. Invariant: a machine is cordoned for deletion
+//! only by its owner, and only while nothing is placed on it.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::state::cluster_state::ClusterState;
 use crate::state::names::MachineIndex;
 
-/// Cordons owned machines without placements; returns the names of those that are cordoned now.
+/// Cordons those of the machines that this controller owns and that have no placements; returns
+/// their names.
 pub fn cordon(controller: &Controller, machines: &[String]) -> Vec<String> {
     let mut cluster = controller.cluster.borrow_mut();
     let mut cordoned = Vec::new();
@@ -28,7 +29,7 @@
     cordoned
 }
 
-/// True if the machine is owned here and empty.
+/// True if this controller owns the machine and nothing is placed on it.
 fn may_cordon(cluster: &ClusterState, config: &SchedulerConfig, machine: MachineIndex) -> bool {
     let owned = cluster
         .machine(machine)
@@ -36,7 +37,7 @@
     owned && cluster.placed_on(machine).is_empty()
 }
 
-/// Records that the cloud has deleted these machines, which proves that nothing runs there.
+/// Records that the cloud has deleted these machines, which proves that no task runs on them.
 pub fn mark_machines_deleted(controller: &Controller, machines: &[String]) {
     let mut cluster = controller.cluster.borrow_mut();
     for name in machines {
--- a/src/coordination/peer_messages/requests.rs
+++ b/src/coordination/peer_messages/requests.rs
@@ -1,7 +1,7 @@
 //! The handler of requests from peers.
 //!
-//! `cli` hands each decoded request to [`handle`], which passes it to the module that decides
-//! about it. Invariant: nothing here waits, so requests are handled one after the other.
+//! `cli` passes each decoded request to [`handle`], which dispatches it to the responsible module.
+//! Invariant: no handler blocks or awaits, so requests are handled one after the other.
 
 use super::{gang_reservations, machine_changes, status_updates};
 use crate::coordination::controller::Controller;
@@ -11,7 +11,7 @@
 use crate::protocol::peers::{MachineStatus, PeerRequest, PeerResponse, TaskRef};
 use std::rc::Rc;
 
-/// Handles a request of a peer, and measures how long that takes.
+/// Handles a peer's request, and records its duration in the metrics.
 pub fn handle(controller: &Rc<Controller>, request: PeerRequest) -> PeerResponse {
     let name = match request {
         PeerRequest::Status { .. } => "status updates of peers",
@@ -62,8 +62,8 @@
     }
 }
 
-/// Records what a peer says of itself. Whether workers reach it decides about the owners of
-/// shards, so a change wakes the membership task at once.
+/// Records a peer's report on its own health. Shard ownership depends on whether workers reach the
+/// peer, so a change of that wakes the membership task immediately.
 fn record_peer_health(
     controller: &Controller,
     sender: &str,
@@ -93,7 +93,7 @@
     PeerResponse::Acknowledged
 }
 
-/// Puts tasks into the queues of the machines that a peer has chosen for them.
+/// Adds tasks to the queues of the machines that a peer has chosen for them.
 fn enqueue_tasks(controller: &Controller, tasks: &[(String, TaskRef)]) -> PeerResponse {
     for (machine, task) in tasks {
         let machine_index = controller.cluster.borrow().machine_names.find(machine);
@@ -105,7 +105,7 @@
     PeerResponse::Acknowledged
 }
 
-/// Hands the first fitting task of these machines' queues over to an idle machine.
+/// Hands the first task in these machines' queues that fits an idle machine over to that machine.
 fn hand_over_task(controller: &Controller, idle: &str, machines: &[String]) -> PeerResponse {
     let (idle, machines) = {
         let cluster = controller.cluster.borrow();
--- a/src/coordination/peer_messages/status_updates.rs
+++ b/src/coordination/peer_messages/status_updates.rs
@@ -1,10 +1,10 @@
-//! Status updates: what an owner broadcasts of its machines, and what the others take from it.
+//! Status updates: the state of machines that each owner broadcasts to its peers.
 //!
-//! The background task [`run`] is started by `cli`; `requests` calls [`apply_machine_statuses`]
-//! for each update of a peer, and the autoscaler [`silence_ms`].
+//! `cli` starts the background task [`run`]; `requests` calls [`apply_machine_statuses`] for each
+//! update of a peer; the autoscaler calls [`silence_ms`].
 //!
-//! Invariant: the state of a machine is taken from the owner of its shard alone, and never
-//! replaces what this controller knows of its own machines.
+//! Invariant: a machine's state is accepted only from the owner of its shard, and never replaces
+//! what this controller knows of its own machines.
 
 use super::{gang_reservations, utilization_log};
 use crate::coordination::controller::Controller;
@@ -21,12 +21,13 @@
 
 /// Time between two broadcasts.
 const STATUS_INTERVAL_MS: u64 = 1000;
-/// Machines in one frame of a status update: one frame with all of a large fleet would be refused.
+/// Maximum number of machines in one frame of a status update. A single frame for a large fleet
+/// would exceed the frame limit and be refused.
 const MACHINES_PER_STATUS: usize = 128;
 /// Rounds between two log lines on utilization.
 const UTILIZATION_LOG_ROUNDS: u64 = 15;
 
-/// Background task: keeps queues, reservations and preemptions current, and broadcasts the status.
+/// Background task: updates queues, gang reservations and preemptions, and broadcasts the status.
 pub async fn run(controller: Rc<Controller>) {
     for round in 0u64.. {
         controller.tick(STATUS_INTERVAL_MS, None).await;
@@ -40,8 +41,8 @@
     }
 }
 
-/// Sends the state of the own machines to all peers, each on a task of its own: one that hangs
-/// delays none of the others.
+/// Sends the state of this controller's machines to all peers. Each peer has a separate async task,
+/// so that one that hangs does not delay the others.
 fn broadcast_status(controller: &Rc<Controller>) {
     let requests: Rc<[PeerRequest]> = current_status(controller).into();
     for peer in 0..controller.peers.len() {
@@ -65,7 +66,7 @@
     status_requests(&sender, &machines)
 }
 
-/// Sends the frames of one status update to one peer, until one fails.
+/// Sends the frames of one status update to one peer, and stops at the first that fails.
 async fn send_status(controller: Rc<Controller>, peer: usize, requests: Rc<[PeerRequest]>) {
     let peer = &controller.peers[peer];
     for request in requests.iter() {
@@ -82,7 +83,8 @@
 
 /// The status of all machines whose shards this controller owns.
 ///
-/// `observing_since` tells since when the machines of a shard could be heard here.
+/// `observing_since` returns the time since which this controller could have received heartbeats
+/// from the machines of a shard.
 pub fn own_machine_statuses(
     cluster: &ClusterState,
     config: &SchedulerConfig,
@@ -130,8 +132,10 @@
     }
 }
 
-/// For how long an owner has waited for a heartbeat in vain: since the last one, or since it
-/// could have heard the machine at all.
+/// Time for which an owner has received no heartbeat from a machine, in milliseconds.
+///
+/// It counts from the last heartbeat, or from `observing_since` if the owner could receive the
+/// machine's heartbeats only after that.
 pub fn silence_ms(
     last_heartbeat: Option<MonotonicMillis>,
     discovered_at: MonotonicMillis,
@@ -143,19 +147,19 @@
     now.since(heard.max(observing))
 }
 
-/// What a status update says of its sender.
+/// The sender's own health in a status update.
 #[derive(Clone, Copy, Debug)]
 pub struct SenderStatus<'a> {
     /// Name of the controller.
     pub name: &'a str,
-    /// It reaches the key-value store.
+    /// The controller reaches the key-value store.
     pub kv_reachable: bool,
-    /// Workers reach it.
+    /// Workers reach the controller.
     pub workers_reachable: bool,
 }
 
-/// A status update in as many frames as it takes, at least one: a controller without machines
-/// still shows that it is there.
+/// The requests of a status update, split into frames. There is at least one, so that a controller
+/// without machines still shows that it is alive.
 pub fn status_requests(sender: &SenderStatus, machines: &[MachineStatus]) -> Vec<PeerRequest> {
     let request = |machines: &[MachineStatus]| PeerRequest::Status {
         sender: sender.name.to_string(),
@@ -171,9 +175,9 @@
 
 /// Applies a peer's status update.
 ///
-/// Only a shard's owner knows its machines. A controller that lost its shards unnoticed goes on
-/// sending updates on machines that have long been silent to it alone, and they would be deleted
-/// for that.
+/// Machines are updated only if the sender owns their shard. A controller that has lost its shards
+/// without noticing goes on sending updates on machines that have been silent for a long time, but
+/// only towards itself; applying these would get the machines deleted.
 pub fn apply_machine_statuses(
     cluster: &mut ClusterState,
     config: &SchedulerConfig,
@@ -216,7 +220,7 @@
 
 fn apply_machine_status(machine: &mut Machine, status: MachineStatus, now: MonotonicMillis) {
     machine.addr = status.addr;
-    // A machine that still boots has not been heard, only waited for.
+    // A booting machine has sent no heartbeat yet, so its silence dates no heartbeat.
     if status.has_sent_heartbeat {
         let last_heartbeat = now.0.saturating_sub(status.silent_ms);
         machine.heartbeat.last_seen = Some(MonotonicMillis(last_heartbeat));
--- a/src/coordination/peer_messages/utilization_log.rs
+++ b/src/coordination/peer_messages/utilization_log.rs
@@ -1,6 +1,6 @@
-//! Log lines at level debug on the use of the own machines, by type, and on the work that waits.
+//! Debug log lines on the utilization of this controller's machines by type, and on waiting work.
 //!
-//! Called by `status_updates` every few rounds. It reads the state and changes nothing.
+//! Called by `status_updates` every few rounds. It only reads the cluster state.
 
 use crate::coordination::controller::Controller;
 use crate::state::cluster_state::ClusterState;
@@ -9,7 +9,7 @@
 use crate::state::units::Resources;
 use std::collections::BTreeMap;
 
-/// Use of the machines of one type.
+/// Utilization of the machines of one type.
 #[derive(Default)]
 struct Utilization {
     machines: usize,
@@ -18,14 +18,14 @@
     free: Resources,
 }
 
-/// Jobs and tasks of one class that wait.
+/// Waiting jobs and tasks of one class.
 #[derive(Default)]
 struct WaitingWork {
     jobs: u32,
     tasks: u32,
 }
 
-/// Writes all lines.
+/// Writes the lines on utilization, waiting work and background tasks.
 pub(super) fn write(controller: &Controller) {
     if log::log_enabled!(log::Level::Debug) {
         log_utilization(controller);
@@ -54,7 +54,7 @@
     }
 }
 
-/// Sums up the own schedulable machines of a type.
+/// Sums up this controller's schedulable machines of a type.
 fn utilization(
     controller: &Controller,
     cluster: &ClusterState,
--- a/src/coordination/worker_connectivity/announce_ownership.rs
+++ b/src/coordination/worker_connectivity/announce_ownership.rs
@@ -1,8 +1,9 @@
-//! Announcement of ownership: a new owner shows its fencing token to the machines of its shards.
+//! Announcement of ownership: a new owner sends its fencing token to the workers of its shards.
 //!
-//! Without it these would stay with a controller that lost its shards unnoticed, for example
-//! because the key-value store refuses that one alone. The token goes out by direct commands that
-//! hold no command; a worker that has seen it answers no lower one.
+//! Without it, these workers would go on sending heartbeats to a controller that has lost its
+//! shards without noticing, for example because the key-value store refuses only that controller.
+//! The token is sent in a direct command message with an empty command list. A worker that has seen
+//! it refuses messages with a lower token.
 //!
 //! Called by each round of `worker_connectivity::run`.
 
@@ -18,15 +19,15 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// For how long after a failover the fencing token is announced.
+/// Time after the acquisition of a shard during which its fencing token is announced.
 const ANNOUNCE_FOR_MS: u64 = 60_000;
-/// Least time between two announcements to one machine.
+/// Minimum time between two announcements to the same machine.
 const RETRY_INTERVAL_MS: u64 = 3000;
 
-/// When each machine was last tried.
+/// When each machine was last sent an announcement.
 pub type LastAttempts = HashMap<MachineIndex, MonotonicMillis>;
 
-/// Announces ownership, and remembers which machines it has tried.
+/// Announces ownership, and records when each machine was last tried.
 #[derive(Default)]
 pub(super) struct OwnershipAnnouncer {
     last_attempts: LastAttempts,
@@ -35,17 +36,17 @@
 /// A machine that has not shown its owner's fencing token.
 #[derive(Clone, Debug)]
 pub struct StaleTokenMachine {
-    /// Machine.
+    /// Index of the machine.
     pub machine: MachineIndex,
-    /// Address of its worker.
+    /// Address of the machine's worker.
     pub addr: String,
     /// The owner's fencing token, to be announced.
     pub fencing_token: FencingToken,
 }
 
 impl OwnershipAnnouncer {
-    /// Announces the fencing tokens of shards that were acquired lately, to as many machines as
-    /// there are connections left.
+    /// Announces the fencing tokens of recently acquired shards, to as many machines as connections
+    /// are available.
     pub(super) fn announce(&mut self, controller: &Rc<Controller>, now: MonotonicMillis) {
         let due = machines_with_stale_token(
             &controller.cluster.borrow(),
@@ -64,8 +65,9 @@
     }
 }
 
-/// True if a shard was acquired long enough ago for its machines to have found their owner by
-/// themselves, and not so long ago that announcing would be of no use.
+/// True while a shard's fencing token should be announced: the shard was acquired long enough ago
+/// that its workers should have found the owner by themselves, but less than [`ANNOUNCE_FOR_MS`]
+/// ago.
 fn is_announcing(controller: &Controller, shard: ShardIndex, now: MonotonicMillis) -> bool {
     let owned_since = controller.owned_since.borrow().get(&shard).copied();
     let owned_ms = owned_since.map(|since| now.since(since));
@@ -75,8 +77,9 @@
 
 /// Machines of owned shards that have not shown their owner's fencing token.
 ///
-/// Those come first that were tried least lately: dozens of unreachable machines hold back none of
-/// the rest. Attempts at machines that have shown the token meanwhile are forgotten.
+/// Machines that were tried least recently come first, so that dozens of unreachable machines do
+/// not delay the others. Removes the entries in `last_attempts` of machines that have shown the
+/// token since.
 pub fn machines_with_stale_token(
     cluster: &ClusterState,
     config: &SchedulerConfig,
@@ -110,8 +113,10 @@
         .collect()
 }
 
-/// Raises the fencing token that a worker has seen. What it answers is no evidence: a response to
-/// an earlier heartbeat may still be on its way.
+/// Sends the owner's fencing token to a worker that has seen only a lower one.
+///
+/// The worker's response is not used as evidence about its tasks: a response to an earlier
+/// heartbeat, with commands, may still be on its way to the worker.
 async fn raise_token(stale: StaleTokenMachine) {
     let Some(worker) = fetch_status(&stale.addr).await else {
         return;
--- a/src/coordination/worker_connectivity/direct_commands.rs
+++ b/src/coordination/worker_connectivity/direct_commands.rs
@@ -1,19 +1,20 @@
-//! Requests to a worker: its status, and direct commands.
+//! HTTP requests to a worker: status queries and direct commands.
 
 use crate::protocol::workers::{DirectCommands, Heartbeat};
 use crate::transport::http::{Client, ClientResponse};
 use http_types::Method;
 
-/// Time that a worker has to respond.
+/// Timeout of a request to a worker.
 const RESPONSE_TIMEOUT_MS: u64 = 1500;
 
-/// A worker that has responded to a request for its status.
+/// A worker that has responded to a status query, with any status code.
 pub(crate) struct RespondingWorker {
     client: Client,
     response: ClientResponse,
 }
 
-/// Asks the worker at an address for its status; `None` if there is no response of any kind.
+/// Queries the status of the worker at an address; `None` if the address is invalid or there is no
+/// response of any kind.
 pub(crate) async fn fetch_status(addr: &str) -> Option<RespondingWorker> {
     let client = Client::new(addr.parse().ok()?);
     let response = client
@@ -34,8 +35,8 @@
         rmp_serde::from_slice(&self.response.body).ok()
     }
 
-    /// Sends direct commands. The response proves nothing and is dropped: its order relative to
-    /// the worker's heartbeats is unknown.
+    /// Sends direct commands. The response is ignored, because its order relative to the worker's
+    /// heartbeats is unknown, so that it proves nothing.
     pub(crate) async fn send(&self, commands: &DirectCommands) {
         if let Ok(body) = rmp_serde::to_vec_named(commands) {
             let sent = self
--- a/src/coordination/worker_connectivity/mod.rs
+++ b/src/coordination/worker_connectivity/mod.rs
@@ -1,13 +1,14 @@
-//! Direct connections from controllers to workers, beside the heartbeats that workers send.
+//! Connections from controllers to workers, in addition to the heartbeats that workers send.
 //!
-//! - [`announce_ownership`]: a new owner shows its fencing token to machines that still talk to an
-//!   older owner.
-//! - [`probes`]: whether workers reach this controller at all, and whether unreachable machines
-//!   can be reached after all.
-//! - `direct_commands`: the requests themselves, for these and for stops of cancelled tasks.
+//! - [`announce_ownership`]: a new owner sends its fencing token to workers that may still send
+//!   heartbeats to an older owner.
+//! - [`probes`]: checks whether any worker reaches this controller, and whether unreachable
+//!   machines can be reached again.
+//! - `direct_commands`: the HTTP requests for both of these and for stops of cancelled tasks.
 //!
-//! `cli` starts [`run`]. Invariant: what a worker answers here is no evidence about its tasks, and
-//! the connections are bounded in number by the controller, as the machine's sockets are.
+//! `cli` starts [`run`]. Invariant: responses of workers to these requests are no evidence about
+//! their tasks. The controller bounds the number of connections, since the sockets of its machine
+//! are limited.
 
 pub mod announce_ownership;
 pub(crate) mod direct_commands;
@@ -17,7 +18,7 @@
 use announce_ownership::OwnershipAnnouncer;
 use std::rc::Rc;
 
-/// Time between two rounds.
+/// Time between two rounds of the background task.
 const ROUND_INTERVAL_MS: u64 = 1000;
 
 /// Background task: announces ownership and probes workers.
--- a/src/coordination/worker_connectivity/probes.rs
+++ b/src/coordination/worker_connectivity/probes.rs
@@ -1,9 +1,9 @@
-//! Probes of workers: whether any worker reaches this controller, and whether machines that seem
-//! to receive nothing can be reached after all.
+//! Probes of workers: whether any worker reaches this controller, and whether machines marked as
+//! unreachable can be reached again.
 //!
-//! Called by each round of `worker_connectivity::run`. Machines become unreachable by
-//! `heartbeats::reachability`. Invariant: an unreachable machine takes no work, and is either
-//! reached again or quarantined, and so deleted, after a lease.
+//! Called by each round of `worker_connectivity::run`. `heartbeats::reachability` marks machines as
+//! unreachable. Invariant: an unreachable machine gets no tasks. Within the duration of a lease it
+//! is either reached again or quarantined, so that the autoscaler deletes it.
 
 use super::direct_commands::fetch_status;
 use crate::coordination::controller::{tasks, Controller};
@@ -14,20 +14,20 @@
 use crate::state::units::{millis_from_seconds, MonotonicMillis};
 use std::rc::Rc;
 
-/// Workers that are probed in one round when none has been heard for a while.
+/// Number of workers to probe per round while no worker has contacted this controller recently.
 const WORKERS_PER_PROBE: usize = 4;
 
-/// An unreachable machine that is to be asked for its status.
+/// An unreachable machine whose status is to be queried.
 #[derive(Clone, Debug)]
 pub struct ProbeTarget {
-    /// Machine.
+    /// Index of the machine.
     pub machine: MachineIndex,
-    /// Address of its worker.
+    /// Address of the machine's worker; empty if unknown.
     pub addr: String,
 }
 
-/// Asks a few workers for a response if none has been heard for a while. A controller that gets
-/// none is cut off from its workers, and gives its shards away.
+/// Probes a few workers if none has contacted this controller recently. A controller that gets no
+/// response is cut off from its workers, and hands its shards over.
 pub(super) fn probe_any_workers(controller: &Rc<Controller>) {
     let now = controller.now();
     if !controller.worker_probe_needed(now) {
@@ -55,7 +55,7 @@
     }
 }
 
-/// Asks the unreachable machines of owned shards for their status.
+/// Queries the status of the unreachable machines of owned shards.
 pub(super) fn probe_unreachable_machines(controller: &Rc<Controller>, now: MonotonicMillis) {
     let lease_ms = millis_from_seconds(controller.platform.settings.workers.lease_s);
     let targets = unreachable_machines(
@@ -72,8 +72,8 @@
     }
 }
 
-/// Unreachable machines of owned shards, to be probed. Those that have been unreachable for a
-/// lease are quarantined instead, and so deleted by the autoscaler.
+/// Unreachable machines of owned shards, to be probed. Those that have been unreachable for longer
+/// than a lease are quarantined instead, so that the autoscaler deletes them.
 pub fn unreachable_machines(
     cluster: &mut ClusterState,
     config: &SchedulerConfig,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Probes an unreachable machine, which takes part again once it responds.
+/// Probes an unreachable machine, and marks it as reachable if it responds with success.
 async fn probe_machine(controller: Rc<Controller>, target: ProbeTarget) {
     let worker = fetch_status(&target.addr).await;
     if !worker.is_some_and(|worker| worker.is_ok()) {
