--- a/src/coordination/heartbeats/receive.rs
+++ b/src/coordination/heartbeats/receive.rs
@@ -64,8 +64,8 @@
     let seen = heartbeat.fencing_token;
     if seen > fencing_token {
         log::info!(
-            "heartbeat refused after a higher fencing token: machine={} fencing_token={seen} \
-             own_fencing_token={fencing_token}",
+            "heartbeat refused, worker has seen a higher fencing token: machine={} \
+             fencing_token={seen} own_fencing_token={fencing_token}",
             heartbeat.machine
         );
         return HeartbeatOutcome::StaleFencingToken { shard, seen };
--- a/src/coordination/kv/watch.rs
+++ b/src/coordination/kv/watch.rs
@@ -102,7 +102,7 @@
     answer: &ClientResponse,
 ) -> bool {
     let Ok(changes) = rmp_serde::from_slice::<Changes>(&answer.body) else {
-        log::warn!("unreadable answer to a watch: revision={from}");
+        log::warn!("malformed watch response: revision={from}");
         return false;
     };
     {
