--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -1,4 +1,5 @@
-//! Cancellations during faults: what is broadcast, stopped and proven, and within which time.
+//! Cancellations during faults: their exchange between controllers, and the deadline by which no
+//! task of a cancelled job may run.
 
 mod support;
 
@@ -22,7 +23,7 @@
     assert!(cluster.runs("job-2"), "the outage cost other work");
     recover(&mut cluster);
     cluster.assert_no_violations();
-    // All of it once more.
+    // The same sequence again, with a new job.
     assert!(cluster.submit(other, job("job-3", 6)));
     cluster.run_for(6000);
     assert!(cluster.runs("job-3"));
@@ -69,7 +70,7 @@
     let (mut cluster, leader, other) = two_long_jobs();
     cluster.controller_faults[leader].kv_refused = true;
     cluster.run_for(1000);
-    // Partitioned from all others, it confirms, and stops.
+    // A controller that is isolated from its peers confirms a cancellation, and stops right after.
     cluster.controller_faults[other].isolated_from_peers = true;
     assert!(cluster.cancel(other, "job-1"));
     cluster.stop_controller(other);
@@ -89,7 +90,7 @@
     cluster.run_for(1000);
     cluster.controller_faults[other].isolated_from_peers = true;
     assert!(cluster.cancel(other, "job-1"));
-    // It is back at once and reaches its peers, but the key-value store is unavailable to all.
+    // It restarts immediately and reaches its peers, but no controller reaches the key-value store.
     cluster.stop_controller(other);
     cluster.kv_outage = true;
     cluster.start_controller_without_records(other);
@@ -154,7 +155,7 @@
     }
     assert!(cluster.submit(1, job("job-2", 2)));
     cluster.run_for(4000);
-    // The claims are executed late, and their starts get no response.
+    // The store executes the claims late, and direct starts get no response.
     assert!(cluster.submit(0, job("job-1", 6)));
     cluster.store.execution_delay_ms = Some(3000);
     cluster.run_for(1500);
@@ -202,7 +203,7 @@
     controller.cluster.put_job("job-1", before + 1, &rec);
     assert_eq!(controller.job("job-1").state, JobState::Cancelled);
     assert_eq!(controller.job("job-1").version, before + 1);
-    // A job whose record was not read here yet.
+    // A job whose record this controller has not read yet.
     assert!(controller.cluster.learn_cancelled("job-77"));
     assert!(!controller.cluster.learn_cancelled("job-77"));
     controller.cluster.put_job("job-77", 1, &rec);
@@ -321,7 +322,7 @@
     for delay in 0..12 {
         let (mut cluster, leader, other) = two_long_jobs();
         cluster.stop_controller(leader);
-        // At any moment of the failover, and of the handover back.
+        // The delays cover all phases of the failover, and of the handover back.
         cluster.run_for(delay * 1000);
         let third = 3 - leader - other;
         assert!(cluster.cancel(if delay % 2 == 0 { other } else { third }, "job-1"));
@@ -381,7 +382,7 @@
     let controller =
         pointhook::coordination::cancellations::direct_stops::stop_commands(&status, &left)
             .unwrap();
-    // Under the worker's own fencing token: ownership does not change.
+    // It has the worker's own fencing token, so ownership does not change.
     assert_eq!(
         (
             controller.fencing_token,
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -1,5 +1,5 @@
-//! Heartbeats: delayed and duplicate ones prove nothing, and only lease expiry frees the tasks of a
-//! silent machine.
+//! Heartbeats: delayed and duplicate ones prove nothing, and the tasks of a silent machine are
+//! restarted only after its lease has expired.
 
 mod support;
 
@@ -30,7 +30,8 @@
         controller.exchange_heartbeat(&mut store, &mut worker2, now);
         assert!(worker2.started.is_empty(), "started elsewhere at {now}");
     }
-    // Lease, clock drift and margin after the last response.
+    // By now the lease, the allowance for clock drift and the margin have passed since the last
+    // response.
     run_heartbeats(
         &mut controller,
         &mut store,
@@ -56,7 +57,7 @@
     let mut worker2 = FakeWorker::new("m2", "north", 0);
     run_heartbeats(&mut next, &mut store, &mut [&mut worker2], 1500, 60_000);
     assert!(worker2.started.is_empty());
-    // The deletion of the machine by the cloud does.
+    // Proof is the deletion of the machine by the cloud.
     let machine = next
         .cluster
         .learn_machine("m1", "oven", "north", true, MonotonicMillis(60_000))
@@ -126,7 +127,7 @@
         .heartbeat
         .last_seen
         .unwrap();
-    // The heartbeat waits in a socket while the response to a direct command is read.
+    // The heartbeat is still in a socket buffer while the response to a direct command is read.
     let late = worker.heartbeat(9000);
     let newer = worker.heartbeat(9100);
     let machine = controller.machine("m1");
@@ -165,7 +166,7 @@
     controller.exchange_heartbeat(&mut store, &mut worker, 1000);
     controller.exchange_heartbeat(&mut store, &mut worker, 2000);
     assert!(worker.has_task("job-1/0"));
-    // A duplicate of the heartbeat from before the start, well over a lease later.
+    // A duplicate of the heartbeat from before the start arrives much more than a lease later.
     run_heartbeats(
         &mut controller,
         &mut store,
@@ -240,7 +241,7 @@
         None
     );
     assert!(new.draft_plan(40_000).claims.is_empty());
-    // Heartbeats of the machine itself, once it has the new fencing token, count, and it gets work.
+    // Heartbeats of a live machine under the new fencing token do count, and it gets tasks.
     let mut alive = FakeWorker::new("m2", "north", 40_000);
     new.exchange_heartbeat(&mut store, &mut alive, 40_000);
     assert_eq!(alive.started.len(), 1);
--- a/tests/http_api.rs
+++ b/tests/http_api.rs
@@ -1,4 +1,4 @@
-//! Malformed input at each door, records, frames and settings.
+//! Malformed input from users, workers, peers, the key-value store and settings files.
 
 mod support;
 
@@ -45,7 +45,7 @@
     }
     assert_eq!(parse_job(b""), None);
     assert_eq!(parse_job(&[0xc1]), None);
-    // A list of the same values is not a map.
+    // A job encoded as an array of its values, not as a map, is malformed.
     assert_eq!(
         parse_job(&rmp_serde::to_vec(&job("job-1", 1)).unwrap()),
         None
--- a/tests/kv_consistency.rs
+++ b/tests/kv_consistency.rs
@@ -1,4 +1,5 @@
-//! Reads, watches and writes of the key-value store: no stale record wins, no write is applied twice.
+//! Reads, watches and writes of the key-value store: stale records don't replace newer ones, and no
+//! write is applied twice.
 
 mod support;
 
@@ -48,7 +49,8 @@
     let dead = SimulatedController::start("s1", 2, &mut store, 0);
     controller.sync(&store);
     assert!(controller.cluster.controllers.contains_key("s1"));
-    // It misses hundreds of changes in a partition, one of them the other's stop.
+    // During a partition the controller misses hundreds of changes, among them the stop of another
+    // controller.
     store.revoke_lease(dead.lease);
     let mut other = SimulatedController::start("s2", 3, &mut store, 0);
     for i in 0..200 {
@@ -125,7 +127,7 @@
     assert_eq!(controller.job("job-1").version, accepted);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 500, 12_000);
     assert_eq!(controller.job("job-1").state, JobState::Done);
-    // A repeated start after the end of a job has no placement that it could refer to.
+    // After the job has ended there is no placement left, so no start is sent again.
     let machine = controller.machine("m1");
     assert!(commands::heartbeat_commands(
         &mut controller.cluster,
--- a/tests/machine_quarantine.rs
+++ b/tests/machine_quarantine.rs
@@ -1,4 +1,4 @@
-//! Quarantined and cordoned machines, and whose status updates count.
+//! Quarantined and cordoned machines, and status updates from owners and other controllers.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use support::simulated_controller::{run_heartbeats, start_single_controller, SimulatedController};
 use support::worker::FakeWorker;
 
-/// What an owner broadcasts of a machine that was silent for this long.
+/// An owner's status update on a machine that has been silent for this long.
 fn machine_status(name: &str, silent_ms: u64) -> MachineStatus {
     MachineStatus {
         name: name.into(),
@@ -91,7 +91,7 @@
         vec![machine_status("m1", 0)],
         MonotonicMillis(30_000),
     );
-    // The deposed owner has had no heartbeat of the machine for a long time.
+    // The previous owner has received no heartbeat of the machine for a long time.
     status_updates::apply_machine_statuses(
         &mut third.cluster,
         &third.config,
@@ -133,7 +133,7 @@
     new.submit(&mut store, job("job-1", 1), 5000);
     run_heartbeats(&mut new, &mut store, &mut [&mut worker], 5500, 8000);
     assert!(worker.has_task("job-1/0"));
-    // What the owner itself cordoned, to scale it in, stays cordoned.
+    // A machine that the owner itself has cordoned, in order to delete it, stays cordoned.
     new.cluster.machine_mut(machine).unwrap().decisions.cordoned = true;
     run_heartbeats(&mut new, &mut store, &mut [&mut worker], 8000, 10_000);
     assert!(!new
--- a/tests/worker_reachability.rs
+++ b/tests/worker_reachability.rs
@@ -1,4 +1,4 @@
-//! Worker reachability: machines that receive nothing, and controllers that no worker reaches.
+//! Worker reachability: machines that receive no responses, and controllers that no worker reaches.
 
 mod support;
 
@@ -19,7 +19,7 @@
     let mut deaf = FakeWorker::new("m1", "north", 0);
     controller.exchange_heartbeat(&mut store, &mut deaf, 0);
     controller.submit(&mut store, job("job-1", 1), 100);
-    // Its heartbeats arrive, the responses do not.
+    // Its heartbeats arrive, but the responses are lost.
     for now in (500..4000).step_by(500) {
         let heartbeat = deaf.heartbeat(now);
         controller
@@ -112,7 +112,7 @@
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 12_000);
-    // No controller answers for longer than its lease; then all is as before.
+    // No controller answers the worker for longer than a lease, after which responses resume.
     worker.advance(30_000);
     run_heartbeats(
         &mut controller,
@@ -134,7 +134,8 @@
 #[test]
 fn worker_reachability_is_doubted_then_lost_and_regained_after_a_delay() {
     let mut worker_contact = WorkerReachability::new(30_000);
-    // The first machine comes up late; until a while after that nothing is decided.
+    // The first machine starts late. The controller counts as reachable until the time limit has
+    // passed after that.
     assert!(worker_contact.update(false, None, MonotonicMillis(90_000)));
     assert!(worker_contact.update(true, None, MonotonicMillis(99_000)));
     worker_contact.record_contact(MonotonicMillis(100_000));
@@ -143,7 +144,7 @@
             && worker_contact.probe_needed(MonotonicMillis(106_000))
     );
     assert!(worker_contact.update(true, None, MonotonicMillis(109_000)));
-    // Without machines no heartbeats are expected, and a process pause is no silence.
+    // Without machines no heartbeats are expected, and the time of a process pause does not count.
     assert!(worker_contact
         .clone()
         .update(false, None, MonotonicMillis(111_000)));
@@ -167,7 +168,7 @@
         (south, counts(300, 280)),
         (east, counts(4, 4)),
     ]);
-    // A tenth of a zone, or all of a handful of machines, may well have failed.
+    // If a tenth of a zone, or all of very few machines, are silent, these may really have failed.
     assert!(autoscaler::partitioned_zones(&counts)
         .into_iter()
         .eq([south]));
