--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -20,7 +20,7 @@
     refuse_leader_then_all(&mut cluster, leader, other, "job-1");
     cluster.run_for(CANCEL_MS);
     assert!(!cluster.runs("job-1"));
-    assert!(cluster.runs("job-2"), "the outage cost other work");
+    assert!(cluster.runs("job-2"), "the outage stopped another job");
     recover(&mut cluster);
     cluster.assert_no_violations();
     // The same sequence again, with a new job.
@@ -48,14 +48,14 @@
 }
 
 #[test]
-fn an_isolated_leader_renews_no_lease_for_longer_than_cancellations_allow() {
+fn an_isolated_leader_renews_no_lease_for_longer_than_the_cancellation_deadline_allows() {
     let (mut cluster, leader, other) = two_long_jobs();
     cluster.controller_faults[leader].kv_refused = true;
     cluster.controller_faults[leader].isolated_from_peers = true;
     cluster.run_for(1000);
     // Other controllers can't reach the leader's machines, which go on sending heartbeats to it.
-    for h in &mut cluster.machines {
-        h.faults.drops_command_responses = true;
+    for machine in &mut cluster.machines {
+        machine.faults.drops_command_responses = true;
     }
     assert!(cluster.cancel(other, "job-1"));
     cluster.kv_outage = true;
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_controller_that_stops_right_after_confirming_leaves_its_peers_in_doubt_only() {
+fn a_cancellation_confirmed_by_a_controller_that_then_stops_is_carried_out_in_time() {
     let (mut cluster, leader, other) = two_long_jobs();
     cluster.controller_faults[leader].kv_refused = true;
     cluster.run_for(1000);
@@ -106,40 +106,42 @@
 
 #[test]
 fn a_cancellation_is_carried_out_in_time_on_machines_that_lose_messages_or_freeze() {
-    for faults in 0..3 {
+    for fault_kind in 0..3 {
         let (mut cluster, leader, other) = two_long_jobs();
-        let machine = cluster
+        let machine_index = cluster
             .machines
             .iter()
-            .position(|h| h.worker.has_task("job-1/0"));
-        let h = &mut cluster.machines[machine.unwrap()];
-        match faults {
-            0 => h.faults.drops_incoming = true,
-            1 => h.faults.drops_heartbeats = true,
-            _ => h.faults.frozen = true,
+            .position(|machine| machine.worker.has_task("job-1/0"))
+            .unwrap();
+        let machine = &mut cluster.machines[machine_index];
+        match fault_kind {
+            0 => machine.faults.drops_incoming = true,
+            1 => machine.faults.drops_heartbeats = true,
+            _ => machine.faults.frozen = true,
         }
         refuse_leader_then_all(&mut cluster, leader, other, "job-1");
         cluster.run_for(LEASE_MS / 2);
-        cluster.machines[machine.unwrap()].faults.frozen = false;
+        cluster.machines[machine_index].faults.frozen = false;
         cluster.run_for(CANCEL_MS - LEASE_MS / 2);
         cluster.assert_nothing_runs_of("job-1");
-        cluster.machines[machine.unwrap()].faults = Default::default();
+        cluster.machines[machine_index].faults = Default::default();
         recover(&mut cluster);
         cluster.assert_no_violations();
     }
 }
 
 #[test]
-fn a_machine_whose_heartbeats_are_lost_is_stopped_by_any_controller_that_knows() {
+fn any_controller_that_knows_a_cancellation_stops_tasks_on_a_machine_with_lost_heartbeats() {
     let (mut cluster, leader, other) = two_long_jobs();
-    let machine = cluster
+    let machine_index = cluster
         .machines
         .iter()
-        .position(|h| h.worker.has_task("job-1/0"));
-    let machine = machine.unwrap();
-    // Its lease is far longer than the time for cancellations, so that nothing else ends it.
-    cluster.machines[machine].worker.lease_ms = 10 * CANCEL_MS;
-    cluster.machines[machine].faults.drops_heartbeats = true;
+        .position(|machine| machine.worker.has_task("job-1/0"))
+        .unwrap();
+    // The lease is far longer than the cancellation deadline, so that its expiry can't stop the
+    // task in time.
+    cluster.machines[machine_index].worker.lease_ms = 10 * CANCEL_MS;
+    cluster.machines[machine_index].faults.drops_heartbeats = true;
     cluster.stop_controller(leader);
     assert!(cluster.cancel(other, "job-1"));
     cluster.run_for(CANCEL_MS);
@@ -147,11 +149,11 @@
 }
 
 #[test]
-fn a_cancellation_meets_a_claim_in_flight_and_an_unanswered_direct_start() {
+fn a_cancellation_stops_tasks_with_a_late_claim_and_an_unanswered_direct_start() {
     let mut cluster = SimulatedCluster::new(4);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 200_000;
-        h.faults.drops_command_responses = true;
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 200_000;
+        machine.faults.drops_command_responses = true;
     }
     assert!(cluster.submit(1, job("job-2", 2)));
     cluster.run_for(4000);
@@ -186,7 +188,7 @@
 }
 
 #[test]
-fn a_gossiped_cancellation_outlives_older_records() {
+fn a_cancellation_learned_from_a_peer_overrides_open_records() {
     let (mut cluster, leader, other) = two_long_jobs();
     cluster.controller_faults[leader].kv_refused = true;
     cluster.run_for(500);
@@ -195,18 +197,18 @@
     let controller = cluster.controller(leader);
     assert_eq!(controller.job("job-1").state, JobState::Cancelled);
     assert_eq!(controller.job("job-1").version, before);
-    // A newer record that is still open, from a read that began before.
-    let rec = pointhook::state::job::JobRecord {
+    // A newer record that is still open, from a read that began before the cancellation.
+    let record = pointhook::state::job::JobRecord {
         state: JobState::Open,
         ..controller.cluster.record(&controller.job("job-1").clone())
     };
-    controller.cluster.put_job("job-1", before + 1, &rec);
+    controller.cluster.put_job("job-1", before + 1, &record);
     assert_eq!(controller.job("job-1").state, JobState::Cancelled);
     assert_eq!(controller.job("job-1").version, before + 1);
     // A job whose record this controller has not read yet.
     assert!(controller.cluster.learn_cancelled("job-77"));
     assert!(!controller.cluster.learn_cancelled("job-77"));
-    controller.cluster.put_job("job-77", 1, &rec);
+    controller.cluster.put_job("job-77", 1, &record);
     assert_eq!(controller.job("job-77").state, JobState::Cancelled);
     assert!(controller
         .cluster
@@ -217,36 +219,36 @@
 #[test]
 fn watermark_advances_to_reads_and_to_what_all_peers_have_attested() {
     let at = MonotonicMillis;
-    let mut k = CancellationWatermark::new(2, at(100));
-    assert_eq!(k.complete_until(at(5)), None);
-    k.record_read(at(1000));
-    assert_eq!(k.complete_until(at(2000)), Some(at(1000)));
-    // One peer alone attests nothing but its own read.
-    k.record_attestation(0, at(3000), at(3010), 60_000, None);
-    assert_eq!(k.complete_until(at(4000)), Some(at(1000)));
-    k.record_attestation(0, at(3000), at(3010), 60_000, Some(1500));
-    assert_eq!(k.complete_until(at(4000)), Some(at(1498)));
-    // Both have attested: complete up to when the first of them was asked.
-    k.record_attestation(1, at(3500), at(3510), 60_000, None);
-    assert_eq!(k.complete_until(at(4000)), Some(at(3000)));
-    // One restarts after that and can't attest what it confirmed before.
-    k.record_attestation(0, at(6000), at(6010), 500, None);
-    k.record_attestation(1, at(6000), at(6010), 60_000, None);
-    assert_eq!(k.complete_until(at(7000)), Some(at(3000)));
-    // A read later than its start makes up for that.
-    k.record_read(at(5600));
-    assert_eq!(k.complete_until(at(7000)), Some(at(6000)));
-    // Answers that cross take nothing back.
-    k.record_attestation(0, at(5000), at(7000), 90_000, None);
-    assert_eq!(k.complete_until(at(7000)), Some(at(6000)));
-    // What another knows of the time before this process began says nothing of what this controller
-    // confirmed itself before it restarted.
-    let mut k = CancellationWatermark::new(1, at(5000));
-    k.record_attestation(0, at(6000), at(6001), 60_000, Some(2000));
-    assert_eq!(k.complete_until(at(7000)), None);
-    k.record_attestation(0, at(8000), at(8001), 60_000, Some(2000));
-    assert_eq!(k.complete_until(at(9000)), Some(at(8000)));
-    // A controller without peers confirms everything itself.
+    let mut watermark = CancellationWatermark::new(2, at(100));
+    assert_eq!(watermark.complete_until(at(5)), None);
+    watermark.record_read(at(1000));
+    assert_eq!(watermark.complete_until(at(2000)), Some(at(1000)));
+    // The attestation of a single peer counts only for its watermark, not for the request time.
+    watermark.record_attestation(0, at(3000), at(3010), 60_000, None);
+    assert_eq!(watermark.complete_until(at(4000)), Some(at(1000)));
+    watermark.record_attestation(0, at(3000), at(3010), 60_000, Some(1500));
+    assert_eq!(watermark.complete_until(at(4000)), Some(at(1498)));
+    // Both peers have attested, so the set is complete up to the earlier of the two request times.
+    watermark.record_attestation(1, at(3500), at(3510), 60_000, None);
+    assert_eq!(watermark.complete_until(at(4000)), Some(at(3000)));
+    // One peer restarts after that, and can't attest what it confirmed before.
+    watermark.record_attestation(0, at(6000), at(6010), 500, None);
+    watermark.record_attestation(1, at(6000), at(6010), 60_000, None);
+    assert_eq!(watermark.complete_until(at(7000)), Some(at(3000)));
+    // A read that began after that restart supplies what the peer can't attest.
+    watermark.record_read(at(5600));
+    assert_eq!(watermark.complete_until(at(7000)), Some(at(6000)));
+    // A response to an older request that arrives late does not lower the watermark.
+    watermark.record_attestation(0, at(5000), at(7000), 90_000, None);
+    assert_eq!(watermark.complete_until(at(7000)), Some(at(6000)));
+    // A peer's watermark from before the start of this process does not cover what this controller
+    // itself confirmed before its restart.
+    let mut watermark = CancellationWatermark::new(1, at(5000));
+    watermark.record_attestation(0, at(6000), at(6001), 60_000, Some(2000));
+    assert_eq!(watermark.complete_until(at(7000)), None);
+    watermark.record_attestation(0, at(8000), at(8001), 60_000, Some(2000));
+    assert_eq!(watermark.complete_until(at(9000)), Some(at(8000)));
+    // A controller without peers makes all confirmations itself.
     assert_eq!(
         CancellationWatermark::new(0, at(0)).complete_until(at(9)),
         Some(at(9))
@@ -262,13 +264,13 @@
         gang_peer_s: 8.0,
         cancel_s,
     };
-    let cluster = workers(30.0, 55.0);
-    assert!(cluster.warning().is_none());
-    assert!((23_000..24_000).contains(&cluster.renew_ms()));
-    // A lease that leaves no time for cancellations: a warning, and work still runs.
-    let cluster = workers(30.0, 30.0);
-    assert!(cluster.warning().unwrap().to_string().contains("cancel_s"));
-    assert!(cluster.renew_ms() > 6000);
+    let settings = workers(30.0, 55.0);
+    assert!(settings.warning().is_none());
+    assert!((23_000..24_000).contains(&settings.renew_ms()));
+    // A lease that leaves no time for cancellations causes a warning, but work still runs.
+    let settings = workers(30.0, 30.0);
+    assert!(settings.warning().unwrap().to_string().contains("cancel_s"));
+    assert!(settings.renew_ms() > 6000);
     let (lease_s, cancel_s) = (LEASE_MS as f64 / 1000.0, CANCEL_MS as f64 / 1000.0);
     assert_eq!(workers(lease_s, cancel_s).renew_ms(), RENEW_MS);
 }
@@ -295,21 +297,21 @@
 }
 
 #[test]
-fn a_zone_partitioned_with_its_controller_keeps_its_work_only_while_cancellations_allow() {
+fn a_zone_partitioned_with_its_controller_runs_cancelled_tasks_no_longer_than_the_deadline() {
     let (mut cluster, ..) = two_long_jobs();
     // The southern zone is partitioned from the rest and from the key-value store.
     cluster.controller_faults[2].isolated_from_peers = true;
     cluster.controller_faults[2].kv_refused = true;
-    for h in &mut cluster.machines {
-        h.partitioned = true;
+    for machine in &mut cluster.machines {
+        machine.partitioned = true;
     }
     cluster.run_for(4000);
     assert!(cluster.cancel(0, "job-1"));
     cluster.run_for(CANCEL_MS);
     cluster.assert_nothing_runs_of("job-1");
-    for h in &mut cluster.machines {
-        h.partitioned = false;
-        h.worker.run_ms = 10_000;
+    for machine in &mut cluster.machines {
+        machine.partitioned = false;
+        machine.worker.run_ms = 10_000;
     }
     recover(&mut cluster);
     cluster.run_for(300_000);
@@ -340,21 +342,21 @@
 fn a_cancellation_concurrent_with_the_last_completion_has_one_outcome() {
     for delay in 0..14 {
         let mut cluster = SimulatedCluster::new(2);
-        for h in &mut cluster.machines {
-            h.worker.run_ms = 2000;
+        for machine in &mut cluster.machines {
+            machine.worker.run_ms = 2000;
         }
         assert!(cluster.submit(0, job("job-1", 1)));
         cluster.run_for(1000 + delay * 500);
         let cancelled = cluster.cancel(1, "job-1");
-        for at in 0..3 {
-            let word = cluster.query_status(at, "job-1").unwrap();
-            assert_eq!(word == "aborted", cancelled);
+        for controller_index in 0..3 {
+            let status = cluster.query_status(controller_index, "job-1").unwrap();
+            assert_eq!(status == "aborted", cancelled);
         }
         assert!(!cluster.submit(2, job("job-1", 1)));
         cluster.run_for(8000);
-        for at in 0..3 {
-            let word = cluster.query_status(at, "job-1").unwrap();
-            assert_eq!(word, if cancelled { "aborted" } else { "done" });
+        for controller_index in 0..3 {
+            let status = cluster.query_status(controller_index, "job-1").unwrap();
+            assert_eq!(status, if cancelled { "aborted" } else { "done" });
         }
         cluster.assert_no_violations();
     }
@@ -378,21 +380,21 @@
         shown("job-1/1", TaskState::Exited),
         shown("job-2/0", TaskState::Running),
     ];
-    let left: Vec<_> = (0..3).map(|t| (format!("job-1/{t}"), 2)).collect();
-    let controller =
-        pointhook::coordination::cancellations::direct_stops::stop_commands(&status, &left)
+    let cancelled: Vec<_> = (0..3).map(|task| (format!("job-1/{task}"), 2)).collect();
+    let direct_stop =
+        pointhook::coordination::cancellations::direct_stops::stop_commands(&status, &cancelled)
             .unwrap();
     // It has the worker's own fencing token, so ownership does not change.
     assert_eq!(
         (
-            controller.fencing_token,
-            controller.agent_epoch,
-            controller.commands.len()
+            direct_stop.fencing_token,
+            direct_stop.agent_epoch,
+            direct_stop.commands.len()
         ),
         (FencingToken(7), AgentEpoch(3), 1)
     );
     assert!(
-        matches!(&controller.commands[0], Command::Stop { task, grace_s, .. } if task == "job-1/0" && *grace_s == 0.0)
+        matches!(&direct_stop.commands[0], Command::Stop { task, grace_s, .. } if task == "job-1/0" && *grace_s == 0.0)
     );
     // Other attempts are not affected.
     let other = [("job-1/0".to_string(), 1)];
@@ -406,16 +408,16 @@
 fn an_owner_without_recent_reads_starts_nothing() {
     let (mut cluster, leader, other) = {
         let mut cluster = SimulatedCluster::new(4);
-        for h in &mut cluster.machines {
-            h.worker.run_ms = 60_000;
-            h.faults.drops_heartbeats = true;
+        for machine in &mut cluster.machines {
+            machine.worker.run_ms = 60_000;
+            machine.faults.drops_heartbeats = true;
         }
         cluster.run_for(1000);
         (cluster, 0, 1)
     };
-    // Claimed by its owner, which reaches no machine and then no peer.
-    for h in &mut cluster.machines {
-        h.faults.drops_incoming = true;
+    // The owner claims the tasks while it reaches no machine, and then loses its peers too.
+    for machine in &mut cluster.machines {
+        machine.faults.drops_incoming = true;
     }
     assert!(cluster.submit(other, job("job-1", 4)));
     cluster.run_for(1500);
@@ -424,13 +426,13 @@
         .job("job-1")
         .placements
         .is_empty());
-    for t in &mut cluster.controller_faults {
-        t.kv_refused = true;
-        t.isolated_from_peers = true;
+    for faults in &mut cluster.controller_faults {
+        faults.kv_refused = true;
+        faults.isolated_from_peers = true;
     }
     cluster.run_for(7000);
-    for h in &mut cluster.machines {
-        h.faults = Default::default();
+    for machine in &mut cluster.machines {
+        machine.faults = Default::default();
     }
     cluster.run_for(2500);
     assert_eq!(cluster.start_count(), 0);
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -93,23 +93,23 @@
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     controller.submit(&mut store, job("job-1", 1), 0);
-    let held = worker.heartbeat(0);
+    let delayed = worker.heartbeat(0);
     controller.exchange_heartbeat(&mut store, &mut worker, 100);
     controller.exchange_heartbeat(&mut store, &mut worker, 1000);
     assert!(worker.has_task("job-1/0"));
     let before = controller.job("job-1").clone();
-    let a = controller
-        .receive_heartbeat(&mut store, &held, 8000)
+    let response = controller
+        .receive_heartbeat(&mut store, &delayed, 8000)
         .unwrap();
-    assert!(a.commands.is_empty());
+    assert!(response.commands.is_empty());
     assert_eq!(controller.job("job-1").placements, before.placements);
-    let heard = controller
+    let last_seen = controller
         .cluster
         .machine(controller.machine("m1"))
         .unwrap()
         .heartbeat
         .last_seen;
-    assert_eq!(heard, Some(MonotonicMillis(1000)));
+    assert_eq!(last_seen, Some(MonotonicMillis(1000)));
 }
 
 #[test]
@@ -120,7 +120,7 @@
     controller.submit(&mut store, job("job-1", 1), 0);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 1500);
     let job_index = controller.job_index("job-1");
-    let heard = controller
+    let last_seen = controller
         .cluster
         .machine(controller.machine("m1"))
         .unwrap()
@@ -141,10 +141,13 @@
     assert!(controller
         .receive_heartbeat(&mut store, &late, 9200)
         .is_some());
-    let over = heard.plus(controller.config.lease_expiry_ms + 10).0;
+    let lease_end = last_seen.plus(controller.config.lease_expiry_ms + 10).0;
     assert!(
-        !controller.draft_plan(over).jobs.contains_key(&job_index),
-        "answered since"
+        !controller
+            .draft_plan(lease_end)
+            .jobs
+            .contains_key(&job_index),
+        "a later response has renewed the lease"
     );
     assert!(controller
         .draft_plan(9200 + controller.config.lease_expiry_ms + 10)
@@ -158,9 +161,9 @@
     let mut worker = FakeWorker::new("m1", "north", 0);
     worker.run_ms = 60_000;
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
-    let empty = worker.heartbeat(100);
+    let without_tasks = worker.heartbeat(100);
     controller
-        .receive_heartbeat(&mut store, &empty, 100)
+        .receive_heartbeat(&mut store, &without_tasks, 100)
         .unwrap();
     controller.submit(&mut store, job("job-1", 1), 200);
     controller.exchange_heartbeat(&mut store, &mut worker, 1000);
@@ -174,16 +177,16 @@
         2500,
         30_000,
     );
-    let heard = controller
+    let last_seen = controller
         .cluster
         .machine(controller.machine("m1"))
         .unwrap()
         .heartbeat
         .last_seen;
-    let answer = controller
-        .receive_heartbeat(&mut store, &empty, 30_000)
+    let response = controller
+        .receive_heartbeat(&mut store, &without_tasks, 30_000)
         .unwrap();
-    assert!(answer.commands.is_empty());
+    assert!(response.commands.is_empty());
     assert_eq!(
         controller
             .cluster
@@ -191,7 +194,7 @@
             .unwrap()
             .heartbeat
             .last_seen,
-        heard
+        last_seen
     );
     assert_eq!(controller.job("job-1").placements.len(), 1);
 }
@@ -206,11 +209,11 @@
         .receive_heartbeat(&mut store, &heartbeat, 500)
         .unwrap();
     controller.submit(&mut store, job("job-1", 1), 600);
-    // The duplicate comes first after the claim: nobody receives its response.
-    let answer = controller
+    // The duplicate is the first heartbeat after the claim, and no worker receives its response.
+    let response = controller
         .receive_heartbeat(&mut store, &heartbeat, 700)
         .unwrap();
-    assert!(answer.commands.is_empty());
+    assert!(response.commands.is_empty());
     assert!(controller
         .cluster
         .machine(controller.machine("m1"))
@@ -224,17 +227,16 @@
 
 #[test]
 fn a_delayed_heartbeat_after_failover_is_no_sign_of_life() {
-    let (mut store, old) = start_single_controller();
-    let mut old = old;
+    let (mut store, mut old) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     old.exchange_heartbeat(&mut store, &mut worker, 0);
-    let copy = worker.heartbeat(100);
+    let delayed = worker.heartbeat(100);
     store.revoke_lease(old.lease);
     let mut new = SimulatedController::start("s1", 2, &mut store, 200);
     new.apply_membership_moves(&mut store, 200);
     new.submit(&mut store, job("job-1", 1), 300);
-    // The machine was deleted long ago; only duplicates of its heartbeats still arrive.
-    new.receive_heartbeat(&mut store, &copy, 40_000).unwrap();
+    // The machine was deleted long ago; only delayed heartbeats of it still arrive.
+    new.receive_heartbeat(&mut store, &delayed, 40_000).unwrap();
     let machine = new.machine("m1");
     assert_eq!(
         new.cluster.machine(machine).unwrap().heartbeat.last_seen,
@@ -252,37 +254,43 @@
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
-    let copy = worker.heartbeat(100);
+    let delayed = worker.heartbeat(100);
     let machine = controller.machine("m1");
     controller.cluster.mark_deleted(machine);
     controller.submit(&mut store, job("job-1", 1), 200);
     assert!(controller
-        .receive_heartbeat(&mut store, &copy, 20_000)
+        .receive_heartbeat(&mut store, &delayed, 20_000)
         .is_none());
     assert!(controller.draft_plan(20_000).claims.is_empty());
 }
 
 #[test]
 fn a_controller_does_not_count_its_own_pause_as_silence_of_machines() {
-    let (mut store, mut c) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
-    c.exchange_heartbeat(&mut store, &mut worker, 0);
-    let m = c.cluster.machine(c.machine("m1")).unwrap();
-    // It owned the shard from the start, and was paused from 1 s to 40 s.
-    let (owned, woke) = (Some(MonotonicMillis(0)), Some(MonotonicMillis(40_000)));
+    controller.exchange_heartbeat(&mut store, &mut worker, 0);
+    let machine = controller
+        .cluster
+        .machine(controller.machine("m1"))
+        .unwrap();
+    let last_seen = machine.heartbeat.last_seen;
+    let discovered_at = machine.discovered_at;
+    // The controller owned the shard from the start, and was paused from 1 s to 40 s.
+    let owned_since = Some(MonotonicMillis(0));
+    let resumed_at = Some(MonotonicMillis(40_000));
     let now = MonotonicMillis(41_000);
     assert_eq!(
-        status_updates::silence_ms(m.heartbeat.last_seen, m.discovered_at, owned, now),
+        status_updates::silence_ms(last_seen, discovered_at, owned_since, now),
         41_000
     );
     assert_eq!(
         status_updates::silence_ms(
-            m.heartbeat.last_seen,
-            m.discovered_at,
-            clock::observing_since(owned, woke),
+            last_seen,
+            discovered_at,
+            clock::observing_since(owned_since, resumed_at),
             now
         ),
         1000
     );
-    assert_eq!(clock::observing_since(owned, None), owned);
+    assert_eq!(clock::observing_since(owned_since, None), owned_since);
 }
--- a/tests/http_api.rs
+++ b/tests/http_api.rs
@@ -24,7 +24,7 @@
 
 #[test]
 fn malformed_jobs_are_refused() {
-    let change: [fn(&mut JobSpec); 12] = [
+    let changes: [fn(&mut JobSpec); 12] = [
         |j| j.id = "task-1".into(),
         |j| j.id = "job-".into(),
         |j| j.id = "job-1/../2".into(),
@@ -38,10 +38,10 @@
         |j| j.team = String::new(),
         |j| j.image = "x".repeat(1000),
     ];
-    for (i, f) in change.iter().enumerate() {
+    for (index, make_invalid) in changes.iter().enumerate() {
         let mut spec = job("job-1", 1);
-        f(&mut spec);
-        assert_eq!(parse_job(&bytes(&spec)), None, "change {i}");
+        make_invalid(&mut spec);
+        assert_eq!(parse_job(&bytes(&spec)), None, "change {index}");
     }
     assert_eq!(parse_job(b""), None);
     assert_eq!(parse_job(&[0xc1]), None);
@@ -58,61 +58,63 @@
 fn a_field_of_another_type_or_a_missing_one_is_refused() {
     use rmpv::Value;
     let fields = |skip: &str| -> Vec<(Value, Value)> {
-        let v: Value = rmp_serde::from_slice(&bytes(&job("job-1", 1))).unwrap();
-        let map = v.as_map().unwrap().clone();
+        let encoded: Value = rmp_serde::from_slice(&bytes(&job("job-1", 1))).unwrap();
+        let map = encoded.as_map().unwrap().clone();
         map.into_iter()
-            .filter(|(k, _)| k.as_str() != Some(skip))
+            .filter(|(key, _)| key.as_str() != Some(skip))
             .collect()
     };
-    let send = |m: Vec<(Value, Value)>| parse_job(&rmp_serde::to_vec(&Value::Map(m)).unwrap());
-    assert!(send(fields("")).is_some());
-    assert!(send(fields("kit")).is_none());
-    let mut wrong = fields("pieces");
-    wrong.push(("pieces".into(), Value::F64(1.5)));
-    assert!(send(wrong).is_none());
-    let mut unknown = fields("");
-    unknown.push(("colour".into(), "red".into()));
-    assert!(send(unknown).is_some());
+    let parse = |map: Vec<(Value, Value)>| parse_job(&rmp_serde::to_vec(&Value::Map(map)).unwrap());
+    assert!(parse(fields("")).is_some());
+    assert!(parse(fields("kit")).is_none());
+    let mut wrong_type = fields("pieces");
+    wrong_type.push(("pieces".into(), Value::F64(1.5)));
+    assert!(parse(wrong_type).is_none());
+    let mut unknown_field = fields("");
+    unknown_field.push(("colour".into(), "red".into()));
+    assert!(parse(unknown_field).is_some());
 }
 
 #[test]
 fn the_error_for_an_invalid_job_names_the_field() {
-    let told = |change: fn(&mut JobSpec)| {
+    let error_for = |change: fn(&mut JobSpec)| {
         let mut spec = job("job-000412", 3);
         change(&mut spec);
         let line = spec.check().unwrap_err().to_string();
         assert!(!line.contains('\n'), "{line}");
         line
     };
-    assert!(told(|j| j.id = "task-1".into()).contains("uid"));
-    assert!(told(|j| j.tasks = 0).contains("pieces"));
-    assert!(told(|j| j.team = String::new()).contains("crew"));
-    assert!(told(|j| j.checkpoint_grace_s = -1.0).contains("flush_s"));
-    assert!(told(|j| j.dependencies = vec![j.id.clone()]).contains("await itself"));
-    assert!(told(|j| j.types = Some(vec![String::new()])).contains("rigs"));
+    assert!(error_for(|j| j.id = "task-1".into()).contains("uid"));
+    assert!(error_for(|j| j.tasks = 0).contains("pieces"));
+    assert!(error_for(|j| j.team = String::new()).contains("crew"));
+    assert!(error_for(|j| j.checkpoint_grace_s = -1.0).contains("flush_s"));
+    assert!(error_for(|j| j.dependencies = vec![j.id.clone()]).contains("await itself"));
+    assert!(error_for(|j| j.types = Some(vec![String::new()])).contains("rigs"));
     assert_eq!(job("job-000412", 3).check(), Ok(()));
 }
 
 #[test]
 fn jobs_that_can_never_run_are_recognized() {
     let zones = ["north".to_string(), "south".to_string()];
-    let mut v = ClusterState::new(&zones, &[team("ovens", 0.0), team("mixers", 2.0)], 1);
-    v.set_machine_types(&pointhook::protocol::cloud::MachineTypeCatalog {
+    let teams = [team("ovens", 0.0), team("mixers", 2.0)];
+    let mut cluster = ClusterState::new(&zones, &teams, 1);
+    cluster.set_machine_types(&pointhook::protocol::cloud::MachineTypeCatalog {
         types: vec![cloud::machine_type()],
     });
-    let mut ok = |f: &dyn Fn(&mut JobSpec)| {
+    let mut can_run = |change: &dyn Fn(&mut JobSpec)| {
         let mut spec = job("job-1", 3);
-        f(&mut spec);
-        v.intern_spec(&spec).is_some_and(|s| v.can_run(&s))
+        change(&mut spec);
+        let interned = cluster.intern_spec(&spec);
+        interned.is_some_and(|spec| cluster.can_run(&spec))
     };
-    assert!(ok(&|_| ()));
-    assert!(!ok(&|j| j.team = "strangers".into()));
-    assert!(!ok(&|j| j.vcpus = 17.0));
-    assert!(!ok(&|j| j.types = Some(vec!["kiln".into()])));
-    assert!(!ok(&|j| j.zone = Some("east".into())));
-    // An array needs room for one task within the limit, a gang and a service for all.
-    assert!(ok(&|j| j.team = "mixers".into()));
-    assert!(!ok(&|j| {
+    assert!(can_run(&|_| ()));
+    assert!(!can_run(&|j| j.team = "unknown-team".into()));
+    assert!(!can_run(&|j| j.vcpus = 17.0));
+    assert!(!can_run(&|j| j.types = Some(vec!["unknown-type".into()])));
+    assert!(!can_run(&|j| j.zone = Some("east".into())));
+    // The team's quota must cover one task of an array, but all tasks of a gang or a service.
+    assert!(can_run(&|j| j.team = "mixers".into()));
+    assert!(!can_run(&|j| {
         j.team = "mixers".into();
         j.kind = JobKind::Gang;
     }));
@@ -120,11 +122,11 @@
 
 #[test]
 fn malformed_heartbeats_and_frames_cause_no_panic() {
-    let mut seed = fastrand::Rng::with_seed(7);
+    let mut rng = fastrand::Rng::with_seed(7);
     for len in 0..400 {
-        let noise: Vec<u8> = (0..len).map(|_| seed.u8(..)).collect();
-        assert!(rmp_serde::from_slice::<Heartbeat>(&noise).is_err());
-        let _ = decode_request(&noise);
+        let random_bytes: Vec<u8> = (0..len).map(|_| rng.u8(..)).collect();
+        assert!(rmp_serde::from_slice::<Heartbeat>(&random_bytes).is_err());
+        let _ = decode_request(&random_bytes);
     }
     assert_eq!(parse_task_name("job-1"), None);
     assert_eq!(parse_task_name("job-1/x"), None);
@@ -133,7 +135,7 @@
 
 #[test]
 fn frames_round_trip_unchanged() {
-    let ask = PeerRequest::EnqueueTasks {
+    let request = PeerRequest::EnqueueTasks {
         tasks: vec![(
             "m1".into(),
             TaskRef {
@@ -142,64 +144,67 @@
             },
         )],
     };
-    let sent = encode(&ask).unwrap();
-    assert_eq!(decode_request(&sent), Some(ask));
-    assert_eq!(decode_request(&sent[..sent.len() / 2]), None);
+    let frame = encode(&request).unwrap();
+    assert_eq!(decode_request(&frame), Some(request));
+    assert_eq!(decode_request(&frame[..frame.len() / 2]), None);
 }
 
 #[test]
 fn ranges_merge_and_count() {
-    let mut seed = fastrand::Rng::with_seed(3);
-    let mut all: Vec<u32> = (0..200).collect();
-    seed.shuffle(&mut all);
-    let mut r = TaskRanges::default();
-    for (i, x) in all.iter().enumerate() {
-        assert!(!r.has(*x));
-        r.add(*x);
-        r.add(*x);
-        assert!(r.has(*x));
-        assert_eq!(r.count() as usize, i + 1);
-        assert_eq!(r.missing(200).count(), 199 - i);
+    let mut rng = fastrand::Rng::with_seed(3);
+    let mut tasks: Vec<u32> = (0..200).collect();
+    rng.shuffle(&mut tasks);
+    let mut ranges = TaskRanges::default();
+    for (index, task) in tasks.iter().enumerate() {
+        assert!(!ranges.has(*task));
+        ranges.add(*task);
+        ranges.add(*task);
+        assert!(ranges.has(*task));
+        assert_eq!(ranges.count() as usize, index + 1);
+        assert_eq!(ranges.missing(200).count(), 199 - index);
     }
-    assert_eq!(r, TaskRanges::all(200));
-    assert_eq!(r.range_count(), 1);
+    assert_eq!(ranges, TaskRanges::all(200));
+    assert_eq!(ranges.range_count(), 1);
 }
 
 #[test]
 fn unreadable_records_change_nothing() {
-    let mut v = ClusterState::new(&["north".to_string()], &[], 1);
-    v.put("ph/job/job-1", 5, &rmpv::Value::from("nonsense"));
-    v.put("ph/shard/99", 6, &rmpv::Value::Nil);
-    v.put("ph/what/ever", 7, &rmpv::Value::Nil);
-    v.put("other", 8, &rmpv::Value::Nil);
-    assert!(v.jobs.is_empty());
+    let mut cluster = ClusterState::new(&["north".to_string()], &[], 1);
+    cluster.put("ph/job/job-1", 5, &rmpv::Value::from("nonsense"));
+    cluster.put("ph/shard/99", 6, &rmpv::Value::Nil);
+    cluster.put("ph/what/ever", 7, &rmpv::Value::Nil);
+    cluster.put("other", 8, &rmpv::Value::Nil);
+    assert!(cluster.jobs.is_empty());
 }
 
 #[test]
 fn interned_names_get_dense_and_stable_indices() {
-    let mut i: Interner<MachineIndex> = Interner::default();
-    assert_eq!(i.intern("a"), MachineIndex(0));
-    assert_eq!(i.intern("b"), MachineIndex(1));
-    assert_eq!(i.intern("a"), MachineIndex(0));
-    assert_eq!(i.find("c"), None);
-    assert_eq!(&**i.name(MachineIndex(1)), "b");
+    let mut interner: Interner<MachineIndex> = Interner::default();
+    assert_eq!(interner.intern("a"), MachineIndex(0));
+    assert_eq!(interner.intern("b"), MachineIndex(1));
+    assert_eq!(interner.intern("a"), MachineIndex(0));
+    assert_eq!(interner.find("c"), None);
+    assert_eq!(&**interner.name(MachineIndex(1)), "b");
 }
 
 #[test]
 fn machines_map_permanently_to_the_shards_of_their_zone() {
     let zones = ["south".to_string(), "north".to_string()];
-    let v = ClusterState::new(&zones, &[], 2);
-    let south = v.zone_names.find("south").unwrap();
-    for i in 0..50 {
-        let s = v.shard_of(south, &format!("n-{i:06}"));
-        assert_eq!(v.shard_zone(s), Some(south));
+    let cluster = ClusterState::new(&zones, &[], 2);
+    let south = cluster.zone_names.find("south").unwrap();
+    for number in 0..50 {
+        let shard = cluster.shard_of(south, &format!("n-{number:06}"));
+        assert_eq!(cluster.shard_zone(shard), Some(south));
     }
-    // Fixed: another process, another version, the same shard.
-    assert_eq!(v.shard_of(south, "n-000001"), v.shard_of(south, "n-000001"));
-    assert_eq!(v.shard_zone(v.autoscaler_shard()), None);
+    // The mapping must be the same in every process and version.
+    assert_eq!(
+        cluster.shard_of(south, "n-000001"),
+        cluster.shard_of(south, "n-000001")
+    );
+    assert_eq!(cluster.shard_zone(cluster.autoscaler_shard()), None);
 }
 
-fn file(name: &str, text: &str) -> PathBuf {
+fn write_temp_file(name: &str, text: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("pointhook-test-{}", std::process::id()));
     std::fs::create_dir_all(&dir).unwrap();
     let path = dir.join(name);
@@ -210,36 +215,37 @@
 const PLATFORM: &str = include_str!("../examples/local_cluster.toml");
 
 #[test]
-fn the_platform_file_may_have_unknown_fields_but_lack_none() {
-    let good = file("good.toml", &format!("novelty = 1\n{PLATFORM}"));
-    assert_eq!(Platform::load(&good).unwrap().name, "controller-0");
-    for lost in ["cluster_listen", "lease_s", "txn_ops"] {
-        let text: Vec<&str> = PLATFORM.lines().filter(|l| !l.starts_with(lost)).collect();
-        let path = file(&format!("no-{lost}.toml"), &text.join("\n"));
-        let line = Platform::load(&path).unwrap_err().to_string();
-        assert!(line.contains(lost) && !line.contains('\n'), "{line}");
+fn the_platform_file_may_have_unknown_fields_but_must_have_all_required_ones() {
+    let unknown_field = write_temp_file("good.toml", &format!("novelty = 1\n{PLATFORM}"));
+    assert_eq!(Platform::load(&unknown_field).unwrap().name, "controller-0");
+    for missing in ["cluster_listen", "lease_s", "txn_ops"] {
+        let remaining = PLATFORM.lines().filter(|line| !line.starts_with(missing));
+        let text: Vec<&str> = remaining.collect();
+        let path = write_temp_file(&format!("no-{missing}.toml"), &text.join("\n"));
+        let error = Platform::load(&path).unwrap_err().to_string();
+        assert!(error.contains(missing) && !error.contains('\n'), "{error}");
     }
-    let wrong = file(
+    let negative_lease = write_temp_file(
         "wrong.toml",
         &PLATFORM.replace("lease_s = 10.0", "lease_s = -1.0"),
     );
-    assert!(Platform::load(&wrong).is_err());
-    let zone = file(
+    assert!(Platform::load(&negative_lease).is_err());
+    let unknown_zone = write_temp_file(
         "zone.toml",
         &PLATFORM.replace("domain = \"north\"", "domain = \"east\""),
     );
-    assert!(Platform::load(&zone).is_err());
+    assert!(Platform::load(&unknown_zone).is_err());
 }
 
 #[test]
 fn the_operator_file_may_have_no_unknown_fields() {
-    let good = file("op.toml", "polls = 3\nqueue_cap = 4\n");
-    assert_eq!(Operator::load(&good).unwrap().polls, 3);
-    let bad = file("op-bad.toml", "polls = 3\npols = 4\n");
-    assert!(Operator::load(&bad)
+    let valid = write_temp_file("op.toml", "polls = 3\nqueue_cap = 4\n");
+    assert_eq!(Operator::load(&valid).unwrap().polls, 3);
+    let unknown_field = write_temp_file("op-bad.toml", "polls = 3\npols = 4\n");
+    assert!(Operator::load(&unknown_field)
         .unwrap_err()
         .to_string()
         .contains("pols"));
-    let range = file("op-range.toml", "shards_per_zone = 0\n");
-    assert!(Operator::load(&range).is_err());
+    let out_of_range = write_temp_file("op-range.toml", "shards_per_zone = 0\n");
+    assert!(Operator::load(&out_of_range).is_err());
 }
--- a/tests/kv_consistency.rs
+++ b/tests/kv_consistency.rs
@@ -34,9 +34,9 @@
 fn a_compacted_watch_is_replaced_by_a_full_read() {
     let (mut store, mut controller) = start_single_controller();
     store.max_logged_changes = 2;
-    let mut b = SimulatedController::start("s1", 2, &mut store, 0);
-    for i in 0..6 {
-        b.submit(&mut store, job(&format!("job-{i}"), 1), 0);
+    let mut other = SimulatedController::start("s1", 2, &mut store, 0);
+    for number in 0..6 {
+        other.submit(&mut store, job(&format!("job-{number}"), 1), 0);
     }
     assert_eq!(store.watch(ROOT, controller.cluster.revision).status, 410);
     assert!(controller.sync(&store));
@@ -53,8 +53,8 @@
     // controller.
     store.revoke_lease(dead.lease);
     let mut other = SimulatedController::start("s2", 3, &mut store, 0);
-    for i in 0..200 {
-        other.submit(&mut store, job(&format!("job-{i}"), 1), 0);
+    for number in 0..200 {
+        other.submit(&mut store, job(&format!("job-{number}"), 1), 0);
     }
     assert!(!watch_is_stale(
         Some(MonotonicMillis(1000)),
@@ -64,28 +64,35 @@
         Some(MonotonicMillis(1000)),
         MonotonicMillis(50_000)
     ));
-    let (mut from, mut fleeting, mut revision) = (String::new(), HashSet::new(), None);
+    let (mut from, mut deletable_keys, mut revision) = (String::new(), HashSet::new(), None);
     loop {
         let page = store.read_page(ROOT, &from, 50);
         assert!(page.entries.len() <= 50);
         revision.get_or_insert(page.revision);
-        controller.cluster.take_page(&page.entries, &mut fleeting);
+        controller
+            .cluster
+            .take_page(&page.entries, &mut deletable_keys);
         match page.entries.last() {
             Some(last) if page.more => from.clone_from(&last.key),
             _ => break,
         }
     }
-    // Job records are not collected, however many there are.
-    assert!(fleeting.len() < 5);
-    // A controller that started while the pages were read is known by a watch and stays.
+    // The keys of job records are not collected, however many there are.
+    assert!(deletable_keys.len() < 5);
+    // A controller that started while the pages were read, as a watch has shown, is kept.
     let newer = SimulatedController::start("s3", 9, &mut store, 0);
     let key = format!("{ROOT}node/s3");
     let page = store.read_page(&key, "", 1);
     controller
         .cluster
         .put(&key, page.entries[0].version, &page.entries[0].v);
-    controller.cluster.end_read(&fleeting, revision.unwrap());
-    assert!((0..200).all(|i| controller.cluster.job(&format!("job-{i}")).is_some()));
+    controller
+        .cluster
+        .end_read(&deletable_keys, revision.unwrap());
+    assert!((0..200).all(|number| {
+        let id = format!("job-{number}");
+        controller.cluster.job(&id).is_some()
+    }));
     assert!(
         !controller.cluster.controllers.contains_key("s1")
             && controller.cluster.controllers.contains_key("n1")
@@ -112,7 +119,7 @@
 }
 
 #[test]
-fn repeats_of_executed_requests_change_nothing() {
+fn a_repeated_submission_is_refused_and_a_done_job_is_not_restarted() {
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     controller.submit(&mut store, job("job-1", 1), 0);
@@ -137,27 +144,27 @@
         MonotonicMillis(0)
     )
     .iter()
-    .all(|o| !matches!(o, Command::Start { .. })));
+    .all(|command| !matches!(command, Command::Start { .. })));
     assert_eq!(worker.started.len(), 1);
 }
 
 #[test]
 fn one_fresh_read_serves_all_waiting_requests() {
-    let fresh = Notifier::default();
+    let fresh_reads = Notifier::default();
     let mut waiting: Vec<_> = (0..50)
-        .map(|_| Box::pin(fresh.request_round(60_000)))
+        .map(|_| Box::pin(fresh_reads.request_round(60_000)))
         .collect();
-    for worker in &mut waiting {
-        assert!(block_on(poll_once(worker)).is_none());
+    for request in &mut waiting {
+        assert!(block_on(poll_once(request)).is_none());
     }
-    // None is left for a second read, whoever came first.
-    let taken = fresh.take_waiters();
-    assert_eq!(taken.len(), 50);
-    assert!(fresh.take_waiters().is_empty());
-    for t in taken {
-        t.try_send(true).unwrap();
+    // One read takes all waiters, so that none is left for a second read.
+    let waiters = fresh_reads.take_waiters();
+    assert_eq!(waiters.len(), 50);
+    assert!(fresh_reads.take_waiters().is_empty());
+    for waiter in waiters {
+        waiter.try_send(true).unwrap();
     }
-    for worker in &mut waiting {
-        assert_eq!(block_on(poll_once(worker)), Some(Some(true)));
+    for request in &mut waiting {
+        assert_eq!(block_on(poll_once(request)), Some(Some(true)));
     }
 }
--- a/tests/machine_quarantine.rs
+++ b/tests/machine_quarantine.rs
@@ -54,26 +54,26 @@
 fn a_job_that_fails_on_every_machine_is_backed_off() {
     let (mut store, mut controller) = start_single_controller();
     let mut workers: Vec<FakeWorker> = (0..4)
-        .map(|i| FakeWorker::new(&format!("m{i}"), "north", 0))
+        .map(|number| FakeWorker::new(&format!("m{number}"), "north", 0))
         .collect();
     for worker in &mut workers {
         worker.fails_tasks = true;
         worker.run_ms = 100;
         worker.image_pull_ms = 0;
     }
-    let mut all: Vec<&mut FakeWorker> = workers.iter_mut().collect();
+    let mut all_workers: Vec<&mut FakeWorker> = workers.iter_mut().collect();
     controller.submit(&mut store, job("job-1", 1), 0);
-    run_heartbeats(&mut controller, &mut store, &mut all, 0, 5000);
-    let tries: usize = workers.iter().map(|worker| worker.started.len()).sum();
-    assert_eq!(tries, 3);
+    run_heartbeats(&mut controller, &mut store, &mut all_workers, 0, 5000);
+    let attempts: usize = workers.iter().map(|worker| worker.started.len()).sum();
+    assert_eq!(attempts, 3);
     assert!(controller
         .cluster
         .all_machines()
-        .all(|(_, m)| !m.health.quarantined));
+        .all(|(_, machine)| !machine.health.quarantined));
 }
 
 #[test]
-fn machine_status_updates_count_only_from_their_owner() {
+fn machine_status_updates_are_applied_only_from_the_owner() {
     let (mut store, old) = start_single_controller();
     store.revoke_lease(old.lease);
     let mut new = SimulatedController::start("s1", 2, &mut store, 5000);
@@ -112,7 +112,7 @@
     old.exchange_heartbeat(&mut store, &mut worker, 0);
     store.revoke_lease(old.lease);
     let mut new = SimulatedController::start("s1", 2, &mut store, 5000);
-    let closed = MachineStatus {
+    let cordoned = MachineStatus {
         cordoned: true,
         ..machine_status("m1", 0)
     };
@@ -120,7 +120,7 @@
         &mut new.cluster,
         &new.config,
         "n1",
-        vec![closed],
+        vec![cordoned],
         MonotonicMillis(5000),
     );
     let machine = new.machine("m1");
--- a/tests/worker_reachability.rs
+++ b/tests/worker_reachability.rs
@@ -16,12 +16,12 @@
 #[test]
 fn an_unreachable_machine_gets_no_work_and_its_tasks_move_elsewhere() {
     let (mut store, mut controller) = start_single_controller();
-    let mut deaf = FakeWorker::new("m1", "north", 0);
-    controller.exchange_heartbeat(&mut store, &mut deaf, 0);
+    let mut unreachable = FakeWorker::new("m1", "north", 0);
+    controller.exchange_heartbeat(&mut store, &mut unreachable, 0);
     controller.submit(&mut store, job("job-1", 1), 100);
     // Its heartbeats arrive, but the responses are lost.
     for now in (500..4000).step_by(500) {
-        let heartbeat = deaf.heartbeat(now);
+        let heartbeat = unreachable.heartbeat(now);
         controller
             .receive_heartbeat(&mut store, &heartbeat, now)
             .unwrap();
@@ -37,7 +37,7 @@
     let mut other = FakeWorker::new("m2", "north", 4000);
     controller.exchange_heartbeat(&mut store, &mut other, 4000);
     assert_eq!(other.started.len(), 1);
-    assert!(deaf.started.is_empty());
+    assert!(unreachable.started.is_empty());
 }
 
 #[test]
@@ -52,13 +52,13 @@
         .unwrap()
         .health
         .unreachable_since = Some(MonotonicMillis(1000));
-    let asked = probes::unreachable_machines(
+    let probe_targets = probes::unreachable_machines(
         &mut controller.cluster,
         &controller.config,
         10_000,
         MonotonicMillis(5000),
     );
-    assert_eq!(asked.len(), 1);
+    assert_eq!(probe_targets.len(), 1);
     assert!(
         !controller
             .cluster
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn an_agent_epoch_that_ends_under_steady_responses_shows_that_they_are_lost() {
+fn an_agent_epoch_that_ends_despite_responses_marks_the_machine_as_unreachable() {
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
@@ -98,17 +98,18 @@
             .unwrap();
     }
     assert!(worker.agent_epoch > AgentEpoch(1));
-    let m = controller
+    let machine = controller
         .cluster
         .machine(controller.machine("m1"))
         .unwrap();
     assert!(
-        m.health.unreachable_since.is_some() && !m.is_schedulable(MonotonicMillis(12_000), 4000)
+        machine.health.unreachable_since.is_some()
+            && !machine.is_schedulable(MonotonicMillis(12_000), 4000)
     );
 }
 
 #[test]
-fn an_agent_epoch_that_ends_without_responses_shows_nothing() {
+fn an_agent_epoch_that_ends_without_responses_does_not_mark_the_machine_as_unreachable() {
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 12_000);
@@ -132,7 +133,7 @@
 }
 
 #[test]
-fn worker_reachability_is_doubted_then_lost_and_regained_after_a_delay() {
+fn loss_of_worker_contact_leads_to_probes_then_unreachability_and_delayed_recovery() {
     let mut worker_contact = WorkerReachability::new(30_000);
     // The first machine starts late. The controller counts as reachable until the time limit has
     // passed after that.
