--- a/src/coordination/cancellations/direct_stops.rs
+++ b/src/coordination/cancellations/direct_stops.rs
@@ -20,7 +20,7 @@
 use std::rc::Rc;
 
 /// Controllers other than the owner stop a cancelled task after `cancel_ms` divided by this.
-const DIRECT_STOP_FRACTION: u64 = 4;
+const DIRECT_STOP_DIVISOR: u64 = 4;
 /// Minimum time between two requests to stop tasks on the same machine.
 const RETRY_INTERVAL_MS: u64 = 3000;
 /// Maximum number of machines per round.
@@ -40,7 +40,7 @@
 #[derive(Default)]
 pub struct CancelledTaskSweeper {
     first_seen: HashMap<TaskAttempt, MonotonicMillis>,
-    last_attempt: HashMap<MachineIndex, MonotonicMillis>,
+    last_tried: HashMap<MachineIndex, MonotonicMillis>,
 }
 
 /// An attempt that is due to be stopped. Orders by the time at which it was first seen, oldest
@@ -80,24 +80,24 @@
         config: &SchedulerConfig,
         now: MonotonicMillis,
     ) -> Vec<CancelledTasks> {
-        self.note_cancelled_attempts(cluster, now);
-        self.last_attempt
+        self.record_first_seen(cluster, now);
+        self.last_tried
             .retain(|_, tried_at| now.since(*tried_at) < RETRY_INTERVAL_MS);
         let due = self.due_attempts(cluster, config, now);
         let by_machine = group_by_machine(cluster, due);
         let tried = by_machine.iter().map(|(machine, _)| (*machine, now));
-        self.last_attempt.extend(tried);
+        self.last_tried.extend(tried);
         by_machine.into_iter().map(|(_, tasks)| tasks).collect()
     }
 
     /// Records when each placement of a cancelled job was first seen, and forgets those that have
     /// been removed.
-    fn note_cancelled_attempts(&mut self, cluster: &ClusterState, now: MonotonicMillis) {
-        let left = cancelled_attempts(cluster).map(|(_, attempt)| {
+    fn record_first_seen(&mut self, cluster: &ClusterState, now: MonotonicMillis) {
+        let remaining = cancelled_attempts(cluster).map(|(_, attempt)| {
             let first_seen = self.first_seen.get(&attempt).copied().unwrap_or(now);
             (attempt, first_seen)
         });
-        self.first_seen = left.collect();
+        self.first_seen = remaining.collect();
     }
 
     /// Attempts known for at least `cancel_ms` divided by [`DIRECT_STOP_DIVISOR`], on machines that
@@ -108,9 +108,9 @@
         config: &SchedulerConfig,
         now: MonotonicMillis,
     ) -> Vec<DueAttempt> {
-        let wait_ms = config.cancel_ms / DIRECT_STOP_FRACTION;
+        let wait_ms = config.cancel_ms / DIRECT_STOP_DIVISOR;
         let mut due: Vec<DueAttempt> = cancelled_attempts(cluster)
-            .filter(|(machine, _)| !self.last_attempt.contains_key(machine))
+            .filter(|(machine, _)| !self.last_tried.contains_key(machine))
             .filter_map(|(machine, attempt)| {
                 let first_seen = *self.first_seen.get(&attempt)?;
                 (now.since(first_seen) >= wait_ms).then_some(DueAttempt {
@@ -175,8 +175,8 @@
 /// there are none.
 pub fn stop_commands(status: &Heartbeat, tasks: &[(String, u64)]) -> Option<DirectCommands> {
     let is_shown = |(task, attempt): &&(String, u64)| {
-        let mut left = status.tasks.iter().filter(|t| t.state != TaskState::Exited);
-        left.any(|shown| shown.task == *task && shown.attempt == *attempt)
+        let mut not_exited = status.tasks.iter().filter(|t| t.state != TaskState::Exited);
+        not_exited.any(|shown| shown.task == *task && shown.attempt == *attempt)
     };
     let stop = |(task, attempt): &(String, u64)| Command::Stop {
         task: task.clone(),
--- a/src/coordination/heartbeats/reachability.rs
+++ b/src/coordination/heartbeats/reachability.rs
@@ -39,13 +39,13 @@
 pub(super) fn update_reachability(machine: &mut Machine, incoming: &IncomingHeartbeat) {
     let answered = incoming.continues_answered(machine);
     if incoming.begins_new_epoch(machine) {
-        judge_ended_epoch(machine, incoming, answered);
+        check_ended_epoch(machine, incoming, answered);
         return;
     }
     if !answered {
         machine.health.responding_since = Some(incoming.now);
     }
-    judge_sent_starts(machine, incoming);
+    check_sent_starts(machine, incoming);
 }
 
 impl IncomingHeartbeat<'_> {
@@ -80,7 +80,7 @@
 ///
 /// An epoch ends when the worker's lease expires. If this controller answered the worker for longer
 /// than a lease, the responses did not arrive.
-fn judge_ended_epoch(machine: &mut Machine, incoming: &IncomingHeartbeat, answered: bool) {
+fn check_ended_epoch(machine: &mut Machine, incoming: &IncomingHeartbeat, answered: bool) {
     machine.health.unobserved_starts = 0;
     let answered_for_a_lease = machine
         .health
@@ -97,7 +97,7 @@
 }
 
 /// Compares the starts sent in earlier responses with the tasks that the heartbeat shows.
-fn judge_sent_starts(machine: &mut Machine, incoming: &IncomingHeartbeat) {
+fn check_sent_starts(machine: &mut Machine, incoming: &IncomingHeartbeat) {
     let mut expected = machine
         .starts
         .sent
--- a/src/coordination/heartbeats/respond.rs
+++ b/src/coordination/heartbeats/respond.rs
@@ -27,7 +27,7 @@
     if !still_owned(cluster, config, accepted)? {
         return None;
     }
-    if lease_must_lapse(cluster, config, accepted, now) {
+    if must_refuse_renewal(cluster, config, accepted, now) {
         record_refusal(cluster, accepted.machine, now);
         return None;
     }
@@ -57,7 +57,7 @@
 /// of cancellations that must be carried out by now, see [`SchedulerConfig::may_renew`].
 ///
 /// A machine without tasks always gets a renewal: it runs nothing that could be cancelled.
-fn lease_must_lapse(
+fn must_refuse_renewal(
     cluster: &ClusterState,
     config: &SchedulerConfig,
     accepted: &AcceptedHeartbeat,
--- a/src/coordination/job_api/answers.rs
+++ b/src/coordination/job_api/answers.rs
@@ -35,10 +35,10 @@
 
 /// A response with the state of a job.
 pub(super) fn job_state(status: u16, job: &Job) -> Answer {
-    let (word, done, running) = ClusterState::status(job);
+    let (job_status, done, running) = ClusterState::status(job);
     let state = JobStatus {
         id: job.id.to_string(),
-        status: word.into(),
+        status: job_status.into(),
         done: Some(done),
         running: Some(running),
     };
--- a/src/coordination/job_api/attempts.rs
+++ b/src/coordination/job_api/attempts.rs
@@ -7,10 +7,10 @@
 use crate::transport::pause;
 
 /// Time limit for committing a submission or a cancellation, retries included.
-pub(super) const WRITE_BUDGET_MS: u64 = 3500;
+pub(super) const COMMIT_TIME_LIMIT_MS: u64 = 3500;
 /// Delay before the retry of a transaction that the key-value store refused for its request rate
 /// limit.
-const RATE_LIMIT_RETRY_MS: u64 = 60;
+const RATE_LIMIT_RETRY_DELAY_MS: u64 = 60;
 
 /// True if a job is in the cached state, whatever its own state is.
 pub(super) fn is_known(controller: &Controller, id: &str) -> bool {
@@ -27,7 +27,7 @@
             true
         }
         CommitOutcome::REFUSED_BY_RATE_LIMIT => {
-            pause(jittered(RATE_LIMIT_RETRY_MS)).await;
+            pause(jittered(RATE_LIMIT_RETRY_DELAY_MS)).await;
             true
         }
         CommitOutcome::Refused(_) | CommitOutcome::Committed(_) => false,
--- a/src/coordination/job_api/cancellation.rs
+++ b/src/coordination/job_api/cancellation.rs
@@ -1,7 +1,7 @@
 //! Handler of users' requests to cancel a job.
 
 use super::answers::{self, status};
-use super::attempts::{prepare_retry, WRITE_BUDGET_MS};
+use super::attempts::{prepare_retry, COMMIT_TIME_LIMIT_MS};
 use crate::coordination::cancellations;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
@@ -20,7 +20,7 @@
     }
     let began = controller.now();
     let mut newest_read = false;
-    while controller.now().since(began) < WRITE_BUDGET_MS {
+    while controller.now().since(began) < COMMIT_TIME_LIMIT_MS {
         if let Some(answer) = answers::final_state(controller, id) {
             return answer;
         }
--- a/src/coordination/job_api/submission.rs
+++ b/src/coordination/job_api/submission.rs
@@ -8,7 +8,7 @@
 //!   accepted it.
 
 use super::answers::{self, status};
-use super::attempts::{is_known, prepare_retry, WRITE_BUDGET_MS};
+use super::attempts::{is_known, prepare_retry, COMMIT_TIME_LIMIT_MS};
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
@@ -149,7 +149,7 @@
 /// be committed.
 async fn commit_submission(controller: &Controller, id: &str, record: &JobRecord) -> Option<u64> {
     let began = controller.now();
-    while controller.now().since(began) < WRITE_BUDGET_MS && !is_known(controller, id) {
+    while controller.now().since(began) < COMMIT_TIME_LIMIT_MS && !is_known(controller, id) {
         let outcome = controller.kv.commit(&submission(id, record)).await;
         if let CommitOutcome::Committed(revision) = outcome {
             return Some(revision);
--- a/src/coordination/kv/client.rs
+++ b/src/coordination/kv/client.rs
@@ -15,11 +15,11 @@
 use std::net::SocketAddr;
 
 /// Timeout of a call other than a watch.
-const CALL_MS: u64 = 1500;
+const CALL_TIMEOUT_MS: u64 = 1500;
 /// Timeout of a watch, in addition to the time that the store may wait for a change.
-const WATCH_MARGIN_MS: u64 = 2000;
+const WATCH_TIMEOUT_MARGIN_MS: u64 = 2000;
 /// Time for which the store counts as reachable after it last served a call.
-const REACHABLE_MS: u64 = 3000;
+const REACHABLE_WINDOW_MS: u64 = 3000;
 
 /// HTTP status codes of the key-value store's responses.
 mod status {
@@ -94,7 +94,7 @@
         let now = self.clock.now();
         self.last_available
             .get()
-            .is_some_and(|last| now.since(last) < REACHABLE_MS)
+            .is_some_and(|last| now.since(last) < REACHABLE_WINDOW_MS)
     }
 
     fn record_answer(&self, answer: &Result<ClientResponse, TransportError>) {
@@ -113,7 +113,7 @@
         path: &str,
         body: Vec<u8>,
     ) -> Result<ClientResponse, TransportError> {
-        let answer = self.calls.call(method, path, body, CALL_MS).await;
+        let answer = self.calls.call(method, path, body, CALL_TIMEOUT_MS).await;
         self.record_answer(&answer);
         if answer.is_err() {
             // Connections from before a network partition would hang until the timeout; new ones
@@ -129,7 +129,7 @@
         path: &str,
         wait_ms: u64,
     ) -> Result<ClientResponse, TransportError> {
-        let timeout_ms = wait_ms + WATCH_MARGIN_MS;
+        let timeout_ms = wait_ms + WATCH_TIMEOUT_MARGIN_MS;
         let answer = self
             .watches
             .call(Method::Get, path, Vec::new(), timeout_ms)
--- a/src/coordination/kv/fresh_reads.rs
+++ b/src/coordination/kv/fresh_reads.rs
@@ -13,21 +13,21 @@
 /// Time limit that callers pass to [`Controller::refresh`].
 pub const REFRESH_MS: u64 = 1500;
 /// Share of the store's request rate limit that fresh reads of all controllers together may use.
-const REQUEST_LIMIT_PART: f64 = 0.3;
+const REQUEST_LIMIT_SHARE: f64 = 0.3;
 /// Longest wait for a caller before the background task checks again.
-const IDLE_MS: u64 = 60_000;
+const MAX_IDLE_MS: u64 = 60_000;
 /// Number of attempts at a read. The store refuses a read above its rate limit, but may accept one
 /// a moment later.
-const ATTEMPTS: usize = 3;
+const MAX_READ_ATTEMPTS: usize = 3;
 /// Delay after a failed attempt.
-const RETRY_MS: u64 = 60;
+const RETRY_DELAY_MS: u64 = 60;
 
 /// Background task: executes the reads that [`Controller::refresh`] requests.
 pub async fn run(controller: Rc<Controller>) {
     let interval_ms = interval_ms(&controller);
     let mut began = MonotonicMillis(0);
     loop {
-        controller.fresh_reads.notified(IDLE_MS).await;
+        controller.fresh_reads.notified(MAX_IDLE_MS).await;
         let left_ms = interval_ms.saturating_sub(controller.now().since(began));
         if left_ms > 0 {
             pause(left_ms).await;
@@ -47,17 +47,17 @@
 /// Minimum time between two fresh reads of this controller.
 fn interval_ms(controller: &Controller) -> u64 {
     let controllers = controller.peers.len() as f64 + 1.0;
-    let requests_per_second = controller.platform.settings.kv.rps * REQUEST_LIMIT_PART;
+    let requests_per_second = controller.platform.settings.kv.rps * REQUEST_LIMIT_SHARE;
     (controllers * 1000.0 / requests_per_second) as u64
 }
 
 async fn read_newest_changes(controller: &Controller) -> bool {
-    for _ in 0..ATTEMPTS {
+    for _ in 0..MAX_READ_ATTEMPTS {
         let loaded = controller.cluster.borrow().loaded;
         if loaded && watch_once(controller, 0).await {
             return true;
         }
-        pause(RETRY_MS).await;
+        pause(RETRY_DELAY_MS).await;
     }
     false
 }
--- a/src/coordination/kv/transactions.rs
+++ b/src/coordination/kv/transactions.rs
@@ -136,6 +136,10 @@
 pub fn set<T: serde::Serialize>(key: String, value: &T, lease: Option<u64>) -> Option<Write> {
     // Serializes to bytes first, so that the value has the same named maps that a read returns.
     let bytes = rmp_serde::to_vec_named(value).ok()?;
-    let v = rmp_serde::from_slice(&bytes).ok()?;
-    Some(Write::Set { set: key, v, lease })
+    let stored = rmp_serde::from_slice(&bytes).ok()?;
+    Some(Write::Set {
+        set: key,
+        v: stored,
+        lease,
+    })
 }
--- a/src/coordination/kv/watch.rs
+++ b/src/coordination/kv/watch.rs
@@ -15,16 +15,16 @@
 use std::rc::Rc;
 
 /// Longest time that the store waits for a change before it answers a watch.
-const WATCH_MS: u64 = 5000;
+const WATCH_WAIT_MS: u64 = 5000;
 /// Delay after a failed watch or read, before jitter.
-const RETRY_MS: u64 = 300;
+const RETRY_DELAY_MS: u64 = 300;
 /// Age of the cached state above which a controller first asks how many changes it has missed.
 const STALE_AFTER_MS: u64 = 20_000;
 /// Largest number of missed changes that is read by a watch; if there are more, all records are
 /// read in pages.
 const MAX_MISSED_CHANGES: u64 = 2000;
 /// Maximum number of records per page.
-const PAGE_RECORDS: usize = 500;
+const RECORDS_PER_PAGE: usize = 500;
 /// HTTP status of a watch response with changes.
 const CHANGES: u16 = 200;
 /// HTTP status of a watch from a revision whose changes the store has discarded.
@@ -35,12 +35,12 @@
     loop {
         let loaded = controller.cluster.borrow().loaded;
         let up_to_date = if loaded {
-            watch_once(&controller, WATCH_MS).await
+            watch_once(&controller, WATCH_WAIT_MS).await
         } else {
             read_all_records(&controller).await
         };
         if !up_to_date {
-            pause(jittered(RETRY_MS)).await;
+            pause(jittered(RETRY_DELAY_MS)).await;
         }
     }
 }
@@ -143,7 +143,7 @@
 /// changes that later pages may already include.
 async fn read_all_records(controller: &Controller) -> bool {
     let began = controller.now();
-    let mut fleeting = HashSet::new();
+    let mut deletable_keys = HashSet::new();
     let mut records = 0;
     let mut revision = None;
     let mut after = None;
@@ -156,14 +156,14 @@
         controller
             .cluster
             .borrow_mut()
-            .take_page(&page.entries, &mut fleeting);
+            .take_page(&page.entries, &mut deletable_keys);
         match page.entries.last() {
             Some(last) if page.more => after = Some(last.key.clone()),
             _ => break,
         }
     }
     let mut cluster = controller.cluster.borrow_mut();
-    cluster.end_read(&fleeting, revision.unwrap_or(0));
+    cluster.end_read(&deletable_keys, revision.unwrap_or(0));
     cluster.cancellation_watermark.record_read(began);
     controller.view_updated_at.set(Some(controller.now()));
     log::info!(
@@ -177,7 +177,7 @@
 /// Reads one page of records in key order, after the key `after`; `None` if the read fails.
 async fn read_page(controller: &Controller, after: Option<&str>) -> Option<Page> {
     let from = after.map_or(String::new(), |key| format!("&from={key}"));
-    let path = format!("/keys?prefix={ROOT}&most={PAGE_RECORDS}{from}");
+    let path = format!("/keys?prefix={ROOT}&most={RECORDS_PER_PAGE}{from}");
     let answer = controller.kv.call(Method::Get, &path, Vec::new()).await;
     rmp_serde::from_slice(&answer.ok()?.body).ok()
 }
--- a/src/coordination/worker_connectivity/probes.rs
+++ b/src/coordination/worker_connectivity/probes.rs
@@ -89,7 +89,7 @@
         if !owned[machine.shard.at()] || machine.health.unreachable_since.is_none() {
             continue;
         }
-        quarantine_if_unreachable_for(machine, lease_ms, now);
+        quarantine_if_unreachable_too_long(machine, lease_ms, now);
         if !machine.health.quarantined {
             targets.push(ProbeTarget {
                 machine: machine_index,
@@ -100,7 +100,7 @@
     targets
 }
 
-fn quarantine_if_unreachable_for(machine: &mut Machine, limit_ms: u64, now: MonotonicMillis) {
+fn quarantine_if_unreachable_too_long(machine: &mut Machine, limit_ms: u64, now: MonotonicMillis) {
     let unreachable_ms = machine.health.unreachable_since.map_or(0, |t| now.since(t));
     if unreachable_ms > limit_ms && !machine.health.quarantined {
         log::warn!(
