--- a/src/coordination/heartbeats/reachability.rs
+++ b/src/coordination/heartbeats/reachability.rs
@@ -69,8 +69,8 @@
         attempts.any(|shown| shown == Some(*attempt))
     }
 
-    /// True if this heartbeat should show a start: it is newer than the one whose response held
-    /// the start, and the attempt is still wanted.
+    /// True if this heartbeat should show the attempt of a start command: it is newer than the one
+    /// whose response contained the command, and the attempt is still placed on the machine.
     fn should_show(&self, attempt: &TaskAttempt, sent: HeartbeatVersion) -> bool {
         sent < self.heartbeat.version() && self.placed.contains(attempt)
     }
--- a/src/coordination/kv/fresh_reads.rs
+++ b/src/coordination/kv/fresh_reads.rs
@@ -1,6 +1,6 @@
 //! Fresh reads of the key-value store, each of which serves all callers that wait for one.
 //!
-//! The time between two reads is bounded below, so that under load more callers share one read. The
+//! There is a minimum time between two reads, so that under load more callers share one read. The
 //! fresh reads of all controllers together leave most of the store's request rate limit to watches
 //! and transactions.
 
--- a/src/coordination/peer_messages/status_updates.rs
+++ b/src/coordination/peer_messages/status_updates.rs
@@ -176,8 +176,8 @@
 /// Applies a peer's status update.
 ///
 /// Machines are updated only if the sender owns their shard. A controller that has lost its shards
-/// without noticing goes on sending updates on machines that have been silent for a long time, but
-/// only towards itself; applying these would get the machines deleted.
+/// without noticing goes on sending updates. It reports the machines as silent, since they send
+/// their heartbeats to the new owner; applying these updates would get the machines deleted.
 pub fn apply_machine_statuses(
     cluster: &mut ClusterState,
     config: &SchedulerConfig,
@@ -220,7 +220,8 @@
 
 fn apply_machine_status(machine: &mut Machine, status: MachineStatus, now: MonotonicMillis) {
     machine.addr = status.addr;
-    // A booting machine has sent no heartbeat yet, so its silence dates no heartbeat.
+    // For a booting machine, which has sent no heartbeat yet, `silent_ms` is only the time for
+    // which its owner has waited.
     if status.has_sent_heartbeat {
         let last_heartbeat = now.0.saturating_sub(status.silent_ms);
         machine.heartbeat.last_seen = Some(MonotonicMillis(last_heartbeat));
--- a/src/coordination/worker_connectivity/probes.rs
+++ b/src/coordination/worker_connectivity/probes.rs
@@ -2,8 +2,8 @@
 //! unreachable can be reached again.
 //!
 //! Called by each round of `worker_connectivity::run`. `heartbeats::reachability` marks machines as
-//! unreachable. Invariant: an unreachable machine gets no tasks. Within the duration of a lease it
-//! is either reached again or quarantined, so that the autoscaler deletes it.
+//! unreachable. Invariant: an unreachable machine gets no tasks. It is either reached again or,
+//! after the duration of a lease, quarantined, so that the autoscaler deletes it.
 
 use super::direct_commands::fetch_status;
 use crate::coordination::controller::{tasks, Controller};
