--- a/crates/standby/src/failover.rs
+++ b/crates/standby/src/failover.rs
@@ -6,64 +6,66 @@
 //!              +---------- SteppedDown <-------------+-----------+
 //! ```
 //!
-//! *Fencing* raises the shard's fencing token in the key-value store. The revision of that
-//! transaction is the fence: every claim of an older owner is conditional on the shard's record, so
-//! none that is not recorded by then can be recorded later. *Catching up* ends when all records are
-//! known as of a revision that is not below the fence. Only then is a permit issued.
+//! In the state *fencing*, the controller raises the shard's fencing token by a transaction in the
+//! key-value store. The revision of that transaction is the fence. Every claim of an older owner is
+//! conditional on the shard's record, so a claim that is not committed before the fence can't be
+//! committed after it. *Catching up* ends when the controller has read all records up to the fence.
+//! Only then is a permit issued.
 
 use crate::ids::{FencingToken, Millis, Revision, ShardId};
 use crate::permit::{Permit, Permits};
 
-/// Who owns a shard, by the records.
+/// Owner of a shard according to the records in the key-value store.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Owner {
-    /// Nobody ever did.
+    /// The shard has never had an owner.
     Nobody,
-    /// This process, under a fencing token that was recorded at the fence.
+    /// This controller process owns the shard.
     ThisController {
-        /// Fencing token.
+        /// Fencing token under which this controller owns the shard.
         fencing_token: FencingToken,
-        /// Revision at which it was recorded.
+        /// Revision at which the fencing token was committed.
         fence_revision: Revision,
     },
-    /// Another process.
+    /// Another process owns the shard; it may be an earlier one of this controller.
     OtherController {
-        /// Its membership key is there.
+        /// Whether the owner's membership key still exists.
         lease_alive: bool,
-        /// It has sent no status update for a while.
+        /// Whether the owner's last status update is overdue.
         silent: bool,
-        /// When its last status update came.
+        /// When the owner's last status update was received; `None` if there was none.
         last_contact: Option<Millis>,
     },
 }
 
-/// What a controller sees of a shard at one moment.
+/// A controller's view of a shard at one moment.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Observation {
-    /// Who owns it.
+    /// Owner of the shard.
     pub owner: Owner,
-    /// This controller is its standby.
+    /// Whether this controller is the standby of the shard.
     pub is_standby: bool,
-    /// All records are known as of this revision.
+    /// Revision up to which this controller has read all records.
     pub known_revision: Revision,
 }
 
-/// Who refused a fencing token, and on what grounds.
+/// Source and reason of the refusal of a fencing token.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Refusal {
-    /// The key-value store has another version of the shard's record than a transaction rested on.
+    /// The key-value store holds another version of the shard's record than the one that a
+    /// transaction was conditional on.
     KeyValueStore {
-        /// Fencing token of the permit that the transaction rested on.
+        /// Fencing token of the permit under which the transaction was prepared.
         fencing_token: FencingToken,
     },
-    /// A worker has seen a higher fencing token.
+    /// A worker has seen a higher fencing token than this controller's.
     Worker {
         /// Fencing token that the worker has seen.
         seen: FencingToken,
     },
 }
 
-/// For logs.
+/// Formats the refusal as fields of a log line.
 impl std::fmt::Display for Refusal {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
@@ -78,32 +80,33 @@
 /// State of a shard's failover on one controller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum FailoverState {
-    /// Neither owner nor standby.
+    /// The controller is neither the owner nor the standby.
     Idle,
-    /// Standby of a living owner.
+    /// The controller is the standby of an owner that is alive.
     Following,
-    /// Standby of an owner that is silent or whose membership has ended.
+    /// The controller is the standby of an owner that is silent or whose lease has expired.
     Suspecting,
-    /// The transaction that raises the fencing token is on its way, or its outcome is unknown.
+    /// The transaction that raises the fencing token has been sent, and its outcome is unknown.
     Fencing,
-    /// Owner whose records are not yet known as of the fence.
+    /// The controller is the owner and has not yet read all records up to the fence.
     CatchingUp {
-        /// Own fencing token.
+        /// Fencing token of this controller.
         fencing_token: FencingToken,
-        /// Revision that has to be known.
+        /// Revision up to which all records have to be read.
         fence_revision: Revision,
     },
-    /// Owner with a permit.
+    /// The controller is the owner and holds a permit.
     Active {
-        /// Own fencing token.
+        /// Fencing token of this controller.
         fencing_token: FencingToken,
     },
-    /// Former owner that has found out.
+    /// The controller was the owner and may no longer decide: it was replaced, or its fencing token
+    /// was refused.
     SteppedDown,
 }
 
 impl FailoverState {
-    /// Name for logs and for operators' tools, which read it: it never changes.
+    /// Name of the state in logs and for operators' tools, which match it: it must not change.
     pub fn name(self) -> &'static str {
         match self {
             FailoverState::Idle => "idle",
@@ -117,16 +120,16 @@
     }
 }
 
-/// A change of state, for logs and measurements.
+/// A change of a shard's failover state, for logs and measurements.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Transition {
-    /// Shard.
+    /// Shard whose state has changed.
     pub shard: ShardId,
-    /// State before.
+    /// State before the change.
     pub from: FailoverState,
-    /// State now.
+    /// State after the change.
     pub to: FailoverState,
-    /// Time since the former owner's last sign of life, ms; `None` if it never gave one here.
+    /// Time since the former owner's last status update, ms; `None` if none was received here.
     pub since_last_contact_ms: Option<u64>,
 }
 
@@ -138,7 +141,7 @@
 }
 
 impl Failovers {
-    /// A controller that owns nothing.
+    /// Failovers of a controller that owns no shard.
     pub fn new(shards: usize) -> Failovers {
         Failovers {
             by_shard: (0..shards)
@@ -148,19 +151,19 @@
         }
     }
 
-    /// The permits held now.
+    /// Permits that the controller holds now.
     pub fn permits(&self) -> &Permits {
         &self.permits
     }
 
-    /// State of a shard.
+    /// State of a shard's failover; [`FailoverState::Idle`] for an unknown shard.
     pub fn state(&self, shard: ShardId) -> FailoverState {
         self.by_shard
             .get(shard.0 as usize)
             .map_or(FailoverState::Idle, |failover| failover.state)
     }
 
-    /// Applies what is seen of a shard; the changes of state that follow from it.
+    /// Applies an observation of a shard, and returns the resulting changes of state in order.
     pub fn observe(
         &mut self,
         shard: ShardId,
@@ -174,8 +177,8 @@
         if let Owner::OtherController { last_contact, .. } = observation.owner {
             failover.last_contact = last_contact;
         }
-        // A state leads to the next until the observation asks for no other; each observation
-        // passes a state once at most, so the states bound the number of steps.
+        // Transitions follow until the state agrees with the observation. No observation enters a
+        // state twice, so the number of states bounds the number of transitions.
         while let Some(next) = failover.next_state(observation) {
             transitions.push(failover.enter(next, now));
             match next {
@@ -190,7 +193,7 @@
         transitions
     }
 
-    /// The transaction that raises a shard's fencing token is about to be sent.
+    /// Records that the transaction that raises a shard's fencing token is about to be sent.
     pub fn fence_sent(&mut self, shard: ShardId, now: Millis) -> Option<Transition> {
         let failover = self.by_shard.get_mut(shard.0 as usize)?;
         let may_fence = !matches!(
@@ -200,16 +203,18 @@
         may_fence.then(|| failover.enter(FailoverState::Fencing, now))
     }
 
-    /// The transaction was refused or lost against another: what is observed next decides. An
-    /// answer that never came is no refusal.
+    /// Records that the transaction that raises a shard's fencing token was refused or lost to a
+    /// conflicting one. The next observation determines the state. A missing answer is no refusal.
     pub fn fence_refused(&mut self, shard: ShardId, now: Millis) -> Option<Transition> {
         let failover = self.by_shard.get_mut(shard.0 as usize)?;
         let fencing = failover.state == FailoverState::Fencing;
         fencing.then(|| failover.enter(FailoverState::Suspecting, now))
     }
 
-    /// A fencing token of this controller was refused: the permit goes at once, whatever the
-    /// records known here still say. `known_revision` is the revision as of which they are known.
+    /// Withdraws a shard's permit because a fencing token of this controller was refused, even if
+    /// the records read so far still name this controller as the owner.
+    ///
+    /// `known_revision` is the revision up to which the records have been read.
     pub fn token_refused(
         &mut self,
         shard: ShardId,
@@ -238,18 +243,18 @@
     }
 }
 
-/// A refusal that has to be explained by newer records before a permit is issued again.
+/// A refusal of a fencing token after which no permit is issued until newer records are read.
 #[derive(Clone, Copy, Debug)]
 struct UnexplainedRefusal {
-    /// Own fencing token that was refused.
+    /// Fencing token of this controller that was refused.
     fencing_token: FencingToken,
-    /// Records were known as of this revision then.
+    /// Revision up to which records had been read at the time of the refusal.
     known_revision: Revision,
 }
 
 impl UnexplainedRefusal {
-    /// True if what is known now leaves the refusal behind: a new fencing token, or records that
-    /// are newer than the refusal and still name this owner.
+    /// True if the refusal no longer applies: this controller owns the shard under a newer fencing
+    /// token, or records that are newer than the refusal still name it as the owner.
     fn is_explained_by(self, fencing_token: FencingToken, known_revision: Revision) -> bool {
         fencing_token > self.fencing_token || known_revision > self.known_revision
     }
@@ -260,10 +265,10 @@
 struct Failover {
     shard: ShardId,
     state: FailoverState,
-    /// Last sign of life of the former owner.
+    /// When the last status update of the current or former owner was received.
     last_contact: Option<Millis>,
     unexplained_refusal: Option<UnexplainedRefusal>,
-    /// Highest foreign fencing token that a worker has shown.
+    /// Highest fencing token that a worker has reported in refusing a lower one.
     highest_seen_by_workers: FencingToken,
 }
 
@@ -286,14 +291,16 @@
         }
     }
 
-    /// True if a refusal concerns the own fencing token of now and has to be believed.
+    /// True if a refusal has to be acted on: it concerns the current fencing token of this
+    /// controller, and a worker's refusal shows a higher token than any worker before.
     fn is_refusal_credible(&mut self, own_token: FencingToken, refusal: Refusal) -> bool {
         match refusal {
-            // Its answer may have come after the token was raised here: that of now was not
-            // refused, and nothing newer might ever be recorded that could explain it.
+            // The answer may arrive after this controller has raised its token. The current token
+            // was not refused then, and there might never be a newer record that would end the
+            // wait for one.
             Refusal::KeyValueStore { fencing_token } => fencing_token == own_token,
-            // A worker that goes on showing a token which the records don't know is at fault
-            // itself, and must not stop its whole shard again and again.
+            // A worker that keeps reporting a token that no record holds is faulty, and must not
+            // stop its whole shard repeatedly.
             Refusal::Worker { seen } => {
                 let is_new = seen > own_token.max(self.highest_seen_by_workers);
                 if is_new {
@@ -304,7 +311,7 @@
         }
     }
 
-    /// The state that an observation asks for; `None` if it is the present one.
+    /// The state that follows from an observation; `None` if that is the current state.
     fn next_state(&mut self, observation: Observation) -> Option<FailoverState> {
         let wanted = match observation.owner {
             Owner::ThisController {
@@ -333,8 +340,8 @@
             }
             self.unexplained_refusal = None;
         }
-        // Below the fence an older owner may have recorded what is not known here: a start from
-        // such a view could repeat what has long ended, or is elsewhere.
+        // Before the fence, an older owner may have committed changes that have not been read here.
+        // A start decided without them could repeat an attempt that has ended or runs elsewhere.
         let caught_up = known_revision >= fence_revision;
         match self.state {
             FailoverState::Active {
@@ -354,13 +361,14 @@
     fn state_as_other(&mut self, is_standby: bool, owner_lives: bool) -> FailoverState {
         self.unexplained_refusal = None;
         match (self.state, is_standby, owner_lives) {
-            // Who owned it a moment ago says so once, and follows from the next look on.
+            // A former owner steps down first, and becomes idle or follows on the next transition.
             (FailoverState::Active { .. } | FailoverState::CatchingUp { .. }, ..) => {
                 FailoverState::SteppedDown
             }
             (_, false, _) => FailoverState::Idle,
             (_, true, true) => FailoverState::Following,
-            // While the outcome is unknown nothing else is tried: the records will tell.
+            // While the outcome of the transaction is unknown, the state stays until the records
+            // show it.
             (FailoverState::Fencing, true, false) => FailoverState::Fencing,
             (_, true, false) => FailoverState::Suspecting,
         }
--- a/crates/standby/src/failover_bound.rs
+++ b/crates/standby/src/failover_bound.rs
@@ -1,23 +1,25 @@
-//! How long a failover may take, by the times of a deployment.
+//! Upper bound of the duration of a failover, from the timeouts of a deployment.
 
-/// Time within which a failover should be over, ms.
+/// Goal for the duration of a failover, ms.
 pub const GOAL_MS: u64 = 10_000;
 
-/// The terms of the time from the last sign of life of an owner to the first decision of the next.
+/// Upper bounds of the phases of a failover, from the owner's last contact to the first decision
+/// of the next owner.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct FailoverBound {
-    /// Until the key-value store ends the owner's membership.
+    /// Time until the key-value store expires the owner's lease, ms.
     pub lease_ms: u64,
-    /// Until the standby sees that: a notification, and the next round of its background task.
+    /// Time until the standby detects the expiry, ms: a notification and the next round of its
+    /// background task.
     pub detection_ms: u64,
-    /// Until the transaction that raises the fencing token is answered.
+    /// Time until the transaction that raises the fencing token is answered, ms.
     pub fence_ms: u64,
-    /// Until all records are known as of that transaction.
+    /// Time until the new owner has read all records up to the revision of that transaction, ms.
     pub catch_up_ms: u64,
-    /// Until the first worker has shown the new fencing token.
+    /// Time until a worker sends the first heartbeat with the new fencing token, ms.
     pub first_heartbeat_ms: u64,
-    /// The same if the lost owner hangs instead of refusing connections: a heartbeat that was sent
-    /// to it has to time out first.
+    /// Time until that heartbeat if the lost owner hangs instead of refusing connections, ms: the
+    /// heartbeat that was sent to the lost owner has to time out first.
     pub first_heartbeat_after_hang_ms: u64,
 }
 
@@ -26,17 +28,17 @@
         self.lease_ms + self.detection_ms + self.fence_ms + self.catch_up_ms
     }
 
-    /// Sum of all terms for an owner whose process has ended.
+    /// Duration of a failover from an owner whose process has ended, ms.
     pub fn total_ms(&self) -> u64 {
         self.until_caught_up_ms() + self.first_heartbeat_ms
     }
 
-    /// Sum of all terms for an owner that hangs or is cut off.
+    /// Duration of a failover from an owner that hangs or is partitioned, ms.
     pub fn total_after_hang_ms(&self) -> u64 {
         self.until_caught_up_ms() + self.first_heartbeat_after_hang_ms
     }
 
-    /// True if the sum is within the goal.
+    /// True if a failover from an owner whose process has ended takes [`GOAL_MS`] at most.
     pub fn meets_goal(&self) -> bool {
         self.total_ms() <= GOAL_MS
     }
--- a/crates/standby/src/follower.rs
+++ b/crates/standby/src/follower.rs
@@ -1,25 +1,25 @@
-//! The standby's end of the stream: notices what is lost, doubled, reordered or of another token.
+//! The standby's end of the stream, which detects lost, duplicated, reordered and stale messages.
 
 use crate::ids::{FencingToken, Revision};
 use crate::message::{Decision, FollowerResponse, MachineState, Message};
 use crate::replica_state::ReplicaState;
 
-/// Messages that were not simply the next one, by what was wrong.
+/// Counts of duplicated, missing and stale messages of a stream.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct StreamAnomalies {
-    /// Decisions and snapshots that were known already.
+    /// Number of received decisions and parts of snapshots that the standby already had.
     pub duplicates: u64,
-    /// Messages after which something is missing.
+    /// Number of messages that could not be applied because an earlier one was missing.
     pub gaps: u64,
-    /// Messages of an older owner.
+    /// Number of messages from an owner with an older fencing token.
     pub stale: u64,
 }
 
-/// The owner's state without gaps.
+/// The complete state of the owner as of a sequence number.
 #[derive(Clone, Debug)]
 struct Replica {
     state: ReplicaState,
-    /// Sequence number of the next decision that is wanted.
+    /// Sequence number of the next decision to apply.
     next_sequence: u64,
 }
 
@@ -27,13 +27,13 @@
 #[derive(Clone, Debug)]
 struct IncompleteSnapshot {
     state: ReplicaState,
-    /// Sequence number of the first decision that is not in it.
+    /// Sequence number of the first decision that is not in the snapshot.
     next_sequence: u64,
-    /// Part that is wanted next.
+    /// Number of the next part to receive.
     next_part: u32,
 }
 
-/// A part of a snapshot, as the message holds it.
+/// Contents of a [`Message::SnapshotPart`].
 struct SnapshotPart<'a> {
     next_sequence: u64,
     last_decided: Revision,
@@ -52,23 +52,23 @@
 }
 
 impl Follower {
-    /// Fencing token of the owner that is followed.
+    /// Fencing token of the owner that the standby follows; 0 before the first message.
     pub fn fencing_token(&self) -> FencingToken {
         self.fencing_token
     }
 
-    /// The owner's state without gaps; `None` before a snapshot is complete.
+    /// The owner's state after all decisions received; `None` until a snapshot is complete.
     pub fn replica_state(&self) -> Option<&ReplicaState> {
         self.replica.as_ref().map(|replica| &replica.state)
     }
 
-    /// What was wrong with messages so far.
+    /// Counts of anomalies since the follower was created.
     pub fn anomalies(&self) -> StreamAnomalies {
         self.anomalies
     }
 
-    /// Applies a message of an owner; `recorded` is the highest fencing token that is known
-    /// otherwise.
+    /// Applies a message of an owner and returns the response to it. `recorded` is the shard's
+    /// fencing token according to the records.
     pub fn receive(&mut self, message: &Message, recorded: FencingToken) -> FollowerResponse {
         let sender_token = message.origin().fencing_token;
         let highest_token = self.fencing_token.max(recorded);
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Drops what the former owner sent: another owner starts from its own state.
+    /// Discards the former owner's state and follows the owner with `fencing_token`, which sends
+    /// its own.
     fn follow_owner_with(&mut self, fencing_token: FencingToken) {
         *self = Follower {
             fencing_token,
@@ -118,7 +119,7 @@
         if first > replica.next_sequence {
             return self.gap();
         }
-        // A message that was sent again begins with decisions that are applied already.
+        // A message that was sent again starts with decisions that have been applied already.
         let known = (replica.next_sequence - first).min(decisions.len() as u64);
         for decision in decisions.iter().skip(known as usize) {
             replica.state.apply(decision);
@@ -129,7 +130,7 @@
     }
 
     fn receive_snapshot_part(&mut self, received: SnapshotPart) -> FollowerResponse {
-        // A late snapshot must not take newer decisions back.
+        // A late snapshot must not revert newer decisions.
         if let Some(replica) = &self.replica {
             if replica.next_sequence >= received.next_sequence {
                 self.anomalies.duplicates += 1;
@@ -156,7 +157,8 @@
         FollowerResponse::NextPart(wanted)
     }
 
-    /// The snapshot that a part continues; `None` if parts before it are missing.
+    /// The snapshot that a received part continues, a new one for part 0; `None` if earlier parts
+    /// are missing.
     fn snapshot_before(&mut self, received: &SnapshotPart) -> Option<IncompleteSnapshot> {
         if received.part == 0 {
             self.replica = None;
--- a/crates/standby/src/ids.rs
+++ b/crates/standby/src/ids.rs
@@ -1,13 +1,13 @@
-//! Identifiers and times that the other modules share. Inside the crate two of them can't be
-//! swapped; the messages alone carry plain numbers.
+//! Types of identifiers and times that the other modules share. Each is a type of its own, so that
+//! the compiler refuses one in place of another; only the messages carry plain numbers.
 
 use serde::{Deserialize, Serialize};
 
-/// Number of a shard.
+/// Number of a shard, counted from 0.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct ShardId(pub u32);
 
-/// Fencing token of a shard; every change of owner raises it.
+/// Fencing token of a shard, incremented by every change of owner.
 #[derive(
     Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default,
 )]
@@ -15,12 +15,12 @@
 pub struct FencingToken(pub u64);
 
 impl FencingToken {
-    /// The token that the next owner gets.
+    /// Fencing token of the next owner.
     pub fn next(self) -> FencingToken {
         FencingToken(self.0 + 1)
     }
 
-    /// True if an owner has been recorded: tokens begin at 1.
+    /// True if the shard has had an owner. The first owner's fencing token is 1.
     pub fn is_issued(self) -> bool {
         self.0 > 0
     }
@@ -42,12 +42,12 @@
     }
 }
 
-/// Time on the caller's steady clock, milliseconds.
+/// Time on the caller's monotonic clock, ms.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// Time passed since an earlier moment; zero if that is later.
+    /// Time passed since `earlier`, ms; 0 if `earlier` is in the future.
     pub fn since(self, earlier: Millis) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
--- a/crates/standby/src/lib.rs
+++ b/crates/standby/src/lib.rs
@@ -1,16 +1,17 @@
 //! Warm standby: failover of a shard to a standby controller.
 //!
-//! Everything here is pure: no I/O, no clock, no knowledge of jobs. The controller passes in what
-//! it observes and when, and carries out what follows (`src/coordination/{failover,replication}`).
+//! The crate is pure: it does no I/O, reads no clock and knows nothing of jobs. The controller
+//! passes in its observations with their times, and acts on the results
+//! (`src/coordination/{failover,replication}`).
 //!
 //! - [`role`]: which controller is the standby of a shard;
 //! - [`failover`]: the state machine of a failover;
-//! - [`permit`]: the permit to decide, which only that machine issues;
-//! - [`publisher`], [`follower`]: the two ends of the stream by which a standby follows an owner,
-//!   with [`message`] and [`replica_state`];
-//! - [`failover_bound`]: how long a failover may take.
+//! - [`permit`]: the permit to decide for a shard, issued only by that state machine;
+//! - [`publisher`], [`follower`]: the two ends of the stream that replicates a shard's state from
+//!   its owner to its standby, with [`message`] and [`replica_state`];
+//! - [`failover_bound`]: the longest time that a failover should take.
 
-// Input never ends the process: tests may unwrap, the service may not.
+// No input may make the service panic. Tests may unwrap.
 #![deny(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 pub mod failover;
--- a/crates/standby/src/message.rs
+++ b/crates/standby/src/message.rs
@@ -1,133 +1,134 @@
 //! Messages between an owner and its standby, as `rkyv` archives that are validated before they
-//! are read. Everything in them is a hint: what is lost, late or false breaks nothing.
+//! are read. Their contents are advisory: a lost, late or wrong one can't make a decision unsafe.
 //!
-//! Order and types of fields and variants are the stored form (`tests/golden_peer_frames.rs` pins
-//! the bytes); names may change, since archives don't hold them.
+//! The order and the types of fields and variants define the wire format
+//! (`tests/golden_peer_frames.rs` pins the bytes). Names may change, since archives don't contain
+//! them.
 
-// rkyv's derive makes archived twins whose fields carry no docs of their own.
+// rkyv's derive generates an archived type for each type here, without docs on its fields.
 #![allow(missing_docs)]
 
 use crate::ids::{FencingToken, ShardId};
 use rkyv::rancor::Error;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Longest archive that is read.
+/// Maximum size of an archive; larger ones are refused unread.
 pub const MAX_MESSAGE_BYTES: usize = 60 * 1024;
 
 /// A task that waits in a machine's queue.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Eq, Debug)]
 pub struct QueuedTask {
-    /// Job id.
+    /// Id of the task's job.
     pub job: String,
-    /// Task number.
+    /// Number of the task within its job.
     pub task: u32,
 }
 
-/// What an owner has decided for a machine that no record holds.
+/// An owner's decisions for a machine that are not stored in the key-value store.
 ///
-/// What its heartbeats have shown is not part of it: it proves nothing under the next token.
+/// The machine's heartbeats are not included: under the next fencing token they prove nothing.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Eq, Debug, Default)]
 pub struct MachineState {
-    /// Tasks in its queue, in order.
+    /// Tasks in the machine's queue, in order.
     pub queue: Vec<QueuedTask>,
-    /// Gang that it is reserved for.
+    /// Id of the gang that the machine is reserved for.
     pub reserved_for: Option<String>,
 }
 
 /// A decision of an owner.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Eq, Debug)]
 pub enum Decision {
-    /// A machine's state has changed.
+    /// A machine's queue or reservation has changed, or the machine is new.
     MachineChanged {
-        /// Machine.
+        /// Name of the machine.
         name: String,
-        /// Its state now.
+        /// New state of the machine.
         state: MachineState,
     },
     /// A machine is no longer part of the shard.
     MachineRemoved {
-        /// Machine.
+        /// Name of the machine.
         name: String,
     },
     /// A task was claimed for a machine.
     TaskClaimed {
-        /// Task.
+        /// Claimed task.
         task: QueuedTask,
-        /// Attempt.
+        /// Number of the attempt at the task.
         attempt: u64,
-        /// Machine.
+        /// Name of the machine.
         machine: String,
-        /// Revision at which that was recorded.
+        /// Revision of the key-value store at which the claim was committed.
         revision: u64,
     },
-    /// An attempt was found to have ended.
+    /// An attempt at a task was found to have ended.
     AttemptEnded {
-        /// Task.
+        /// Task of the attempt.
         task: QueuedTask,
-        /// Attempt.
+        /// Number of the attempt at the task.
         attempt: u64,
-        /// Revision at which that was recorded.
+        /// Revision of the key-value store at which the end was committed.
         revision: u64,
     },
 }
 
-/// From an owner to its standby.
+/// A message from an owner to its standby.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Eq, Debug)]
 pub enum Message {
     /// Decisions in the order in which they were made.
     LogTail {
-        /// Shard.
+        /// Number of the shard.
         shard: u32,
         /// Fencing token of the owner.
         fencing_token: u64,
-        /// Sequence number of the first decision.
+        /// Sequence number of the first decision in the message.
         first_sequence: u64,
-        /// Decisions.
+        /// Decisions with consecutive sequence numbers.
         decisions: Vec<Decision>,
     },
-    /// A part of the state as of a moment.
+    /// A part of a snapshot of the shard's state.
     SnapshotPart {
-        /// Shard.
+        /// Number of the shard.
         shard: u32,
         /// Fencing token of the owner.
         fencing_token: u64,
         /// Sequence number of the first decision that is not in the snapshot.
         next_sequence: u64,
-        /// Highest revision at which a decision in the snapshot was recorded.
+        /// Highest revision at which a decision in the snapshot was committed.
         last_decided_revision: u64,
         /// Number of this part, from 0.
         part: u32,
-        /// It is the last part.
+        /// Whether this is the last part of the snapshot.
         is_last: bool,
-        /// Machines, in the order of their names over all parts.
+        /// Names and states of machines, sorted by name across all parts.
         machines: Vec<(String, MachineState)>,
     },
 }
 
-/// From a standby to the owner that it follows.
+/// A standby's response to a message of the owner that it follows.
 #[derive(Archive, Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
 pub enum FollowerResponse {
-    /// The message was applied; this is the next sequence number that is wanted.
+    /// The message was applied; holds the sequence number that the standby expects next.
     NextSequence(u64),
-    /// The message was a part of a snapshot; this is the next part that is wanted.
+    /// A part of a snapshot was applied; holds the number of the part that is expected next.
     NextPart(u32),
-    /// Something is missing: a snapshot is wanted.
+    /// Decisions or parts are missing: the standby needs a new snapshot.
     NeedsSnapshot,
-    /// This higher fencing token is known: the sender is no longer the owner.
+    /// The sender is no longer the owner; holds the higher fencing token that the standby knows.
     StaleFencingToken(u64),
 }
 
 /// The stream that a message belongs to.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct StreamOrigin {
-    /// Shard.
+    /// Replicated shard.
     pub shard: ShardId,
-    /// Fencing token of the owner.
+    /// Fencing token of the owner that sends the stream.
     pub fencing_token: FencingToken,
 }
 
 impl Message {
-    /// Shard and fencing token that it is about.
+    /// The stream that the message belongs to.
     pub fn origin(&self) -> StreamOrigin {
         match self {
             Message::LogTail {
@@ -146,13 +147,13 @@
         }
     }
 
-    /// The archive; `None` if it can't be made.
+    /// Encodes the message as an archive; `None` if that fails.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = rkyv::to_bytes::<Error>(self).ok()?;
         Some(bytes.to_vec())
     }
 
-    /// Reads an archive after validation.
+    /// Validates and decodes an archive; `None` if it is too large or invalid.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return None;
@@ -162,13 +163,13 @@
 }
 
 impl FollowerResponse {
-    /// The archive; `None` if it can't be made.
+    /// Encodes the response as an archive; `None` if that fails.
     pub fn encode(&self) -> Option<Vec<u8>> {
         let bytes = rkyv::to_bytes::<Error>(self).ok()?;
         Some(bytes.to_vec())
     }
 
-    /// Reads an archive after validation.
+    /// Validates and decodes an archive; `None` if it is too large or invalid.
     pub fn decode(bytes: &[u8]) -> Option<FollowerResponse> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return None;
@@ -177,9 +178,9 @@
     }
 }
 
-/// A copy at an address that archives may be read from: received bytes lie anywhere.
+/// Copies received bytes, which may start at any address, to the alignment that archives need.
 fn aligned(bytes: &[u8]) -> rkyv::util::AlignedVec {
-    let mut out = rkyv::util::AlignedVec::new();
-    out.extend_from_slice(bytes);
-    out
+    let mut copy = rkyv::util::AlignedVec::new();
+    copy.extend_from_slice(bytes);
+    copy
 }
--- a/crates/standby/src/permit.rs
+++ b/crates/standby/src/permit.rs
@@ -1,14 +1,14 @@
 //! The permit to decide for a shard.
 //!
-//! A permit is proof, in the type system, that its holder owns the shard under a fencing token and
-//! knows every record as of the revision at which that token was recorded. Only the failover's
-//! state machine issues permits; a decision that needs one can't be compiled without it.
+//! A permit proves, in the type system, that its holder owns the shard under a fencing token and
+//! has read all records up to the revision at which that token was committed. Only the state
+//! machine of failovers issues permits; code that makes a decision without one doesn't compile.
 
 use crate::ids::{FencingToken, Revision, ShardId};
 
 /// Permit to decide for one shard under one fencing token.
 ///
-/// It can be neither built nor copied outside of this crate.
+/// Code outside of this crate can neither construct nor copy a permit.
 #[derive(PartialEq, Eq, Debug)]
 pub struct Permit {
     shard: ShardId,
@@ -29,17 +29,17 @@
         }
     }
 
-    /// Shard that it is for.
+    /// Shard that the permit is valid for.
     pub fn shard(&self) -> ShardId {
         self.shard
     }
 
-    /// Fencing token under which it was issued.
+    /// Fencing token under which the permit was issued.
     pub fn fencing_token(&self) -> FencingToken {
         self.fencing_token
     }
 
-    /// Revision at which the fencing token was recorded.
+    /// Revision at which the fencing token was committed to the key-value store.
     pub fn fence_revision(&self) -> Revision {
         self.fence_revision
     }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The permit of a shard, if one is held.
+    /// The controller's permit for a shard; `None` if it holds none.
     pub fn get(&self, shard: ShardId) -> Option<&Permit> {
         self.by_shard.get(shard.0 as usize)?.as_ref()
     }
--- a/crates/standby/src/publisher.rs
+++ b/crates/standby/src/publisher.rs
@@ -1,20 +1,21 @@
 //! The owner's end of the stream to a standby.
 //!
-//! Decisions get sequence numbers and stay in a bounded log tail until the standby has them. One
-//! that falls behind the log tail gets a snapshot: it never slows the owner. At most one message is
-//! on its way, so nothing accumulates between the two.
+//! Decisions get sequence numbers, and the latest ones are kept in a bounded log tail. A standby
+//! that needs older ones gets a snapshot, so a slow standby never delays the owner. At most one
+//! message is in flight, so no messages queue up between owner and standby.
 
 use crate::ids::{FencingToken, ShardId};
 use crate::message::{Decision, FollowerResponse, MachineState, Message, StreamOrigin};
 use crate::replica_state::ReplicaState;
 use std::collections::VecDeque;
 
-/// Bounds of a stream.
+/// Limits on the memory and the messages of a stream.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct StreamLimits {
-    /// Decisions kept for a standby that is behind.
+    /// Maximum number of decisions in the log tail.
     pub log_tail: usize,
-    /// Size of a message, as estimated by [`estimated_size`] and [`estimated_machine_size`].
+    /// Maximum size of a message in bytes, as estimated by [`estimated_size`] and
+    /// [`estimated_machine_size`]. A message with a single entry may be larger.
     pub message_bytes: usize,
 }
 
@@ -27,14 +28,14 @@
     }
 }
 
-/// What the standby has.
+/// How much of the state the standby has acknowledged.
 #[derive(Clone, Debug)]
 enum Progress {
-    /// Nothing: a snapshot comes first.
+    /// The standby has nothing of use and needs a snapshot.
     NeedsSnapshot,
-    /// Parts of a snapshot.
+    /// The standby is receiving the parts of a snapshot.
     ReceivingSnapshot(SnapshotTransfer),
-    /// All decisions before this sequence number.
+    /// The standby has all decisions before `next_sequence`.
     Following { next_sequence: u64 },
 }
 
@@ -42,11 +43,11 @@
 #[derive(Clone, Debug)]
 struct SnapshotTransfer {
     state: ReplicaState,
-    /// Sequence number of the first decision that is not in it.
+    /// Sequence number of the first decision that is not in the snapshot.
     next_sequence: u64,
-    /// Number of the part that is sent next, or is on its way.
+    /// Number of the part that is in flight or is sent next.
     part: u32,
-    /// Last machine of the parts that the standby has.
+    /// Name of the last machine in the acknowledged parts; `None` before the first one.
     acknowledged_up_to: Option<String>,
     in_flight: Option<PartInFlight>,
 }
@@ -54,7 +55,7 @@
 /// The part of a snapshot that was sent and is not acknowledged.
 #[derive(Clone, Debug)]
 struct PartInFlight {
-    /// Last machine in it.
+    /// Name of the last machine in the part; `None` if the part holds none.
     last_machine: Option<String>,
     is_last: bool,
 }
@@ -74,7 +75,7 @@
 }
 
 impl Publisher {
-    /// A stream to a standby that has nothing yet.
+    /// A stream to a standby that has received nothing yet.
     pub fn new(shard: ShardId, fencing_token: FencingToken, limits: StreamLimits) -> Publisher {
         Publisher {
             origin: StreamOrigin {
@@ -91,12 +92,12 @@
         }
     }
 
-    /// Fencing token under which decisions are made.
+    /// Fencing token under which the published decisions are made.
     pub fn fencing_token(&self) -> FencingToken {
         self.origin.fencing_token
     }
 
-    /// State with all decisions in it.
+    /// State of the shard after all published decisions.
     pub fn replica_state(&self) -> &ReplicaState {
         &self.state
     }
@@ -106,7 +107,8 @@
         self.superseded
     }
 
-    /// Decisions that the standby does not have yet; `None` while it lacks a snapshot.
+    /// Number of decisions that the standby has not acknowledged; `None` while it needs a snapshot
+    /// or is receiving one.
     pub fn lag(&self) -> Option<u64> {
         match &self.progress {
             Progress::Following { next_sequence } => Some(self.next_sequence() - next_sequence),
@@ -119,7 +121,8 @@
         self.first_sequence + self.log_tail.len() as u64
     }
 
-    /// Appends a decision.
+    /// Applies a decision to the state and appends it to the log tail, which drops its oldest
+    /// decision when it is full.
     pub fn publish(&mut self, decision: Decision) {
         self.state.apply(&decision);
         self.log_tail.push_back(decision);
@@ -129,7 +132,8 @@
         }
     }
 
-    /// The message to send next; `None` while one is on its way or nothing is to be sent.
+    /// The next message to send; `None` while a message is in flight, or if there is nothing to
+    /// send or a newer owner is known.
     pub fn next_message(&mut self) -> Option<Message> {
         if self.awaiting_response || self.superseded {
             return None;
@@ -182,23 +186,25 @@
         })
     }
 
-    /// The message on its way was not answered: it is sent once more, which the standby notices.
+    /// Records that the message in flight was not answered. It is sent again; the standby detects
+    /// the duplicate.
     pub fn response_lost(&mut self) {
         self.awaiting_response = false;
     }
 
-    /// Applies the standby's response to the message on its way.
+    /// Applies the standby's response to the message in flight; without one, ignores the response.
     pub fn receive_response(&mut self, response: FollowerResponse) {
         if !std::mem::take(&mut self.awaiting_response) {
             return;
         }
-        // A response that fits nothing that was sent shows a standby that has lost its state.
+        // A response that doesn't match the message in flight means that the standby has lost its
+        // state.
         if !self.apply_response(response) {
             self.progress = Progress::NeedsSnapshot;
         }
     }
 
-    /// False if the response fits nothing that was sent.
+    /// Updates the progress; false if the response doesn't match the message in flight.
     fn apply_response(&mut self, response: FollowerResponse) -> bool {
         let end = self.next_sequence();
         match (response, &mut self.progress) {
@@ -212,7 +218,8 @@
                 possible.contains(&wanted)
             }
             (FollowerResponse::NextSequence(wanted), Progress::ReceivingSnapshot(snapshot)) => {
-                // It may have more than the snapshot, from before its owner began it.
+                // The standby may already have had later decisions than the snapshot holds, from
+                // before the owner began the snapshot.
                 let possible = snapshot.next_sequence..=end;
                 self.progress = Progress::Following {
                     next_sequence: wanted,
@@ -227,7 +234,7 @@
         }
     }
 
-    /// Another standby follows from now on, or the same one anew.
+    /// Starts over with a snapshot, for another standby or for one that has to start again.
     pub fn restart_with_snapshot(&mut self) {
         self.progress = Progress::NeedsSnapshot;
         self.awaiting_response = false;
@@ -268,7 +275,8 @@
         }
     }
 
-    /// The standby has the part that was sent and wants this one; false if that is another.
+    /// Records that the standby has the part in flight and expects part `wanted` next; false if
+    /// that is not the part that follows.
     fn acknowledge_before(&mut self, wanted: u32) -> bool {
         let Some(PartInFlight {
             last_machine: Some(last_machine),
@@ -286,12 +294,12 @@
     }
 }
 
-/// Size of an entry beside its texts.
+/// Estimated size of an entry without its strings, bytes.
 const ENTRY_BYTES: usize = 64;
-/// Size of a queued task beside its job's id.
+/// Estimated size of a queued task without its job's id, bytes.
 const QUEUED_TASK_BYTES: usize = ENTRY_BYTES / 4;
 
-/// Estimated size of a machine's state in a message.
+/// Estimated size of a machine's name and state in a message, bytes.
 pub fn estimated_machine_size(name: &str, state: &MachineState) -> usize {
     let queue: usize = state
         .queue
@@ -302,7 +310,7 @@
     ENTRY_BYTES + name.len() + queue + reservation
 }
 
-/// Estimated size of a decision in a message.
+/// Estimated size of a decision in a message, bytes.
 pub fn estimated_size(decision: &Decision) -> usize {
     match decision {
         Decision::MachineChanged { name, state } => {
--- a/crates/standby/src/replica_state.rs
+++ b/crates/standby/src/replica_state.rs
@@ -1,17 +1,18 @@
-//! The state of a shard that is not in the records, as owner and standby both keep it.
+//! The state of a shard that is not stored in the key-value store, as owner and standby keep it.
 
 use crate::ids::Revision;
 use crate::message::{Decision, MachineState};
 use rpds::RedBlackTreeMap;
 use std::ops::Bound;
 
-/// Machines that a standby remembers of a shard at most: a faulty owner can't fill its memory.
+/// Maximum number of machines that a standby keeps for a shard, so that a faulty owner can't
+/// exhaust its memory.
 pub const MAX_MACHINES: usize = 20_000;
 
-/// State of a shard's machines, and how far its recorded decisions go.
+/// State of a shard's machines, and the revision of its last committed decision.
 ///
-/// The map is persistent: a copy shares its nodes and costs the same at any size, so that a
-/// snapshot does not hold up its owner.
+/// The map is a persistent data structure: a copy shares its nodes and takes the same time at any
+/// size, so that starting a snapshot does not delay the owner.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaState {
     machines: RedBlackTreeMap<String, MachineState>,
@@ -19,7 +20,7 @@
 }
 
 impl ReplicaState {
-    /// Applies a decision. One machine more than can be remembered is left out.
+    /// Applies a decision. A new machine beyond [`MAX_MACHINES`] is ignored.
     pub fn apply(&mut self, decision: &Decision) {
         match decision {
             Decision::MachineChanged { name, state } => self.put_machine(name, state),
@@ -42,32 +43,32 @@
         self.last_decided = self.last_decided.max(revision);
     }
 
-    /// Highest revision at which a decision was recorded.
+    /// Highest revision at which an applied decision was committed.
     pub fn last_decided(&self) -> Revision {
         self.last_decided
     }
 
-    /// State of a machine.
+    /// State of a machine; `None` if the machine is unknown.
     pub fn machine(&self, name: &str) -> Option<&MachineState> {
         self.machines.get(name)
     }
 
-    /// Number of machines.
+    /// Number of known machines.
     pub fn len(&self) -> usize {
         self.machines.size()
     }
 
-    /// True without any machine.
+    /// True if no machine is known.
     pub fn is_empty(&self) -> bool {
         self.machines.is_empty()
     }
 
-    /// All machines in the order of their names.
+    /// All machines and their states, sorted by name.
     pub fn machines(&self) -> impl Iterator<Item = (&String, &MachineState)> {
         self.machines.iter()
     }
 
-    /// Machines whose names come after one, or all.
+    /// Machines whose names sort after `name`, and their states; all machines if `name` is `None`.
     pub fn machines_after<'a>(
         &'a self,
         name: Option<&'a str>,
--- a/crates/standby/src/role.rs
+++ b/crates/standby/src/role.rs
@@ -1,31 +1,31 @@
 //! Which controller owns a shard, and which is its standby.
 //!
-//! The choice is a pure function of the membership, so that all controllers with the same view
-//! agree without storing anything, and a role changes only when a controller comes or goes. Two
-//! controllers whose views differ for a moment may both try to take a shard: the transaction that
-//! raises the fencing token lets one of them win.
+//! The choice is a pure function of the membership: all controllers with the same view of it agree
+//! without storing anything, and a role changes only when a controller joins or leaves. Two
+//! controllers whose views differ for a moment may both try to take a shard; only one of them
+//! succeeds with the transaction that raises the fencing token.
 
 /// A controller that may own a shard or become its standby.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Candidate<'a> {
-    /// Name.
+    /// Name of the controller.
     pub name: &'a str,
-    /// Its zone, if that is one of the shard zones.
+    /// Number of the controller's zone; `None` if no shard belongs to its zone.
     pub zone: Option<u32>,
-    /// It has been alive for long enough to be given a role.
+    /// Whether the controller has been alive for long enough to be given a role.
     pub eligible: bool,
-    /// Workers reach it.
+    /// Whether workers reach the controller.
     pub reachable_from_workers: bool,
 }
 
-/// How zones count in the choice of a controller.
+/// Which zones are preferred in the choice of a controller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ZonePreference {
-    /// Controllers of this zone first.
+    /// Controllers in this zone are preferred.
     Inside(u32),
-    /// Controllers of other zones first.
+    /// Controllers in any other zone than this one are preferred.
     Outside(u32),
-    /// Zones don't count.
+    /// No zone is preferred.
     Any,
 }
 
@@ -39,10 +39,11 @@
     }
 }
 
-/// Chooses one of the candidates; `spread` distributes shards over equally good ones.
+/// Chooses one of the candidates; `None` if there are none.
 ///
-/// Controllers that workers reach go before others, then eligible ones, then the preferred zones.
-/// Candidates have to come in the same order on every controller.
+/// Candidates that workers reach rank first, then eligible ones, then those in a preferred zone.
+/// `spread` selects one of the candidates of the highest rank, so that shards are distributed over
+/// them. Every controller has to pass the candidates in the same order.
 pub fn choose<'a>(
     candidates: &[Candidate<'a>],
     preference: ZonePreference,
@@ -64,7 +65,7 @@
         .map(|candidate| candidate.name)
 }
 
-/// The standby of a shard: any candidate but its owner.
+/// Chooses the standby of a shard among the candidates other than its owner, like [`choose`].
 pub fn standby_of<'a>(
     owner: &str,
     candidates: &[Candidate<'a>],
