--- a/src/coordination/failover/bound.rs
+++ b/src/coordination/failover/bound.rs
@@ -1,31 +1,35 @@
-//! How long a failover may take, from the times of a deployment.
+//! Upper bound of the duration of a failover, from the settings of a deployment.
 
 use crate::settings::Workers;
 use crate::state::units::millis_from_seconds;
 use standby::failover_bound::FailoverBound;
 
-/// How late the key-value store may end a lease.
+/// Maximum delay with which the key-value store expires a lease.
 const LEASE_EXPIRY_DELAY_MS: u64 = 100;
-/// A notification of the key-value store and the round of the background task that takes it.
+/// Time for a notification of the key-value store and the round of the background task that
+/// handles it.
 const DETECTION_MS: u64 = 500;
-/// A transaction and its answer.
+/// Time for a transaction and its answer.
 const FENCE_MS: u64 = 1500;
-/// A notification of the key-value store.
+/// Time for a notification of the key-value store.
 const CATCH_UP_MS: u64 = 500;
-/// A reachable worker is shown the fencing token by a direct command and sends a heartbeat half a
-/// second later.
+/// Time until a reachable worker sends a heartbeat with the new fencing token: it receives the
+/// token by a direct command and sends a heartbeat half a second later.
 const FIRST_HEARTBEAT_MS: u64 = 2000;
-/// A heartbeat that hangs at the lost controller ends after 4 s, the worker tries the next one 1 s
-/// later, and is redirected from there within half a second.
+/// The same time if the lost controller hangs: a heartbeat sent to it times out after 4 s, the
+/// worker tries the next controller 1 s later, and is redirected from there within half a second.
 const FIRST_HEARTBEAT_AFTER_HANG_MS: u64 = 5500;
 
-/// Time after which a controller that does not renew its key is dead to the others: four tenths of
-/// the workers' lease, so that their next owner finds them before it ends.
+/// Lease of a controller's membership key, ms. The other controllers consider a controller dead
+/// once it has not renewed its key for this time.
+///
+/// The lease is four tenths of the workers' lease, so that a new owner reaches the workers before
+/// their leases expire.
 pub fn membership_lease_ms(workers_lease_ms: u64) -> u64 {
     (workers_lease_ms * 4 / 10).clamp(3000, 5000)
 }
 
-/// How long a failover may take with these times of workers.
+/// Upper bound of the duration of a failover with these settings of workers.
 pub fn bound(workers: &Workers) -> FailoverBound {
     let lease_ms = membership_lease_ms(millis_from_seconds(workers.lease_s));
     FailoverBound {
--- a/src/coordination/failover/mod.rs
+++ b/src/coordination/failover/mod.rs
@@ -1,16 +1,17 @@
-//! Failover of shards: what records and peers show of each shard, and the permits that follow.
+//! Failover of shards: observes each shard by the records and the peers' status updates, and
+//! provides the permits to decide for shards.
 //!
-//! The state machine is `standby::failover`; here it is connected to the controller. Membership and
-//! everything that decides for a shard call it.
+//! This module connects the state machine in `standby::failover` to the controller. Membership and
+//! all code that decides for a shard call it.
 //!
-//! - [`bound`]: how long a failover may take with the times of a deployment;
-//! - [`ShardView`]: what is observed of a shard (pure);
-//! - `permits`: brings the state machine up to date, lends permits, withdraws refused ones;
-//! - `restore`: after a failover, goes on with what the former owner streamed;
-//! - `standbys`: the standby of each shard, as this controller sees it.
+//! - [`bound`]: upper bound of the duration of a failover in a deployment;
+//! - [`ShardView`]: observation of a shard (pure);
+//! - `permits`: updates the state machine, lends permits, and withdraws those that were refused;
+//! - `restore`: restores the state that the former owner streamed after a failover;
+//! - `standbys`: the standby of each shard in the view of this controller.
 //!
-//! Invariant: a permit is lent only after all shards were observed in the view of that moment, and
-//! what was derived from a permit (queues, reservations) goes with it.
+//! Invariant: a permit is lent only after all shards have been observed in the current view, and
+//! withdrawing a permit discards what was derived from it (queues, reservations).
 
 mod bound;
 mod observation;
--- a/src/coordination/failover/observation.rs
+++ b/src/coordination/failover/observation.rs
@@ -1,4 +1,4 @@
-//! What a controller observes of a shard at one moment, for the state machine of its failover.
+//! Observation of a shard at one moment, as input to the state machine of its failover.
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::state::cluster_state::ClusterState;
@@ -7,27 +7,28 @@
 use standby::failover::{Observation, Owner};
 use standby::ids::Revision;
 
-/// Silence of a peer after which it is suspected: its status updates come once a second.
+/// Time without a status update after which a peer is suspected to have failed. Peers send one each
+/// second.
 const SILENT_AFTER_MS: u64 = 2500;
 
-/// A shard in the view of this controller.
+/// What this controller knows of a shard.
 pub struct ShardView<'a> {
-    /// The records.
+    /// Cached state of the cluster.
     pub cluster: &'a ClusterState,
-    /// Who this controller is.
+    /// Configuration with the name and the incarnation of this controller.
     pub config: &'a SchedulerConfig,
-    /// The shard.
+    /// Observed shard.
     pub shard: ShardIndex,
-    /// This controller is its standby.
+    /// Whether this controller is the standby of the shard.
     pub is_standby: bool,
-    /// When its owner, if that is a peer, last sent a status update.
+    /// When the owner last sent a status update; `None` if it is no peer or has sent none.
     pub owner_last_contact: Option<MonotonicMillis>,
-    /// Now.
+    /// Current time.
     pub now: MonotonicMillis,
 }
 
 impl ShardView<'_> {
-    /// What the state machine of the shard's failover goes by.
+    /// Observation of the shard for the state machine of its failover.
     pub fn observe(&self) -> Observation {
         Observation {
             owner: self.owner(),
--- a/src/coordination/failover/permits.rs
+++ b/src/coordination/failover/permits.rs
@@ -1,4 +1,5 @@
-//! The permits of this controller: observed, lent, and withdrawn when a fencing token is refused.
+//! The permits of this controller: updated by observation of all shards, lent to code that decides,
+//! and withdrawn when a fencing token is refused.
 
 use super::observation::ShardView;
 use super::restore;
@@ -9,13 +10,14 @@
 use standby::permit::Permits;
 use std::cell::Ref;
 
-/// Brings failovers up to date with the view, and lends the permits that this controller has then.
+/// Updates the failovers of all shards, and lends the permits that this controller then holds.
 pub fn permits(controller: &Controller) -> Ref<'_, Permits> {
     observe_shards(controller);
     Ref::map(controller.failovers.borrow(), Failovers::permits)
 }
 
-/// Observes all shards, and does what their changes of state call for; each is logged once.
+/// Observes all shards, and handles and logs each change of state: a step-down discards unrecorded
+/// decisions, and a permit restores those of the former owner.
 pub fn observe_shards(controller: &Controller) {
     let transitions = update_failovers(controller);
     for transition in &transitions {
@@ -55,7 +57,7 @@
     transitions
 }
 
-/// Withdraws a shard's permit: a fencing token of this controller was refused.
+/// Withdraws a shard's permit because a fencing token of this controller was refused.
 pub fn token_refused(controller: &Controller, shard: ShardIndex, refusal: Refusal) {
     if controller.features.standby().is_none() {
         return;
@@ -75,7 +77,7 @@
     }
 }
 
-/// Passes a step of the transaction that raises a shard's fencing token to its failover.
+/// Applies an event of the transaction that raises a shard's fencing token to the shard's failover.
 pub(in crate::coordination) fn record_fence_step(
     controller: &Controller,
     shard: ShardIndex,
@@ -92,7 +94,8 @@
     }
 }
 
-/// Drops what was derived from a permit that is withdrawn: queues and reservations.
+/// Discards the decisions that were made under a withdrawn permit and are not in the records:
+/// queues, reservations and pending stops.
 fn drop_shard_hints(controller: &Controller, shard: ShardIndex) {
     if controller.features.standby().is_none() {
         return;
--- a/src/coordination/failover/restore.rs
+++ b/src/coordination/failover/restore.rs
@@ -1,4 +1,4 @@
-//! After a failover: the new owner goes on with the queues and reservations of the former one.
+//! Restores the former owner's queues and reservations after a failover.
 
 use crate::coordination::controller::Controller;
 use crate::state::cluster_state::ClusterState;
@@ -8,23 +8,25 @@
 use standby::message::{MachineState, QueuedTask};
 use standby::replica_state::ReplicaState;
 
-/// What a failover went on with.
+/// Counts of what was restored after a failover.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Restored {
-    /// Tasks in queues.
+    /// Number of tasks added to queues.
     pub queued_tasks: usize,
-    /// Machines reserved for gangs.
+    /// Number of machines reserved for gangs.
     pub reservations: usize,
 }
 
-/// Goes on with what the former owner of a shard streamed, once this controller may decide for it.
+/// Restores the state that the former owner of a shard streamed, once this controller holds the
+/// permit for the shard.
 pub fn restore(controller: &Controller, shard: ShardIndex) {
     let follower = controller.replication.borrow_mut().followed.remove(&shard);
     let Some(follower) = follower else {
         return;
     };
     let mut cluster = controller.cluster.borrow_mut();
-    // Only the state of the owner just before: an older one's queues have long been served.
+    // Only the state of the immediately preceding owner is of use: the queues of an older one are
+    // outdated.
     let own_token = cluster.shards[shard.at()].record.fencing_token;
     if follower.fencing_token().next() != own_token {
         return;
@@ -44,7 +46,8 @@
     );
 }
 
-/// Restores a former owner's queues and reservations, as far as they still make sense.
+/// Restores a former owner's queues and reservations, except tasks that no longer wait, gangs that
+/// can't run, and machines that are unknown or belong to another shard.
 pub fn restore_replica(
     cluster: &mut ClusterState,
     shard: ShardIndex,
@@ -79,7 +82,7 @@
     restored
 }
 
-/// The tasks of a queue that still wait by the records.
+/// The tasks of a queue that still wait according to the records.
 fn waiting_tasks(cluster: &ClusterState, queue: &[QueuedTask]) -> Vec<(JobIndex, u32)> {
     let still_waits = |queued: &QueuedTask| {
         let (job_index, job) = cluster.job(&queued.job)?;
@@ -89,7 +92,7 @@
     queue.iter().filter_map(still_waits).collect()
 }
 
-/// The gang that a machine was reserved for, if it can still run.
+/// The gang that a machine was reserved for; `None` if there was none or it can't run any more.
 fn runnable_gang(cluster: &ClusterState, state: &MachineState) -> Option<JobIndex> {
     let (gang, job) = cluster.job(state.reserved_for.as_ref()?)?;
     job.is_runnable().then_some(gang)
--- a/src/coordination/failover/standbys.rs
+++ b/src/coordination/failover/standbys.rs
@@ -1,10 +1,10 @@
-//! The standby of each shard, as this controller sees it.
+//! The standby of each shard in the view of this controller.
 
 use crate::coordination::controller::Controller;
 use crate::state::names::{Index, ShardIndex};
 use std::collections::HashMap;
 
-/// Records the standbys of all shards; a change that concerns this controller's shards is logged.
+/// Replaces the standbys of all shards, and logs the changes for shards that this controller owns.
 pub(in crate::coordination) fn record_standbys(
     controller: &Controller,
     standbys: HashMap<ShardIndex, String>,
--- a/src/coordination/membership/assignment.rs
+++ b/src/coordination/membership/assignment.rs
@@ -1,8 +1,8 @@
-//! Which controller should own a shard, and which is its standby: pure decisions.
+//! Decides which controller should own a shard and which is its standby (pure).
 //!
-//! A shard whose owner lives stays there, unless another controller is its preferred owner. One
-//! without a living owner goes to its standby, which has followed the owner, or else to its
-//! preferred owner. The choice among controllers is `standby::role`.
+//! A shard whose owner is alive stays with it, unless another controller is its preferred owner. A
+//! shard without a live owner goes to its standby, which has followed the former owner, or else to
+//! its preferred owner. `standby::role` chooses among the candidates.
 
 use super::transfer::Move;
 use super::view::MembershipView;
@@ -15,44 +15,44 @@
 use standby::role::{self, Candidate, ZonePreference};
 use std::collections::{BTreeMap, HashMap};
 
-/// A controller must have been there this long before it is handed shards of a living one, and a
-/// shard stays this long with whoever gets it.
+/// Time for which a controller must have been alive before shards of a live owner are moved to it,
+/// and for which a shard stays with a new owner before it is moved again.
 const ELIGIBLE_AFTER_MS: u64 = 2500;
-/// A shard that its standby has not taken after this time goes to its preferred owner: controllers
-/// whose settings or views differ could otherwise leave it to each other.
+/// Time after which a shard that its standby has not taken goes to its preferred owner. Without it,
+/// controllers whose settings or views differ could each wait for the other to take the shard.
 const ABANDONED_BY_STANDBY_MS: u64 = 2500;
-/// Age from which on an unanswered direct start makes its shard's owner raise the fencing token.
+/// Age at which an unanswered direct start makes its shard's owner raise the fencing token.
 const UNANSWERED_START_MS: u64 = 2500;
-/// In-flight starts of a machine that are remembered at most before the fencing token rises.
+/// Number of in-flight starts of a machine above which the shard's owner raises the fencing token.
 const MAX_IN_FLIGHT_STARTS: usize = 200;
 
-/// One look at all shards: what the decisions on their owners rest on.
+/// Input for the decisions on the owners of all shards.
 pub struct Assignment<'a> {
-    /// The records.
+    /// Cached state of the cluster.
     pub cluster: &'a ClusterState,
-    /// Who this controller is.
+    /// Configuration with the name and the incarnation of this controller.
     pub config: &'a SchedulerConfig,
-    /// Zone of each controller.
+    /// Zone of each controller whose zone is one of the settings' zones.
     pub zones: &'a BTreeMap<String, ZoneIndex>,
-    /// What is known beside the records.
+    /// Knowledge of this controller that is not in the records.
     pub view: &'a MembershipView,
-    /// Fencing tokens of own shards may rise now because of in-flight starts.
+    /// Whether fencing tokens of own shards may be raised now because of in-flight starts.
     pub may_raise_tokens: bool,
-    /// Now.
+    /// Current time.
     pub now: MonotonicMillis,
 }
 
-/// Names of controllers that may get a shard.
+/// Names of controllers that may become the owner of a shard.
 struct Controllers<'a> {
-    /// Those whose key is there.
+    /// Controllers whose membership key exists.
     live: Vec<&'a str>,
-    /// Those that have been there for long enough to be handed a living owner's shards.
+    /// Controllers that have been alive for long enough to take over shards of a live owner.
     eligible: Vec<&'a str>,
 }
 
 impl<'a> Assignment<'a> {
-    /// What this controller should change: take shards without a living owner, hand over its own
-    /// to an eligible controller that should have them.
+    /// Changes of ownership that this controller should make: taking shards that have no live
+    /// owner, and handing over its own to eligible controllers that are preferred for them.
     pub fn moves(&self) -> Vec<Move> {
         let controllers = Controllers {
             live: self
@@ -87,7 +87,8 @@
             .collect()
     }
 
-    /// Whom this controller should make a shard's owner now, if anyone.
+    /// Controller that this one should make the owner of a shard now; `None` to leave the shard as
+    /// it is.
     fn new_owner(&self, shard: ShardIndex, controllers: &Controllers<'a>) -> Option<&'a str> {
         let this_controller = self.config.controller_name.as_str();
         match self.cluster.live_owner(shard) {
@@ -101,7 +102,8 @@
         }
     }
 
-    /// Whom an own shard should go to: a preferred owner, or this controller under a new token.
+    /// New owner of a shard that this controller owns: the preferred owner, or this controller if
+    /// only the fencing token has to be raised; `None` to leave the shard as it is.
     fn new_owner_of_own(
         &self,
         shard: ShardIndex,
@@ -117,8 +119,8 @@
         changes.then_some(preferred)
     }
 
-    /// A controller that no worker reaches is of no use to machines, as long as another is. The
-    /// autoscaler needs no workers.
+    /// Excludes controllers that no worker reaches, as long as others remain: such an owner is of
+    /// no use to the machines of a shard. The autoscaler's shard needs no workers, so all remain.
     fn without_unreachable(&self, shard: ShardIndex, controllers: &[&'a str]) -> Vec<&'a str> {
         let reachable: Vec<&str> = controllers
             .iter()
@@ -132,7 +134,7 @@
         }
     }
 
-    /// Who should take a shard without a living owner.
+    /// Controller that should take a shard without a live owner.
     fn successor(&self, shard: ShardIndex, live: &[&'a str]) -> Option<&'a str> {
         let ownerless_since = self.view.ownerless_since.get(&shard);
         let abandoned =
@@ -146,14 +148,16 @@
         preferred_owner(self.cluster, self.zones, live, shard)
     }
 
-    /// A shard stays for a moment with whoever gets it: why it came may be in status updates that
-    /// are still on their way, and two controllers that disagree would hand it to and fro.
+    /// True if this controller has owned a shard for long enough to hand it over.
+    ///
+    /// The status updates that explain why the shard came here may still be in flight, and two
+    /// controllers that disagree would otherwise move the shard back and forth.
     fn has_settled_here(&self, shard: ShardIndex) -> bool {
         let owned_since = self.view.owned_since.get(&shard);
         owned_since.is_some_and(|since| self.now.since(*since) >= ELIGIBLE_AFTER_MS)
     }
 
-    /// True if starts of an own shard's machines can be ended by a new fencing token alone.
+    /// True if an own shard needs a new fencing token to invalidate in-flight direct starts.
     fn must_raise_token(&self, shard: ShardIndex) -> bool {
         let fencing_token = self.cluster.shards[shard.at()].record.fencing_token;
         self.cluster
@@ -163,15 +167,18 @@
     }
 }
 
-/// A direct start that was not answered may run until the token rises, and exits that are kept
-/// against repeated starts must not fill the heartbeats.
+/// True if a machine has in-flight starts that a new fencing token should invalidate.
+///
+/// An unanswered direct start may still be executed until the fencing token rises. And a worker
+/// keeps ended attempts in its heartbeats to guard against repeated starts, so the number of
+/// in-flight starts must stay limited.
 fn has_starts_to_fence(
     machine: &Machine,
     fencing_token: FencingToken,
     now: MonotonicMillis,
 ) -> bool {
-    // Those of older tokens can't run any more, though a silent machine keeps them: to count them
-    // would raise the token again and again.
+    // Starts under older tokens can't be executed any more, but remain listed while the machine is
+    // silent. Counting them would raise the token repeatedly.
     let can_run = |start: &&InFlightStart| start.fencing_token >= fencing_token;
     let in_flight = || machine.starts.in_flight.values().filter(can_run);
     let unanswered = |start: &InFlightStart| {
@@ -180,7 +187,8 @@
     in_flight().count() > MAX_IN_FLIGHT_STARTS || in_flight().any(unanswered)
 }
 
-/// The controller that should own a shard: live ones in its zone first, the work spread evenly.
+/// The controller that should own a shard: one in the shard's zone if there is any, with the zone's
+/// shards distributed evenly.
 fn preferred_owner<'a>(
     cluster: &ClusterState,
     zones: &BTreeMap<String, ZoneIndex>,
@@ -210,12 +218,13 @@
     }
 }
 
-/// Spreads the shards of a zone over equally good controllers.
+/// Number that distributes the shards of a zone over controllers of equal rank.
 fn spread(cluster: &ClusterState, shard: ShardIndex) -> usize {
     shard.at() % cluster.shards_per_zone.max(1)
 }
 
-/// The standby of a shard: a live controller other than its owner that knows the feature.
+/// The standby of a shard: a live controller other than its owner that has the feature enabled.
+/// `None` if there is no such controller, or the feature is off here.
 pub fn standby_of<'a>(
     cluster: &'a ClusterState,
     view: &MembershipView,
@@ -239,8 +248,8 @@
     role::standby_of(owner, &candidates, preference, spread(cluster, shard))
 }
 
-/// The standby of a shard, if it has been there for long enough to have followed the owner: after a
-/// restart of all nobody has, and shards go straight to their preferred owners.
+/// The standby of a shard, if it has been alive for long enough to have followed the owner. After a
+/// restart of all controllers none has, and shards go directly to their preferred owners.
 fn eligible_standby_of<'a>(
     cluster: &'a ClusterState,
     view: &MembershipView,
@@ -254,7 +263,7 @@
         .then_some(name)
 }
 
-/// The standby of each shard, as this controller's view has it.
+/// The standby of each shard that has one, in the view of this controller.
 pub(super) fn standbys(
     cluster: &ClusterState,
     view: &MembershipView,
--- a/src/coordination/membership/lease.rs
+++ b/src/coordination/membership/lease.rs
@@ -1,5 +1,5 @@
-//! This controller's key: a record under a lease of the key-value store. While it is there others
-//! count this controller as living.
+//! The membership key of this controller: a record under a lease of the key-value store. The other
+//! controllers consider this one alive as long as the key exists.
 
 use super::transfer::{controller_key, controller_unchanged};
 use crate::coordination::controller::Controller;
@@ -14,8 +14,8 @@
 #[derive(Clone, Copy)]
 pub(super) struct LeaseId(u64);
 
-/// Renews the lease, and requests one if there is none or it has expired; registers this controller
-/// if its key is not there. The lease that is held then, if any.
+/// Renews the lease, or requests a new one if none is held or it has expired, and registers this
+/// controller if its key doesn't exist. Returns the lease that is held afterwards, if any.
 pub(super) async fn renew_lease(
     controller: &Controller,
     held: Option<LeaseId>,
@@ -36,7 +36,7 @@
     register(controller, lease).await
 }
 
-/// True if the records show the key of this incarnation.
+/// True if the cached records hold the membership key of this process.
 pub(super) fn is_registered(controller: &Controller, cluster: &ClusterState) -> bool {
     let config = &controller.config;
     let own = cluster.controllers.get(&config.controller_name);
@@ -56,7 +56,8 @@
     controller.kv.grant_lease(ttl_ms).await.map(LeaseId)
 }
 
-/// Writes this controller's record under a lease; `None` if another lease is needed.
+/// Writes this controller's record under a lease, and returns the lease; `None` if the key-value
+/// store refuses it as invalid, so that a new one is needed.
 async fn register(controller: &Controller, lease: LeaseId) -> Option<LeaseId> {
     let transaction = registration(controller, lease)?;
     match controller.kv.commit(&transaction).await {
@@ -80,7 +81,7 @@
         },
     };
     Some(Transaction {
-        // A late write of an earlier incarnation must not replace this one's.
+        // A delayed write of an earlier process must not overwrite the record of this one.
         conditions: vec![controller_unchanged(&controller.cluster.borrow(), name)],
         writes: vec![set(controller_key(name), &record, Some(lease.0))?],
     })
--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -1,13 +1,13 @@
-//! Membership: this controller's leased key, and who owns which shard.
+//! Membership: the leased key of this controller, and the ownership of shards.
 //!
-//! The background task here keeps the key alive and moves shards, one look a second or at once when
-//! the records of controllers and shards change. What it does in a round stands in the files beside
-//! it: `lease` keeps the key, `record_format` begins the second format of records, `view` is
-//! what a controller knows beside the records, `assignment` decides (pure), `transfer` commits.
+//! The background task here renews the key's lease and moves shards, once a second and whenever the
+//! records of controllers or shards change. The submodules contain the steps of a round: `lease`
+//! keeps the key, `record_format` switches to the second record format, `view` holds what a
+//! controller knows beside the records, `assignment` decides (pure), `transfer` commits.
 //!
-//! Invariant: a shard changes its owner only by a transaction that is conditional on the shard's
-//! record and on the keys of both controllers, and raises the shard's fencing token. So two
-//! controllers with different views can both try, and one of them succeeds.
+//! Invariant: the owner of a shard changes only by a transaction that is conditional on the shard's
+//! record and on the keys of both controllers, and that raises the shard's fencing token. If two
+//! controllers with different views both try, only one of them succeeds.
 
 mod assignment;
 mod lease;
@@ -28,16 +28,16 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Longest time between two rounds; changes of controllers and shards notify.
+/// Maximum time between two rounds. Changes of controllers and shards start a round earlier.
 const TICK_MS: u64 = 1000;
-/// Time after which a round that failed is tried again.
+/// Delay before the next round after one that failed.
 const RETRY_MS: u64 = 300;
-/// Age at which the lease is renewed: a little under a tick, so that no renewal is skipped.
+/// Age at which the lease is renewed: slightly less than a tick, so that each tick renews it.
 const LEASE_RENEWAL_MS: u64 = 900;
-/// Least time between rises of fencing tokens for in-flight starts.
+/// Minimum time between two raises of fencing tokens because of in-flight starts.
 const TOKEN_RAISE_INTERVAL_MS: u64 = 5000;
 
-/// What the background task remembers from round to round.
+/// State of the background task, kept between rounds.
 struct Membership {
     zones: BTreeMap<String, ZoneIndex>,
     lease_ttl_ms: u64,
@@ -47,7 +47,7 @@
     view: MembershipView,
 }
 
-/// Background task: keeps this controller's key and its shards.
+/// Background task: renews this controller's key and moves shards.
 pub async fn run(controller: Rc<Controller>) {
     let mut membership = Membership::new(&controller);
     loop {
@@ -91,7 +91,8 @@
         }
     }
 
-    /// Renews the lease when it is due; false if there is none, or nothing is loaded yet.
+    /// Renews the lease when it is due; false if no lease is held afterwards, or the records have
+    /// not been loaded yet.
     async fn keep_lease(&mut self, controller: &Rc<Controller>, now: MonotonicMillis) -> bool {
         if !controller.cluster.borrow().loaded {
             return false;
@@ -104,7 +105,7 @@
         self.lease.is_some()
     }
 
-    /// Brings the view up to date, chooses standbys, and decides on shards.
+    /// Updates the view, chooses the standbys, and decides which shards to move.
     fn plan_moves(&mut self, controller: &Controller, now: MonotonicMillis) -> Vec<Move> {
         let may_raise_tokens = now.since(self.tokens_raised_at) >= TOKEN_RAISE_INTERVAL_MS;
         if may_raise_tokens {
@@ -118,7 +119,7 @@
         self.view.update(&cluster, now);
         failover::record_standbys(controller, assignment::standbys(&cluster, &self.view, now));
         if !lease::is_registered(controller, &cluster) {
-            // Without an own key there is nothing to take shards with.
+            // A move to this controller is conditional on its key.
             return Vec::new();
         }
         let assignment = Assignment {
@@ -133,7 +134,8 @@
     }
 }
 
-/// The zone of each controller of the deployment, as far as it is one of the settings' zones.
+/// Zone of each controller of the deployment, without controllers whose zone is not one of the
+/// settings' zones.
 fn controller_zones(controller: &Controller) -> BTreeMap<String, ZoneIndex> {
     let cluster = controller.cluster.borrow();
     let platform = &controller.platform;
--- a/src/coordination/membership/record_format.rs
+++ b/src/coordination/membership/record_format.rs
@@ -1,4 +1,4 @@
-//! The second format of records begins once all controllers know it.
+//! Switches to the second record format once all controllers support it.
 
 use super::transfer::controller_unchanged;
 use crate::coordination::controller::Controller;
@@ -9,12 +9,13 @@
 use crate::state::cluster_state::{ClusterState, ROOT};
 use crate::state::records::RECORD_FORMAT_V2;
 
-/// The transaction by which the second format of records begins: once all controllers of the
-/// deployment live and know it, and on condition that none of them has changed since.
+/// The transaction that switches to the second record format, conditional on the records of all
+/// controllers being unchanged. `None` unless all controllers of the deployment are alive and
+/// support the format, or if the switch has been made.
 ///
-/// A process of the old version that comes back later finds its records in the first format but
-/// for jobs with dependencies and wide ones, which it may show and cancel. That is for the operator
-/// to rule out: until the second format begins a change of version can be taken back.
+/// A process of the old version that starts after the switch finds its records in the first format,
+/// except for wide jobs and jobs with dependencies, which it can show and cancel. Operators have to
+/// prevent such a start: an upgrade can be rolled back only until the switch.
 pub fn begin_record_format_v2(cluster: &ClusterState, controllers: &[&str]) -> Option<Transaction> {
     if cluster.record_format_v2 || !cluster.loaded {
         return None;
@@ -35,7 +36,7 @@
     Some(Transaction { conditions, writes })
 }
 
-/// Begins the second format of records once all controllers know it.
+/// Switches to the second record format if all controllers support it.
 pub(super) async fn try_begin_record_format_v2(controller: &Controller) {
     let transaction = {
         let peers = controller.peers.iter().map(|peer| peer.name.as_str());
--- a/src/coordination/membership/transfer.rs
+++ b/src/coordination/membership/transfer.rs
@@ -1,4 +1,5 @@
-//! Carries changes of owners out: one transaction each, conditional on everything it rests on.
+//! Commits changes of ownership: one transaction for each, conditional on all records that the
+//! decision used.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::failover;
@@ -10,21 +11,21 @@
 use crate::state::names::{Index, ShardIndex};
 use standby::failover::Failovers;
 
-/// A change of owner to be tried.
+/// A planned change of a shard's owner or of its fencing token alone.
 #[derive(Debug, PartialEq)]
 pub struct Move {
-    /// Shard.
+    /// Shard to move.
     pub shard: ShardIndex,
-    /// New owner; the present one if only the fencing token is to rise.
+    /// Name of the new owner, or of the current one if only the fencing token has to be raised.
     pub to: String,
 }
 
-/// Key of a controller's record.
+/// Key of a controller's record in the key-value store.
 pub(super) fn controller_key(name: &str) -> String {
     format!("{ROOT}node/{name}")
 }
 
-/// The condition that a controller's record has not changed; without a record, that there is none.
+/// The condition that a controller's record is unchanged, or still missing if the view has none.
 pub(super) fn controller_unchanged(cluster: &ClusterState, name: &str) -> Condition {
     let controller = cluster.controllers.get(name);
     Condition {
@@ -33,7 +34,8 @@
     }
 }
 
-/// The transaction of a move: valid only while nothing about either owner has changed.
+/// The transaction of a move, and the shard's record that it writes; `None` if the new owner is not
+/// alive. The transaction is conditional on the shard's record and on those of both owners.
 pub fn move_transaction(
     cluster: &ClusterState,
     planned: &Move,
@@ -61,7 +63,7 @@
     Some((Transaction { conditions, writes }, record))
 }
 
-/// Carries moves out; false if one failed, and the rest are left.
+/// Commits moves in order. Stops at the first failure and returns false.
 pub(super) async fn execute_moves(controller: &Controller, moves: Vec<Move>) -> bool {
     for planned in moves {
         let transaction = move_transaction(&controller.cluster.borrow(), &planned);
@@ -84,14 +86,14 @@
                 failover::record_fence_step(controller, planned.shard, Failovers::fence_refused);
                 return false;
             }
-            // It may have been carried out, or still be: the records will tell.
+            // The transaction may have been applied, or may be later: the records will show it.
             CommitOutcome::Unknown => return false,
         }
     }
     true
 }
 
-/// Applies a committed move to the view, unless that has read a newer record already.
+/// Applies a committed move to the cached state, unless that already holds a newer record.
 fn apply_move(controller: &Controller, done: &Move, revision: u64, record: ShardRecord) {
     log::info!(
         "shard moved: shard={} controller={} fencing_token={}",
--- a/src/coordination/membership/view.rs
+++ b/src/coordination/membership/view.rs
@@ -1,5 +1,5 @@
-//! What a controller knows of membership beside the records: since when it has seen others and
-//! owned shards, and which controllers workers reach.
+//! What a controller knows of the membership beside the records: since when it has seen other
+//! controllers and owned shards, and which controllers workers reach.
 
 use crate::coordination::controller::peers::Peer;
 use crate::coordination::controller::Controller;
@@ -8,34 +8,35 @@
 use crate::state::units::{Incarnation, MonotonicMillis};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// What a controller knows beside the records when it decides on shards.
+/// Knowledge of a controller that its decisions on the ownership of shards need beside the records.
 #[derive(Default)]
 pub struct MembershipView {
-    /// Since when each incarnation has been seen.
+    /// When this controller first saw each live process of a controller, by name and incarnation.
     pub first_seen: HashMap<(String, Incarnation), MonotonicMillis>,
-    /// Controllers that no worker reaches.
+    /// Names of controllers that no worker reaches.
     pub unreachable_from_workers: HashSet<String>,
-    /// Since when this controller has each of its shards.
+    /// When this controller acquired each of the shards that it owns.
     pub owned_since: HashMap<ShardIndex, MonotonicMillis>,
-    /// Since when a shard has no living owner.
+    /// When this controller first saw each shard without a live owner.
     pub ownerless_since: HashMap<ShardIndex, MonotonicMillis>,
-    /// How standbys are chosen; `None`: shards without a living owner go to their preferred owner.
+    /// Rule by which standbys are chosen. If `None`, there are no standbys, and shards without a
+    /// live owner go to their preferred owners.
     pub standby: Option<StandbyRule>,
 }
 
-/// How the standby of a shard is chosen.
+/// Rule by which the standby of a shard is chosen.
 #[derive(Clone, Debug)]
 pub struct StandbyRule {
-    /// Zone of each controller.
+    /// Zone of each controller whose zone is one of the settings' zones.
     pub zones: BTreeMap<String, ZoneIndex>,
-    /// Controllers of other zones than the shard's first.
+    /// Whether controllers outside of the shard's zone are preferred to those inside.
     pub prefer_other_zone: bool,
-    /// Time for which a controller must have been there, ms.
+    /// Time for which a controller must have been alive to be eligible, ms.
     pub settle_ms: u64,
 }
 
 impl MembershipView {
-    /// Notes which incarnations have come and gone, and which shards have lost their owner.
+    /// Updates which processes are alive and which shards have no live owner.
     pub(super) fn update(&mut self, cluster: &ClusterState, now: MonotonicMillis) {
         self.update_first_seen(cluster, now);
         self.update_ownerless_since(cluster, now);
@@ -62,7 +63,7 @@
         }
     }
 
-    /// True if this incarnation of a controller has been seen for a while.
+    /// True if the current process of a controller was first seen at least `ms` ago.
     pub(super) fn has_been_seen_for(
         &self,
         ms: u64,
@@ -77,7 +78,8 @@
     }
 }
 
-/// Controllers that no worker reaches, this one among them, as far as their status is recent.
+/// Names of controllers that no worker reaches, possibly this one included. Peers without a recent
+/// status update are left out.
 pub(super) fn unreachable_from_workers(controller: &Controller) -> HashSet<String> {
     let now = controller.now();
     let has_recent_status = |peer: &&Peer| peer.heard_recently(now);
@@ -94,7 +96,7 @@
     unreachable
 }
 
-/// Notes since when this controller has its shards.
+/// Records when this controller acquired its shards, and removes those that it no longer owns.
 pub(super) fn record_owned_shards(controller: &Controller) {
     let now = controller.now();
     let cluster = controller.cluster.borrow();
--- a/src/coordination/mod.rs
+++ b/src/coordination/mod.rs
@@ -1,5 +1,5 @@
-//! What controllers decide and do together: scheduling, reconciliation, membership and failover,
-//! replication to standbys, cancellations, autoscaling, and the handlers of requests.
+//! The logic of a controller: scheduling, reconciliation, membership and failover, replication to
+//! standbys, cancellations, autoscaling, and the request handlers.
 
 pub mod autoscaler;
 pub mod cancellations;
