--- a/src/coordination/metrics.rs
+++ b/src/coordination/metrics.rs
@@ -1,8 +1,8 @@
-//! Where the time of the one thread goes: how often tasks are polled, how long in all, and the
-//! longest poll, by name of the task.
+//! Measures how the one thread spends its time: by the name of each task, the number of its polls,
+//! their total time and the longest one.
 //!
-//! The controller owns one [`Metrics`]; background tasks and request handlers are timed by it.
-//! Kept and logged at level debug only; see `docs/operations.md`.
+//! The controller owns one [`Metrics`], which times background tasks and request handlers. Times
+//! are measured and logged at level debug only; see `docs/operations.md`.
 
 use std::cell::RefCell;
 use std::cmp::Reverse;
@@ -12,7 +12,7 @@
 use std::task::{Context, Poll};
 use std::time::{Duration, Instant};
 
-/// What the polls of one name took.
+/// Times of the polls under one name.
 #[derive(Clone, Copy, Default, Debug, PartialEq)]
 struct PollTimes {
     count: u64,
@@ -28,14 +28,14 @@
     }
 }
 
-/// Poll times by name, since they were last logged.
+/// Poll times by name since they were last logged.
 pub struct Metrics {
     enabled: bool,
     times: RefCell<BTreeMap<&'static str, PollTimes>>,
 }
 
 impl Metrics {
-    /// No times yet; metrics that are not enabled cost nothing.
+    /// Empty metrics. Unless `enabled`, nothing is measured and no clock is read.
     pub fn new(enabled: bool) -> Metrics {
         Metrics {
             enabled,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Times a piece of work that does not wait.
+    /// Runs synchronous work and adds its time under `name`.
     pub fn time<T>(&self, name: &'static str, work: impl FnOnce() -> T) -> T {
         if !self.enabled {
             return work();
@@ -54,7 +54,8 @@
         result
     }
 
-    /// Times each poll of a future, and not what it waits for in between.
+    /// Wraps a future so that the time of each poll, but not the time between polls, is added under
+    /// `name`.
     pub fn time_polls<F: Future>(&self, name: &'static str, work: F) -> TimedFuture<'_, F> {
         TimedFuture {
             metrics: self,
@@ -71,8 +72,8 @@
             .record(elapsed);
     }
 
-    /// One line on all names, the largest total first, and begins anew; `None` if there is
-    /// nothing.
+    /// Text of a log line with the times of all names, the largest total first; `None` if no time
+    /// was measured. Resets the times.
     pub fn line(&self) -> Option<String> {
         let times = std::mem::take(&mut *self.times.borrow_mut());
         if times.is_empty() {
@@ -95,7 +96,7 @@
     )
 }
 
-/// A future whose polls are timed.
+/// A future whose polls are timed, made by [`Metrics::time_polls`].
 pub struct TimedFuture<'a, F> {
     metrics: &'a Metrics,
     name: &'static str,
--- a/src/coordination/rate_limiter.rs
+++ b/src/coordination/rate_limiter.rs
@@ -1,11 +1,11 @@
-//! A token bucket: keeps requests within a limit that another service sets, instead of finding
-//! that limit by refusals.
+//! A token bucket that keeps requests within the rate limit of another service, so that the service
+//! doesn't have to refuse them.
 //!
-//! The autoscaler owns one for its requests to the cloud.
+//! The autoscaler has one for its requests to the cloud.
 
 use crate::state::units::MonotonicMillis;
 
-/// A budget of requests that fills with time.
+/// A token bucket of requests that refills over time.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     requests_per_s: f64,
@@ -13,14 +13,14 @@
     refilled_at: Option<MonotonicMillis>,
 }
 
-/// Requests that may be saved up, in seconds' worth, as the cloud's protocol allows.
+/// Capacity of the bucket in seconds at the rate limit; the cloud's protocol allows such a burst.
 const BURST_S: f64 = 2.0;
-/// Requests that may be saved up at least.
+/// Minimum capacity of the bucket, requests.
 const MIN_BURST: f64 = 2.0;
 
 impl RateLimiter {
-    /// A budget of so many requests a second. It begins full: what another controller may have
-    /// spent just before is refused at worst, and asked for again.
+    /// A rate limiter with a full bucket. If another controller has used up the service's limit
+    /// shortly before, the worst outcome is that the service refuses requests, which are retried.
     pub fn new(requests_per_s: f64) -> RateLimiter {
         RateLimiter {
             requests_per_s,
@@ -33,7 +33,8 @@
         (requests_per_s * BURST_S).max(MIN_BURST)
     }
 
-    /// Takes one request if that leaves `reserve` of them for what matters more.
+    /// Takes one request from the bucket if `reserve` requests then remain for more important ones;
+    /// false if not.
     pub fn try_acquire(&mut self, now: MonotonicMillis, reserve: f64) -> bool {
         self.refill(now);
         let allowed = self.available >= 1.0 + reserve;
--- a/src/coordination/replication/committed.rs
+++ b/src/coordination/replication/committed.rs
@@ -1,4 +1,4 @@
-//! Recorded decisions on their way into the owner's streams.
+//! Publishes committed decisions to the owner's streams.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::draft::{Claim, DraftTransaction};
@@ -7,15 +7,17 @@
 use standby::ids::Revision;
 use standby::message::{Decision, QueuedTask};
 
-/// An attempt that a draft removes from the records.
+/// An attempt that a draft transaction removes from the records.
 pub struct EndedAttempt {
-    /// Shard of its machine.
+    /// Shard of the machine that the attempt was placed on.
     shard: ShardIndex,
     task: QueuedTask,
     attempt: u64,
 }
 
-/// Attempts that a draft removes from the records; to be asked before it is committed.
+/// Attempts that a draft transaction removes from the records; none while the feature is off.
+///
+/// To be called before the draft is committed: it compares the draft with the cached records.
 pub fn ended_attempts(controller: &Controller, draft: &DraftTransaction) -> Vec<EndedAttempt> {
     if controller.features.standby().is_none() {
         return Vec::new();
@@ -64,7 +66,7 @@
     }
 }
 
-/// Publishes the decisions of a draft that was recorded at a revision.
+/// Publishes the decisions of a draft transaction that was committed at a revision.
 pub fn publish_committed(
     controller: &Controller,
     draft: &DraftTransaction,
--- a/src/coordination/replication/follow.rs
+++ b/src/coordination/replication/follow.rs
@@ -1,11 +1,12 @@
-//! The standby's end: applies what owners send of the shards that this controller follows.
+//! The standby's end: applies the messages of owners whose shards this controller follows.
 
 use crate::coordination::controller::Controller;
 use crate::protocol::peers::PeerResponse;
 use crate::state::names::{Index, ShardIndex};
 use standby::message::{FollowerResponse, Message};
 
-/// Answers an owner whose shard this controller follows.
+/// Handles a message of an owner whose shard this controller follows, and returns the response. The
+/// response is empty if the message can't be decoded or its shard doesn't exist.
 pub fn answer(controller: &Controller, sender: &str, message: &[u8]) -> PeerResponse {
     let response = Message::decode(message)
         .and_then(|message| receive(controller, &message))
@@ -18,7 +19,7 @@
     }
 }
 
-/// Applies a message; `None` if there is no such shard.
+/// Applies a message and returns the response to it; `None` if its shard doesn't exist.
 fn receive(controller: &Controller, message: &Message) -> Option<FollowerResponse> {
     let shard = ShardIndex::from(message.origin().shard);
     let recorded_token = {
--- a/src/coordination/replication/mod.rs
+++ b/src/coordination/replication/mod.rs
@@ -1,15 +1,15 @@
 //! Replication of a shard's state from its owner to its standby.
 //!
-//! What an owner knows beyond the records, its queues and the machines it keeps free for gangs, is
-//! streamed to the standby of each shard, so that a failover goes on with it (`failover::restore`).
-//! It is a hint like the queues themselves: nothing starts or ends by it, and a failover without it
-//! is as safe.
+//! The state of an owner that is not in the records, namely its queues and the machines that it
+//! reserves for gangs, is streamed to the standby of each shard, which restores it after a failover
+//! (`failover::restore`). Like the queues themselves this state is advisory: it starts and ends no
+//! task, and a failover without it is equally safe.
 //!
-//! - [`streams`]: the state of all streams, which the controller holds;
+//! - [`streams`]: the state of all streams, held by the controller;
 //! - `publish`: the owner's end, a background task;
-//! - `committed`: recorded decisions on their way into the owner's streams;
+//! - `committed`: publishes committed decisions to the owner's streams;
 //! - `follow`: the standby's end, called for a peer's request;
-//! - `status`: how far all shards are, for operators.
+//! - `status`: the replication status of all shards, for operators.
 
 mod committed;
 mod follow;
--- a/src/coordination/replication/publish.rs
+++ b/src/coordination/replication/publish.rs
@@ -1,4 +1,4 @@
-//! The owner's end: publishes what changes of its shards, and sends it to their standbys.
+//! The owner's end: publishes the changes of its shards, and sends them to their standbys.
 
 use super::streams::Replication;
 use crate::coordination::controller::Controller;
@@ -15,16 +15,16 @@
 
 /// Time between two rounds.
 const PUBLISH_INTERVAL_MS: u64 = 500;
-/// Rounds between two lines in the log.
+/// Number of rounds between two log lines on the traffic of replication.
 const TRAFFIC_LOG_ROUNDS: u64 = 30;
-/// Time for a response.
+/// Timeout of a standby's response.
 const RESPONSE_TIMEOUT_MS: u64 = 2000;
-/// Time after which a standby that did not answer is tried again.
+/// Delay before a standby that did not respond is sent the next message.
 const RETRY_AFTER_MS: u64 = 2000;
-/// Messages to one standby in a row.
+/// Maximum number of messages of one stream in a round.
 const MAX_MESSAGES_IN_A_ROW: usize = 8;
 
-/// Background task: streams to standbys what changes.
+/// Background task: publishes the changes of owned shards and sends them to the standbys.
 pub async fn run(controller: Rc<Controller>) {
     for round in 1u64.. {
         controller.tick(PUBLISH_INTERVAL_MS, None).await;
@@ -42,7 +42,8 @@
     }
 }
 
-/// Publishes what has changed of all owned shards; the shards with something to send.
+/// Publishes the changes of all owned shards that have a standby. Returns the shards with messages
+/// to send, whose streams are marked as sending.
 fn publish_owned_shards(controller: &Controller) -> Vec<ShardIndex> {
     let permits = failover::permits(controller);
     let cluster = controller.cluster.borrow();
@@ -67,7 +68,7 @@
     ready
 }
 
-/// Publishes the machines of a shard that have changed since they were published last.
+/// Publishes each machine of a shard that is new, removed or changed since it was last published.
 pub fn publish_changes(
     cluster: &ClusterState,
     shard: ShardIndex,
@@ -92,7 +93,7 @@
             state: machine_state(cluster, machine, now),
         });
     }
-    // Names are compared only if there are more published machines than present ones.
+    // Names need to be compared only if more machines are published than exist now.
     if publisher.replica_state().len() + added > present {
         let names: HashSet<&str> = of_shard().map(|machine| &*machine.name).collect();
         let published = publisher.replica_state().machines().map(|(name, _)| name);
@@ -104,7 +105,7 @@
     }
 }
 
-/// The gang that a machine is reserved for now.
+/// Id of the gang that a machine is reserved for now; `None` if no reservation is active.
 fn reserved_for<'a>(
     cluster: &'a ClusterState,
     machine: &Machine,
@@ -126,7 +127,7 @@
     }
 }
 
-/// True if a published state is the machine's now; nothing is copied for that.
+/// True if a published state equals the machine's current state. Compares without copying.
 fn is_unchanged(
     cluster: &ClusterState,
     machine: &Machine,
@@ -141,14 +142,15 @@
         })
 }
 
-/// A message of a stream on its way to a standby.
+/// A message of a stream to be sent to a standby.
 struct Delivery {
     shard: ShardIndex,
     message: Message,
     standby: String,
 }
 
-/// Sends what a stream has, message by message, as long as they are answered.
+/// Sends the messages of a stream one after the other, until there are none left, one is not
+/// answered, or [`MAX_MESSAGES_IN_A_ROW`] have been sent.
 async fn send_messages(controller: Rc<Controller>, shard: ShardIndex) {
     for _ in 0..MAX_MESSAGES_IN_A_ROW {
         let next = next_delivery(&mut controller.replication.borrow_mut(), shard);
@@ -196,7 +198,7 @@
     }
 }
 
-/// Passes a response to its stream; false if nothing more should be sent in this round.
+/// Passes a response to its stream; false if no more messages should be sent in this round.
 fn apply_response(
     controller: &Controller,
     delivery: &Delivery,
@@ -206,7 +208,7 @@
     let Some(stream) = replication.published.get_mut(&delivery.shard) else {
         return false;
     };
-    // The stream may have gone to another standby or another fencing token meanwhile.
+    // The stream may have changed to another standby or another fencing token in the meantime.
     let fencing_token = delivery.message.origin().fencing_token;
     if stream.standby != delivery.standby || stream.publisher.fencing_token() != fencing_token {
         return false;
--- a/src/coordination/replication/status.rs
+++ b/src/coordination/replication/status.rs
@@ -1,11 +1,11 @@
-//! How far all shards and their standbys are, for operators.
+//! Status of all shards and of the replication to their standbys, for operators.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::failover;
 use crate::protocol::peers::ShardStatus;
 use crate::state::names::{Index, ShardIndex};
 
-/// The status of all shards, as this controller sees them.
+/// The status of all shards in the view of this controller.
 pub fn shard_statuses(controller: &Controller) -> Vec<ShardStatus> {
     failover::observe_shards(controller);
     let shards = controller.cluster.borrow().shards.len();
--- a/src/coordination/replication/streams.rs
+++ b/src/coordination/replication/streams.rs
@@ -1,5 +1,5 @@
-//! The state of all streams to and from standbys. No I/O, and no knowledge of the controller that
-//! holds it.
+//! The state of all streams from owners to standbys on one controller. This module does no I/O and
+//! doesn't depend on the controller that holds the state.
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::state::cluster_state::ClusterState;
@@ -11,26 +11,28 @@
 use standby::publisher::{Publisher, StreamLimits};
 use std::collections::BTreeMap;
 
-/// The stream of an owned shard.
+/// The stream of an owned shard to its standby.
 pub(super) struct OutgoingStream {
     pub(super) publisher: Publisher,
-    /// The standby that it goes to.
+    /// Name of the standby.
     pub(super) standby: String,
-    /// Messages are being sent right now.
+    /// Whether a task is sending messages of the stream now.
     pub(super) sending: bool,
-    /// Nothing is sent before this: the standby did not answer.
+    /// Earliest time for the next message, set when the standby did not respond.
     pub(super) retry_at: MonotonicMillis,
 }
 
-/// Streams to and from standbys, by shard.
+/// The streams of a controller, by shard.
 #[derive(Default)]
 pub struct Replication {
+    /// Streams that this controller sends as the owner of a shard.
     pub(super) published: BTreeMap<ShardIndex, OutgoingStream>,
+    /// Streams that this controller receives as the standby of a shard.
     pub(in crate::coordination) followed: BTreeMap<ShardIndex, Follower>,
     sent_since_log: Traffic,
 }
 
-/// What was sent since the last line of the log about it.
+/// Messages sent to standbys since the last log line on the traffic.
 #[derive(Default)]
 struct Traffic {
     messages: u64,
@@ -38,7 +40,8 @@
 }
 
 impl Replication {
-    /// Keeps the streams of the shards that this controller may decide for; others end.
+    /// Ends the streams of shards for which this controller holds no permit under the stream's
+    /// fencing token.
     pub(super) fn retain_permitted(
         &mut self,
         cluster: &ClusterState,
@@ -51,7 +54,8 @@
         });
     }
 
-    /// The stream of a shard to a standby; one that has changed begins with a snapshot.
+    /// The stream of a shard to its standby, created if there is none. If the standby has changed,
+    /// the stream starts over with a snapshot.
     pub(super) fn stream_to(
         &mut self,
         shard: ShardIndex,
@@ -75,13 +79,13 @@
         stream
     }
 
-    /// Counts a message that is sent.
+    /// Adds a message of `bytes` bytes to the counts of sent messages.
     pub(super) fn record_sent(&mut self, bytes: usize) {
         self.sent_since_log.messages += 1;
         self.sent_since_log.bytes += bytes as u64;
     }
 
-    /// The fields of a line of the log on all streams to standbys; counting begins anew.
+    /// Fields of the log line on the traffic to all standbys. Resets the counts.
     pub(super) fn take_traffic(&mut self) -> String {
         let traffic = std::mem::take(&mut self.sent_since_log);
         let lags: Vec<String> = self
