--- a/src/coordination/controller/availability.rs
+++ b/src/coordination/controller/availability.rs
@@ -1,17 +1,17 @@
-//! Observed availability of the services that controllers depend on, for the log.
+//! Logs when the services that controllers depend on become available or unavailable.
 
 use std::cell::Cell;
 
 /// A service that controllers depend on.
 #[derive(Clone, Copy, Debug)]
 pub enum ExternalService {
-    /// The key-value store.
+    /// The key-value store, which holds all records.
     KeyValueStore,
-    /// The cloud.
+    /// The cloud, which provides the machines.
     Cloud,
 }
 
-/// Whether each service was available when it was last called. Only a change is logged.
+/// Availability of each service when it was last called; at first both count as unavailable.
 #[derive(Default)]
 pub struct AvailabilityLog {
     kv: Cell<bool>,
@@ -19,7 +19,7 @@
 }
 
 impl AvailabilityLog {
-    /// Logs when a service becomes available or unavailable.
+    /// Records the availability of a service, and logs it if it has changed.
     pub fn record(&self, service: ExternalService, available: bool) {
         let (last, name) = match service {
             ExternalService::KeyValueStore => (&self.kv, "kv"),
--- a/src/coordination/controller/clock.rs
+++ b/src/coordination/controller/clock.rs
@@ -1,9 +1,9 @@
-//! Time as this process sees it: the monotonic clock, the wall clock, and pauses of the process.
+//! The clocks of this process, and the detection of process pauses.
 //!
-//! [`Clock`] owns the start of the process and the end of its last pause. Background tasks wait by
-//! [`Clock::pause`] and [`Clock::tick`], which notice a process pause (a suspended machine, a long
-//! stop) as a wait that ends far later than due. Invariant: after a pause, no machine counts as
-//! silent for the time in which this process could not have received its heartbeats.
+//! [`Clock`] holds the start of the process and the end of its last pause. Background tasks wait
+//! with [`Clock::pause`] and [`Clock::tick`], which detect a pause of the process (a suspended
+//! machine, a long stop) by a wait that ends much later than due. Invariant: the time of a pause,
+//! in which this process could not receive heartbeats, doesn't count as silence of any machine.
 
 use super::notifier::Notifier;
 use crate::state::units::MonotonicMillis;
@@ -11,19 +11,19 @@
 use std::cell::Cell;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// How much later than due a wait ends when the process was paused. A loaded machine delays waits
-/// as well, but by less.
+/// Delay of a wait beyond which the process is considered to have been paused. High load delays
+/// waits as well, but less.
 const PAUSE_THRESHOLD_MS: u64 = 2500;
 
-/// Time of day, ms since the Unix epoch.
+/// Wall-clock time, ms since the Unix epoch; 0 before it.
 pub fn wall_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since_epoch| since_epoch.as_millis() as u64)
 }
 
-/// Since when the machines of a shard could be heard: since the shard was acquired or the process
-/// resumed, whichever came later.
+/// Time since which this controller could receive heartbeats of a shard's machines: when it
+/// acquired the shard or when its process resumed, whichever is later.
 pub fn observing_since(
     owned_since: Option<MonotonicMillis>,
     resumed_at: Option<MonotonicMillis>,
@@ -31,27 +31,27 @@
     owned_since.max(resumed_at)
 }
 
-/// Time since the start of the process. A copy shows the same time.
+/// A clock of the time since the start of the process. Copies show the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct MonotonicClock {
     started: Instant,
 }
 
 impl MonotonicClock {
-    /// A clock that starts now.
+    /// A clock that starts now, at 0.
     pub fn start() -> MonotonicClock {
         MonotonicClock {
             started: Instant::now(),
         }
     }
 
-    /// Now.
+    /// Time since the clock was started.
     pub fn now(&self) -> MonotonicMillis {
         MonotonicMillis(self.started.elapsed().as_millis() as u64)
     }
 }
 
-/// The monotonic clock and the pauses of this process.
+/// The monotonic clock of this process, with the end of the last process pause.
 #[derive(Debug)]
 pub struct Clock {
     monotonic: MonotonicClock,
@@ -67,27 +67,28 @@
         }
     }
 
-    /// Now.
+    /// Time since the monotonic clock was started.
     pub fn now(&self) -> MonotonicMillis {
         self.monotonic.now()
     }
 
-    /// When this process resumed after its last pause.
+    /// When this process resumed after its last pause; `None` if it has never been paused.
     pub fn resumed_at(&self) -> Option<MonotonicMillis> {
         self.resumed_at.get()
     }
 
-    /// Waits for `ms` milliseconds.
+    /// Waits for `ms` milliseconds, and detects a pause of the process.
     pub async fn pause(&self, ms: u64) {
         let before = self.now();
         crate::transport::pause(ms).await;
         self.detect_process_pause(before, ms);
     }
 
-    /// Waits for the next tick of `ms`, or for a notification.
+    /// Waits for the next multiple of `ms` or for a notification, whichever comes first, and
+    /// detects a pause of the process.
     ///
-    /// Each wake-up of the process costs, however little there is to do: tasks of the same interval
-    /// wake up together, and what should happen sooner is notified.
+    /// Each wake-up of the process has a cost, even if there is little to do. Tasks with the same
+    /// interval therefore wake up together, and a notification wakes one that should run earlier.
     pub async fn tick(&self, ms: u64, notifier: Option<&Notifier>) {
         let before = self.now();
         match notifier {
@@ -106,7 +107,7 @@
         if elapsed_ms <= waited_ms + PAUSE_THRESHOLD_MS {
             return;
         }
-        // All tasks find out at once; one line is enough.
+        // All waiting tasks detect the same pause; it is logged once.
         let noticed_just_now = self
             .resumed_at
             .get()
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -1,10 +1,10 @@
-//! What the background tasks and request handlers of one controller share.
+//! State shared by the background tasks and request handlers of one controller.
 //!
-//! [`Controller`] holds named components, each of which owns its state: [`clock`] the time and
-//! pauses of the process, [`peers`] the other controllers, [`worker_reachability`] and
-//! [`worker_connections`] the ways to and from workers, [`availability`] and [`warnings`] what the log
-//! has said. All run on one thread. Invariant: no borrow of a `RefCell` in here is kept across an
-//! `await`, so a task that is resumed never finds one taken.
+//! [`Controller`] consists of components that own their state: [`clock`] the time and the pauses of
+//! the process, [`peers`] the other controllers, [`worker_reachability`] and [`worker_connections`]
+//! the connectivity with workers, [`availability`] and [`warnings`] what has been logged. All tasks
+//! run on one thread. Invariant: no borrow of a `RefCell` of the controller is held across an
+//! `await`, so no task finds one borrowed when it is resumed.
 
 pub mod availability;
 pub mod clock;
@@ -41,68 +41,72 @@
 use worker_connections::WorkerConnections;
 use worker_reachability::WorkerReachability;
 
-/// Incarnations a millisecond of wall time has room for: the start time times this stays a whole
-/// number below 2^53, which every reader of the records can hold.
+/// Number of different incarnations that can be drawn in one millisecond of wall-clock time. With
+/// this factor an incarnation stays an integer below 2^53, which every reader of the records can
+/// represent.
 const INCARNATIONS_PER_MS: u64 = 2048;
-/// Clocks of controllers and workers differ by up to 0.05%, once in each direction, and then some.
+/// Factor for clock drift: the clocks of a controller and a worker deviate by up to 0.05% each, in
+/// either direction, and some margin is added.
 const CLOCK_DRIFT_FACTOR: f64 = 1.002;
-/// Time for delivery and for timers that fire late, beyond a worker's lease.
+/// Margin beyond a worker's lease for the delivery of messages and for timers that fire late.
 const LEASE_EXPIRY_MARGIN_MS: u64 = 2000;
-/// Heartbeat intervals that may be missed before a machine gets nothing new.
+/// Number of heartbeat intervals without a heartbeat after which a machine gets no new tasks.
 const UNRESPONSIVE_HEARTBEATS: f64 = 2.5;
-/// Time for the delivery of a heartbeat.
+/// Time allowed for the delivery of a heartbeat.
 const HEARTBEAT_DELIVERY_MS: u64 = 500;
 
-/// A controller.
+/// The shared state of a controller.
 pub struct Controller {
-    /// The platform's settings.
+    /// Settings of the platform.
     pub platform: Platform,
-    /// The operators' settings.
+    /// Settings of the operators.
     pub operator: Operator,
     /// Optional features.
     pub features: Features,
     /// Parameters of scheduling decisions.
     pub config: SchedulerConfig,
-    /// The cached state of the cluster.
+    /// Cached state of the cluster.
     pub cluster: RefCell<ClusterState>,
-    /// Key-value store.
+    /// Client of the key-value store.
     pub kv: KvClient,
-    /// When the cached state was last brought up to date with the key-value store.
+    /// When the cached state was last up to date with the key-value store; `None` before the first
+    /// read.
     pub view_updated_at: Cell<Option<MonotonicMillis>>,
-    /// Cloud.
+    /// Client of the cloud.
     pub cloud: Client,
-    /// The other controllers.
+    /// The other controllers of the deployment.
     pub peers: Vec<Peer>,
     /// Wakes the planner.
     pub scheduling: Notifier,
-    /// Asks for a read of the newest changes.
+    /// Wakes the task that reads the newest changes of the key-value store.
     pub fresh_reads: Notifier,
-    /// Wakes the task that keeps this controller's key and shards.
+    /// Wakes the membership task.
     pub membership: Notifier,
     /// Wakes the autoscaler.
     pub autoscaling: Notifier,
-    /// Availability of the services outside, as last logged.
+    /// Availability of external services as last logged.
     pub availability: AvailabilityLog,
     /// Failovers of all shards, and the permits to decide for them.
     pub failovers: RefCell<Failovers>,
-    /// The standby of each shard, as this controller sees it; empty while the feature is off.
+    /// Name of each shard's standby in the view of this controller; empty while the feature is off.
     pub standby_of: RefCell<HashMap<ShardIndex, String>>,
-    /// Streams to and from standbys.
+    /// Streams from owners to standbys that this controller sends or receives.
     pub replication: RefCell<Replication>,
-    /// Since when a shard is owned.
+    /// When this controller acquired each of the shards that it owns.
     pub owned_since: RefCell<HashMap<ShardIndex, MonotonicMillis>>,
     /// Slots for direct connections to workers.
     pub worker_connections: WorkerConnections,
-    /// Where the time of the one thread goes.
+    /// Times of the polls of all tasks.
     pub metrics: Metrics,
-    /// Runs the background tasks.
+    /// Executor of the background tasks.
     pub executor: Rc<LocalExecutor<'static>>,
     clock: Clock,
     worker_reachability: Cell<WorkerReachability>,
     warnings: RateLimitedWarnings,
 }
 
-/// By class, the times in which its jobs are expected to finish, the shortest first.
+/// Times in which the jobs of each class are expected to finish, ms, in ascending order. Keyed by
+/// class, from the objectives of kind `finished`.
 pub fn finish_times(objectives: &[Objective]) -> HashMap<String, Vec<u64>> {
     let mut times_by_class: HashMap<String, Vec<u64>> = HashMap::new();
     for objective in objectives.iter().filter(|o| o.kind == "finished") {
@@ -119,7 +123,7 @@
     times_by_class
 }
 
-/// The parameters of decisions that follow from the settings.
+/// Parameters of scheduling decisions according to the settings.
 fn scheduler_config(platform: &Platform, operator: &Operator) -> SchedulerConfig {
     let shared = &platform.settings;
     let workers = &shared.workers;
@@ -146,12 +150,12 @@
     }
 }
 
-/// Grows from start to start of the same controller.
+/// An incarnation that is higher than those of earlier processes of the same controller.
 fn new_incarnation() -> Incarnation {
     Incarnation(wall_ms() * INCARNATIONS_PER_MS + fastrand::u64(0..INCARNATIONS_PER_MS))
 }
 
-/// The cached state before anything has been read.
+/// The cached state before any record has been read.
 fn empty_cluster_state(platform: &Platform, operator: &Operator) -> ClusterState {
     let shared = &platform.settings;
     let mut cluster = ClusterState::new(&shared.zones, &shared.teams, operator.shards_per_zone);
@@ -161,7 +165,7 @@
 }
 
 impl Controller {
-    /// A controller that knows nothing yet.
+    /// A controller that has not read any records yet.
     pub fn new(
         platform: Platform,
         operator: Operator,
@@ -201,35 +205,35 @@
         }
     }
 
-    /// Now.
+    /// Time since the start of the process.
     pub fn now(&self) -> MonotonicMillis {
         self.clock.now()
     }
 
-    /// Waits; see [`Clock::pause`].
+    /// Waits for `ms` milliseconds; see [`Clock::pause`].
     pub async fn pause(&self, ms: u64) {
         self.clock.pause(ms).await;
     }
 
-    /// Waits for the next tick; see [`Clock::tick`].
+    /// Waits for the next multiple of `ms` or for a notification; see [`Clock::tick`].
     pub async fn tick(&self, ms: u64, notifier: Option<&Notifier>) {
         self.clock.tick(ms, notifier).await;
     }
 
-    /// When this process resumed after its last pause.
+    /// When this process resumed after its last pause; `None` if it has never been paused.
     pub fn resumed_at(&self) -> Option<MonotonicMillis> {
         self.clock.resumed_at()
     }
 
-    /// Since when a shard's machines could be heard here: not before this controller owned the
-    /// shard, nor while its process was paused.
+    /// Time since which this controller could receive heartbeats of a shard's machines; see
+    /// [`observing_since`].
     pub fn observing_since(&self, shard: ShardIndex) -> Option<MonotonicMillis> {
         let owned_since = self.owned_since.borrow().get(&shard).copied();
         observing_since(owned_since, self.resumed_at())
     }
 
-    /// True if requests can be taken: the records have been read, and the key-value store is
-    /// within reach or out of everyone's.
+    /// True if this controller can accept requests: it has read the records, and it reaches the
+    /// key-value store or no controller does.
     pub fn healthy(&self) -> bool {
         let loaded = self.cluster.borrow().loaded;
         loaded && (self.kv.is_reachable() || self.in_cluster_wide_outage())
@@ -245,24 +249,25 @@
         is_cluster_wide_outage(&observations)
     }
 
-    /// Brings the cached state up to the state of now; false if the key-value store is out of reach.
+    /// Reads the newest changes into the cached state; false if that fails or takes longer than
+    /// `ms` milliseconds.
     pub async fn refresh(&self, ms: u64) -> bool {
         self.fresh_reads.request_round(ms).await.unwrap_or(false)
     }
 
-    /// A worker has sent a heartbeat or answered.
+    /// Records that a worker has sent a heartbeat or a response.
     pub fn record_worker_contact(&self) {
         let mut reachability = self.worker_reachability.get();
         reachability.record_contact(self.now());
         self.worker_reachability.set(reachability);
     }
 
-    /// True if workers should be asked for an answer: none has come for a while.
+    /// True if workers should be probed because there has been no contact with any for a while.
     pub fn worker_probe_needed(&self, now: MonotonicMillis) -> bool {
         self.worker_reachability.get().probe_needed(now)
     }
 
-    /// True if workers reach this controller.
+    /// Updates whether workers reach this controller, and returns it.
     pub fn workers_reachable(&self) -> bool {
         let now = self.now();
         let any_workers = self.any_worker_to_hear_from(now);
@@ -279,12 +284,12 @@
         reachable
     }
 
-    /// True if there is a worker that would be heard by a reachable controller.
+    /// True if there is a worker from which a reachable controller would receive heartbeats.
     fn any_worker_to_hear_from(&self, now: MonotonicMillis) -> bool {
         let cluster = self.cluster.borrow();
         let owned = self.config.owned(&cluster);
-        // The machines of this controller fall silent with its reachability, so those that were
-        // heard once count.
+        // Machines of this controller's shards appear silent when it is unreachable, so any that
+        // has ever sent a heartbeat counts.
         let is_there = |machine: &Machine| {
             machine.is_schedulable(now, self.config.unresponsive_ms)
                 || owned[machine.shard.at()] && machine.heartbeat.last_seen.is_some()
@@ -293,12 +298,12 @@
         any
     }
 
-    /// Logs a warning that a client could repeat without end, every ten seconds at most.
+    /// Logs a warning that a client can trigger without limit, at most once in ten seconds.
     pub fn warn_rate_limited(&self, message: &str) {
         self.warnings.warn(self.now(), message);
     }
 
-    /// A peer by name.
+    /// The peer with a name; `None` for an unknown name or that of this controller.
     pub fn peer(&self, name: &str) -> Option<&Peer> {
         self.peers.iter().find(|peer| peer.name == name)
     }
--- a/src/coordination/controller/peers.rs
+++ b/src/coordination/controller/peers.rs
@@ -1,30 +1,31 @@
-//! The other controllers: connections to them, and what their status messages said last.
+//! The other controllers: connections to them, and the contents of their last status updates.
 //!
-//! [`Peer`] owns the state of one of them. `peer_messages` records what it sends, `cancellations`
-//! keeps one exchange of cancellations with it running at most, and health checks ask
-//! [`is_cluster_wide_outage`]. All of it is a hint: no decision that must be safe rests on it.
+//! [`Peer`] holds the state of one of them. `peer_messages` records its status updates,
+//! `cancellations` runs at most one exchange of cancellations with it at a time, and health checks
+//! call [`is_cluster_wide_outage`]. This state is advisory: no decision depends on it for safety.
 
 use crate::settings::PeerSettings;
 use crate::state::units::MonotonicMillis;
 use crate::transport::frames::PeerClient;
 use std::cell::Cell;
 
-/// Time after its last status message for which a peer counts as heard: messages come once a second.
+/// Age up to which a peer's last status update counts as recent. Peers send one each second.
 const HEARD_RECENTLY_MS: u64 = 4000;
-/// First wait before cancellations go again to a peer that closed the connection; it doubles.
+/// Initial delay before cancellations are sent again to a peer that closed the connection. The
+/// delay doubles with each failure.
 const FIRST_RETRY_MS: u64 = 1000;
-/// Longest such wait.
+/// Maximum of that delay.
 const LONGEST_RETRY_MS: u64 = 8000;
 
 /// Another controller.
 pub struct Peer {
-    /// Name.
+    /// Name of the controller.
     pub name: String,
-    /// Connection.
+    /// Connection for status updates and other requests.
     pub client: PeerClient,
-    /// Connection for cancellations, which wait for no other frames.
+    /// Connection for cancellations, so that they never wait for other frames.
     pub cancellations_client: PeerClient,
-    /// Connection for the streams of shards that it is the standby of.
+    /// Connection for the streams of shards whose standby the peer is.
     pub replication_client: PeerClient,
     cancellation_broadcast: Cell<BroadcastState>,
     cancellation_retry: Cell<RetryDelay>,
@@ -34,17 +35,17 @@
     workers_reachable: Cell<bool>,
 }
 
-/// Whether a peer is being sent cancellations.
+/// State of the exchange of cancellations with a peer.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
 enum BroadcastState {
     #[default]
     Idle,
     Sending,
-    /// Sending, and there is more to send since that began.
+    /// An exchange is running, and new cancellations have arrived since it began.
     SendingWithMorePending,
 }
 
-/// When a peer that closed the connection is tried again.
+/// Delay before cancellations are sent again to a peer that closed the connection.
 #[derive(Clone, Copy, Default, Debug)]
 struct RetryDelay {
     not_before: MonotonicMillis,
@@ -52,7 +53,7 @@
 }
 
 impl Peer {
-    /// A peer that has not been heard yet.
+    /// A peer that has sent no status update yet.
     pub fn new(settings: &PeerSettings) -> Peer {
         Peer {
             name: settings.name.clone(),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Records a status message; true if it changes whether workers reach the peer.
+    /// Records a status update; true if it changes whether workers reach the peer.
     pub fn record_status(
         &self,
         now: MonotonicMillis,
@@ -80,29 +81,30 @@
         self.workers_reachable.replace(workers_reachable) != workers_reachable
     }
 
-    /// Records whether it refused the last connection: if so, it is down and the way to it is open.
+    /// Records whether the peer refused the last connection. If it did, its process is down, but
+    /// the network path to it works.
     pub fn record_connection_refused(&self, refused: bool) {
         self.connection_refused.set(refused);
     }
 
-    /// When its last status message came.
+    /// When the peer's last status update was received; `None` if there was none.
     pub fn last_status(&self) -> Option<MonotonicMillis> {
         self.last_status.get()
     }
 
-    /// True if a status message came a moment ago.
+    /// True if the peer's last status update is recent.
     pub fn heard_recently(&self, now: MonotonicMillis) -> bool {
         self.last_status
             .get()
             .is_some_and(|last| now.since(last) < HEARD_RECENTLY_MS)
     }
 
-    /// True if workers reach it, by its last status message.
+    /// True if workers reach the peer, according to its last status update; true before the first.
     pub fn workers_reachable(&self) -> bool {
         self.workers_reachable.get()
     }
 
-    /// What is known of it now.
+    /// Observation of the peer at a time.
     pub fn observation(&self, now: MonotonicMillis) -> PeerObservation {
         PeerObservation {
             heard_recently: self.heard_recently(now),
@@ -111,8 +113,8 @@
         }
     }
 
-    /// True if an exchange of cancellations should begin now. One that runs already goes on with
-    /// what is new instead.
+    /// True if an exchange of cancellations with the peer should begin now. If one is running, it
+    /// will continue with the new cancellations instead.
     pub fn begin_cancellation_broadcast(&self, now: MonotonicMillis) -> bool {
         if now < self.cancellation_retry.get().not_before {
             return false;
@@ -126,24 +128,28 @@
         idle
     }
 
-    /// True if there is more to send since the exchange that has just ended began.
+    /// True if new cancellations have arrived since the exchange that has just ended began, so that
+    /// another one is needed.
     pub fn continue_cancellation_broadcast(&self) -> bool {
         let before = self.cancellation_broadcast.replace(BroadcastState::Sending);
         before == BroadcastState::SendingWithMorePending
     }
 
-    /// No exchange of cancellations runs any more.
+    /// Records that no exchange of cancellations is running any more.
     pub fn end_cancellation_broadcast(&self) {
         self.cancellation_broadcast.set(BroadcastState::Idle);
     }
 
-    /// An exchange of cancellations was answered.
+    /// Records that the peer answered an exchange of cancellations. Resets the retry delay.
     pub fn record_cancellation_answer(&self) {
         self.cancellation_retry.set(RetryDelay::default());
     }
 
-    /// An exchange of cancellations failed. A peer that closes the connection may be of a version
-    /// that does not know the request and logs a warning for each, so it is asked less and less often.
+    /// Records that an exchange of cancellations failed.
+    ///
+    /// A peer that closes the connection may run a version that doesn't know the request and logs a
+    /// warning for each, so it is retried with an increasing delay. Other failures are retried
+    /// without delay.
     pub fn record_cancellation_failure(&self, now: MonotonicMillis, connection_closed: bool) {
         let wait_ms = if connection_closed {
             let doubled = self.cancellation_retry.get().wait_ms * 2;
@@ -158,22 +164,23 @@
     }
 }
 
-/// What a controller knows of a peer's state.
+/// A controller's knowledge of a peer's state.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerObservation {
-    /// Its last status message came a moment ago.
+    /// Whether the peer's last status update is recent.
     pub heard_recently: bool,
-    /// It reaches the key-value store, by that message.
+    /// Whether the peer reaches the key-value store, according to its last status update.
     pub kv_reachable: bool,
-    /// It refused the last connection.
+    /// Whether the peer refused the last connection.
     pub connection_refused: bool,
 }
 
-/// True if a controller that does not reach the key-value store should take requests all the same.
+/// True if a controller that doesn't reach the key-value store should accept requests nevertheless.
 ///
-/// In an outage of the store every controller fares alike, and being unhealthy helps nobody. One
-/// whose peers reach the store, or that hears nothing from any of them, is itself cut off: its
-/// users, who would get nothing but refusals from it, have to go elsewhere.
+/// In an outage of the store all controllers are equally affected, and reporting itself unhealthy
+/// would help no user. But a controller whose peers reach the store, or that has no contact with
+/// any peer, is itself partitioned: it could only refuse requests, so its users have to go to
+/// another controller.
 pub fn is_cluster_wide_outage(peers: &[PeerObservation]) -> bool {
     let kv_serves_others = peers
         .iter()
--- a/src/coordination/controller/tasks.rs
+++ b/src/coordination/controller/tasks.rs
@@ -1,4 +1,4 @@
-//! Runs background tasks, and keeps them running.
+//! Starts background tasks, and restarts those that end.
 
 use super::Controller;
 use crate::transport::pause;
@@ -7,13 +7,13 @@
 use std::panic::AssertUnwindSafe;
 use std::rc::Rc;
 
-/// Wait before a task that ended is started again.
+/// Delay before a task that ended is restarted.
 const RESTART_DELAY_MS: u64 = 500;
 
-/// Runs a background task for good; one that ends or panics is started again, with a log line.
+/// Runs a background task and restarts it, with a log line, whenever it ends or panics.
 ///
-/// A panic in one task must not stop the others: a controller that plans no more would still keep
-/// its shards.
+/// A panic in one task must not stop the others, and the task itself must run again: a controller
+/// whose planner has ended, for example, would keep its shards without scheduling their tasks.
 pub fn spawn_supervised<F, Fut>(controller: &Rc<Controller>, name: &'static str, task: F)
 where
     F: Fn(Rc<Controller>) -> Fut + 'static,
@@ -36,7 +36,8 @@
     executor.spawn(supervised).detach();
 }
 
-/// Runs work that needs one connection to a worker; false if none is left.
+/// Spawns work that needs one connection to a worker; false, without running the work, if no slot
+/// is free.
 pub fn spawn_with_worker_connection(
     controller: &Rc<Controller>,
     work: impl Future<Output = ()> + 'static,
--- a/src/coordination/controller/worker_connections.rs
+++ b/src/coordination/controller/worker_connections.rs
@@ -1,23 +1,23 @@
 //! The pool of direct connections to workers.
 //!
-//! Direct starts, probes and stops of cancelled tasks take a slot each; whoever finds none left
-//! tries again in a later round. Invariant: never more open at once than the machine's limit on
-//! files allows.
+//! Direct starts, probes and stops of cancelled tasks take a slot each; callers that get none try
+//! again in a later round. Invariant: the number of connections open at the same time stays within
+//! the machine's limit on open files.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Connections to workers that may be open at once.
+/// The slots for connections to workers.
 pub struct WorkerConnections {
     open: Rc<Cell<usize>>,
     limit: usize,
 }
 
-/// A slot for one connection to a worker, given back when dropped.
+/// A slot for one connection to a worker, released when dropped.
 pub struct WorkerConnectionSlot(Rc<Cell<usize>>);
 
 impl WorkerConnections {
-    /// A pool of `limit` slots.
+    /// A pool of `limit` free slots.
     pub fn new(limit: usize) -> WorkerConnections {
         WorkerConnections {
             open: Rc::default(),
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Takes a slot; `None` while all are taken.
+    /// Takes a slot; `None` if all are taken.
     pub fn acquire(&self) -> Option<WorkerConnectionSlot> {
         let open = self.open.get();
         (open < self.limit).then(|| {
--- a/src/coordination/controller/worker_reachability.rs
+++ b/src/coordination/controller/worker_reachability.rs
@@ -1,31 +1,34 @@
 //! Whether workers reach this controller.
 //!
-//! Heartbeats and answers of workers are recorded by their handlers; `membership` asks, and hands
-//! the shards of a controller over that no worker reaches. Without that, such a controller would
-//! keep its key and its shards, and would answer none of their machines until their leases expire.
+//! The handlers record heartbeats and responses of workers. `membership` checks the result, and
+//! moves shards away from a controller that no worker reaches. Otherwise such a controller would
+//! keep its key and its shards, and none of their machines would get an answer until their leases
+//! expire.
 
 use crate::state::units::MonotonicMillis;
 
-/// A controller that was unreachable counts as reachable again after this.
+/// Time after the last update that found a controller unreachable until it counts as reachable
+/// again.
 const RECOVERY_MS: u64 = 5000;
-/// Least time without contact after which a controller counts as unreachable.
+/// Lower bound of the time without contact after which a controller counts as unreachable.
 const LEAST_LIMIT_MS: u64 = 3000;
 
-/// Whether workers reach a controller, by the last heartbeat or answer of any worker.
+/// Whether workers reach a controller, judged by the last heartbeat or response of any worker.
 #[derive(Clone, Copy, Debug)]
 pub struct WorkerReachability {
-    /// The last sign of any worker.
+    /// When any worker last sent a heartbeat or a response.
     last_contact: MonotonicMillis,
-    /// Since when there have been workers to hear from.
+    /// Since when there have been workers that should be in contact; `None` while there are none.
     workers_since: Option<MonotonicMillis>,
-    /// When the controller was last found unreachable.
+    /// When an update last found the controller unreachable.
     unreachable_at: Option<MonotonicMillis>,
-    /// Time without contact after which it is.
+    /// Time without contact after which the controller counts as unreachable.
     limit_ms: u64,
 }
 
 impl WorkerReachability {
-    /// A third of a lease leaves time to hand shards over and to be found by the workers.
+    /// A controller that is reachable, with a limit of a third of the workers' lease. The rest of
+    /// the lease is enough to move the shards and for the workers to find the new owner.
     pub fn new(lease_ms: u64) -> WorkerReachability {
         WorkerReachability {
             last_contact: MonotonicMillis(0),
@@ -35,18 +38,19 @@
         }
     }
 
-    /// A worker has sent a heartbeat or answered.
+    /// Records that a worker has sent a heartbeat or a response.
     pub fn record_contact(&mut self, now: MonotonicMillis) {
         self.last_contact = self.last_contact.max(now);
     }
 
-    /// True if workers should be asked for an answer: none has come for a while.
+    /// True if workers should be probed: there has been no contact for half of the limit.
     pub fn probe_needed(&self, now: MonotonicMillis) -> bool {
         now.since(self.last_contact) > self.limit_ms / 2
     }
 
-    /// True if workers reach the controller, and have for a moment; `any_workers`: there are some
-    /// to hear from.
+    /// Updates the state; true if workers reach the controller and have done so for
+    /// `RECOVERY_MS`. `any_workers` says whether there are workers that should be in contact, and
+    /// `resumed_at` when the process resumed after its last pause.
     pub fn update(
         &mut self,
         any_workers: bool,
@@ -64,7 +68,7 @@
         self.is_reachable(now)
     }
 
-    /// True if workers reach the controller, by the last update.
+    /// True if workers reach the controller, as of the last update.
     pub fn is_reachable(&self, now: MonotonicMillis) -> bool {
         self.unreachable_at
             .is_none_or(|unreachable_at| now.since(unreachable_at) > RECOVERY_MS)
