--- a/crates/standby/src/failover.rs
+++ b/crates/standby/src/failover.rs
@@ -183,7 +183,7 @@
             transitions.push(failover.enter(next, now));
             match next {
                 FailoverState::Active { fencing_token } => {
-                    let fence_revision = fence_of(observation.owner);
+                    let fence_revision = fence_revision_of(observation.owner);
                     let permit = Permit::issue(shard, fencing_token, fence_revision);
                     self.permits.insert(permit);
                 }
@@ -227,7 +227,7 @@
         if !failover.is_refusal_credible(fencing_token, refusal) {
             return None;
         }
-        failover.unexplained_refusal = Some(UnexplainedRefusal {
+        failover.unresolved_refusal = Some(UnresolvedRefusal {
             fencing_token,
             known_revision,
         });
@@ -236,7 +236,7 @@
     }
 }
 
-fn fence_of(owner: Owner) -> Revision {
+fn fence_revision_of(owner: Owner) -> Revision {
     match owner {
         Owner::ThisController { fence_revision, .. } => fence_revision,
         Owner::Nobody | Owner::OtherController { .. } => Revision::default(),
@@ -245,17 +245,17 @@
 
 /// A refusal of a fencing token after which no permit is issued until newer records are read.
 #[derive(Clone, Copy, Debug)]
-struct UnexplainedRefusal {
+struct UnresolvedRefusal {
     /// Fencing token of this controller that was refused.
     fencing_token: FencingToken,
     /// Revision up to which records had been read at the time of the refusal.
     known_revision: Revision,
 }
 
-impl UnexplainedRefusal {
+impl UnresolvedRefusal {
     /// True if the refusal no longer applies: this controller owns the shard under a newer fencing
     /// token, or records that are newer than the refusal still name it as the owner.
-    fn is_explained_by(self, fencing_token: FencingToken, known_revision: Revision) -> bool {
+    fn is_resolved_by(self, fencing_token: FencingToken, known_revision: Revision) -> bool {
         fencing_token > self.fencing_token || known_revision > self.known_revision
     }
 }
@@ -267,7 +267,7 @@
     state: FailoverState,
     /// When the last status update of the current or former owner was received.
     last_contact: Option<Millis>,
-    unexplained_refusal: Option<UnexplainedRefusal>,
+    unresolved_refusal: Option<UnresolvedRefusal>,
     /// Highest fencing token that a worker has reported in refusing a lower one.
     highest_seen_by_workers: FencingToken,
 }
@@ -278,7 +278,7 @@
             shard,
             state: FailoverState::Idle,
             last_contact: None,
-            unexplained_refusal: None,
+            unresolved_refusal: None,
             highest_seen_by_workers: FencingToken::default(),
         }
     }
@@ -318,12 +318,12 @@
                 fencing_token,
                 fence_revision,
             } => self.state_as_owner(fencing_token, fence_revision, observation.known_revision),
-            Owner::Nobody => self.state_as_other(observation.is_standby, false),
+            Owner::Nobody => self.state_as_non_owner(observation.is_standby, false),
             Owner::OtherController {
                 lease_alive,
                 silent,
                 ..
-            } => self.state_as_other(observation.is_standby, lease_alive && !silent),
+            } => self.state_as_non_owner(observation.is_standby, lease_alive && !silent),
         };
         (wanted != self.state).then_some(wanted)
     }
@@ -334,11 +334,11 @@
         fence_revision: Revision,
         known_revision: Revision,
     ) -> FailoverState {
-        if let Some(refusal) = self.unexplained_refusal {
-            if !refusal.is_explained_by(fencing_token, known_revision) {
+        if let Some(refusal) = self.unresolved_refusal {
+            if !refusal.is_resolved_by(fencing_token, known_revision) {
                 return FailoverState::SteppedDown;
             }
-            self.unexplained_refusal = None;
+            self.unresolved_refusal = None;
         }
         // Before the fence, an older owner may have committed changes that have not been read here.
         // A start decided without them could repeat an attempt that has ended or runs elsewhere.
@@ -358,9 +358,9 @@
         }
     }
 
-    fn state_as_other(&mut self, is_standby: bool, owner_lives: bool) -> FailoverState {
-        self.unexplained_refusal = None;
-        match (self.state, is_standby, owner_lives) {
+    fn state_as_non_owner(&mut self, is_standby: bool, owner_is_alive: bool) -> FailoverState {
+        self.unresolved_refusal = None;
+        match (self.state, is_standby, owner_is_alive) {
             // A former owner steps down first, and becomes idle or follows on the next transition.
             (FailoverState::Active { .. } | FailoverState::CatchingUp { .. }, ..) => {
                 FailoverState::SteppedDown
--- a/crates/standby/src/follower.rs
+++ b/crates/standby/src/follower.rs
@@ -36,7 +36,7 @@
 /// Contents of a [`Message::SnapshotPart`].
 struct SnapshotPart<'a> {
     next_sequence: u64,
-    last_decided: Revision,
+    last_decided_revision: Revision,
     part: u32,
     is_last: bool,
     machines: &'a [(String, MachineState)],
@@ -67,17 +67,17 @@
         self.anomalies
     }
 
-    /// Applies a message of an owner and returns the response to it. `recorded` is the shard's
-    /// fencing token according to the records.
-    pub fn receive(&mut self, message: &Message, recorded: FencingToken) -> FollowerResponse {
+    /// Applies a message of an owner and returns the response to it. `recorded_token` is the
+    /// shard's fencing token according to the records.
+    pub fn receive(&mut self, message: &Message, recorded_token: FencingToken) -> FollowerResponse {
         let sender_token = message.origin().fencing_token;
-        let highest_token = self.fencing_token.max(recorded);
+        let highest_token = self.fencing_token.max(recorded_token);
         if sender_token < highest_token {
             self.anomalies.stale += 1;
             return FollowerResponse::StaleFencingToken(highest_token.0);
         }
         if sender_token > self.fencing_token {
-            self.follow_owner_with(sender_token);
+            self.follow_new_owner(sender_token);
         }
         match message {
             Message::LogTail {
@@ -94,7 +94,7 @@
                 ..
             } => self.receive_snapshot_part(SnapshotPart {
                 next_sequence: *next_sequence,
-                last_decided: Revision(*last_decided_revision),
+                last_decided_revision: Revision(*last_decided_revision),
                 part: *part,
                 is_last: *is_last,
                 machines,
@@ -104,7 +104,7 @@
 
     /// Discards the former owner's state and follows the owner with `fencing_token`, which sends
     /// its own.
-    fn follow_owner_with(&mut self, fencing_token: FencingToken) {
+    fn follow_new_owner(&mut self, fencing_token: FencingToken) {
         *self = Follower {
             fencing_token,
             anomalies: self.anomalies,
@@ -112,20 +112,20 @@
         };
     }
 
-    fn receive_log_tail(&mut self, first: u64, decisions: &[Decision]) -> FollowerResponse {
+    fn receive_log_tail(&mut self, first_sequence: u64, decisions: &[Decision]) -> FollowerResponse {
         let Some(replica) = &mut self.replica else {
-            return self.gap();
+            return self.report_gap();
         };
-        if first > replica.next_sequence {
-            return self.gap();
+        if first_sequence > replica.next_sequence {
+            return self.report_gap();
         }
         // A message that was sent again starts with decisions that have been applied already.
-        let known = (replica.next_sequence - first).min(decisions.len() as u64);
-        for decision in decisions.iter().skip(known as usize) {
+        let applied = (replica.next_sequence - first_sequence).min(decisions.len() as u64);
+        for decision in decisions.iter().skip(applied as usize) {
             replica.state.apply(decision);
             replica.next_sequence += 1;
         }
-        self.anomalies.duplicates += known;
+        self.anomalies.duplicates += applied;
         FollowerResponse::NextSequence(replica.next_sequence)
     }
 
@@ -137,13 +137,13 @@
                 return FollowerResponse::NextSequence(replica.next_sequence);
             }
         }
-        let Some(mut snapshot) = self.snapshot_before(&received) else {
-            return self.gap();
+        let Some(mut snapshot) = self.snapshot_continued_by(&received) else {
+            return self.report_gap();
         };
         for (name, state) in received.machines {
             snapshot.state.put_machine(name, state);
         }
-        snapshot.state.record_decided(received.last_decided);
+        snapshot.state.record_decided_revision(received.last_decided_revision);
         if received.is_last {
             self.replica = Some(Replica {
                 state: snapshot.state,
@@ -159,7 +159,7 @@
 
     /// The snapshot that a received part continues, a new one for part 0; `None` if earlier parts
     /// are missing.
-    fn snapshot_before(&mut self, received: &SnapshotPart) -> Option<IncompleteSnapshot> {
+    fn snapshot_continued_by(&mut self, received: &SnapshotPart) -> Option<IncompleteSnapshot> {
         if received.part == 0 {
             self.replica = None;
             return Some(IncompleteSnapshot {
@@ -174,7 +174,7 @@
         continues.then_some(snapshot)
     }
 
-    fn gap(&mut self) -> FollowerResponse {
+    fn report_gap(&mut self) -> FollowerResponse {
         self.anomalies.gaps += 1;
         self.snapshot = None;
         FollowerResponse::NeedsSnapshot
--- a/crates/standby/src/publisher.rs
+++ b/crates/standby/src/publisher.rs
@@ -227,7 +227,7 @@
                 possible.contains(&wanted)
             }
             (FollowerResponse::NextPart(part), Progress::ReceivingSnapshot(snapshot)) => {
-                snapshot.acknowledge_before(part)
+                snapshot.acknowledge_and_advance(part)
             }
             (FollowerResponse::NextPart(_) | FollowerResponse::NeedsSnapshot, _)
             | (_, Progress::NeedsSnapshot) => false,
@@ -268,7 +268,7 @@
             shard: origin.shard.0,
             fencing_token: origin.fencing_token.0,
             next_sequence: self.next_sequence,
-            last_decided_revision: self.state.last_decided().0,
+            last_decided_revision: self.state.last_decided_revision().0,
             part: self.part,
             is_last,
             machines,
@@ -277,7 +277,7 @@
 
     /// Records that the standby has the part in flight and expects part `wanted` next; false if
     /// that is not the part that follows.
-    fn acknowledge_before(&mut self, wanted: u32) -> bool {
+    fn acknowledge_and_advance(&mut self, wanted: u32) -> bool {
         let Some(PartInFlight {
             last_machine: Some(last_machine),
             is_last: false,
--- a/crates/standby/src/replica_state.rs
+++ b/crates/standby/src/replica_state.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaState {
     machines: RedBlackTreeMap<String, MachineState>,
-    last_decided: Revision,
+    last_decided_revision: Revision,
 }
 
 impl ReplicaState {
@@ -28,7 +28,7 @@
                 self.machines.remove_mut(name);
             }
             Decision::TaskClaimed { revision, .. } | Decision::AttemptEnded { revision, .. } => {
-                self.record_decided(Revision(*revision));
+                self.record_decided_revision(Revision(*revision));
             }
         }
     }
@@ -39,13 +39,13 @@
         }
     }
 
-    pub(crate) fn record_decided(&mut self, revision: Revision) {
-        self.last_decided = self.last_decided.max(revision);
+    pub(crate) fn record_decided_revision(&mut self, revision: Revision) {
+        self.last_decided_revision = self.last_decided_revision.max(revision);
     }
 
     /// Highest revision at which an applied decision was committed.
-    pub fn last_decided(&self) -> Revision {
-        self.last_decided
+    pub fn last_decided_revision(&self) -> Revision {
+        self.last_decided_revision
     }
 
     /// State of a machine; `None` if the machine is unknown.
@@ -80,6 +80,6 @@
 
 impl PartialEq for ReplicaState {
     fn eq(&self, other: &ReplicaState) -> bool {
-        self.last_decided == other.last_decided && self.machines().eq(other.machines())
+        self.last_decided_revision == other.last_decided_revision && self.machines().eq(other.machines())
     }
 }
--- a/crates/standby/src/role.rs
+++ b/crates/standby/src/role.rs
@@ -42,12 +42,12 @@
 /// Chooses one of the candidates; `None` if there are none.
 ///
 /// Candidates that workers reach rank first, then eligible ones, then those in a preferred zone.
-/// `spread` selects one of the candidates of the highest rank, so that shards are distributed over
-/// them. Every controller has to pass the candidates in the same order.
+/// `tie_breaker` selects one of the candidates of the highest rank, so that shards are distributed
+/// over them. Every controller has to pass the candidates in the same order.
 pub fn choose<'a>(
     candidates: &[Candidate<'a>],
     preference: ZonePreference,
-    spread: usize,
+    tie_breaker: usize,
 ) -> Option<&'a str> {
     let rank = |candidate: &Candidate| {
         (
@@ -61,7 +61,7 @@
         .iter()
         .filter(|candidate| rank(candidate) == best_rank)
         .collect();
-    best.get(spread % best.len())
+    best.get(tie_breaker % best.len())
         .map(|candidate| candidate.name)
 }
 
@@ -70,12 +70,12 @@
     owner: &str,
     candidates: &[Candidate<'a>],
     preference: ZonePreference,
-    spread: usize,
+    tie_breaker: usize,
 ) -> Option<&'a str> {
     let others: Vec<Candidate> = candidates
         .iter()
         .copied()
         .filter(|candidate| candidate.name != owner)
         .collect();
-    choose(&others, preference, spread)
+    choose(&others, preference, tie_breaker)
 }
--- a/crates/standby/tests/stream.rs
+++ b/crates/standby/tests/stream.rs
@@ -88,7 +88,7 @@
     assert_eq!(publisher.lag(), Some(0));
     assert_eq!(follower.replica_state(), Some(publisher.replica_state()));
     assert_eq!(
-        follower.replica_state().unwrap().last_decided(),
+        follower.replica_state().unwrap().last_decided_revision(),
         Revision(77)
     );
     publisher.publish(machine(99, 1));
--- a/src/coordination/failover/restore.rs
+++ b/src/coordination/failover/restore.rs
@@ -42,7 +42,7 @@
         follower.fencing_token(),
         restored.queued_tasks,
         restored.reservations,
-        replica.last_decided()
+        replica.last_decided_revision()
     );
 }
 
