--- a/src/coordination/controller/clock.rs
+++ b/src/coordination/controller/clock.rs
@@ -114,7 +114,7 @@
             .is_some_and(|resumed_at| now.since(resumed_at) <= PAUSE_THRESHOLD_MS);
         if !noticed_just_now {
             log::warn!(
-                "process was paused, machines get time to be heard again: elapsed_ms={}",
+                "process was paused, restarting silence timeouts of machines: elapsed_ms={}",
                 elapsed_ms - waited_ms
             );
         }
