--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -267,7 +267,8 @@
         self.worker_reachability.get().probe_needed(now)
     }
 
-    /// Updates whether workers reach this controller, and returns it.
+    /// Updates and returns whether workers reach this controller, and logs a warning when they no
+    /// longer do.
     pub fn workers_reachable(&self) -> bool {
         let now = self.now();
         let any_workers = self.expects_worker_contact(now);
--- a/src/coordination/failover/mod.rs
+++ b/src/coordination/failover/mod.rs
@@ -6,7 +6,8 @@
 //!
 //! - [`bound`]: upper bound of the duration of a failover in a deployment;
 //! - [`ShardView`]: observation of a shard (pure);
-//! - `permits`: updates the state machine, lends permits, and withdraws those that were refused;
+//! - `permits`: updates the state machine, lends permits, and withdraws a permit when its fencing
+//!   token is refused;
 //! - `restore`: restores the state that the former owner streamed after a failover;
 //! - `standbys`: the standby of each shard in the view of this controller.
 //!
--- a/src/coordination/membership/record_format.rs
+++ b/src/coordination/membership/record_format.rs
@@ -10,8 +10,8 @@
 use crate::state::records::RECORD_FORMAT_V2;
 
 /// The transaction that switches to the second record format, conditional on the records of all
-/// controllers being unchanged. `None` unless all controllers of the deployment are alive and
-/// support the format, or if the switch has been made.
+/// controllers being unchanged. `None` if the switch has been made, if the records have not been
+/// loaded yet, or if a controller of the deployment is not alive or doesn't support the format.
 ///
 /// A process of the old version that starts after the switch finds its records in the first format,
 /// except for wide jobs and jobs with dependencies, which it can show and cancel. Operators have to
