--- a/crates/standby/tests/failover.rs
+++ b/crates/standby/tests/failover.rs
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_refusal_withdraws_the_permit_until_newer_records_explain_it() {
+fn a_refusal_withdraws_the_permit_until_newer_records_are_read() {
     let fencing_token = FencingToken(1);
     for refusal in [
         Refusal::KeyValueStore { fencing_token },
@@ -357,7 +357,7 @@
 }
 
 #[test]
-fn a_controller_that_comes_and_goes_moves_no_role_between_the_others() {
+fn a_controller_that_leaves_and_returns_changes_no_role_of_the_others() {
     // One that is not chosen leaves and returns: all roles stay.
     for spread in 0..2 {
         let preference = ZonePreference::Outside(0);
--- a/crates/standby/tests/stream.rs
+++ b/crates/standby/tests/stream.rs
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn gaps_are_noticed_and_a_late_snapshot_takes_nothing_back() {
+fn gaps_are_detected_and_a_late_snapshot_reverts_nothing() {
     let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL);
     let mut follower = Follower::default();
     publisher.publish(machine(1, 1));
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_message_are_refused_and_change_nothing() {
+fn arbitrary_bytes_never_stop_the_follower() {
     for seed in 0..CASES {
         arbtest::arbtest(|u| {
             let bytes: Vec<u8> = u.arbitrary()?;
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn a_snapshot_counts_only_with_all_its_parts_in_order() {
+fn a_snapshot_is_applied_only_with_all_its_parts_in_order() {
     let of_50 = parts(50);
     let of_60 = parts(60);
     assert!(of_50.len() > 3);
--- a/tests/controller_components.rs
+++ b/tests/controller_components.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn cancellations_that_come_during_an_exchange_are_sent_by_one_more() {
+fn cancellations_that_arrive_during_an_exchange_are_sent_by_one_more() {
     let peer = peer();
     let now = MonotonicMillis(0);
     assert!(peer.begin_cancellation_exchange(now));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_status_message_says_whether_the_reachability_from_workers_has_changed() {
+fn a_status_update_shows_whether_the_reachability_from_workers_has_changed() {
     let peer = peer();
     let now = MonotonicMillis(5000);
     assert!(peer.workers_reachable(), "until it says otherwise");
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn connections_to_workers_are_limited_and_given_back() {
+fn connections_to_workers_are_limited_and_released() {
     let connections = WorkerConnections::new(2);
     let first = connections.acquire();
     let second = connections.acquire();
--- a/tests/outages_and_restarts.rs
+++ b/tests/outages_and_restarts.rs
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn an_isolated_controller_redirects_its_users() {
+fn an_isolated_controller_reports_itself_unhealthy() {
     let seen = |heard, store_ok, refuses| PeerObservation {
         has_recent_status: heard,
         kv_reachable: store_ok,
--- a/tests/shard_ownership.rs
+++ b/tests/shard_ownership.rs
@@ -14,7 +14,7 @@
 use support::worker::FakeWorker;
 
 #[test]
-fn a_transaction_of_a_deposed_owner_fails_after_failover() {
+fn a_transaction_of_a_former_owner_fails_after_failover() {
     let (mut store, mut old) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     old.exchange_heartbeat(&mut store, &mut worker, 0);
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn unreachable_machines_do_not_keep_the_fencing_token_from_others() {
+fn unreachable_machines_do_not_delay_the_announcement_of_the_fencing_token_to_others() {
     let (_, mut controller) = start_single_controller();
     for i in 0..300 {
         let name = format!("m{i:03}");
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -85,106 +85,112 @@
 
 #[test]
 fn nothing_starts_before_the_records_are_known_as_of_the_fence() {
-    let mut scene = expired_owner();
+    let mut fixture = expired_owner();
     // The owner, late but alive, records the end of the attempt and starts the next elsewhere.
     let mut other = FakeWorker::new("m2", "north", 0);
-    scene
+    fixture
         .owner
-        .exchange_heartbeat(&mut scene.store, &mut other, 3000);
-    scene
+        .exchange_heartbeat(&mut fixture.store, &mut other, 3000);
+    fixture
         .owner
-        .exchange_heartbeat(&mut scene.store, &mut scene.worker, 3500);
-    scene
+        .exchange_heartbeat(&mut fixture.store, &mut fixture.worker, 3500);
+    fixture
         .owner
-        .exchange_heartbeat(&mut scene.store, &mut other, 4000);
-    assert!(!scene.worker.has_task("job-1/0") && other.has_task("job-1/0"));
+        .exchange_heartbeat(&mut fixture.store, &mut other, 4000);
+    assert!(!fixture.worker.has_task("job-1/0") && other.has_task("job-1/0"));
     // The standby fences without having read that: by its view the attempt is still due here.
-    fail_over(&mut scene.standby, &mut scene.store, 4000);
-    let heartbeat = scene.worker.heartbeat(4500);
-    let response = scene
+    fail_over(&mut fixture.standby, &mut fixture.store, 4000);
+    let heartbeat = fixture.worker.heartbeat(4500);
+    let response = fixture
         .standby
         .receive_heartbeat_without_kv(&heartbeat, 4500)
         .unwrap();
     assert!(response.commands.is_empty(), "{:?}", response.commands);
-    assert!(scene.standby.direct_starts(4500).is_empty());
+    assert!(fixture.standby.direct_starts(4500).is_empty());
     assert!(matches!(
-        scene.standby.failovers.state(ShardId(0)),
+        fixture.standby.failovers.state(ShardId(0)),
         FailoverState::CatchingUp { .. }
     ));
     // Once it has read the records it decides, and the task runs where it is.
-    scene.standby.sync(&scene.store);
-    scene
+    fixture.standby.sync(&fixture.store);
+    fixture
         .standby
-        .exchange_heartbeat(&mut scene.store, &mut scene.worker, 5000);
+        .exchange_heartbeat(&mut fixture.store, &mut fixture.worker, 5000);
     assert!(matches!(
-        scene.standby.failovers.state(ShardId(0)),
+        fixture.standby.failovers.state(ShardId(0)),
         FailoverState::Active { .. }
     ));
-    assert_eq!(scene.worker.started.len(), 1);
+    assert_eq!(fixture.worker.started.len(), 1);
     assert!(other.has_task("job-1/0"));
 }
 
 #[test]
 fn a_kv_outage_between_fence_and_catch_up_only_delays_the_first_decision() {
-    let mut scene = expired_owner();
-    scene.owner.submit(&mut scene.store, job("job-2", 1), 600);
-    fail_over(&mut scene.standby, &mut scene.store, 700);
-    scene.store.unavailable = true;
+    let mut fixture = expired_owner();
+    fixture
+        .owner
+        .submit(&mut fixture.store, job("job-2", 1), 600);
+    fail_over(&mut fixture.standby, &mut fixture.store, 700);
+    fixture.store.unavailable = true;
     for now in (1000..20_000).step_by(1000) {
-        assert!(!scene.standby.sync(&scene.store));
-        let draft = scene.standby.draft_plan(now);
-        assert!(draft.is_empty() && scene.standby.direct_starts(now).is_empty());
+        assert!(!fixture.standby.sync(&fixture.store));
+        let draft = fixture.standby.draft_plan(now);
+        assert!(draft.is_empty() && fixture.standby.direct_starts(now).is_empty());
     }
-    scene.store.unavailable = false;
-    scene.standby.sync(&scene.store);
+    fixture.store.unavailable = false;
+    fixture.standby.sync(&fixture.store);
     let mut fresh = FakeWorker::new("m3", "north", 0);
-    scene
+    fixture
         .standby
-        .exchange_heartbeat(&mut scene.store, &mut fresh, 20_500);
+        .exchange_heartbeat(&mut fixture.store, &mut fresh, 20_500);
     assert!(fresh.has_task("job-2/0"));
 }
 
 #[test]
 fn a_claim_of_the_old_owner_that_is_carried_out_late_is_refused_by_the_fence() {
-    let mut scene = expired_owner();
-    scene.owner.submit(&mut scene.store, job("job-2", 1), 600);
+    let mut fixture = expired_owner();
+    fixture
+        .owner
+        .submit(&mut fixture.store, job("job-2", 1), 600);
     let mut other = FakeWorker::new("m2", "north", 0);
     // Its claim gets no answer and is on its way while the standby fences.
-    scene.store.execution_delay_ms = Some(3000);
-    scene
+    fixture.store.execution_delay_ms = Some(3000);
+    fixture
         .owner
-        .exchange_heartbeat(&mut scene.store, &mut other, 1000);
-    scene.store.execution_delay_ms = None;
-    fail_over(&mut scene.standby, &mut scene.store, 2000);
-    scene.store.execute_delayed(4000);
-    scene.standby.sync(&scene.store);
-    assert!(scene.standby.job("job-2").placements.is_empty());
-    scene
+        .exchange_heartbeat(&mut fixture.store, &mut other, 1000);
+    fixture.store.execution_delay_ms = None;
+    fail_over(&mut fixture.standby, &mut fixture.store, 2000);
+    fixture.store.execute_delayed(4000);
+    fixture.standby.sync(&fixture.store);
+    assert!(fixture.standby.job("job-2").placements.is_empty());
+    fixture
         .standby
-        .exchange_heartbeat(&mut scene.store, &mut other, 4500);
+        .exchange_heartbeat(&mut fixture.store, &mut other, 4500);
     assert_eq!(other.started.iter().filter(|s| s.0 == "job-2/0").count(), 1);
 }
 
 #[test]
 fn a_claim_recorded_without_an_answer_is_known_to_the_next_owner() {
-    let mut scene = expired_owner();
-    scene.owner.submit(&mut scene.store, job("job-2", 1), 600);
+    let mut fixture = expired_owner();
+    fixture
+        .owner
+        .submit(&mut fixture.store, job("job-2", 1), 600);
     let mut other = FakeWorker::new("m2", "north", 0);
-    scene.store.drops_responses = true;
-    scene
+    fixture.store.drops_responses = true;
+    fixture
         .owner
-        .exchange_heartbeat(&mut scene.store, &mut other, 1000);
-    scene.store.drops_responses = false;
-    fail_over(&mut scene.standby, &mut scene.store, 2000);
-    scene.standby.sync(&scene.store);
-    let claimed = scene.standby.job("job-2").placements.clone();
+        .exchange_heartbeat(&mut fixture.store, &mut other, 1000);
+    fixture.store.drops_responses = false;
+    fail_over(&mut fixture.standby, &mut fixture.store, 2000);
+    fixture.standby.sync(&fixture.store);
+    let claimed = fixture.standby.job("job-2").placements.clone();
     assert_eq!(claimed.len(), 1);
-    for worker in [&mut scene.worker, &mut other] {
-        scene
+    for worker in [&mut fixture.worker, &mut other] {
+        fixture
             .standby
-            .exchange_heartbeat(&mut scene.store, worker, 2500);
+            .exchange_heartbeat(&mut fixture.store, worker, 2500);
     }
-    let starts = scene.worker.started.iter().chain(&other.started);
+    let starts = fixture.worker.started.iter().chain(&other.started);
     let attempts: Vec<u64> = starts
         .filter(|(task, _)| task == "job-2/0")
         .map(|(_, attempt)| *attempt)
@@ -194,62 +200,74 @@
 
 #[test]
 fn a_superseded_owner_steps_down_once_and_decides_nothing_more() {
-    let mut scene = expired_owner();
-    fail_over(&mut scene.standby, &mut scene.store, 700);
-    scene.standby.sync(&scene.store);
-    scene
+    let mut fixture = expired_owner();
+    fail_over(&mut fixture.standby, &mut fixture.store, 700);
+    fixture.standby.sync(&fixture.store);
+    fixture
         .standby
-        .exchange_heartbeat(&mut scene.store, &mut scene.worker, 1000);
-    scene.owner.submit(&mut scene.store, job("job-2", 1), 1100);
+        .exchange_heartbeat(&mut fixture.store, &mut fixture.worker, 1000);
+    fixture
+        .owner
+        .submit(&mut fixture.store, job("job-2", 1), 1100);
     // A worker that has seen the new token shows it to the old owner, which has read nothing since.
-    let heartbeat = scene.worker.heartbeat(1200);
-    let before = scene.owner.failovers.permits().get(ShardId(0)).is_some();
+    let heartbeat = fixture.worker.heartbeat(1200);
+    let before = fixture.owner.failovers.permits().get(ShardId(0)).is_some();
     assert!(before);
     for now in [1200, 1300, 1400] {
-        scene
+        fixture
             .owner
             .reject_stale_token(NORTH, heartbeat.fencing_token.0, now);
     }
-    assert_eq!(scene.owner.stepped_down, [NORTH]);
-    assert!(scene.owner.failovers.permits().get(ShardId(0)).is_none());
+    assert_eq!(fixture.owner.stepped_down, [NORTH]);
+    assert!(fixture.owner.failovers.permits().get(ShardId(0)).is_none());
     // It reads the records and follows; the shard stays with the new owner.
-    scene.owner.sync(&scene.store);
-    scene.owner.observe_failovers(1500);
-    assert_eq!(scene.owner.failovers.state(ShardId(0)), FailoverState::Idle);
-    assert_eq!(scene.owner.stepped_down, [NORTH]);
+    fixture.owner.sync(&fixture.store);
+    fixture.owner.observe_failovers(1500);
+    assert_eq!(
+        fixture.owner.failovers.state(ShardId(0)),
+        FailoverState::Idle
+    );
+    assert_eq!(fixture.owner.stepped_down, [NORTH]);
 }
 
 #[test]
 fn of_two_failovers_at_once_one_succeeds_and_the_other_controller_follows() {
-    let mut scene = expired_owner();
-    let mut third = SimulatedController::start_as("n3", 3, Standby::SameZone, &mut scene.store, 0);
-    scene.standby.sync(&scene.store);
-    fail_over(&mut scene.standby, &mut scene.store, 700);
+    let mut fixture = expired_owner();
+    let mut third =
+        SimulatedController::start_as("n3", 3, Standby::SameZone, &mut fixture.store, 0);
+    fixture.standby.sync(&fixture.store);
+    fail_over(&mut fixture.standby, &mut fixture.store, 700);
     assert!(matches!(
-        try_failover(&mut third, &mut scene.store, 700),
+        try_failover(&mut third, &mut fixture.store, 700),
         CommitOutcome::Conflict(_)
     ));
     assert_eq!(third.failovers.state(ShardId(0)), FailoverState::Suspecting);
-    for controller in [&mut scene.standby, &mut third] {
-        controller.sync(&scene.store);
+    for controller in [&mut fixture.standby, &mut third] {
+        controller.sync(&fixture.store);
         controller.observe_failovers(800);
     }
-    assert!(scene.standby.failovers.permits().get(ShardId(0)).is_some());
+    assert!(fixture
+        .standby
+        .failovers
+        .permits()
+        .get(ShardId(0))
+        .is_some());
     assert!(third.failovers.permits().get(ShardId(0)).is_none());
 }
 
 #[test]
 fn a_standby_that_ends_between_fence_and_catch_up_is_followed_by_another() {
-    let mut scene = expired_owner();
-    let mut third = SimulatedController::start_as("n3", 3, Standby::SameZone, &mut scene.store, 0);
-    scene.standby.sync(&scene.store);
-    fail_over(&mut scene.standby, &mut scene.store, 700);
-    scene.store.revoke_lease(scene.standby.lease);
-    third.sync(&scene.store);
-    fail_over(&mut third, &mut scene.store, 900);
-    third.sync(&scene.store);
-    third.exchange_heartbeat(&mut scene.store, &mut scene.worker, 1000);
-    assert_eq!(scene.worker.started.len(), 1);
+    let mut fixture = expired_owner();
+    let mut third =
+        SimulatedController::start_as("n3", 3, Standby::SameZone, &mut fixture.store, 0);
+    fixture.standby.sync(&fixture.store);
+    fail_over(&mut fixture.standby, &mut fixture.store, 700);
+    fixture.store.revoke_lease(fixture.standby.lease);
+    third.sync(&fixture.store);
+    fail_over(&mut third, &mut fixture.store, 900);
+    third.sync(&fixture.store);
+    third.exchange_heartbeat(&mut fixture.store, &mut fixture.worker, 1000);
+    assert_eq!(fixture.worker.started.len(), 1);
     let permit = third.failovers.permits().get(ShardId(0)).expect("a permit");
     assert_eq!(
         permit.fencing_token(),
@@ -338,7 +356,7 @@
 }
 
 #[test]
-fn what_is_stored_about_roles_is_one_field_that_production_ignores() {
+fn roles_add_one_stored_field_which_versions_without_them_ignore() {
     for (standby, stored) in [(Standby::Off, false), (Standby::SameZone, true)] {
         let mut store = FakeKvStore::default();
         SimulatedController::start_as("n1", 7, standby, &mut store, 0);
@@ -350,7 +368,7 @@
 }
 
 #[test]
-fn the_failover_bound_names_its_terms() {
+fn the_failover_bound_lists_its_phases() {
     let workers = |lease_s| Workers {
         heartbeat_s: 1.5,
         lease_s,
@@ -368,35 +386,35 @@
 }
 
 /// A batch of arrays, a gang and a pipeline on machines of both zones.
-fn submit_batch(world: &mut SimulatedCluster) -> Vec<String> {
+fn submit_batch(cluster: &mut SimulatedCluster) -> Vec<String> {
     let mut ids = Vec::new();
-    let mut add = |world: &mut SimulatedCluster, spec: JobSpec| {
+    let mut add = |cluster: &mut SimulatedCluster, spec: JobSpec| {
         ids.push(spec.id.clone());
-        assert!(world.submit(0, spec));
+        assert!(cluster.submit(0, spec));
     };
     for i in 0..4 {
-        add(world, job(&format!("job-{i}"), 6));
+        add(cluster, job(&format!("job-{i}"), 6));
     }
     let mut gang = job("job-10", 4);
     gang.kind = JobKind::Gang;
-    add(world, gang);
+    add(cluster, gang);
     let mut last = job("job-11", 2);
     last.dependencies = vec!["job-0".into(), "job-10".into()];
-    add(world, last);
+    add(cluster, last);
     ids
 }
 
 /// Gives the jobs time to end, and checks that all did and no rule was broken.
-fn assert_all_complete(world: &mut SimulatedCluster, ids: &[String], case: &str) {
-    world.run_for(90_000);
+fn assert_all_complete(cluster: &mut SimulatedCluster, ids: &[String], case: &str) {
+    cluster.run_for(90_000);
     assert!(
-        world.unfinished().is_empty(),
+        cluster.unfinished().is_empty(),
         "{case}: {:#?}",
-        world.unfinished()
+        cluster.unfinished()
     );
-    world.assert_no_violations();
+    cluster.assert_no_violations();
     for id in ids {
-        assert!(world.completed(id), "{case}: {id}");
+        assert!(cluster.completed(id), "{case}: {id}");
     }
 }
 
@@ -404,21 +422,21 @@
 fn an_owner_lost_at_any_step_of_a_batch_loses_and_repeats_nothing() {
     for standby in [Standby::Off, Standby::SameZone, Standby::OtherZone] {
         for step in 0..24u64 {
-            let mut world = SimulatedCluster::with_standby(4, standby);
-            world.begin_record_format_v2();
-            let ids = submit_batch(&mut world);
-            world.run_for(step * 500);
-            let owner = world.owner_of_zone("north");
-            world.stop_controller(owner);
-            world.run_for(15_000);
+            let mut cluster = SimulatedCluster::with_standby(4, standby);
+            cluster.begin_record_format_v2();
+            let ids = submit_batch(&mut cluster);
+            cluster.run_for(step * 500);
+            let owner = cluster.owner_of_zone("north");
+            cluster.stop_controller(owner);
+            cluster.run_for(15_000);
             // Twice in a row: the next owner ends as well.
-            let next = world.owner_of_zone("north");
+            let next = cluster.owner_of_zone("north");
             assert_ne!(next, owner);
-            world.stop_controller(next);
-            world.run_for(15_000);
-            world.start_controller(owner);
-            world.start_controller(next);
-            assert_all_complete(&mut world, &ids, &format!("{standby:?}, step {step}"));
+            cluster.stop_controller(next);
+            cluster.run_for(15_000);
+            cluster.start_controller(owner);
+            cluster.start_controller(next);
+            assert_all_complete(&mut cluster, &ids, &format!("{standby:?}, step {step}"));
         }
     }
 }
@@ -426,50 +444,54 @@
 #[test]
 fn an_owner_paused_beyond_its_lease_resumes_after_a_failover_and_steps_down() {
     for pause_ms in (1000..14_000).step_by(1000) {
-        let mut world = SimulatedCluster::with_standby(4, Standby::SameZone);
-        world.begin_record_format_v2();
-        let ids = submit_batch(&mut world);
-        world.run_for(2000);
-        let owner = world.owner_of_zone("north");
+        let mut cluster = SimulatedCluster::with_standby(4, Standby::SameZone);
+        cluster.begin_record_format_v2();
+        let ids = submit_batch(&mut cluster);
+        cluster.run_for(2000);
+        let owner = cluster.owner_of_zone("north");
         // It is paused: neither reads nor renews, and resumes with the view of then.
-        let paused = world.controllers[owner].take();
-        world.run_for(pause_ms);
-        world.controllers[owner] = paused;
-        assert_all_complete(&mut world, &ids, &format!("paused for {pause_ms} ms"));
+        let paused = cluster.controllers[owner].take();
+        cluster.run_for(pause_ms);
+        cluster.controllers[owner] = paused;
+        assert_all_complete(&mut cluster, &ids, &format!("paused for {pause_ms} ms"));
     }
 }
 
 #[test]
-fn a_permit_of_before_a_failover_decides_nothing_though_nobody_observed_since() {
-    let mut scene = expired_owner();
-    scene.owner.submit(&mut scene.store, job("job-2", 1), 600);
-    scene.owner.observe_failovers(650);
-    fail_over(&mut scene.standby, &mut scene.store, 700);
-    scene.owner.sync(&scene.store);
-    let permits = scene.owner.failovers.permits();
+fn a_permit_from_before_a_failover_decides_nothing_even_without_a_new_observation() {
+    let mut fixture = expired_owner();
+    fixture
+        .owner
+        .submit(&mut fixture.store, job("job-2", 1), 600);
+    fixture.owner.observe_failovers(650);
+    fail_over(&mut fixture.standby, &mut fixture.store, 700);
+    fixture.owner.sync(&fixture.store);
+    let permits = fixture.owner.failovers.permits();
     assert!(permits.get(ShardId(0)).is_some());
     let mut draft = DraftTransaction::default();
-    let pass = scene.owner.pass(800);
+    let pass = fixture.owner.pass(800);
     reconciliation::reconcile(&pass, &mut draft);
     claims::claim(&pass, &mut draft);
     assert!(draft.is_empty(), "{draft:?}");
 }
 
 /// Queues tasks of two jobs at the owner's machine and holds it for a gang.
-fn queue_and_reserve(scene: &mut ExpiredOwner) {
+fn queue_and_reserve(fixture: &mut ExpiredOwner) {
     for (id, tasks) in [("job-2", 20), ("job-3", 2)] {
-        scene.owner.submit(&mut scene.store, job(id, tasks), 600);
+        fixture
+            .owner
+            .submit(&mut fixture.store, job(id, tasks), 600);
     }
     let mut gang_spec = job("job-4", 8);
     gang_spec.kind = JobKind::Gang;
-    scene.owner.submit(&mut scene.store, gang_spec, 600);
+    fixture.owner.submit(&mut fixture.store, gang_spec, 600);
     let (queued, cancelled, gang) = (
-        scene.owner.job_index("job-2"),
-        scene.owner.job_index("job-3"),
-        scene.owner.job_index("job-4"),
+        fixture.owner.job_index("job-2"),
+        fixture.owner.job_index("job-3"),
+        fixture.owner.job_index("job-4"),
     );
-    let m1 = scene.owner.machine("m1");
-    let machine = scene.owner.cluster.machine_mut(m1).unwrap();
+    let m1 = fixture.owner.machine("m1");
+    let machine = fixture.owner.cluster.machine_mut(m1).unwrap();
     machine.queue.extend([
         QueuedTask::new(queued, 7, MonotonicMillis(600)),
         QueuedTask::new(cancelled, 0, MonotonicMillis(600)),
@@ -493,34 +515,34 @@
 }
 
 /// One of the queued tasks is no longer to run, and one is queued with the standby already.
-fn cancel_one_and_queue_one_with_the_standby(scene: &mut ExpiredOwner) {
-    scene.owner.cancel(&mut scene.store, "job-3", 850);
-    scene.standby.sync(&scene.store);
-    scene
+fn cancel_one_and_queue_one_with_the_standby(fixture: &mut ExpiredOwner) {
+    fixture.owner.cancel(&mut fixture.store, "job-3", 850);
+    fixture.standby.sync(&fixture.store);
+    fixture
         .standby
         .cluster
         .learn_machine("m1", "oven", "north", true, MonotonicMillis(0));
     let (m1, queued) = (
-        scene.standby.machine("m1"),
-        scene.standby.job_index("job-2"),
+        fixture.standby.machine("m1"),
+        fixture.standby.job_index("job-2"),
     );
-    let machine = scene.standby.cluster.machine_mut(m1).unwrap();
+    let machine = fixture.standby.cluster.machine_mut(m1).unwrap();
     machine
         .queue
         .push_back(QueuedTask::new(queued, 5, MonotonicMillis(100)));
 }
 
-fn restores_queue_and_reservation(scene: &mut ExpiredOwner, follower: &Follower) {
-    let m1 = scene.standby.machine("m1");
+fn restores_queue_and_reservation(fixture: &mut ExpiredOwner, follower: &Follower) {
+    let m1 = fixture.standby.machine("m1");
     let replica = follower.replica_state().expect("no gap");
     let restored = failover::restore_replica(
-        &mut scene.standby.cluster,
+        &mut fixture.standby.cluster,
         NORTH,
         replica,
         MonotonicMillis(900),
     );
     assert_eq!((restored.queued_tasks, restored.reservations), (2, 1));
-    let machine = scene.standby.cluster.machine(m1).unwrap();
+    let machine = fixture.standby.cluster.machine(m1).unwrap();
     let tasks: Vec<u32> = machine.queue.iter().map(|queued| queued.task).collect();
     assert_eq!(tasks, [5, 7, 9]);
     assert_eq!(
@@ -528,72 +550,82 @@
             .decisions
             .reservation
             .map(|reservation| reservation.gang),
-        Some(scene.standby.job_index("job-4"))
+        Some(fixture.standby.job_index("job-4"))
     );
 }
 
 /// What is unchanged is not streamed again, and a machine that is deleted is.
-fn streams_a_deletion_only(scene: &mut ExpiredOwner, publisher: &mut Publisher) {
-    replication::publish_changes(&scene.owner.cluster, NORTH, MonotonicMillis(900), publisher);
+fn streams_a_deletion_only(fixture: &mut ExpiredOwner, publisher: &mut Publisher) {
+    replication::publish_changes(
+        &fixture.owner.cluster,
+        NORTH,
+        MonotonicMillis(900),
+        publisher,
+    );
     assert_eq!(publisher.lag(), Some(0));
-    let m1 = scene.owner.machine("m1");
-    scene.owner.cluster.mark_deleted(m1);
-    replication::publish_changes(&scene.owner.cluster, NORTH, MonotonicMillis(900), publisher);
+    let m1 = fixture.owner.machine("m1");
+    fixture.owner.cluster.mark_deleted(m1);
+    replication::publish_changes(
+        &fixture.owner.cluster,
+        NORTH,
+        MonotonicMillis(900),
+        publisher,
+    );
     assert_eq!(publisher.lag(), Some(1));
     assert_eq!(publisher.replica_state().len(), 0);
 }
 
 #[test]
 fn a_failover_restores_the_queues_and_reservations_that_were_streamed() {
-    let mut scene = expired_owner();
-    queue_and_reserve(&mut scene);
+    let mut fixture = expired_owner();
+    queue_and_reserve(&mut fixture);
     // It is streamed in a snapshot, and what changes then in the log tail.
     let mut publisher = Publisher::new(ShardId(0), FencingToken(1), StreamLimits::default());
     let mut follower = Follower::default();
-    stream(&scene.owner, &mut publisher, &mut follower, 700);
-    let m1 = scene.owner.machine("m1");
-    let queued = scene.owner.job_index("job-2");
-    let machine = scene.owner.cluster.machine_mut(m1).unwrap();
+    stream(&fixture.owner, &mut publisher, &mut follower, 700);
+    let m1 = fixture.owner.machine("m1");
+    let queued = fixture.owner.job_index("job-2");
+    let machine = fixture.owner.cluster.machine_mut(m1).unwrap();
     machine
         .queue
         .push_back(QueuedTask::new(queued, 9, MonotonicMillis(800)));
-    let follower = stream(&scene.owner, &mut publisher, &mut follower, 800);
-    cancel_one_and_queue_one_with_the_standby(&mut scene);
-    restores_queue_and_reservation(&mut scene, &follower);
-    streams_a_deletion_only(&mut scene, &mut publisher);
+    let follower = stream(&fixture.owner, &mut publisher, &mut follower, 800);
+    cancel_one_and_queue_one_with_the_standby(&mut fixture);
+    restores_queue_and_reservation(&mut fixture, &follower);
+    streams_a_deletion_only(&mut fixture, &mut publisher);
 }
 
 #[test]
-fn switching_it_on_controller_by_controller_and_back_at_any_step_loses_nothing() {
+fn enabling_the_standby_controller_by_controller_and_reverting_after_any_step_loses_nothing() {
     for back_after in 0..=3 {
-        let mut world = SimulatedCluster::with_standby(4, Standby::Off);
-        world.begin_record_format_v2();
-        let mut ids = submit_batch(&mut world);
+        let mut cluster = SimulatedCluster::with_standby(4, Standby::Off);
+        cluster.begin_record_format_v2();
+        let mut ids = submit_batch(&mut cluster);
         let on = (0..back_after).map(|at| (at, Standby::OtherZone));
         let off = (0..back_after).rev().map(|at| (at, Standby::Off));
         for (number, (at, standby)) in on.chain(off).enumerate() {
-            world.run_for(2000);
-            world.standby = standby;
-            world.stop_controller(at);
-            world.run_for(1000);
-            world.start_controller(at);
+            cluster.run_for(2000);
+            cluster.standby = standby;
+            cluster.stop_controller(at);
+            cluster.run_for(1000);
+            cluster.start_controller(at);
             let id = format!("job-2{number}");
-            assert!(world.submit((at + 1) % 3, job(&id, 3)));
+            assert!(cluster.submit((at + 1) % 3, job(&id, 3)));
             ids.push(id);
-            world.run_for(3000);
+            cluster.run_for(3000);
         }
-        assert_all_complete(&mut world, &ids, &format!("back after {back_after}"));
+        assert_all_complete(&mut cluster, &ids, &format!("back after {back_after}"));
     }
 }
 
 #[test]
-fn operators_see_how_far_each_standby_is() {
+fn operators_see_the_replication_lag_of_each_standby() {
     let status = |replication_lag, replica_of_token| ShardStatus {
         shard: 3,
-        owner: "stoker-1".into(),
+        owner: "controller-1".into(),
         fencing_token: 41,
         state: "active".into(),
-        standby: Some("stoker-2".into()),
+        standby: Some("controller-2".into()),
         replication_lag,
         replica_of_token,
     };
@@ -617,13 +649,13 @@
         "has the state of token 40",
         "-",
     ]) {
-        assert!(line.starts_with("3      stoker-1"), "{line}");
+        assert!(line.starts_with("3      controller-1"), "{line}");
         assert!(line.ends_with(end), "{line}");
     }
 }
 
 #[test]
-fn after_a_restart_of_all_controllers_shards_go_straight_to_their_preferred_owners() {
+fn after_a_restart_of_all_controllers_shards_go_directly_to_their_preferred_owners() {
     let (mut store, mut controllers, mut view) = three_controllers(Standby::OtherZone);
     lose_owner_n1(&mut store, &mut controllers);
     // Nobody has been there for long: no standby has followed anyone.
