--- a/crates/standby/tests/failover.rs
+++ b/crates/standby/tests/failover.rs
@@ -1,11 +1,11 @@
-//! The state machine of a failover and the choice of a standby.
+//! Tests of the state machine of a failover and of the choice of a standby.
 
 use standby::failover::{FailoverState, Failovers, Observation, Owner, Refusal, Transition};
 use standby::ids::{FencingToken, Millis, Revision, ShardId};
 use standby::role::{choose, standby_of, Candidate, ZonePreference};
 
 const SHARD: ShardId = ShardId(0);
-/// Random sequences of observations; seeds are fixed.
+/// Number of random sequences of observations; the seeds are fixed.
 const CASES: u64 = 500;
 
 fn this_controller(fencing_token: u64, fence_revision: u64) -> Owner {
@@ -27,9 +27,10 @@
     transitions.iter().map(|t| t.to.name()).collect()
 }
 
-/// A failover with its clock.
+/// The failovers of a controller with one shard, and a simulated clock.
 struct Simulation {
     failovers: Failovers,
+    /// Current time, ms.
     now: u64,
 }
 
@@ -41,7 +42,7 @@
         }
     }
 
-    /// What the standby sees of the owner; the states that it enters.
+    /// Applies an observation by the standby, and returns the names of the states that it enters.
     fn observe(&mut self, owner: Owner, known_revision: u64) -> Vec<&'static str> {
         let observation = Observation {
             owner,
@@ -57,10 +58,12 @@
         Some(permit.fencing_token().0)
     }
 
-    fn refused(&mut self, refusal: Refusal, known: u64) -> bool {
-        let known = Revision(known);
+    fn refused(&mut self, refusal: Refusal, known_revision: u64) -> bool {
+        let known_revision = Revision(known_revision);
         let now = Millis(self.now);
-        let transition = self.failovers.token_refused(SHARD, refusal, known, now);
+        let transition = self
+            .failovers
+            .token_refused(SHARD, refusal, known_revision, now);
         transition.is_some()
     }
 }
@@ -76,7 +79,7 @@
         simulation.observe(other_controller(true, true), 6),
         ["suspecting"]
     );
-    // It was only slow.
+    // The owner was only slow and sends status updates again.
     assert_eq!(
         simulation.observe(other_controller(true, false), 6),
         ["following"]
@@ -90,7 +93,7 @@
         .fence_sent(SHARD, Millis(simulation.now))
         .unwrap();
     assert_eq!(fencing.since_last_contact_ms, Some(simulation.now - 100));
-    // Until the records tell what came of the transaction nothing else is tried.
+    // The state stays until the records show the outcome of the transaction.
     assert!(simulation
         .observe(other_controller(false, true), 8)
         .is_empty());
@@ -122,7 +125,7 @@
         .unwrap();
     assert_eq!(back.to, FailoverState::Suspecting);
     simulation.failovers.fence_sent(SHARD, Millis(0));
-    // Another has won, as the records show.
+    // The records show that another controller has become the owner.
     assert_eq!(
         simulation.observe(other_controller(true, false), 9),
         ["following"]
@@ -136,7 +139,7 @@
     let mut simulation = Simulation::new();
     simulation.observe(other_controller(false, true), 5);
     simulation.failovers.fence_sent(SHARD, Millis(0));
-    // The old owner is seen again, and only then the transaction takes effect.
+    // The old owner is alive again before the transaction is applied.
     assert_eq!(
         simulation.observe(other_controller(true, false), 6),
         ["following"]
@@ -168,7 +171,7 @@
 fn a_token_raised_by_its_owner_needs_a_new_permit() {
     let mut simulation = Simulation::new();
     simulation.observe(this_controller(1, 3), 3);
-    // Its own transaction does not make an active owner a standby.
+    // An active owner that raises its own token doesn't become a standby.
     assert_eq!(simulation.failovers.fence_sent(SHARD, Millis(0)), None);
     assert_eq!(
         simulation.observe(this_controller(2, 9), 8),
@@ -191,10 +194,10 @@
         let mut simulation = Simulation::new();
         simulation.observe(this_controller(1, 3), 5);
         assert!(simulation.refused(refusal, 5));
-        assert!(!simulation.refused(refusal, 5), "said twice");
+        assert!(!simulation.refused(refusal, 5), "repeated refusal");
         assert!(simulation.observe(this_controller(1, 3), 5).is_empty());
         assert_eq!(simulation.permit(), None);
-        // Newer records still name this owner.
+        // Newer records still name this controller as the owner.
         assert_eq!(
             simulation.observe(this_controller(1, 3), 6),
             ["catching up", "active"]
@@ -207,11 +210,11 @@
 fn a_refusal_that_comes_after_the_token_was_raised_stops_nothing() {
     let mut simulation = Simulation::new();
     simulation.observe(this_controller(1, 3), 3);
-    // A transaction under token 1 is on its way while the owner raises its own token.
+    // A transaction under token 1 is in flight while the owner raises its own token.
     simulation.observe(this_controller(2, 6), 6);
     let fencing_token = FencingToken(1);
     assert!(!simulation.refused(Refusal::KeyValueStore { fencing_token }, 6));
-    // Nothing else is ever recorded: the owner goes on all the same.
+    // The owner stays active even if no further record is ever written.
     assert!(simulation.observe(this_controller(2, 6), 6).is_empty());
     assert_eq!(simulation.permit(), Some(2));
 }
@@ -298,7 +301,7 @@
         .seed(seed << 32 | 0x400)
         .run();
     }
-    assert!(issued > CASES, "hardly any permit was issued: {issued}");
+    assert!(issued > CASES, "too few permits were issued: {issued}");
 }
 
 const fn candidate(name: &str, zone: u32) -> Candidate<'_> {
@@ -350,7 +353,7 @@
     assert_eq!(standby_of("a", &controllers, inside, 0), Some("b"));
     controllers[1].eligible = false;
     assert_eq!(standby_of("a", &controllers, inside, 0), Some("d"));
-    // Where none is better, one that has just come is good enough.
+    // If no reachable controller is eligible, one that has just started is chosen.
     controllers[3].eligible = false;
     assert_eq!(standby_of("a", &controllers, inside, 0), Some("b"));
     assert_eq!(choose(&[], ZonePreference::Any, 0), None);
@@ -358,11 +361,11 @@
 
 #[test]
 fn a_controller_that_leaves_and_returns_changes_no_role_of_the_others() {
-    // One that is not chosen leaves and returns: all roles stay.
+    // A controller that is not chosen leaves and returns, and all roles stay the same.
     for spread in 0..2 {
         let preference = ZonePreference::Outside(0);
-        let with = standby_of("a", &CONTROLLERS, preference, spread);
+        let with_c = standby_of("a", &CONTROLLERS, preference, spread);
         let without_c = [CONTROLLERS[0], CONTROLLERS[1], CONTROLLERS[3]];
-        assert_eq!(standby_of("a", &without_c, preference, spread), with);
+        assert_eq!(standby_of("a", &without_c, preference, spread), with_c);
     }
 }
--- a/crates/standby/tests/stream.rs
+++ b/crates/standby/tests/stream.rs
@@ -1,5 +1,5 @@
-//! The stream between an owner and its standby: loss, repeats, reordering, foreign tokens, a
-//! standby that is behind, and messages that are no messages.
+//! Tests of the stream between an owner and its standby: loss, duplicates, reordering, stale
+//! tokens, a standby that lags behind, and malformed messages.
 
 use standby::follower::Follower;
 use standby::ids::{FencingToken, Revision, ShardId};
@@ -8,7 +8,7 @@
 };
 use standby::publisher::{Publisher, StreamLimits};
 
-/// Cases of the properties below; seeds are fixed, so that a failure repeats.
+/// Number of cases of each property test; the seeds are fixed, so that a failure is reproducible.
 const CASES: u64 = 300;
 
 const SHARD: ShardId = ShardId(0);
@@ -53,7 +53,7 @@
     }
 }
 
-/// Sends messages until nothing is left to tell.
+/// Delivers messages and responses until the publisher has nothing left to send.
 fn synchronize(publisher: &mut Publisher, follower: &mut Follower) {
     for _ in 0..1000 {
         let Some(message) = publisher.next_message() else {
@@ -81,7 +81,7 @@
             ..
         }
     ));
-    // The owner goes on deciding while the parts are on their way.
+    // The owner continues to decide while the parts of the snapshot are in flight.
     publisher.publish(machine(3, 2));
     publisher.receive_response(follower.receive(&first, FencingToken(0)));
     synchronize(&mut publisher, &mut follower);
@@ -148,7 +148,7 @@
         (FencingToken(5), 1)
     );
     assert_eq!(follower.replica_state(), Some(new.replica_state()));
-    // The records may know of a failover before the new owner's first message.
+    // The standby may learn of a failover from the records before the new owner's first message.
     assert_eq!(
         follower.receive(
             &Message::LogTail {
@@ -197,14 +197,15 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL);
         let mut follower = Follower::default();
-        let mut kept: Vec<Message> = Vec::new();
+        let mut sent: Vec<Message> = Vec::new();
         for _ in 0..200 {
             publisher.publish(random_decision(&mut rng));
             if let Some(message) = publisher.next_message() {
-                kept.push(message.clone());
+                sent.push(message.clone());
                 match rng.u8(..5) {
-                    // Lost, or its answer is.
+                    // The message is lost.
                     0 => publisher.response_lost(),
+                    // The response is lost.
                     1 => {
                         follower.receive(&message, FencingToken(0));
                         publisher.response_lost();
@@ -212,11 +213,11 @@
                     _ => publisher.receive_response(follower.receive(&message, FencingToken(0))),
                 }
             }
-            // An earlier message comes again, after newer ones.
+            // An earlier message is delivered again, after newer ones.
             if rng.u8(..4) == 0 {
-                let at = rng.usize(..kept.len().max(1));
-                if let Some(again) = kept.get(at) {
-                    follower.receive(again, FencingToken(0));
+                let at = rng.usize(..sent.len().max(1));
+                if let Some(earlier) = sent.get(at) {
+                    follower.receive(earlier, FencingToken(0));
                 }
             }
         }
@@ -262,7 +263,7 @@
             Some(Some(good.clone()))
         );
     }
-    let mut read = 0;
+    let mut decoded = 0;
     for seed in 0..CASES {
         arbtest::arbtest(|u| {
             let mut bytes = good.clone();
@@ -271,7 +272,7 @@
                 bytes[at] = u.arbitrary()?;
             }
             if let Some(message) = Message::decode(&bytes) {
-                read += 1;
+                decoded += 1;
                 let mut follower = Follower::default();
                 follower.receive(&message, FencingToken(0));
             }
@@ -281,8 +282,8 @@
         .run();
     }
     assert!(
-        read > 0,
-        "no damaged message was readable: nothing was tried"
+        decoded > 0,
+        "no damaged message could be decoded, so the follower was not tested"
     );
 }
 
@@ -308,39 +309,39 @@
     );
 }
 
-/// All parts of a snapshot of so many machines.
-fn parts(machines: usize) -> Vec<Message> {
+/// All parts of a snapshot of `machines` machines.
+fn snapshot_parts(machines: usize) -> Vec<Message> {
     let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL);
     for i in 0..machines {
         publisher.publish(machine(i, i % 4));
     }
     let mut follower = Follower::default();
-    let mut out = Vec::new();
+    let mut parts = Vec::new();
     while let Some(message) = publisher.next_message() {
         publisher.receive_response(follower.receive(&message, FencingToken(0)));
-        out.push(message);
+        parts.push(message);
     }
-    out
+    parts
 }
 
 #[test]
 fn a_snapshot_is_applied_only_with_all_its_parts_in_order() {
-    let of_50 = parts(50);
-    let of_60 = parts(60);
+    let of_50 = snapshot_parts(50);
+    let of_60 = snapshot_parts(60);
     assert!(of_50.len() > 3);
-    for odd in [&of_50[2], &of_50[0].clone(), &of_60[1]] {
+    for unexpected in [&of_50[2], &of_50[0].clone(), &of_60[1]] {
         let mut follower = Follower::default();
         assert_eq!(
             follower.receive(&of_50[0], FencingToken(0)),
             FollowerResponse::NextPart(1)
         );
-        let answer = follower.receive(odd, FencingToken(0));
-        // A first part begins anew; any other is of no use.
-        match odd {
+        let response = follower.receive(unexpected, FencingToken(0));
+        // The first part starts a new snapshot; any other unexpected part is refused.
+        match unexpected {
             Message::SnapshotPart { part: 0, .. } => {
-                assert_eq!(answer, FollowerResponse::NextPart(1))
+                assert_eq!(response, FollowerResponse::NextPart(1))
             }
-            _ => assert_eq!(answer, FollowerResponse::NeedsSnapshot),
+            _ => assert_eq!(response, FollowerResponse::NeedsSnapshot),
         }
         assert_eq!(follower.replica_state(), None);
     }
--- a/tests/controller_components.rs
+++ b/tests/controller_components.rs
@@ -1,4 +1,4 @@
-//! The components of a controller: exchanges with peers and connections to workers.
+//! Tests of the components of a controller: the state of peers and the connections to workers.
 
 use pointhook::coordination::controller::peers::Peer;
 use pointhook::coordination::controller::worker_connections::WorkerConnections;
@@ -13,7 +13,7 @@
     })
 }
 
-/// How long after a failure at `at` the peer is left alone.
+/// Delay after a failure at `at` until cancellations are sent to the peer again, ms.
 fn wait_after_failure(peer: &Peer, at: MonotonicMillis, connection_closed: bool) -> u64 {
     peer.record_cancellation_failure(at, connection_closed);
     let mut wait_ms = 0;
@@ -35,10 +35,14 @@
         at = at.plus(wait_ms);
     }
     assert_eq!(waits, [1000, 2000, 4000, 8000, 8000]);
-    assert_eq!(wait_after_failure(&peer, at, false), 0, "out of reach");
+    assert_eq!(wait_after_failure(&peer, at, false), 0, "unreachable peer");
     wait_after_failure(&peer, at, true);
     peer.record_cancellation_answer();
-    assert_eq!(wait_after_failure(&peer, at, true), 1000, "answered before");
+    assert_eq!(
+        wait_after_failure(&peer, at, true),
+        1000,
+        "an answer resets the delay"
+    );
 }
 
 #[test]
@@ -46,10 +50,10 @@
     let peer = peer();
     let now = MonotonicMillis(0);
     assert!(peer.begin_cancellation_exchange(now));
-    assert!(!peer.begin_cancellation_exchange(now), "one runs");
-    assert!(!peer.begin_cancellation_exchange(now), "one runs");
-    assert!(peer.continue_cancellation_exchange(), "more came");
-    assert!(!peer.continue_cancellation_exchange(), "nothing more came");
+    assert!(!peer.begin_cancellation_exchange(now), "one is running");
+    assert!(!peer.begin_cancellation_exchange(now), "one is running");
+    assert!(peer.continue_cancellation_exchange(), "more to send");
+    assert!(!peer.continue_cancellation_exchange(), "nothing to send");
     peer.end_cancellation_exchange();
     assert!(peer.begin_cancellation_exchange(now));
 }
@@ -58,7 +62,7 @@
 fn a_status_update_shows_whether_the_reachability_from_workers_has_changed() {
     let peer = peer();
     let now = MonotonicMillis(5000);
-    assert!(peer.workers_reachable(), "until it says otherwise");
+    assert!(peer.workers_reachable(), "before the first update");
     assert!(peer.record_status(now, true, false));
     assert!(!peer.record_status(now, true, false));
     assert!(!peer.workers_reachable());
--- a/tests/outages_and_restarts.rs
+++ b/tests/outages_and_restarts.rs
@@ -76,7 +76,7 @@
     store.unavailable = true;
     assert!(!controller.sync(&store));
     for now in (500..7500).step_by(500) {
-        // No process answers while all restart; the worker's lease goes on running.
+        // No controller answers while all restart, and the worker's lease continues to run.
         worker.advance(now);
     }
     store.unavailable = false;
@@ -95,25 +95,26 @@
     old.exchange_heartbeat(&mut store, &mut worker, 0);
     old.exchange_heartbeat(&mut store, &mut worker, 1000);
     assert!(worker.has_task("job-1/0"));
-    // It loses the key-value store and its peers; its key expires and another takes its shards.
+    // The old owner loses the key-value store and its peers; its key expires, and another
+    // controller takes its shards.
     store.revoke_lease(old.lease);
     let mut new = SimulatedController::start("s1", 2, &mut store, 5000);
     new.apply_membership_moves(&mut store, 5000);
     new.submit(&mut store, job("job-2", 1), 5100);
-    // It goes on answering its worker, which keeps its task and gets nothing new.
+    // The old owner still answers its worker, which keeps its task and gets no new one.
     let heartbeat = worker.heartbeat(6000);
-    let a = old.receive_heartbeat_without_kv(&heartbeat, 6000).unwrap();
-    assert!(!a
+    let response = old.receive_heartbeat_without_kv(&heartbeat, 6000).unwrap();
+    assert!(!response
         .commands
         .iter()
-        .any(|o| matches!(o, Command::Start { .. })));
-    assert!(worker.receive_response(&a, heartbeat.agent_epoch, 6000, 6000));
-    // The new owner announces its fencing token; the worker's heartbeat shows it, and the old owner steps
-    // down.
+        .any(|command| matches!(command, Command::Start { .. })));
+    assert!(worker.receive_response(&response, heartbeat.agent_epoch, 6000, 6000));
+    // The new owner announces its fencing token; the worker's heartbeat contains it, and the old
+    // owner steps down.
     worker.fencing_token = new.cluster.shards[0].record.fencing_token;
     let heartbeat = worker.heartbeat(7000);
     assert!(old.receive_heartbeat_without_kv(&heartbeat, 7000).is_none());
-    // The task stays where it is and runs once: its placement is still valid.
+    // The placement is still valid, so the task stays where it is and is started once.
     new.exchange_heartbeat(&mut store, &mut worker, 7500);
     assert_eq!(
         worker.started.iter().filter(|s| s.0 == "job-1/0").count(),
@@ -131,13 +132,15 @@
     controller.submit(&mut store, job("job-1", 1), 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     assert_eq!(controller.job("job-1").placements.len(), 1);
-    // All controllers restart, and the cloud deletes the machine before any has its heartbeat.
+    // All controllers restart, and the cloud deletes the machine before any of them receives a
+    // heartbeat from it.
     store.revoke_lease(controller.lease);
     let mut new = SimulatedController::start("n1", 2, &mut store, 5000);
     new.apply_membership_moves(&mut store, 5000);
     new.run_planner(&mut store, 200_000);
     assert_eq!(new.job("job-1").placements.len(), 1);
-    // It is in no list and sends no heartbeat: it is deleted by name, which proves it absent.
+    // The machine is in no list and sends no heartbeat. It is deleted by name, which proves that it
+    // is gone.
     let names = autoscaler::presumed_lost(&new.cluster, &HashMap::new(), |_| true);
     assert_eq!(names, ["m1"]);
     assert!(autoscaler::presumed_lost(&new.cluster, &HashMap::new(), |_| false).is_empty());
@@ -150,14 +153,15 @@
 
 #[test]
 fn every_controller_knows_every_job_after_a_kv_outage_with_a_restart_of_all() {
-    let (mut store, mut a) = start_single_controller();
+    let (mut store, mut first) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     for i in 1..=30 {
-        a.submit(&mut store, job(&format!("job-{i}"), 1), 0);
+        first.submit(&mut store, job(&format!("job-{i}"), 1), 0);
     }
-    a.exchange_heartbeat(&mut store, &mut worker, 0);
-    store.revoke_lease(a.lease);
-    let controllers = ["n1", "s1"].map(|n| SimulatedController::start(n, 7, &mut store, 60_000));
+    first.exchange_heartbeat(&mut store, &mut worker, 0);
+    store.revoke_lease(first.lease);
+    let controllers =
+        ["n1", "s1"].map(|name| SimulatedController::start(name, 7, &mut store, 60_000));
     for controller in &controllers {
         assert!(controller.cluster.loaded);
         assert!((1..=30).all(|i| controller.cluster.job(&format!("job-{i}")).is_some()));
@@ -166,26 +170,27 @@
 
 #[test]
 fn an_isolated_controller_reports_itself_unhealthy() {
-    let seen = |heard, store_ok, refuses| PeerObservation {
-        has_recent_status: heard,
-        kv_reachable: store_ok,
-        connection_refused: refuses,
+    let peer = |has_recent_status, kv_reachable, connection_refused| PeerObservation {
+        has_recent_status,
+        kv_reachable,
+        connection_refused,
     };
-    // The key-value store is unavailable to all: reporting itself unhealthy would help nobody.
+    // The key-value store is unavailable to all controllers: reporting itself unhealthy would help
+    // nobody.
     assert!(is_cluster_wide_outage(&[
-        seen(true, false, false),
-        seen(false, false, false)
+        peer(true, false, false),
+        peer(false, false, false)
     ]));
     assert!(is_cluster_wide_outage(&[]));
-    // A peer that ended or refuses connections shows that the network works.
-    assert!(is_cluster_wide_outage(&[seen(false, false, true)]));
-    // Others are served, or no peer is reached.
+    // A peer that refuses connections, since its process has ended, shows that the network works.
+    assert!(is_cluster_wide_outage(&[peer(false, false, true)]));
+    // The store serves a peer, or no peer is in contact.
     assert!(!is_cluster_wide_outage(&[
-        seen(true, true, false),
-        seen(true, false, false)
+        peer(true, true, false),
+        peer(true, false, false)
     ]));
     assert!(!is_cluster_wide_outage(&[
-        seen(false, true, false),
-        seen(false, false, false)
+        peer(false, true, false),
+        peer(false, false, false)
     ]));
 }
--- a/tests/shard_ownership.rs
+++ b/tests/shard_ownership.rs
@@ -1,4 +1,4 @@
-//! Shard ownership: moves, restarts, fencing tokens and handovers between controllers.
+//! Tests of shard ownership: moves between controllers, restarts and fencing tokens.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use pointhook::protocol::workers::{Command, FencingToken};
 use pointhook::state::names::{Index, ShardIndex, ZoneIndex};
 use pointhook::state::units::{Incarnation, MonotonicMillis};
-use std::collections::HashMap;
+use std::collections::{HashMap, HashSet};
 use support::job;
 use support::simulated_controller::{run_heartbeats, start_single_controller, SimulatedController};
 use support::worker::FakeWorker;
@@ -22,7 +22,8 @@
     let draft = old.draft_plan(20);
     assert_eq!(draft.claims.len(), 1);
     let late = transaction(&old.cluster, &draft);
-    // Its lease expires; another controller takes the shards; then the transaction arrives.
+    // The old owner's lease expires, another controller takes the shards, and then the transaction
+    // arrives.
     store.revoke_lease(old.lease);
     let mut new = SimulatedController::start("s1", 2, &mut store, 30);
     assert_eq!(new.apply_membership_moves(&mut store, 30), 3);
@@ -46,20 +47,18 @@
 
 #[test]
 fn a_shard_move_fails_if_its_target_has_restarted() {
-    let (mut store, controller) = start_single_controller();
+    let (mut store, mut controller) = start_single_controller();
     let target = SimulatedController::start("s1", 5, &mut store, 0);
-    let mut controller = controller;
     controller.sync(&store);
-    let m = pointhook::coordination::membership::ShardMove {
+    let planned = membership::ShardMove {
         shard: ShardIndex(1),
         to: "s1".into(),
     };
-    let (txn, _) =
-        pointhook::coordination::membership::move_transaction(&controller.cluster, &m).unwrap();
+    let (transaction, _) = membership::move_transaction(&controller.cluster, &planned).unwrap();
     store.revoke_lease(target.lease);
     SimulatedController::start("s1", 6, &mut store, 10);
     assert!(matches!(
-        SimulatedController::commit(&mut store, &txn, 20),
+        SimulatedController::commit(&mut store, &transaction, 20),
         CommitOutcome::Conflict(_)
     ));
 }
@@ -79,16 +78,19 @@
     SimulatedController::start("s1", 2, &mut store, 0);
     north.sync(&store);
     let at = |ms| MonotonicMillis(ms);
-    let known = pointhook::coordination::membership::MembershipView {
-        first_seen: std::collections::HashMap::from([(("s1".to_string(), Incarnation(2)), at(0))]),
+    let view = membership::MembershipView {
+        first_seen: HashMap::from([(("s1".to_string(), Incarnation(2)), at(0))]),
         owned_since: north.owned_since_start(),
         ..Default::default()
     };
-    let moves = |now| north.assignment(&known, false, now).moves();
+    let moves = |now| north.assignment(&view, false, now).moves();
     assert!(moves(1000).is_empty());
-    let m = moves(3000);
-    assert_eq!(m.len(), 1);
-    assert_eq!((m[0].shard, m[0].to.as_str()), (ShardIndex(1), "s1"));
+    let planned = moves(3000);
+    assert_eq!(planned.len(), 1);
+    assert_eq!(
+        (planned[0].shard, planned[0].to.as_str()),
+        (ShardIndex(1), "s1")
+    );
     assert_eq!(
         north.cluster.shard_zone(ShardIndex::new(1)),
         Some(ZoneIndex(1))
@@ -104,15 +106,16 @@
         confirmed_ms: 10_000,
         lease_ms: 10_000,
     };
-    let at = |controller: &SimulatedController| {
-        let m = controller
+    let limit_ms = |controller: &SimulatedController| {
+        let machine = controller
             .cluster
             .machine(controller.machine("m1"))
             .unwrap();
-        limits.of(&controller.cluster, &controller.config, m)
+        limits.of(&controller.cluster, &controller.config, machine)
     };
-    assert_eq!(at(&old), 10_000);
-    // The new owner knows it from status updates; the worker still talks to the old one.
+    assert_eq!(limit_ms(&old), 10_000);
+    // The new owner knows the machine from status updates; the worker still sends its heartbeats to
+    // the old owner.
     store.revoke_lease(old.lease);
     let mut new = SimulatedController::start("s1", 2, &mut store, 5000);
     let known = new
@@ -121,34 +124,35 @@
         .unwrap();
     new.cluster.machine_mut(known).unwrap().heartbeat.last_seen = Some(MonotonicMillis(5000));
     new.apply_membership_moves(&mut store, 5000);
-    assert_eq!(at(&new), 15_000);
+    assert_eq!(limit_ms(&new), 15_000);
     new.exchange_heartbeat(&mut store, &mut worker, 6000);
-    assert_eq!(at(&new), 10_000);
+    assert_eq!(limit_ms(&new), 10_000);
 }
 
 #[test]
 fn a_controller_restarted_during_a_handover_inherits_nothing_and_every_shard_has_an_owner() {
-    let (mut store, old) = start_single_controller();
+    let (mut store, mut old) = start_single_controller();
     let target = SimulatedController::start("s1", 2, &mut store, 0);
-    let mut old = old;
     old.sync(&store);
-    // The handover of a shard to s1 is in flight when s1 is killed and restarted at once.
-    let m = pointhook::coordination::membership::ShardMove {
+    // The transaction that moves a shard to s1 is in flight when s1 is killed and restarted.
+    let planned = membership::ShardMove {
         shard: ShardIndex(1),
         to: "s1".into(),
     };
-    let (txn, _) = pointhook::coordination::membership::move_transaction(&old.cluster, &m).unwrap();
-    SimulatedController::commit(&mut store, &txn, 100);
-    let mut back = SimulatedController::start("s1", 3, &mut store, 200);
-    assert!(!back.owns(1));
-    back.apply_membership_moves(&mut store, 300);
-    assert!(back.owns(1) && back.cluster.shards[1].record.fencing_token >= FencingToken(3));
+    let (transaction, _) = membership::move_transaction(&old.cluster, &planned).unwrap();
+    SimulatedController::commit(&mut store, &transaction, 100);
+    let mut restarted = SimulatedController::start("s1", 3, &mut store, 200);
+    assert!(!restarted.owns(1));
+    restarted.apply_membership_moves(&mut store, 300);
+    assert!(
+        restarted.owns(1) && restarted.cluster.shards[1].record.fencing_token >= FencingToken(3)
+    );
     old.sync(&store);
     assert!(!old.owns(1));
-    // The old incarnation's key expires later, which must not delete the new one's key.
+    // The lease of the earlier process expires later, which must not delete the new key.
     store.revoke_lease(target.lease);
-    back.sync(&store);
-    assert!(back.cluster.live_owner(ShardIndex(1)).is_some());
+    restarted.sync(&store);
+    assert!(restarted.cluster.live_owner(ShardIndex(1)).is_some());
 }
 
 #[test]
@@ -162,25 +166,25 @@
             .unwrap();
         controller.cluster.machine_mut(machine).unwrap().addr = "127.0.0.1:1".into();
     }
-    // Nobody answers, and sixty connections are open at a time.
-    let mut tried = HashMap::new();
-    let mut reached = std::collections::HashSet::new();
+    // No machine answers, and sixty connections can be open at the same time.
+    let mut last_attempts = HashMap::new();
+    let mut attempted = HashSet::new();
     for now in [10_000u64, 11_500, 13_000, 14_500, 16_000] {
         let due = announce_ownership::machines_with_stale_token(
             &controller.cluster,
             &controller.config,
-            &mut tried,
+            &mut last_attempts,
             MonotonicMillis(now),
             |_| true,
         );
         for stale in due.into_iter().take(60) {
             let machine = stale.machine;
-            tried.insert(machine, MonotonicMillis(now));
-            reached.insert(machine);
+            last_attempts.insert(machine, MonotonicMillis(now));
+            attempted.insert(machine);
         }
     }
-    assert_eq!(reached.len(), 300);
-    // A machine that has shown the fencing token is skipped; one that failed is tried again only later.
+    assert_eq!(attempted.len(), 300);
+    // A machine that has shown the fencing token is skipped. One that failed is tried again later.
     let machine = controller.machine("m299");
     controller
         .cluster
@@ -194,7 +198,7 @@
     let due = announce_ownership::machines_with_stale_token(
         &controller.cluster,
         &controller.config,
-        &mut tried,
+        &mut last_attempts,
         MonotonicMillis(16_500),
         |_| true,
     );
@@ -213,32 +217,34 @@
     old.submit(&mut store, job("job-1", 1), 1500);
     let draft = old.draft_plan(1600);
     assert_eq!(draft.claims.len(), 1);
-    let late = pointhook::coordination::kv::transaction(&old.cluster, &draft);
-    // It is paused past its lease; another takes its shards and moves the task.
+    let late = transaction(&old.cluster, &draft);
+    // The old owner is paused beyond its lease; another controller takes its shards and starts the
+    // second task elsewhere.
     store.revoke_lease(old.lease);
     let mut new = SimulatedController::start("s1", 2, &mut store, 20_000);
     new.apply_membership_moves(&mut store, 20_000);
     let mut other = FakeWorker::new("m2", "north", 20_000);
     new.exchange_heartbeat(&mut store, &mut other, 20_000);
-    // It resumes where it was paused: the commit, a pending response, a proof by time.
+    // The old owner resumes where it was paused: with the commit, with a response to a heartbeat,
+    // and with a proof that a silent machine's lease has expired.
     assert!(!matches!(
         SimulatedController::commit(&mut store, &late, 40_000),
-        pointhook::coordination::kv::CommitOutcome::Committed(_)
+        CommitOutcome::Committed(_)
     ));
     let heartbeat = worker.heartbeat(40_000);
-    let held = old
+    let response = old
         .receive_heartbeat_without_kv(&heartbeat, 40_000)
         .unwrap();
-    assert!(!held
+    assert!(!response
         .commands
         .iter()
-        .any(|o| matches!(o, Command::Start { .. })));
+        .any(|command| matches!(command, Command::Start { .. })));
     let proof = old.draft_plan(60_000);
     assert!(!proof.is_empty());
-    let by_time = pointhook::coordination::kv::transaction(&old.cluster, &proof);
+    let by_time = transaction(&old.cluster, &proof);
     assert!(!matches!(
         SimulatedController::commit(&mut store, &by_time, 60_000),
-        pointhook::coordination::kv::CommitOutcome::Committed(_)
+        CommitOutcome::Committed(_)
     ));
     assert_eq!(other.started.len(), 1);
     assert_eq!(worker.started.len(), 1);
@@ -249,28 +255,31 @@
     let (mut store, mut controller) = start_single_controller();
     SimulatedController::start("s1", 2, &mut store, 0);
     controller.sync(&store);
-    let seen = HashMap::from(
+    let first_seen = HashMap::from(
         [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), Incarnation(i)), MonotonicMillis(0))),
     );
     let moves = |controller: &SimulatedController, unreachable: &[&str]| {
-        let known = membership::MembershipView {
-            first_seen: seen.clone(),
+        let view = membership::MembershipView {
+            first_seen: first_seen.clone(),
             unreachable_from_workers: unreachable.iter().map(|n| n.to_string()).collect(),
             owned_since: controller.owned_since_start(),
             ..membership::MembershipView::default()
         };
-        controller.assignment(&known, false, 10_000).moves()
+        controller.assignment(&view, false, 10_000).moves()
     };
-    // It owns all shards; that of the other zone moves there in any case.
-    let to = |m: Vec<membership::ShardMove>| {
-        m.into_iter().map(|m| (m.shard.0, m.to)).collect::<Vec<_>>()
+    // n1 owns all shards. The shard of the southern zone moves to s1 in any case.
+    let new_owners = |moves: Vec<membership::ShardMove>| {
+        let pairs = moves
+            .into_iter()
+            .map(|planned| (planned.shard.0, planned.to));
+        pairs.collect::<Vec<_>>()
     };
     let s1 = |shard: u32| (shard, "s1".to_string());
-    assert_eq!(to(moves(&controller, &[])), [s1(1)]);
-    assert_eq!(to(moves(&controller, &["n1"])), [s1(0), s1(1)]);
-    // Where no controller is reached by any worker, handing shards over helps nobody.
-    assert_eq!(to(moves(&controller, &["n1", "s1"])), [s1(1)]);
-    assert_eq!(to(moves(&controller, &["s1"])), []);
+    assert_eq!(new_owners(moves(&controller, &[])), [s1(1)]);
+    assert_eq!(new_owners(moves(&controller, &["n1"])), [s1(0), s1(1)]);
+    // If no worker reaches any controller, moving shards is of no use.
+    assert_eq!(new_owners(moves(&controller, &["n1", "s1"])), [s1(1)]);
+    assert_eq!(new_owners(moves(&controller, &["s1"])), []);
 }
 
 #[test]
@@ -278,19 +287,19 @@
     let (mut store, mut controller) = start_single_controller();
     SimulatedController::start("s1", 2, &mut store, 0);
     controller.sync(&store);
-    let seen = HashMap::from(
+    let first_seen = HashMap::from(
         [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), Incarnation(i)), MonotonicMillis(0))),
     );
-    // This controller has just got the shard, and does not know yet that the other is unreachable.
+    // n1 has just acquired the shard, and does not know yet that no worker reaches s1.
     let south = ZoneIndex(1);
     assert_eq!(controller.cluster.shard_zone(ShardIndex(1)), Some(south));
     let moves = |controller: &SimulatedController, now: u64| {
-        let known = membership::MembershipView {
-            first_seen: seen.clone(),
+        let view = membership::MembershipView {
+            first_seen: first_seen.clone(),
             owned_since: HashMap::from([(ShardIndex(1), MonotonicMillis(10_000))]),
             ..Default::default()
         };
-        controller.assignment(&known, false, now).moves()
+        controller.assignment(&view, false, now).moves()
     };
     assert!(moves(&controller, 10_300).is_empty());
     assert!(moves(&controller, 12_000).is_empty());
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -1,5 +1,5 @@
-//! The warm standby in the controller: a failover decides nothing before it knows what its
-//! predecessor decided.
+//! Tests of the warm standby in the controller: a new owner decides nothing before it has read all
+//! decisions of its predecessor.
 
 mod support;
 
@@ -32,8 +32,8 @@
 
 const NORTH: ShardIndex = ShardIndex(0);
 
-/// An owner whose lease in the key-value store has ended, though it goes on working, and a standby
-/// that has seen that but nothing since.
+/// An owner that still works although its lease in the key-value store has expired, and a standby
+/// that has read the expiry, but no record since.
 struct ExpiredOwner {
     store: FakeKvStore,
     owner: SimulatedController,
@@ -41,7 +41,7 @@
     worker: FakeWorker,
 }
 
-/// The task of `job-1` has begun on `m1` under the owner.
+/// An expired owner that has started the task of `job-1` on `m1`.
 fn expired_owner() -> ExpiredOwner {
     let mut store = FakeKvStore::default();
     let mut owner = SimulatedController::start_as("n1", 1, Standby::SameZone, &mut store, 0);
@@ -63,7 +63,7 @@
     }
 }
 
-/// Tries to make a controller the owner of the northern shard.
+/// Tries to make a controller the owner of the northern shard, and returns the outcome.
 fn try_failover(
     controller: &mut SimulatedController,
     store: &mut FakeKvStore,
@@ -74,7 +74,7 @@
     controller.execute_move(store, &planned, now)
 }
 
-/// Makes a controller the owner of the northern shard, which succeeds.
+/// Makes a controller the owner of the northern shard; fails the test if that is refused.
 fn fail_over(controller: &mut SimulatedController, store: &mut FakeKvStore, now: u64) {
     let outcome = try_failover(controller, store, now);
     assert!(
@@ -86,7 +86,7 @@
 #[test]
 fn nothing_starts_before_the_records_are_known_as_of_the_fence() {
     let mut fixture = expired_owner();
-    // The owner, late but alive, records the end of the attempt and starts the next elsewhere.
+    // The expired owner still commits the end of the attempt and starts the next one elsewhere.
     let mut other = FakeWorker::new("m2", "north", 0);
     fixture
         .owner
@@ -98,7 +98,8 @@
         .owner
         .exchange_heartbeat(&mut fixture.store, &mut other, 4000);
     assert!(!fixture.worker.has_task("job-1/0") && other.has_task("job-1/0"));
-    // The standby fences without having read that: by its view the attempt is still due here.
+    // The standby raises the token without having read that. In its view the first attempt still
+    // has to run on m1.
     fail_over(&mut fixture.standby, &mut fixture.store, 4000);
     let heartbeat = fixture.worker.heartbeat(4500);
     let response = fixture
@@ -111,7 +112,7 @@
         fixture.standby.failovers.state(ShardId(0)),
         FailoverState::CatchingUp { .. }
     ));
-    // Once it has read the records it decides, and the task runs where it is.
+    // Once the standby has read the records it decides, and the task stays where it runs.
     fixture.standby.sync(&fixture.store);
     fixture
         .standby
@@ -153,7 +154,7 @@
         .owner
         .submit(&mut fixture.store, job("job-2", 1), 600);
     let mut other = FakeWorker::new("m2", "north", 0);
-    // Its claim gets no answer and is on its way while the standby fences.
+    // The old owner's claim is not answered, and is in flight while the standby raises the token.
     fixture.store.execution_delay_ms = Some(3000);
     fixture
         .owner
@@ -209,7 +210,8 @@
     fixture
         .owner
         .submit(&mut fixture.store, job("job-2", 1), 1100);
-    // A worker that has seen the new token shows it to the old owner, which has read nothing since.
+    // A worker that has seen the new token sends it to the old owner, which has not read any record
+    // since the failover.
     let heartbeat = fixture.worker.heartbeat(1200);
     let before = fixture.owner.failovers.permits().get(ShardId(0)).is_some();
     assert!(before);
@@ -220,7 +222,7 @@
     }
     assert_eq!(fixture.owner.stepped_down, [NORTH]);
     assert!(fixture.owner.failovers.permits().get(ShardId(0)).is_none());
-    // It reads the records and follows; the shard stays with the new owner.
+    // The old owner reads the records and becomes idle; the shard stays with the new owner.
     fixture.owner.sync(&fixture.store);
     fixture.owner.observe_failovers(1500);
     assert_eq!(
@@ -275,7 +277,7 @@
     );
 }
 
-/// Controllers n1 and n2 in the north, s1 in the south, all there for long.
+/// Controllers n1 and n2 in the north and s1 in the south, all alive for long enough for any role.
 fn three_controllers(standby: Standby) -> (FakeKvStore, [SimulatedController; 3], MembershipView) {
     const ZONES: [(&str, u32); 3] = [("n1", 0), ("n2", 0), ("s1", 1)];
     let names = ZONES.map(|(name, _)| name);
@@ -300,7 +302,7 @@
     (store, controllers, view)
 }
 
-/// Controllers that would take the northern shard now.
+/// Names of the controllers that would take the northern shard now.
 fn successors(controllers: &[SimulatedController], view: &MembershipView, now: u64) -> Vec<String> {
     let takes_north = |controller: &&SimulatedController| {
         let moves = controller.assignment(view, false, now).moves();
@@ -313,7 +315,7 @@
         .collect()
 }
 
-/// Lets `n1` own the northern shard and end.
+/// Makes `n1` the owner of the northern shard, and lets its lease expire.
 fn lose_owner_n1(store: &mut FakeKvStore, controllers: &mut [SimulatedController; 3]) {
     assert!(matches!(
         try_failover(&mut controllers[0], store, 0),
@@ -338,7 +340,7 @@
 fn a_shard_that_its_standby_does_not_take_goes_to_its_preferred_owner() {
     let (mut store, mut controllers, mut view) = three_controllers(Standby::OtherZone);
     lose_owner_n1(&mut store, &mut controllers);
-    // Its own view has another standby, for example since its settings differ.
+    // The standby s1 may not take the shard, for example because its settings name another standby.
     let since = MonotonicMillis(10_000);
     view.ownerless_since.insert(NORTH, since);
     assert_eq!(successors(&controllers[1..], &view, 12_000), ["s1"]);
@@ -348,7 +350,7 @@
 #[test]
 fn controllers_without_the_feature_are_no_standbys() {
     let (mut store, mut controllers, view) = three_controllers(Standby::SameZone);
-    // n2 is replaced by a process of the version in production.
+    // n2 is replaced by a process of a version without the feature.
     store.revoke_lease(controllers[1].lease);
     controllers[1] = SimulatedController::start("n2", 9, &mut store, 0);
     lose_owner_n1(&mut store, &mut controllers);
@@ -385,7 +387,8 @@
     assert!(long.to_string().contains("lease 5100"));
 }
 
-/// A batch of arrays, a gang and a pipeline on machines of both zones.
+/// Submits a batch of arrays, a gang and a job that depends on others, for machines of both zones.
+/// Returns the ids of the jobs.
 fn submit_batch(cluster: &mut SimulatedCluster) -> Vec<String> {
     let mut ids = Vec::new();
     let mut add = |cluster: &mut SimulatedCluster, spec: JobSpec| {
@@ -404,7 +407,8 @@
     ids
 }
 
-/// Gives the jobs time to end, and checks that all did and no rule was broken.
+/// Runs the cluster until the jobs have had time to complete, and checks that all did and that no
+/// invariant was violated.
 fn assert_all_complete(cluster: &mut SimulatedCluster, ids: &[String], case: &str) {
     cluster.run_for(90_000);
     assert!(
@@ -429,7 +433,7 @@
             let owner = cluster.owner_of_zone("north");
             cluster.stop_controller(owner);
             cluster.run_for(15_000);
-            // Twice in a row: the next owner ends as well.
+            // The next owner is stopped as well.
             let next = cluster.owner_of_zone("north");
             assert_ne!(next, owner);
             cluster.stop_controller(next);
@@ -449,7 +453,8 @@
         let ids = submit_batch(&mut cluster);
         cluster.run_for(2000);
         let owner = cluster.owner_of_zone("north");
-        // It is paused: neither reads nor renews, and resumes with the view of then.
+        // While paused, the owner neither reads nor renews its lease. It resumes with the view that
+        // it had before the pause.
         let paused = cluster.controllers[owner].take();
         cluster.run_for(pause_ms);
         cluster.controllers[owner] = paused;
@@ -475,7 +480,7 @@
     assert!(draft.is_empty(), "{draft:?}");
 }
 
-/// Queues tasks of two jobs at the owner's machine and holds it for a gang.
+/// Queues tasks of two jobs on the owner's machine and reserves the machine for a gang.
 fn queue_and_reserve(fixture: &mut ExpiredOwner) {
     for (id, tasks) in [("job-2", 20), ("job-3", 2)] {
         fixture
@@ -500,7 +505,7 @@
     machine.reserve_for(gang, MonotonicMillis(5000));
 }
 
-/// Streams what changed until the owner has no more to send; the follower as of then.
+/// Publishes the owner's changes and delivers all messages. Returns a copy of the follower.
 fn stream(
     owner: &SimulatedController,
     publisher: &mut Publisher,
@@ -514,7 +519,7 @@
     follower.clone()
 }
 
-/// One of the queued tasks is no longer to run, and one is queued with the standby already.
+/// Cancels the job of one queued task, and queues another of the tasks on the standby beforehand.
 fn cancel_one_and_queue_one_with_the_standby(fixture: &mut ExpiredOwner) {
     fixture.owner.cancel(&mut fixture.store, "job-3", 850);
     fixture.standby.sync(&fixture.store);
@@ -532,9 +537,10 @@
         .push_back(QueuedTask::new(queued, 5, MonotonicMillis(100)));
 }
 
+/// Checks that the queue and the reservation are restored from what the follower received.
 fn restores_queue_and_reservation(fixture: &mut ExpiredOwner, follower: &Follower) {
     let m1 = fixture.standby.machine("m1");
-    let replica = follower.replica_state().expect("no gap");
+    let replica = follower.replica_state().expect("a complete state");
     let restored = failover::restore_replica(
         &mut fixture.standby.cluster,
         NORTH,
@@ -554,7 +560,7 @@
     );
 }
 
-/// What is unchanged is not streamed again, and a machine that is deleted is.
+/// Checks that unchanged machines are not streamed again, and that a deletion is streamed.
 fn streams_a_deletion_only(fixture: &mut ExpiredOwner, publisher: &mut Publisher) {
     replication::publish_changes(
         &fixture.owner.cluster,
@@ -579,7 +585,7 @@
 fn a_failover_restores_the_queues_and_reservations_that_were_streamed() {
     let mut fixture = expired_owner();
     queue_and_reserve(&mut fixture);
-    // It is streamed in a snapshot, and what changes then in the log tail.
+    // The state is streamed in a snapshot, and later changes in the log tail.
     let mut publisher = Publisher::new(ShardId(0), FencingToken(1), StreamLimits::default());
     let mut follower = Follower::default();
     stream(&fixture.owner, &mut publisher, &mut follower, 700);
@@ -597,12 +603,12 @@
 
 #[test]
 fn enabling_the_standby_controller_by_controller_and_reverting_after_any_step_loses_nothing() {
-    for back_after in 0..=3 {
+    for enabled_controllers in 0..=3 {
         let mut cluster = SimulatedCluster::with_standby(4, Standby::Off);
         cluster.begin_record_format_v2();
         let mut ids = submit_batch(&mut cluster);
-        let on = (0..back_after).map(|at| (at, Standby::OtherZone));
-        let off = (0..back_after).rev().map(|at| (at, Standby::Off));
+        let on = (0..enabled_controllers).map(|at| (at, Standby::OtherZone));
+        let off = (0..enabled_controllers).rev().map(|at| (at, Standby::Off));
         for (number, (at, standby)) in on.chain(off).enumerate() {
             cluster.run_for(2000);
             cluster.standby = standby;
@@ -614,7 +620,8 @@
             ids.push(id);
             cluster.run_for(3000);
         }
-        assert_all_complete(&mut cluster, &ids, &format!("back after {back_after}"));
+        let case = format!("reverted after {enabled_controllers} controllers");
+        assert_all_complete(&mut cluster, &ids, &case);
     }
 }
 
@@ -658,7 +665,7 @@
 fn after_a_restart_of_all_controllers_shards_go_directly_to_their_preferred_owners() {
     let (mut store, mut controllers, mut view) = three_controllers(Standby::OtherZone);
     lose_owner_n1(&mut store, &mut controllers);
-    // Nobody has been there for long: no standby has followed anyone.
+    // No controller has been alive for long enough to have followed an owner.
     view.first_seen.clear();
     assert_eq!(successors(&controllers[1..], &view, 10_000), ["n2"]);
 }
