--- a/src/coordination/controller/clock.rs
+++ b/src/coordination/controller/clock.rs
@@ -108,11 +108,11 @@
             return;
         }
         // All waiting tasks detect the same pause; it is logged once.
-        let noticed_just_now = self
+        let detected_recently = self
             .resumed_at
             .get()
             .is_some_and(|resumed_at| now.since(resumed_at) <= PAUSE_THRESHOLD_MS);
-        if !noticed_just_now {
+        if !detected_recently {
             log::warn!(
                 "process was paused, restarting silence timeouts of machines: elapsed_ms={}",
                 elapsed_ms - waited_ms
