--- a/crates/standby/src/replica_state.rs
+++ b/crates/standby/src/replica_state.rs
@@ -1,25 +1,26 @@
-//! The state of a shard that is not in the records, as owner and standby both keep it.
+//! The state of a shard that is not stored in the key-value store, as owner and standby keep it.
 
 use crate::ids::Revision;
 use crate::message::{Decision, MachineState};
 use rpds::RedBlackTreeMap;
 use std::ops::Bound;
 
-/// Machines that a standby remembers of a shard at most: a faulty owner can't fill its memory.
+/// Maximum number of machines that a standby keeps for a shard, so that a faulty owner can't
+/// exhaust its memory.
 pub const MAX_MACHINES: usize = 20_000;
 
-/// State of a shard's machines, and how far its recorded decisions go.
+/// State of a shard's machines, and the revision of its last committed decision.
 ///
-/// The map is persistent: a copy shares its nodes and costs the same at any size, so that a
-/// snapshot does not hold up its owner.
+/// The map is a persistent data structure: a copy shares its nodes and takes the same time at any
+/// size, so that starting a snapshot does not delay the owner.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaState {
     machines: RedBlackTreeMap<String, MachineState>,
-    last_decided: Revision,
+    last_decided_revision: Revision,
 }
 
 impl ReplicaState {
-    /// Applies a decision. One machine more than can be remembered is left out.
+    /// Applies a decision. A new machine beyond [`MAX_MACHINES`] is ignored.
     pub fn apply(&mut self, decision: &Decision) {
         match decision {
             Decision::MachineChanged { name, state } => self.put_machine(name, state),
@@ -27,7 +28,7 @@
                 self.machines.remove_mut(name);
             }
             Decision::TaskClaimed { revision, .. } | Decision::AttemptEnded { revision, .. } => {
-                self.record_decided(Revision(*revision));
+                self.record_decided_revision(Revision(*revision));
             }
         }
     }
@@ -38,36 +39,36 @@
         }
     }
 
-    pub(crate) fn record_decided(&mut self, revision: Revision) {
-        self.last_decided = self.last_decided.max(revision);
+    pub(crate) fn record_decided_revision(&mut self, revision: Revision) {
+        self.last_decided_revision = self.last_decided_revision.max(revision);
     }
 
-    /// Highest revision at which a decision was recorded.
-    pub fn last_decided(&self) -> Revision {
-        self.last_decided
+    /// Highest revision at which an applied decision was committed.
+    pub fn last_decided_revision(&self) -> Revision {
+        self.last_decided_revision
     }
 
-    /// State of a machine.
+    /// State of a machine; `None` if the machine is unknown.
     pub fn machine(&self, name: &str) -> Option<&MachineState> {
         self.machines.get(name)
     }
 
-    /// Number of machines.
+    /// Number of known machines.
     pub fn len(&self) -> usize {
         self.machines.size()
     }
 
-    /// True without any machine.
+    /// True if no machine is known.
     pub fn is_empty(&self) -> bool {
         self.machines.is_empty()
     }
 
-    /// All machines in the order of their names.
+    /// All machines and their states, sorted by name.
     pub fn machines(&self) -> impl Iterator<Item = (&String, &MachineState)> {
         self.machines.iter()
     }
 
-    /// Machines whose names come after one, or all.
+    /// Machines whose names sort after `name`, and their states; all machines if `name` is `None`.
     pub fn machines_after<'a>(
         &'a self,
         name: Option<&'a str>,
@@ -79,6 +80,7 @@
 
 impl PartialEq for ReplicaState {
     fn eq(&self, other: &ReplicaState) -> bool {
-        self.last_decided == other.last_decided && self.machines().eq(other.machines())
+        self.last_decided_revision == other.last_decided_revision
+            && self.machines().eq(other.machines())
     }
 }
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -98,7 +98,7 @@
             .tick(OWNERSHIP_CHECK_INTERVAL_MS, Some(&controller.autoscaling))
             .await;
     } else {
-        controller.pause(ROUND_INTERVAL_MS).await;
+        controller.sleep(ROUND_INTERVAL_MS).await;
     }
 }
 
