--- a/src/state/cancellation_watermark.rs
+++ b/src/state/cancellation_watermark.rs
@@ -2,33 +2,35 @@
 
 use super::units::MonotonicMillis;
 
-/// What a peer's latest answer proves about the cancellations that it confirmed.
+/// What a peer's latest response proves about the cancellations that the peer confirmed.
 #[derive(Clone, Copy, Debug)]
 struct PeerAttestation {
-    /// When the peer was asked: its answer holds all that it knew at that time.
+    /// When the request was sent: the response holds all that the peer knew at that time.
     requested_at: MonotonicMillis,
-    /// Upper bound of its process start: it can't attest anything older.
+    /// Upper bound of the start of the peer's process, which can't attest anything older.
     process_started: MonotonicMillis,
 }
 
 /// The time up to which the known set of confirmed cancellations is complete: every cancellation
 /// that any controller confirmed to a user before it is known here.
 ///
-/// A confirmation follows a write to the key-value store, so a read shows all of those before the
-/// read began, whether this controller read or a peer that passes on what it knows. And the
-/// controller that makes a confirmation knows it from then on. So once every peer has answered,
-/// nothing from before the first request is missing, unless a peer has restarted since the time
-/// up to which the set was complete: a new process can't know what the one before confirmed last.
+/// A cancellation is confirmed only after it has been written to the key-value store. A full read
+/// therefore shows all cancellations confirmed before it began, whether this controller read or a
+/// peer that passes on what it knows. The controller that confirms a cancellation knows it from
+/// then on. So once every peer has responded, no cancellation confirmed before the first request is
+/// missing, unless a peer has restarted since the time up to which the set was complete: its new
+/// process can't know what the previous one confirmed last.
 #[derive(Clone, Debug, Default)]
 pub struct CancellationWatermark {
-    /// Start of this process; about the time before, it knows no more than its peers.
+    /// Start of this process, which can't know what its predecessor confirmed: a peer's set counts
+    /// only if it was complete at that time.
     process_started: MonotonicMillis,
     complete_until: Option<MonotonicMillis>,
     peers: Vec<Option<PeerAttestation>>,
 }
 
 impl CancellationWatermark {
-    /// For a controller with this many peers, whose process started then.
+    /// The watermark of a controller with `peers` peers whose process started at `process_started`.
     pub fn new(peers: usize, process_started: MonotonicMillis) -> CancellationWatermark {
         CancellationWatermark {
             process_started,
@@ -37,15 +39,15 @@
         }
     }
 
-    /// Records that a full read of the records has completed, which began then.
+    /// Records that a full read of the records, which began at `began`, has completed.
     pub fn record_read(&mut self, began: MonotonicMillis) {
         self.complete_until = self.complete_until.max(Some(began));
         self.advance();
     }
 
-    /// Records the answer of a peer that was asked at `requested_at` and has sent all unsettled
-    /// cancellations it knows; its own set was complete up to `age_ms` before, and its process
-    /// has run for `up_ms`.
+    /// Records a peer's response to a request sent at `requested_at`. The response holds all
+    /// unsettled cancellations that the peer knows; the peer's own set was complete up to `age_ms`
+    /// before, and its process has run for `up_ms`.
     pub fn record_attestation(
         &mut self,
         peer: usize,
@@ -55,7 +57,7 @@
         age_ms: Option<u64>,
     ) {
         if let Some(slot) = self.peers.get_mut(peer) {
-            // Answers may overtake each other; the latest request counts.
+            // Responses may arrive out of order; the one to the latest request counts.
             if slot.is_none_or(|known| known.requested_at <= requested_at) {
                 *slot = Some(PeerAttestation {
                     requested_at,
@@ -85,8 +87,8 @@
         self.complete_until = self.complete_until.max(earliest);
     }
 
-    /// The time up to which the set is complete; `None` before the records were read. A
-    /// controller without peers makes all confirmations itself, and so always knows them.
+    /// The time up to which the set is complete; `None` before the first full read of the records.
+    /// A controller without peers makes all confirmations itself, and so always knows them all.
     pub fn complete_until(&self, now: MonotonicMillis) -> Option<MonotonicMillis> {
         match (self.complete_until, self.peers.is_empty()) {
             (_, true) => Some(now),
@@ -94,14 +96,15 @@
         }
     }
 
-    /// How long ago the set was complete.
+    /// Time since the set was last known to be complete, ms.
     pub fn age_ms(&self, now: MonotonicMillis) -> Option<u64> {
         self.complete_until(now).map(|time| now.since(time))
     }
 }
 
-/// Upper bound of the start of a process that has run for `up_ms`. Allows for whole milliseconds
-/// and for clock drift: too early a bound would attest what the process before confirmed.
+/// Upper bound of the start of a process that has run for `up_ms`. It allows for rounding to whole
+/// milliseconds and for a clock drift of 0.1 %: with a bound that is too early, the peer would
+/// attest cancellations that its previous process confirmed.
 fn latest_process_start(now: MonotonicMillis, up_ms: u64) -> MonotonicMillis {
     let least_up_ms = up_ms - up_ms / 1000;
     MonotonicMillis(now.0.saturating_sub(least_up_ms)).plus(2)
--- a/src/state/cluster_state.rs
+++ b/src/state/cluster_state.rs
@@ -1,5 +1,5 @@
-//! The cached cluster state: everything that one controller knows of jobs, machines, teams and
-//! shards. The methods of one concern are in a module each, see [`crate::state`].
+//! The cached cluster state: what one controller knows of jobs, machines, teams and shards. Its
+//! methods are split into modules by concern, see [`crate::state`].
 
 use super::cancellation_watermark::CancellationWatermark;
 use super::dependency_graph::DependencyGraph;
@@ -18,39 +18,39 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
 
-/// Unreadable records that are remembered, so that each is logged once.
+/// Maximum number of unreadable records that are logged, each once; further ones are not logged.
 const MAX_UNREADABLE_RECORDS: usize = 1000;
 
-/// Everything that a controller knows.
+/// The cached cluster state of one controller.
 #[derive(Default)]
 pub struct ClusterState {
     /// Revision of the key-value store up to which all changes are applied here.
     pub revision: u64,
-    /// Number of changes applied, whoever made them.
+    /// Number of changes applied from watches, including those that this controller made itself.
     pub changes: u64,
     /// True once a full read of the records has completed.
     pub loaded: bool,
-    /// Job names.
+    /// Interned job ids.
     pub job_names: Interner<JobIndex>,
     /// Jobs by index.
     pub jobs: Vec<Job>,
-    /// Jobs that are not settled.
+    /// Indices of the jobs that are not settled.
     pub active: BTreeSet<JobIndex>,
-    /// Machine names.
+    /// Interned machine names.
     pub machine_names: Interner<MachineIndex>,
     /// Machines by index; `None` if only the name is known.
     pub machines: Vec<Option<Machine>>,
-    /// Names of machine types.
+    /// Interned names of machine types.
     pub machine_type_names: Interner<MachineTypeIndex>,
     /// Machine types by index, as far as the cloud has described them.
     pub machine_types: HashMap<MachineTypeIndex, MachineType>,
-    /// Zone names, in alphabetical order.
+    /// Interned zone names, in alphabetical order.
     pub zone_names: Interner<ZoneIndex>,
-    /// Image names.
+    /// Interned image names.
     pub image_names: Interner<ImageIndex>,
-    /// Team names, in the order of the settings.
+    /// Interned team names, in the order of the settings.
     pub team_names: Interner<TeamIndex>,
-    /// Limits by team.
+    /// Quota limits by team, from the settings.
     pub team_limits: Vec<TeamLimits>,
     /// Quota shares by team.
     pub team_quotas: Vec<Versioned<TeamRecord>>,
@@ -66,25 +66,25 @@
     pub teams_with_unknown_outcome: HashSet<TeamIndex>,
     /// The time up to which all confirmed cancellations are known here.
     pub cancellation_watermark: CancellationWatermark,
-    /// Records may be written in format 2: every controller can read it.
+    /// True once records may be written in format 2, which every controller can then read.
     pub record_format_v2: bool,
     /// Dependencies between jobs.
     pub dependency_graph: DependencyGraph,
     /// Versions of the overflow records, by job and overflow index.
     pub(super) overflow_versions: BTreeMap<(JobIndex, u16), u64>,
-    /// Jobs that peers know to be cancelled, until a record read here says so.
+    /// Ids of jobs whose cancellation is known from peers only: no record read here shows it yet.
     pub(super) cancelled_by_peers: HashSet<Rc<str>>,
-    /// Failures of the active jobs that had any.
+    /// Failures of active jobs; a job without failures has no entry.
     pub failures: HashMap<JobIndex, JobFailures>,
-    /// Jobs submitted lately, oldest first.
+    /// Recently submitted jobs, oldest first.
     pub recent_submissions: VecDeque<Submission>,
-    /// Wall-clock time of the first submission known, ms.
+    /// Wall-clock time of the earliest known submission, ms.
     pub first_submission: Option<u64>,
     /// Shards per zone.
     pub shards_per_zone: usize,
     /// Version of the machine type catalog that was read; 0: none.
     pub machine_types_version: u64,
-    /// Machines that the cloud has deleted, by index.
+    /// By machine index: true if the cloud has deleted the machine.
     pub(super) deleted_machines: Vec<bool>,
     /// Sums over placements and observed tasks, updated with every change of either.
     pub(super) totals: ResourceTotals,
@@ -108,7 +108,7 @@
     }
 }
 
-/// A job that was submitted lately.
+/// A recently submitted job.
 #[derive(Clone, Debug)]
 pub struct Submission {
     /// Wall-clock time of the submission, ms.
@@ -117,7 +117,8 @@
     pub spec: Rc<Spec>,
 }
 
-/// FNV-1a: the mapping of machines to shards must be the same in every process and version.
+/// FNV-1a hash, because the mapping of machines to shards must be the same in every process and
+/// version.
 fn stable_hash(text: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -127,7 +128,7 @@
 }
 
 impl ClusterState {
-    /// The empty state of a deployment.
+    /// An empty state for a deployment with these zones and teams.
     pub fn new(
         zones: &[String],
         teams: &[crate::settings::Team],
@@ -169,7 +170,7 @@
         ShardIndex((zone.at() * self.shards_per_zone) as u32 + shard_in_zone as u32)
     }
 
-    /// The shard whose owner places a gang.
+    /// The shard whose owner places the gang with this job id.
     pub fn planning_shard(&self, id: &str) -> ShardIndex {
         let machine_shards = self.shards.len() as u64 - 1;
         ShardIndex((stable_hash(id) % machine_shards) as u32)
--- a/src/state/dependencies.rs
+++ b/src/state/dependencies.rs
@@ -1,5 +1,5 @@
-//! Dependencies between the jobs of the cluster state, and cancellations: of a job by its user,
-//! and with it of its dependents.
+//! Dependencies between the jobs of the cluster state, and the cancellation of jobs: by their user,
+//! or because a dependency was cancelled.
 
 use super::cluster_state::ClusterState;
 use super::dependency_graph::{self, OwnTerms};
@@ -8,12 +8,13 @@
 use super::units::millis_from_seconds;
 use crate::protocol::users::Priority;
 
-/// Cancellations learned from peers that are remembered while no record read here shows them.
+/// Maximum number of cancellations known from peers only, which no record read here shows yet;
+/// further ones are ignored.
 const MAX_UNCONFIRMED_CANCELLATIONS: usize = 10_000;
 
 impl ClusterState {
-    /// What follows for a job from its dependencies and dependents, and whether it is cancelled
-    /// with a dependency.
+    /// State of a job derived from its dependencies and dependents. The second value is true if a
+    /// dependency is cancelled, and the job with it.
     pub(super) fn dependency_state(
         &self,
         id: &str,
@@ -45,7 +46,7 @@
             if dependency.is_none_or(|(_, open)| open) {
                 self.dependency_graph.add_dependent(job_index, name);
             }
-            // The dependency has one dependent more.
+            // The dependency has gained a dependent.
             self.dependency_graph
                 .mark_changed(dependency.map(|(index, _)| index));
         }
@@ -85,10 +86,11 @@
         self.dependency_graph.mark_changed(dependencies);
     }
 
-    /// Records that a peer knows a job's cancellation to be confirmed; true if that is new here.
+    /// Records a job's cancellation that a peer knows to be confirmed; returns true if it is new
+    /// here.
     ///
-    /// It overrides the record known here, whose new version may not be readable for minutes.
-    /// Transactions on the condition of the known version fail, as the record has a newer one.
+    /// It overrides the cached record, since the new version may not be readable for minutes.
+    /// Transactions that are conditional on the cached version fail, as a newer one is stored.
     pub fn learn_cancelled(&mut self, id: &str) -> bool {
         let known = self.job(id);
         if known.is_some_and(|(_, job)| !job.is_open())
@@ -111,8 +113,8 @@
             .filter(|(_, job)| job.state == JobState::Cancelled)
     }
 
-    /// Ids of cancelled jobs of which tasks may still run. They include all jobs whose
-    /// cancellation is known from peers only, as nothing is known of their tasks.
+    /// Ids of cancelled jobs of which tasks may still run. All jobs whose cancellation is known
+    /// from peers only are included, as nothing is known of their tasks.
     pub fn cancelled_names(&self) -> Vec<String> {
         let by_record = self.cancelled().map(|(_, job)| &job.id);
         let by_record = by_record.filter(|id| !self.cancelled_by_peers.contains(*id));
--- a/src/state/dependency_graph.rs
+++ b/src/state/dependency_graph.rs
@@ -1,8 +1,10 @@
 //! The graph of dependencies between jobs.
 //!
-//! Job records name the dependencies; all else is derived from them and from the states of the
-//! jobs named. Both only ever change in one direction. A change affects the neighbours of a job;
-//! a work list carries it on from there, so that no depth of the graph exhausts the stack.
+//! Job records name the dependencies; everything else is derived from them and from the states of
+//! the named jobs. Both only ever change in one direction: a job's dependencies stay as submitted,
+//! and an open job becomes done or cancelled but is never reopened. A change affects the direct
+//! neighbours of a job. It is propagated from there with a work list instead of recursion, so that
+//! a deep graph can't exhaust the stack.
 
 use super::job::{DependencyState, Job, JobState};
 use super::names::JobIndex;
@@ -11,14 +13,14 @@
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 
-/// Open jobs by their unfinished dependencies, and the jobs that are to be evaluated again.
+/// Open jobs by their unfinished dependencies, and the jobs that have to be evaluated again.
 #[derive(Default, Debug)]
 pub struct DependencyGraph {
     /// Open dependents by the name of a dependency that is not finished.
     dependents: HashMap<Rc<str>, Vec<JobIndex>>,
-    /// Jobs that are cancelled with a dependency, but whose record does not say so yet.
+    /// Jobs that are cancelled because a dependency was, but whose own record is still open.
     pub unwritten: BTreeSet<JobIndex>,
-    /// Jobs whose dependencies or dependents have changed: the work list.
+    /// Work list: jobs whose dependencies or dependents have changed.
     changed: Vec<JobIndex>,
 }
 
@@ -39,7 +41,7 @@
         self.dependents.get(id).map_or(&[], Vec::as_slice)
     }
 
-    /// Removes a job that is done or cancelled; its dependents are to be evaluated again.
+    /// Removes a job that is done or cancelled, and adds its dependents to the work list.
     pub fn remove_finished(&mut self, id: &str) {
         if let Some(dependents) = self.dependents.remove(id) {
             self.mark_changed(dependents);
@@ -56,7 +58,8 @@
         self.changed.pop()
     }
 
-    /// Records whether a job is cancelled with a dependency while its record is still open.
+    /// Records whether a job is cancelled because a dependency was while its own record is still
+    /// open.
     pub fn set_cancellation_unwritten(&mut self, job: JobIndex, unwritten: bool) {
         if unwritten {
             self.unwritten.insert(job);
@@ -66,12 +69,12 @@
     }
 }
 
-/// Time that a stage of a pipeline takes beside its run: to pull an image, and until the end of
-/// the stage before is known.
+/// Time that a stage of a pipeline takes in addition to its run time: to pull an image, and until
+/// the end of the previous stage is known.
 const STAGE_OVERHEAD_MS: u64 = 4000;
 
-/// Wall-clock time by which a job's dependencies have to be done for the job to keep its
-/// deadline, ms.
+/// Wall-clock time by which a job's dependencies have to be done for the job to meet its deadline,
+/// ms; `None` if it has no deadline.
 pub fn latest_dependency_end(job: &Job) -> Option<u64> {
     let spec = job.spec.as_ref();
     let run_ms = spec.map_or(0, |spec| millis_from_seconds(spec.wire.estimated_run_s));
@@ -79,7 +82,7 @@
     Some(deadline.saturating_sub(run_ms + STAGE_OVERHEAD_MS))
 }
 
-/// What a job asks for by itself, before its dependencies and dependents are considered.
+/// Attributes of a job by itself, before its dependencies and dependents are considered.
 #[derive(Clone, Copy)]
 pub struct OwnTerms {
     /// Wall-clock time of the submission, ms.
@@ -90,8 +93,8 @@
     pub deadline: Option<u64>,
 }
 
-/// Derives a job's state from its dependencies (`None`: not known here) and its dependents, and
-/// whether one of the dependencies is cancelled.
+/// Derives a job's state from its dependencies (`None`: not known to this controller) and its
+/// dependents. The second value is true if a dependency is cancelled.
 pub fn dependency_state<'a>(
     own: OwnTerms,
     dependencies: impl Iterator<Item = Option<&'a Job>>,
--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -16,23 +16,23 @@
     /// All tasks are done.
     #[serde(rename = "d")]
     Done,
-    /// Cancelled by its user.
+    /// Cancelled by its user, or because a dependency was cancelled.
     #[serde(rename = "c")]
     Cancelled,
 }
 
-/// Estimated size of a placement in a record.
+/// Estimated size of a placement in a record, in bytes.
 pub const PLACEMENT_BYTES: usize = 36;
-/// Estimated size of a job's record without its description, ranges and placements.
+/// Estimated size of a job's record without its description, ranges and placements, in bytes.
 const RECORD_BASE_BYTES: usize = 120;
-/// Estimated size of one range of done tasks in a record.
+/// Estimated size of one range of done tasks in a record, in bytes.
 const TASK_RANGE_BYTES: usize = 14;
-/// Estimated size of an overflow record without placements.
+/// Estimated size of an overflow record without placements, in bytes.
 const OVERFLOW_BASE_BYTES: usize = 20;
-/// Overflow records of a job at most.
+/// Maximum number of overflow records of a job.
 const MAX_OVERFLOW_RECORDS: u16 = 2000;
 
-/// A placement as it is stored, in the order of `PlacementFields`.
+/// A placement in a record, stored as a list in the order of `PlacementFields`.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Eq, Hash, Debug)]
 #[serde(from = "PlacementFields", into = "PlacementFields")]
 pub struct StoredPlacement {
@@ -48,8 +48,8 @@
     pub charged_shard: ShardIndex,
 }
 
-/// The stored form of a placement: task, attempt, machine, its shard, the charged shard. Records
-/// of version 0.1 are read by it, so it never changes.
+/// The stored form of a placement: task, attempt, machine, shard of the machine, charged shard. It
+/// never changes, because it must also read the records of version 0.1.
 type PlacementFields = (u32, u64, String, u32, u32);
 
 impl From<PlacementFields> for StoredPlacement {
@@ -81,7 +81,7 @@
 
 /// A job's record, at the key `ph/job/<id>`.
 ///
-/// Created by the controller that takes the submission; afterwards written by the owners of the
+/// Created by the controller that accepts the submission; afterwards written by the owners of the
 /// shards that it has placements on, each time on the condition that neither the record nor the
 /// writer's fencing tokens have changed.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
@@ -89,7 +89,7 @@
     /// Description; left out once the job is settled.
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
-    /// State as stored.
+    /// State in the record; a cancelled dependency may not show in it yet.
     #[serde(rename = "s")]
     pub state: JobState,
     /// Wall-clock time of the submission, ms.
@@ -148,7 +148,7 @@
     pub overflow_index: u16,
 }
 
-/// The record in which a placement is stored does not count.
+/// Placements are compared without the record in which they are stored.
 impl PartialEq for Placement {
     fn eq(&self, other: &Placement) -> bool {
         let fields = |p: &Placement| (p.task, p.attempt, p.machine, p.shard, p.charged_shard);
@@ -159,9 +159,9 @@
 /// A job's description with interned names.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// As submitted.
+    /// The description as submitted.
     pub wire: JobSpec,
-    /// Team.
+    /// Team whose quota the job uses.
     pub team: TeamIndex,
     /// Resources that one task requests.
     pub need: Resources,
@@ -171,16 +171,16 @@
     pub zone: Option<ZoneIndex>,
     /// Container image.
     pub image: ImageIndex,
-    /// Size of the description in a record.
+    /// Size of the description in a record, in bytes.
     pub record_bytes: usize,
 }
 
 impl Spec {
-    /// How many tasks the job has.
+    /// Number of tasks of the job.
     pub fn tasks(&self) -> u32 {
         self.wire.tasks
     }
-    /// Priority.
+    /// Priority as submitted, without what the job inherits from its dependents.
     pub fn priority(&self) -> Priority {
         self.wire.priority
     }
@@ -188,7 +188,7 @@
     pub fn is_wide_gang(&self) -> bool {
         self.wire.kind == JobKind::Gang && self.wire.tasks > 1
     }
-    /// Maximum number of tasks in one zone.
+    /// Maximum number of tasks in one zone: half of them, rounded up, if the job is to be spread.
     pub fn zone_cap(&self) -> u32 {
         if self.wire.spread {
             self.wire.tasks.div_ceil(2)
@@ -203,7 +203,7 @@
 pub struct Job {
     /// Id.
     pub id: Rc<str>,
-    /// Version of the record this was read from.
+    /// Version of the record from which the job was read.
     pub version: u64,
     /// State.
     pub state: JobState,
@@ -219,43 +219,44 @@
     pub next_attempt: u64,
     /// Wall-clock time at which its last task was done, ms; 0: unknown.
     pub finished_at: u64,
-    /// What follows from its dependencies and dependents.
+    /// State derived from its dependencies and dependents.
     pub dependency_state: DependencyState,
 }
 
-/// What follows for a job from its dependencies and dependents.
+/// The part of a job's state that is derived from its dependencies and dependents.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct DependencyState {
-    /// A dependency is not done, so no task may start.
+    /// True if a dependency is not done, so that no task may start.
     pub blocked: bool,
-    /// Wall-clock time since which it could run, ms: its submission, or the end of its last
-    /// dependency.
+    /// Wall-clock time since which the job has been eligible to run, ms: its submission, or the
+    /// end of its last dependency.
     pub eligible_since: u64,
     /// The highest priority of the job and of its dependents.
     pub priority: Priority,
-    /// Wall-clock time by which it has to be done, ms, to keep its own deadline and those of its
-    /// dependents.
+    /// Wall-clock time by which the job has to be done, ms, to meet its own deadline and those of
+    /// its dependents.
     pub deadline: Option<u64>,
 }
 
 impl Job {
-    /// True while it is neither done nor cancelled.
+    /// True while the job is neither done nor cancelled.
     pub fn is_open(&self) -> bool {
         self.state == JobState::Open
     }
-    /// True while tasks may start: it is open and all its dependencies are done.
+    /// True while tasks may start: the job is open and all its dependencies are done.
     pub fn is_runnable(&self) -> bool {
         self.is_open() && !self.dependency_state.blocked
     }
-    /// How long it could have run, ms: since its submission or the end of its last dependency.
+    /// Time for which the job has been eligible to run, ms: since its submission or the end of its
+    /// last dependency.
     pub fn waited_ms(&self, wall_ms: u64) -> u64 {
         wall_ms.saturating_sub(self.dependency_state.eligible_since)
     }
-    /// True once nothing more will happen to it: it is over and has no placements.
+    /// True once the job is done or cancelled and has no placements: it does not change any more.
     pub fn is_settled(&self) -> bool {
         !self.is_open() && self.placements.is_empty()
     }
-    /// The same job, cancelled.
+    /// This job in the cancelled state.
     pub fn cancelled(self) -> Job {
         Job {
             state: JobState::Cancelled,
@@ -279,7 +280,7 @@
         let unfinished = self.done.missing(task_count);
         unfinished.filter(move |task| placed.binary_search(task).is_err())
     }
-    /// How many tasks wait for a placement.
+    /// Number of tasks that wait for a placement.
     pub fn waiting_count(&self) -> u32 {
         match &self.spec {
             Some(spec) if self.is_runnable() => spec
@@ -289,7 +290,7 @@
             _ => 0,
         }
     }
-    /// How many placements are of tasks that are not done.
+    /// Number of placements whose task is not done.
     pub fn unfinished_placements(&self) -> u32 {
         let unfinished = self.placements.iter().filter(|p| !self.done.has(p.task));
         unfinished.count() as u32
@@ -301,7 +302,7 @@
         };
         match spec.wire.kind {
             JobKind::Gang => self.done = TaskRanges::all(spec.tasks()),
-            // A replica that ends by itself is replaced.
+            // A replica that exits by itself is replaced.
             JobKind::Service => return,
             JobKind::Array => self.done.add(task),
         }
@@ -309,14 +310,14 @@
             self.state = JobState::Done;
         }
     }
-    /// Removes a placement whose attempt is proven absent; false if there is none.
+    /// Removes the placement of an attempt that is proven absent; returns false if there is none.
     pub fn remove_placement(&mut self, task: u32, attempt: u64) -> bool {
         let before = self.placements.len();
         self.placements
             .retain(|p| (p.task, p.attempt) != (task, attempt));
         before != self.placements.len()
     }
-    /// Estimated size of the job's own record as JSON, without overflow records.
+    /// Estimated size of the job's own record as JSON, without overflow records, in bytes.
     pub fn record_bytes(&self) -> usize {
         let own = self.placements.iter().filter(|p| p.overflow_index == 0);
         let spec = self.spec.as_ref().map_or(0, |spec| spec.record_bytes);
@@ -325,9 +326,9 @@
             + self.done.range_count() * TASK_RANGE_BYTES
             + own.count() * PLACEMENT_BYTES
     }
-    /// The record in which each of `count` more placements is to be stored: the first with space
-    /// left below `value_bytes`. 0 is the job's own record, and the only one unless
-    /// `overflow_allowed`; `None` if they don't fit.
+    /// Chooses the record in which to store each of `count` more placements: the first that stays
+    /// within `value_bytes`. Index 0 is the job's own record; overflow records are used only if
+    /// `overflow_allowed`. `None` if the placements don't fit.
     pub fn overflow_indices_for(
         &self,
         count: usize,
@@ -351,7 +352,7 @@
         }
         Some(indices)
     }
-    /// Estimated sizes of the job's own record and, behind it, of its overflow records.
+    /// Estimated sizes in bytes: first the job's own record, then its overflow records.
     fn stored_sizes(&self) -> Vec<usize> {
         let mut sizes = vec![self.record_bytes()];
         for placement in self.placements.iter().filter(|p| p.overflow_index > 0) {
--- a/src/state/job_store.rs
+++ b/src/state/job_store.rs
@@ -1,4 +1,5 @@
-//! Jobs of the cluster state: reading records into it, and the sums and indices that follow.
+//! Jobs of the cluster state: applies their records and updates the sums and indices derived from
+//! them.
 
 use super::cluster_state::{ClusterState, Submission};
 use super::job::{Job, JobRecord, JobState, Placement, Spec, StoredPlacement};
@@ -8,7 +9,8 @@
 use crate::protocol::users::{JobKind, JobSpec};
 use std::rc::Rc;
 
-/// Submissions remembered for the rate of each class: 50 a second over the time that counts.
+/// Maximum number of recent submissions kept to estimate the rate of each class: 50 a second over
+/// the period that the estimate looks back.
 const MAX_RECENT_SUBMISSIONS: usize = 8192;
 
 impl ClusterState {
@@ -72,7 +74,8 @@
         })
     }
 
-    /// Replaces a job by its record of this version. Older versions change nothing.
+    /// Applies a version of a job's record. A version that is not newer than the known one is
+    /// ignored.
     pub fn put_job(&mut self, id: &str, version: u64, record: &JobRecord) {
         let job_index = self.job_names.intern(id);
         let old = self.jobs.get(job_index.at());
@@ -112,7 +115,8 @@
         self.update_dependency_states();
     }
 
-    /// Description of a record; the one in memory if there is any, since it never changes.
+    /// Description of a record's job. One that is already in memory is reused, since descriptions
+    /// never change.
     fn spec_of_record(
         &mut self,
         id: &str,
@@ -131,7 +135,7 @@
         spec
     }
 
-    /// Remembers a job that is read for the first time, for the expected demand.
+    /// Records the submission of a job that is read for the first time, for the demand forecast.
     fn record_submission(&mut self, submitted_at: u64, spec: Option<&Rc<Spec>>) {
         let first = self.first_submission.unwrap_or(submitted_at);
         self.first_submission = Some(first.min(submitted_at));
@@ -144,7 +148,7 @@
         }
     }
 
-    /// The state in which a record's job is known here.
+    /// State that the job gets when a record with the state `stored` is applied.
     ///
     /// A cancellation is final: an older record, whichever way it arrives, must not reopen the
     /// job. A job with a cancelled dependency is cancelled even before its own record says so.
@@ -157,7 +161,7 @@
         }
     }
 
-    /// Placements of a job's new record, and those of the overflow records that are known.
+    /// Placements in a job's new record, and those in the overflow records that are known.
     fn merge_placements(&mut self, job_index: JobIndex, record: &JobRecord) -> Vec<Placement> {
         let mut placements = self.read_placements(&record.placements, 0);
         if let Some(old) = self.jobs.get(job_index.at()) {
@@ -166,8 +170,8 @@
         placements
     }
 
-    /// Replaces the placements of one of a job's overflow records by those of this version.
-    /// Older versions change nothing. No placements: the record is deleted.
+    /// Applies a version of one of a job's overflow records. A version that is not newer than the
+    /// known one is ignored. An empty list means that the record is deleted.
     pub fn put_overflow(
         &mut self,
         id: &str,
@@ -207,8 +211,8 @@
         }
     }
 
-    /// Puts a job in its slot and updates all that is derived from it: the index of active jobs,
-    /// the sums over placements, the dependency graph and the free capacity of machines.
+    /// Stores a job and updates all that is derived from it: the index of active jobs, the sums
+    /// over placements, the dependency graph and the free capacity of machines.
     pub(super) fn store_job(&mut self, job_index: JobIndex, job: Job) {
         if job.is_settled() {
             self.active.remove(&job_index);
@@ -217,7 +221,7 @@
             self.active.insert(job_index);
         }
         let changed_machines = self.update_totals(job_index, &job);
-        // The record of a settled job has no description any more, so the old one counts.
+        // The record of a settled job has no description any more, so the previous one is used.
         let old_spec = self.jobs.get(job_index.at()).and_then(|j| j.spec.clone());
         let finished = (!job.is_open()).then(|| job.id.clone());
         if job_index.at() == self.jobs.len() {
@@ -227,7 +231,7 @@
         }
         if let Some(id) = finished {
             self.dependency_graph.remove_finished(&id);
-            // Its dependencies have one dependent less.
+            // Its dependencies have lost a dependent.
             self.mark_dependencies_changed(old_spec.as_deref());
         }
         for machine_index in changed_machines {
@@ -235,7 +239,8 @@
         }
     }
 
-    /// Replaces the old job by the new one in the sums; the machines of both, each once.
+    /// Replaces the old job by the new one in the sums. Returns the machines on which either has
+    /// placements, each once.
     fn update_totals(&mut self, job_index: JobIndex, job: &Job) -> Vec<MachineIndex> {
         let mut machines: Vec<MachineIndex> = job.placements.iter().map(|p| p.machine).collect();
         if let Some(old) = self.jobs.get(job_index.at()) {
@@ -248,7 +253,8 @@
         machines
     }
 
-    /// Status word, done and placed tasks for users.
+    /// Job status for users: status word, number of tasks done, number of tasks running. Tasks
+    /// that are placed count as running.
     pub fn status(job: &Job) -> (&'static str, u32, u32) {
         let running = job.unfinished_placements();
         let done = job.done.count();
--- a/src/state/machine.rs
+++ b/src/state/machine.rs
@@ -1,4 +1,4 @@
-//! What a controller knows of one machine, grouped by where the knowledge comes from.
+//! What a controller knows of one machine, grouped by the source of the knowledge.
 
 use super::names::{ImageIndex, JobIndex, MachineTypeIndex, ShardIndex, ZoneIndex};
 use super::units::{MonotonicMillis, Resources};
@@ -39,7 +39,7 @@
 pub struct ObservedTask {
     /// The job, if its name is known.
     pub job: Option<JobIndex>,
-    /// Name for commands, `job-1/3`.
+    /// Job and task number as workers name them, such as `job-1/3`.
     pub name: Rc<str>,
     /// Task number.
     pub task: u32,
@@ -47,7 +47,7 @@
     pub attempt: u64,
     /// State of the task.
     pub state: TaskState,
-    /// Why it exited, if it has.
+    /// Why the task exited, if it has.
     pub exit_reason: Option<ExitReason>,
 }
 
@@ -56,11 +56,11 @@
     pub fn task_attempt(&self) -> Option<TaskAttempt> {
         Some(TaskAttempt::new(self.job?, self.task, self.attempt))
     }
-    /// True if it has completed, and so uses no capacity of its machine.
+    /// True if the task has completed, and so uses no capacity of its machine.
     pub fn is_done(&self) -> bool {
         self.state == TaskState::Exited && self.exit_reason == Some(ExitReason::Done)
     }
-    /// True if both show the same attempt in the same state.
+    /// True if both are the same attempt in the same state.
     pub fn same_state_as(&self, other: &ObservedTask) -> bool {
         (
             self.job,
@@ -78,63 +78,66 @@
     }
 }
 
-/// A start command that was sent directly, not in the response to a heartbeat. It may be
-/// delivered late, or twice, as long as the worker accepts its fencing token and agent epoch.
+/// A start command that was sent directly, not in the response to a heartbeat.
+///
+/// It may be delivered late, or twice, as long as the worker accepts its fencing token and agent
+/// epoch.
 #[derive(Clone, Copy, Debug)]
 pub struct InFlightStart {
     /// Fencing token of the command.
     pub fencing_token: FencingToken,
     /// Agent epoch that the command is addressed to.
     pub agent_epoch: AgentEpoch,
-    /// When it was sent.
+    /// When the command was sent.
     pub sent_at: MonotonicMillis,
-    /// The worker has answered it.
+    /// True once the worker has responded to the command.
     pub acknowledged: bool,
 }
 
 /// How long a machine stays reserved for a gang unless the reservation is renewed.
 pub(crate) const GANG_RESERVATION_MS: u64 = 4000;
 
-/// What the worker's own messages show.
+/// State shown by the worker's own messages.
 #[derive(Clone, Debug, Default)]
 pub struct HeartbeatState {
-    /// Latest proof of life: a heartbeat under the owner's fencing token, or the owner's status
-    /// update.
+    /// Latest time at which the worker is known to have been alive: by a heartbeat under the
+    /// owner's fencing token, or by the owner's status update.
     ///
     /// A heartbeat under an older token may be a delayed duplicate and proves nothing.
     pub last_seen: Option<MonotonicMillis>,
-    /// When a heartbeat was last answered here, which renews the worker's lease.
+    /// When this controller last responded to a heartbeat, which renews the worker's lease.
     pub last_answered: Option<MonotonicMillis>,
-    /// Newest message with a task list: a heartbeat, or the answer to a direct command.
+    /// Version of the newest message with a task list: a heartbeat, or the response to a direct
+    /// command.
     pub message_version: HeartbeatVersion,
-    /// Newest heartbeat.
+    /// Version of the newest heartbeat.
     pub version: HeartbeatVersion,
     /// Fencing token in the newest heartbeat.
     pub fencing_token: FencingToken,
-    /// Heartbeats that are being answered right now.
+    /// Number of heartbeats received whose response is not complete yet.
     pub responses_in_progress: u32,
-    /// When the cloud will preempt the machine, by its notice.
+    /// When the cloud will preempt the machine, if it has given notice.
     pub preemption_deadline: Option<MonotonicMillis>,
-    /// Tasks in the newest message.
+    /// Tasks in the newest message with a task list.
     pub tasks: Vec<ObservedTask>,
 }
 
-/// What is remembered of start commands, so that no attempt is started twice.
+/// Start commands sent to a machine, tracked so that no attempt is started twice.
 #[derive(Clone, Debug, Default)]
 pub struct StartTracking {
-    /// The newest heartbeat at the time when a start command for the attempt was last sent.
+    /// By attempt: version of the newest heartbeat when a start command was last sent for it.
     pub sent: HashMap<TaskAttempt, HeartbeatVersion>,
     /// Direct starts that may still be delivered.
     pub in_flight: HashMap<TaskAttempt, InFlightStart>,
-    /// Attempts that were observed here or are abandoned: they are not started again.
+    /// Attempts that were observed on the machine or are abandoned: they are not started again.
     pub observed_or_abandoned: HashSet<TaskAttempt>,
-    /// How often an attempt of a gang's task timed out here while it waited for the others.
+    /// By attempt: how often a gang task timed out here while it waited for the other members.
     pub gang_timeouts: HashMap<TaskAttempt, u8>,
 }
 
 impl StartTracking {
-    /// Forgets the attempts that are not placed here any more, except in-flight starts, which
-    /// may be delivered after their placement has been removed.
+    /// Drops the attempts that are no longer placed here, except in-flight starts, which may be
+    /// delivered after their placement has been removed.
     pub fn retain_placed(&mut self, placed: &[TaskAttempt]) {
         self.sent.retain(|attempt, _| placed.contains(attempt));
         self.observed_or_abandoned
@@ -144,23 +147,23 @@
     }
 }
 
-/// Whether the machine works and can be reached, as its owner judges by its heartbeats.
+/// Whether the machine works and can be reached, derived by its owner from its heartbeats.
 #[derive(Clone, Debug, Default)]
 pub struct MachineHealth {
-    /// Jobs whose tasks failed here since the last task that was done.
+    /// Jobs whose tasks have failed here since a task last completed.
     pub failed_jobs: HashSet<JobIndex>,
-    /// Presumed to be faulty: it gets no tasks and is deleted.
+    /// True if the machine is presumed faulty: it gets no tasks and is deleted.
     pub quarantined: bool,
-    /// Consecutive heartbeats that show no effect of the starts sent before.
+    /// Number of consecutive heartbeats that show none of the starts sent before them.
     pub unobserved_starts: u8,
-    /// Since when its heartbeats have been answered without a gap.
+    /// Since when the machine's heartbeats have been responded to without a gap.
     pub responding_since: Option<MonotonicMillis>,
-    /// Since when its heartbeats arrive but no answer seems to reach it.
+    /// Since when heartbeats arrive but no response seems to reach the machine.
     pub unreachable_since: Option<MonotonicMillis>,
 }
 
 impl MachineHealth {
-    /// Records that no answer seems to reach the machine, unless that is known already.
+    /// Records that no response seems to reach the machine, unless that is known already.
     pub fn mark_unreachable(&mut self, now: MonotonicMillis) {
         self.unreachable_since = self.unreachable_since.or(Some(now));
     }
@@ -172,16 +175,16 @@
         self.responding_since = Some(now);
     }
 
-    /// True while no answer seems to reach the machine.
+    /// True while no response seems to reach the machine.
     pub fn is_unreachable(&self) -> bool {
         self.unreachable_since.is_some()
     }
 }
 
-/// A machine's capacity that is kept free for a gang.
+/// Reservation of a machine's free capacity for a gang.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Reservation {
-    /// The job that it is reserved for.
+    /// The gang's job.
     pub gang: JobIndex,
     /// When the reservation expires.
     pub until: MonotonicMillis,
@@ -194,27 +197,27 @@
     }
 }
 
-/// What this controller has decided about the machine as its owner.
+/// Decisions that this controller has made about the machine as its owner.
 #[derive(Clone, Debug, Default)]
 pub struct OwnerDecisions {
-    /// It is to be deleted and gets no tasks.
+    /// True if the machine is to be deleted and gets no tasks.
     pub cordoned: bool,
-    /// It is reserved for a gang.
+    /// Reservation for a gang, which may have expired.
     pub reservation: Option<Reservation>,
     /// Attempts to be stopped, with the checkpoint grace period in seconds.
     pub stopping: HashMap<TaskAttempt, f64>,
-    /// Since when nothing has been placed on it.
+    /// Since when nothing has been placed on the machine.
     pub idle_since: Option<MonotonicMillis>,
 }
 
 impl OwnerDecisions {
-    /// True if nothing has been placed on the machine for longer than this.
+    /// True if nothing has been placed on the machine for longer than `idle_ms`.
     pub fn is_idle_for(&self, idle_ms: u64, now: MonotonicMillis) -> bool {
         self.idle_since
             .is_some_and(|since| now.since(since) > idle_ms)
     }
 
-    /// True if the machine is not reserved, or its reservation has expired before now.
+    /// True if the machine is not reserved, or its reservation expired before `now`.
     pub fn is_reservation_over(&self, now: MonotonicMillis) -> bool {
         self.reservation
             .is_none_or(|reservation| now > reservation.until)
@@ -226,11 +229,11 @@
 pub struct OwnerStatus {
     /// Length of the machine's queue.
     pub queue_length: u8,
-    /// It gets no tasks, for whatever reason.
+    /// True if the machine gets no tasks, for whatever reason.
     ///
-    /// The next owner does not rely on it: it decides by the machine's own heartbeats.
+    /// The next owner of the shard does not rely on this: it decides by the machine's heartbeats.
     pub cordoned: bool,
-    /// The machine has sent a heartbeat under the owner's fencing token.
+    /// True once the machine has sent a heartbeat under the owner's fencing token.
     pub fencing_token_confirmed: bool,
 }
 
@@ -241,12 +244,12 @@
     pub job: JobIndex,
     /// Task number.
     pub task: u32,
-    /// When it was queued here.
+    /// When the task was added to this queue.
     pub queued_at: MonotonicMillis,
 }
 
 impl QueuedTask {
-    /// A task of a job, queued now.
+    /// A task of a job, queued at `now`.
     pub fn new(job: JobIndex, task: u32, now: MonotonicMillis) -> QueuedTask {
         QueuedTask {
             job,
@@ -254,7 +257,7 @@
             queued_at: now,
         }
     }
-    /// True if it is this task, whenever it was queued.
+    /// True if this is the given task, whenever it was queued.
     pub fn is_task(&self, job: JobIndex, task: u32) -> bool {
         (self.job, self.task) == (job, task)
     }
@@ -265,31 +268,31 @@
 pub struct Machine {
     /// Name.
     pub name: Rc<str>,
-    /// Address of its worker; empty if unknown.
+    /// Address of the machine's worker; empty if unknown.
     pub addr: String,
     /// Machine type.
     pub machine_type: MachineTypeIndex,
     /// Zone.
     pub zone: ZoneIndex,
-    /// The cloud may preempt it.
+    /// True for a spot machine, which the cloud may preempt.
     pub spot: bool,
     /// Shard, which never changes.
     pub shard: ShardIndex,
-    /// When this controller first learned of it.
+    /// When this controller first learned of the machine.
     pub discovered_at: MonotonicMillis,
-    /// By the worker's own messages.
+    /// State shown by the worker's own messages.
     pub heartbeat: HeartbeatState,
-    /// Start commands sent to it.
+    /// Start commands sent to the machine.
     pub starts: StartTracking,
-    /// Whether it works and can be reached.
+    /// Whether the machine works and can be reached.
     pub health: MachineHealth,
-    /// Decisions of this controller as its owner.
+    /// Decisions of this controller as the machine's owner.
     pub decisions: OwnerDecisions,
-    /// Status update of its owner, if that is another controller.
+    /// Latest status update of the machine's owner, if that is another controller.
     pub owner_status: OwnerStatus,
     /// Tasks that wait for free capacity of this machine, next first.
     pub queue: VecDeque<QueuedTask>,
-    /// Images in its cache with their sizes in GB, latest used last.
+    /// Images in the machine's cache with their sizes in GB, most recently used last.
     pub images: Vec<(ImageIndex, f64)>,
 }
 
@@ -321,13 +324,14 @@
         }
     }
 
-    /// The task as the worker's newest message shows it.
+    /// The attempt as the worker's newest message shows it; `None` if it does not.
     pub fn observed(&self, attempt: TaskAttempt) -> Option<&ObservedTask> {
         let mut tasks = self.heartbeat.tasks.iter();
         tasks.find(|task| task.task_attempt() == Some(attempt))
     }
 
-    /// True if it may get a new task now.
+    /// True if the machine may get a new task now. It may not if it was last seen more than
+    /// `unresponsive_ms` ago.
     pub fn is_schedulable(&self, now: MonotonicMillis, unresponsive_ms: u64) -> bool {
         let last_seen = self.heartbeat.last_seen;
         !self.is_cordoned()
@@ -337,12 +341,13 @@
             && last_seen.is_some_and(|time| now.since(time) <= unresponsive_ms)
     }
 
-    /// True if it gets no tasks, by decision of this controller or of its owner.
+    /// True if the machine gets no tasks, by decision of this controller or of its owner.
     pub fn is_cordoned(&self) -> bool {
         self.decisions.cordoned || self.owner_status.cordoned
     }
 
-    /// Cordons the machine for its deletion: it gets no tasks, and queued ones go elsewhere.
+    /// Cordons the machine for its deletion: it gets no tasks, and its queue is cleared so that the
+    /// queued ones are placed elsewhere.
     pub fn cordon(&mut self) {
         self.decisions.cordoned = true;
         self.queue.clear();
@@ -358,13 +363,13 @@
         self.queue.iter().any(|queued| queued.is_task(job, task))
     }
 
-    /// True if the image is in the machine's cache, or is being pulled.
+    /// True if the image is in the machine's cache or is being pulled.
     pub fn has_image(&self, image: ImageIndex) -> bool {
         self.images.iter().any(|(cached, _)| *cached == image)
     }
 
-    /// Records that an image was used; the least recently used ones are dropped once the cache
-    /// is full.
+    /// Records that an image of `gb` was used; the least recently used ones are evicted once the
+    /// cache of `cache_gb` is full.
     pub fn use_image(&mut self, image: ImageIndex, gb: f64, cache_gb: f64) {
         let position = self.images.iter().position(|(cached, _)| *cached == image);
         if let Some(position) = position {
--- a/src/state/machine_store.rs
+++ b/src/state/machine_store.rs
@@ -13,7 +13,7 @@
         self.machines.get(machine_index.at())?.as_ref()
     }
 
-    /// Machine by index, to change it.
+    /// Mutable access to a machine by index.
     pub fn machine_mut(&mut self, machine_index: MachineIndex) -> Option<&mut Machine> {
         self.machines.get_mut(machine_index.at())?.as_mut()
     }
@@ -26,7 +26,7 @@
             .filter_map(|(index, machine)| Some((MachineIndex::new(index), machine.as_ref()?)))
     }
 
-    /// Index of a machine's name, which is added if it is new.
+    /// Returns the index of a machine's name, adding the name if it is new.
     pub fn intern_machine(&mut self, name: &str) -> MachineIndex {
         let machine_index = self.machine_names.intern(name);
         if self.machines.len() <= machine_index.at() {
@@ -35,7 +35,7 @@
         machine_index
     }
 
-    /// Adds a machine if it is new.
+    /// Adds a machine if it is new, and returns its index.
     ///
     /// `None` for an unknown zone, and for a machine that the cloud has deleted: machine lists,
     /// heartbeats and peer messages that arrive late must not bring it back.
@@ -71,13 +71,13 @@
             .unwrap_or(false)
     }
 
-    /// Records that the cloud has deleted a machine, of which only the name may be known.
+    /// Records that the cloud has deleted a machine, even if only its name is known.
     pub fn mark_deleted(&mut self, machine_index: MachineIndex) {
         if self.deleted_machines.len() <= machine_index.at() {
             self.deleted_machines.resize(machine_index.at() + 1, false);
         }
         self.deleted_machines[machine_index.at()] = true;
-        // Fleets replace machines all day: keeping the deleted ones would grow without bound.
+        // Machines are replaced all day: to keep the deleted ones would use memory without bound.
         if let Some(machine) = self.machines.get_mut(machine_index.at()) {
             *machine = None;
         }
@@ -115,7 +115,7 @@
         self.totals.placed_on(machine_index)
     }
 
-    /// Machines with placements; of some only the name may be known.
+    /// Machines with placements, including those of which only the name is known.
     pub fn occupied(&self) -> impl Iterator<Item = MachineIndex> + '_ {
         self.totals.occupied()
     }
@@ -126,13 +126,14 @@
         free.copied().flatten()
     }
 
-    /// Free capacity by machine index, after placements and observed tasks without one.
+    /// Free capacity by machine index: the capacity less placements and observed tasks without a
+    /// placement.
     pub fn free_capacity(&self) -> &[Option<Resources>] {
         self.totals.free_capacity()
     }
 
-    /// Updates the free capacity of a machine. To be called after each change of its tasks, its
-    /// type or the placements on it.
+    /// Recomputes the free capacity of a machine. Must be called after each change of its tasks,
+    /// its type or the placements on it.
     pub fn recompute_free_capacity(&mut self, machine_index: MachineIndex) {
         let free = self
             .machine(machine_index)
@@ -140,7 +141,8 @@
         self.totals.set_free_capacity(machine_index, free);
     }
 
-    /// Capacity of the machine's type less its placements and the observed tasks without one.
+    /// Capacity of the machine's type less its placements and the observed tasks without a
+    /// placement.
     fn free_capacity_of(
         &self,
         machine_index: MachineIndex,
--- a/src/state/names.rs
+++ b/src/state/names.rs
@@ -5,11 +5,11 @@
 use std::marker::PhantomData;
 use std::rc::Rc;
 
-/// An index handed out by an [`Interner`].
+/// A dense index assigned by an [`Interner`].
 pub trait Index: Copy {
-    /// The index of a position.
+    /// The index for a position, counted from 0.
     fn new(position: usize) -> Self;
-    /// The position in a list by index.
+    /// Position of the element in a list that is indexed by this type.
     fn at(self) -> usize;
 }
 
@@ -54,7 +54,7 @@
     ImageIndex
 );
 index!(
-    /// Index of a shard of the machines; the last one has none and is the autoscaler's.
+    /// Index of a machine shard. The last one is the autoscaler's shard, which has no machines.
     ShardIndex
 );
 
@@ -77,7 +77,7 @@
 }
 
 impl<I: Index> Interner<I> {
-    /// The index of a name, which is added if it is new.
+    /// Returns the index of a name, adding the name if it is new.
     pub fn intern(&mut self, name: &str) -> I {
         if let Some(index) = self.find(name) {
             return index;
@@ -87,20 +87,20 @@
         self.names.push(name);
         I::new(self.names.len() - 1)
     }
-    /// The index of a known name.
+    /// The index of a name; `None` if the name has not been interned.
     pub fn find(&self, name: &str) -> Option<I> {
         let position = self.indices.get(name)?;
         Some(I::new(*position as usize))
     }
-    /// The name behind an index.
+    /// The name that an index was assigned to.
     pub fn name(&self, index: I) -> &Rc<str> {
         &self.names[index.at()]
     }
-    /// How many names are known.
+    /// Number of interned names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
-    /// True if no name is known.
+    /// True if no name has been interned.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
--- a/src/state/record_formats.rs
+++ b/src/state/record_formats.rs
@@ -1,5 +1,5 @@
-//! What is written to the key-value store for a job: its own record, and overflow records with
-//! the placements that exceed the limit of one value.
+//! Stored form of a job in the key-value store: its own record, and overflow records with the
+//! placements that would exceed the size limit of one value.
 
 use super::cluster_state::ClusterState;
 use super::job::{Job, JobRecord, Placement, StoredPlacement};
@@ -7,7 +7,7 @@
 use super::records::ROOT;
 use crate::protocol::users::JobSpec;
 
-/// Size of a job's description in its record, as the key-value store counts it.
+/// Size in bytes of a job's description in its record, as the key-value store counts it.
 pub(super) fn stored_bytes(wire: &JobSpec) -> usize {
     let bytes = rmp_serde::to_vec_named(wire).unwrap_or_default();
     let value = rmpv::decode::read_value(&mut bytes.as_slice());
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The placements of one overflow record as they are stored; 0: those in the job's record.
+    /// Stored form of the placements in one overflow record; index 0 is the job's own record.
     pub fn stored_overflow(&self, job: &Job, overflow_index: u16) -> Vec<StoredPlacement> {
         job.placements
             .iter()
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Placements in memory for those of a stored record.
+    /// Converts the placements of a stored record to their form in memory.
     pub(super) fn read_placements(
         &mut self,
         stored: &[StoredPlacement],
--- a/src/state/record_ingestion.rs
+++ b/src/state/record_ingestion.rs
@@ -1,5 +1,5 @@
-//! Records of the key-value store on their way into the cluster state: the events of a watch and
-//! the pages of a full read.
+//! Applies records of the key-value store to the cluster state, from the events of a watch and the
+//! pages of a full read.
 
 use super::cluster_state::{
     ClusterState, ControllerRecord, OverflowRecord, ProvisioningRecord, ShardRecord, TeamRecord,
@@ -13,24 +13,24 @@
 use serde::de::DeserializeOwned;
 use std::collections::HashSet;
 
-/// Kind and name of a record by its key.
+/// Splits the key of a record into its kind and its name.
 fn kind_and_name(key: &str) -> Option<(&str, &str)> {
     key.strip_prefix(ROOT)?.split_once('/')
 }
 
-/// Job id and overflow index by the name of an overflow record.
+/// Splits the name of an overflow record into job id and overflow index.
 fn job_and_overflow_index(name: &str) -> Option<(&str, u16)> {
     let (id, overflow_index) = name.rsplit_once('.')?;
     Some((id, overflow_index.parse().ok()?))
 }
 
 fn decode<T: DeserializeOwned>(value: &Value) -> Result<T, String> {
-    // By way of bytes: `rmpv` can't deserialize unit variants directly.
+    // Encoded to bytes first, because `rmpv` can't deserialize unit variants directly.
     let bytes = rmp_serde::to_vec(value).map_err(|e| e.to_string())?;
     rmp_serde::from_slice(&bytes).map_err(|e| e.to_string())
 }
 
-/// Replaces a record by a newer version.
+/// Replaces a record if `version` is newer than the known one.
 fn replace_if_newer<T>(slot: &mut Versioned<T>, version: u64, record: T) {
     if slot.version < version {
         *slot = Versioned { version, record };
@@ -38,7 +38,8 @@
 }
 
 impl ClusterState {
-    /// Replaces a team's quota shares by this version. Older versions change nothing.
+    /// Applies a version of a team's quota shares. A version that is not newer than the known one
+    /// is ignored.
     pub fn put_team(&mut self, team: TeamIndex, version: u64, record: TeamRecord) {
         let slot = &mut self.team_quotas[team.at()];
         if slot.version < version {
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Applies a record that was set. An unreadable one is logged and changes nothing.
+    /// Applies a record that was written. An unreadable one is logged and otherwise ignored.
     pub fn put(&mut self, key: &str, version: u64, value: &Value) {
         let Some((kind, name)) = kind_and_name(key) else {
             return;
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Applies the deletion of a record. One that is known in a later version stays.
+    /// Applies the deletion of a record, unless a later version of the record is known.
     pub fn delete(&mut self, key: &str, version: u64) {
         let Some((kind, name)) = kind_and_name(key) else {
             return;
@@ -132,9 +133,9 @@
         }
     }
 
-    /// Applies the events of a watch that started at revision `from`.
+    /// Applies the events of a watch that started at revision `from` and has reached `revision`.
     pub fn take_changes(&mut self, from: u64, revision: u64, events: &[Event]) {
-        // Watches and reads overlap: an event that is known already must not bring back a
+        // Watches and reads overlap: an event that was applied already must not bring back a
         // controller or a provisioning request that has been deleted since.
         let known = self.revision;
         for event in events.iter().filter(|event| event.version > known) {
@@ -145,7 +146,7 @@
                 _ => {}
             }
         }
-        // A watch that started later than the known revision would leave a gap.
+        // A watch that started after the known revision leaves a gap: the revision stays.
         if from <= self.revision {
             self.revision = self.revision.max(revision);
         }
@@ -153,8 +154,9 @@
 
     /// Applies a page of a full read of all keys.
     ///
-    /// Only the page is in memory at a time, so the read needs no more memory for more records.
-    /// `deletable_keys` collects the keys that may be deleted, for [`ClusterState::end_read`].
+    /// Only one page is in memory at a time, so the memory that a full read needs does not grow
+    /// with the number of records. `deletable_keys` collects those keys of the page whose records
+    /// may be deleted, for [`ClusterState::end_read`].
     pub fn take_page(&mut self, entries: &[Entry], deletable_keys: &mut HashSet<String>) {
         for entry in entries {
             if matches!(
@@ -167,9 +169,10 @@
         }
     }
 
-    /// Ends a full read whose lowest revision was `revision`: removes what it did not show.
+    /// Completes a full read whose lowest revision was `revision`: removes the records that it did
+    /// not return.
     pub fn end_read(&mut self, deletable_keys: &HashSet<String>, revision: u64) {
-        // A record that is newer than the read came by a watch in the meantime.
+        // A record that is newer than the read has arrived by a watch in the meantime.
         let exists =
             |key: String, version: u64| version > revision || deletable_keys.contains(&key);
         self.controllers
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use standby::ids::FencingToken;
 
-/// All keys in the key-value store start with this.
+/// Prefix of all keys in the key-value store.
 pub const ROOT: &str = "ph/";
 
 /// A controller's incarnation, at the key `ph/node/<controller>`.
@@ -14,13 +14,14 @@
 /// lease expires.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
 pub struct ControllerRecord {
-    /// Number drawn when the process started.
+    /// Incarnation drawn when the process started.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// Highest record format that its process can read; 0: only the first, of version 0.1.
+    /// Highest record format that the process can read; 0: only the first, that of version 0.1.
     #[serde(rename = "v", default, skip_serializing_if = "is_zero")]
     pub record_format: u32,
-    /// Version of the replication messages that its process accepts; 0: it is no standby.
+    /// Version of the replication messages that the process accepts; 0: it does not act as a
+    /// standby.
     #[serde(rename = "w", default, skip_serializing_if = "is_zero")]
     pub standby_version: u32,
 }
@@ -29,8 +30,8 @@
     *n == 0
 }
 
-/// The record format that this version can read beside the first: jobs with dependencies, and
-/// overflow records. It is written once every controller can read it.
+/// The second record format, which this version reads in addition to the first. It adds jobs with
+/// dependencies and overflow records, and is written only once every controller can read it.
 pub const RECORD_FORMAT_V2: u32 = 2;
 
 /// Version of the messages that replicate a shard owner's state to its standby.
@@ -60,7 +61,7 @@
     /// Incarnation of the owner.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// Fencing token; every change of owner raises it.
+    /// Fencing token, raised by every change of owner.
     #[serde(rename = "t")]
     pub fencing_token: FencingToken,
 }
@@ -71,13 +72,13 @@
 /// changed, so that the shares never exceed the team's limit together.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
 pub struct TeamRecord {
-    /// Stored shares: shard, CPU and GPU in thousandths.
+    /// Shares as stored: shard, thousandths of a CPU, thousandths of a GPU.
     #[serde(rename = "s", default)]
     pub shares: Vec<(u32, i64, i64)>,
 }
 
 impl TeamRecord {
-    /// Quota share of a shard.
+    /// Quota share of a shard; zero if none is stored.
     pub fn share(&self, shard: ShardIndex) -> QuotaUsage {
         let stored = self.shares.iter().find(|share| share.0 == shard.0);
         stored.map_or(QuotaUsage::default(), |(_, cpu_milli, gpu_milli)| {
@@ -87,7 +88,7 @@
             }
         })
     }
-    /// Sets the quota share of a shard; an empty one is not stored.
+    /// Sets the quota share of a shard; a share of zero is not stored.
     pub fn set(&mut self, shard: ShardIndex, share: QuotaUsage) {
         self.shares.retain(|stored| stored.0 != shard.0);
         if share != QuotaUsage::default() {
@@ -104,7 +105,7 @@
     }
 }
 
-/// A provisioning request that may not show in the cloud's machine list yet, at the key
+/// A provisioning request whose machines may not be in the cloud's machine list yet, at the key
 /// `ph/book/<request>`.
 ///
 /// Written by the owner of the autoscaler's shard before it asks the cloud, so that neither a
@@ -117,7 +118,7 @@
     /// Zone.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Spot machines, which the cloud may preempt.
+    /// True for spot machines, which the cloud may preempt.
     #[serde(rename = "s")]
     pub spot: bool,
     /// Number of machines.
@@ -131,13 +132,13 @@
 /// A record with its version.
 #[derive(Clone, Debug, Default)]
 pub struct Versioned<T> {
-    /// Version; 0: absent.
+    /// Version in the key-value store; 0: the record does not exist.
     pub version: u64,
     /// Record.
     pub record: T,
 }
 
-/// A team's limits by the settings.
+/// Quota limits of a team, from the settings.
 #[derive(Clone, Debug)]
 pub struct TeamLimits {
     /// Guaranteed quota; 0: none.
@@ -160,11 +161,11 @@
         }
     }
 
-    /// True if nothing limits the team.
+    /// True if the team's quota has no upper limit.
     pub fn unlimited(&self) -> bool {
         self.limit == QuotaUsage::default()
     }
-    /// True if this much stays within the limit.
+    /// True if a usage of `used` stays within the upper limit.
     pub fn allows(&self, used: QuotaUsage) -> bool {
         let limit = self.limit;
         (limit.cpu_milli == 0 || used.cpu_milli <= limit.cpu_milli)
--- a/src/state/resource_totals.rs
+++ b/src/state/resource_totals.rs
@@ -1,11 +1,12 @@
-//! Sums over placements, updated as records change, so that no scheduling round adds up all jobs.
+//! Sums over placements, updated as records change, so that no scheduling round iterates over all
+//! jobs.
 
 use super::job::Job;
 use super::machine::TaskAttempt;
 use super::names::{Index, JobIndex, MachineIndex, ShardIndex, TeamIndex};
 use super::units::{QuotaUsage, Resources};
 
-/// What the placements of all jobs use, by machine, and by team and charged shard.
+/// Resources used by the placements of all jobs, by machine, and by team and charged shard.
 #[derive(Default, Debug)]
 pub struct ResourceTotals {
     /// Attempts by machine.
@@ -16,7 +17,7 @@
     used_by_shard: Vec<Vec<QuotaUsage>>,
 }
 
-/// The element at `position` of a list, which is extended up to there.
+/// The element at `position` of a list; a list that is too short is extended by default values.
 fn slot<T: Default>(list: &mut Vec<T>, position: usize) -> &mut T {
     if list.len() <= position {
         list.resize_with(position + 1, T::default);
@@ -43,7 +44,7 @@
         self.charge(job, -1);
     }
 
-    /// Charges a job's placements to its team `times` times; -1 takes the charge back.
+    /// Adds a job's placements to the quota used by its team, `times` times; -1 subtracts them.
     fn charge(&mut self, job: &Job, times: i64) {
         let Some(spec) = &job.spec else { return };
         for placement in &job.placements {
--- a/src/state/standby_ids.rs
+++ b/src/state/standby_ids.rs
@@ -1,4 +1,5 @@
-//! Identifiers and times of the standby crate, which knows nothing of this one, and back.
+//! Conversions between identifiers and times of this crate and those of the standby crate, which
+//! does not depend on this one.
 
 use super::names::ShardIndex;
 use super::units::MonotonicMillis;
--- a/src/state/task_ranges.rs
+++ b/src/state/task_ranges.rs
@@ -12,7 +12,7 @@
         TaskRanges(vec![(0, end)])
     }
 
-    /// Adds a number, and joins the ranges that it connects.
+    /// Adds a number, and merges the ranges that it connects.
     pub fn add(&mut self, task: u32) {
         let position = self.0.partition_point(|(_, end)| *end < task);
         match self.0.get_mut(position) {
@@ -45,7 +45,7 @@
             .is_some_and(|(start, _)| *start <= task)
     }
 
-    /// How many numbers are in the set.
+    /// Number of task numbers in the set.
     pub fn count(&self) -> u32 {
         self.0.iter().map(|(start, end)| end - start).sum()
     }
@@ -58,7 +58,7 @@
         gaps.flat_map(|(start, end)| start..end)
     }
 
-    /// How many ranges the set consists of.
+    /// Number of ranges that the set is stored as.
     pub fn range_count(&self) -> usize {
         self.0.len()
     }
--- a/src/state/units.rs
+++ b/src/state/units.rs
@@ -2,29 +2,30 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds of this process' monotonic clock.
+/// Milliseconds of this process's monotonic clock.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct MonotonicMillis(pub u64);
 
 impl MonotonicMillis {
-    /// Milliseconds passed since `earlier`, 0 if it lies ahead.
+    /// Milliseconds elapsed since `earlier`; 0 if `earlier` is in the future.
     pub fn since(self, earlier: MonotonicMillis) -> u64 {
         self.0.saturating_sub(earlier.0)
     }
-    /// This time, `ms` later.
+    /// The time `ms` milliseconds after this one.
     pub fn plus(self, ms: u64) -> MonotonicMillis {
         MonotonicMillis(self.0.saturating_add(ms))
     }
 }
 
-/// Number drawn by a controller process at its start; it grows from start to start.
+/// Number that a controller process draws at its start; each later start draws a higher one.
 #[derive(
     Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default,
 )]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
 
-/// Seconds of a settings file or message as whole milliseconds.
+/// Converts seconds, as used in settings and messages, to whole milliseconds; a negative amount
+/// counts as 0.
 pub fn millis_from_seconds(seconds: f64) -> u64 {
     (seconds.max(0.0) * 1000.0).min(1e15) as u64
 }
@@ -32,9 +33,9 @@
 /// Resources that count against a team's quota, in thousandths.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct QuotaUsage {
-    /// CPUs.
+    /// Thousandths of a CPU.
     pub cpu_milli: i64,
-    /// GPUs.
+    /// Thousandths of a GPU.
     pub gpu_milli: i64,
 }
 
@@ -46,7 +47,7 @@
             gpu_milli: self.gpu_milli + other.gpu_milli,
         }
     }
-    /// `n` times as much; a negative `n` reverses a charge.
+    /// Each resource multiplied by `n`; a negative `n` reverses a charge.
     pub fn times(self, n: i64) -> QuotaUsage {
         QuotaUsage {
             cpu_milli: self.cpu_milli.saturating_mul(n),
@@ -76,21 +77,21 @@
 /// Resources that a task requests or a machine has, in thousandths.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Resources {
-    /// CPUs.
+    /// Thousandths of a CPU.
     pub cpu: i64,
-    /// GPUs.
+    /// Thousandths of a GPU.
     pub gpu: i64,
-    /// Memory, GB.
+    /// Memory, thousandths of a GB.
     pub mem: i64,
 }
 
-/// Thousandths of an amount, rounded up, so that no request is counted too low.
+/// Converts an amount to thousandths, rounded up so that no request is undercounted.
 fn milli(amount: f64) -> i64 {
     (amount * 1000.0).ceil().clamp(0.0, 1e15) as i64
 }
 
 impl Resources {
-    /// From decimal amounts.
+    /// Resources from decimal amounts of CPUs, GPUs and GB of memory.
     pub fn new(cpus: f64, gpus: f64, mem_gb: f64) -> Resources {
         Resources {
             cpu: milli(cpus),
@@ -133,7 +134,7 @@
             mem: self.mem.min(other.mem),
         }
     }
-    /// `n` times as much.
+    /// Each resource multiplied by `n`.
     pub fn times(self, n: u32) -> Resources {
         Resources {
             cpu: self.cpu.saturating_mul(n.into()),
@@ -141,8 +142,8 @@
             mem: self.mem.saturating_mul(n.into()),
         }
     }
-    /// Dominant share: the largest fraction of a resource of `whole` that `self` takes; above 1 if
-    /// it does not fit.
+    /// Dominant share: the largest fraction of any resource of `whole` that `self` uses; above 1 if
+    /// it does not fit. Use of a resource that `whole` has none of counts as a fraction of 1.
     pub fn share_of(self, whole: Resources) -> f64 {
         let fraction = |used: i64, available: i64| match (used, available) {
             (used, _) if used <= 0 => 0.0,
