--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,51 +1,52 @@
-//! The cloud's protocol: what it offers, requests for machines, and the list of machines.
+//! Messages of the cloud API: the machine types on offer, requests for machines, and the list of
+//! machines.
 //!
-//! The autoscaler alone speaks it. Its words stand in `serde(rename)`; Rust has those of
+//! Only the autoscaler uses them. Wire names are pinned by `serde(rename)`; names in Rust follow
 //! `docs/architecture.md`, section "Glossary".
 
 use serde::{Deserialize, Serialize};
 
-/// A machine type.
+/// A machine type that the cloud offers.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct CloudMachineType {
     /// Name.
     #[serde(rename = "sku")]
     pub name: String,
-    /// Processors.
+    /// Number of CPUs.
     pub vcpus: f64,
-    /// Graphics processors.
+    /// Number of GPUs.
     pub gpus: f64,
-    /// Memory.
+    /// Memory, GB.
     pub mem_gb: f64,
-    /// Disk space for images.
+    /// Disk space for images, GB.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
-    /// Rate at which images are pulled.
+    /// Rate at which images are pulled, GB/s.
     #[serde(default)]
     pub pull_gb_per_s: f64,
-    /// Price of an on-demand machine, an hour.
+    /// Price of an on-demand machine per hour.
     #[serde(rename = "hourly")]
     pub price: f64,
-    /// Price of a spot machine, an hour.
+    /// Price of a spot machine per hour.
     #[serde(rename = "low_price")]
     pub spot_price: f64,
-    /// Usual boot time.
+    /// Usual boot time, s.
     #[serde(rename = "startup_s")]
     pub boot_s: f64,
-    /// Zones that have it.
+    /// Zones that offer this type.
     #[serde(rename = "yards")]
     pub zones: Vec<String>,
 }
 
-/// Answer to `GET /flavors`.
+/// Response to `GET /flavors`.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
 pub struct MachineTypeCatalog {
-    /// The types.
+    /// Machine types on offer.
     #[serde(rename = "rigs")]
     pub types: Vec<CloudMachineType>,
 }
 
-/// A request for machines. The cloud answers a repeated one as it did the first.
+/// A request for machines. It is idempotent: the cloud answers a repeated one as it did the first.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct ProvisioningRequest {
     /// Name of the request, never reused.
@@ -57,70 +58,71 @@
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// Spot machines.
+    /// True to request spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// How many.
+    /// Number of machines.
     pub count: u32,
 }
 
-/// Names of machines: answer to a request for machines, body of a request to delete them.
+/// Names of machines: the response to a request for machines, and the body of a request to delete
+/// machines.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct MachineNames {
-    /// Machines.
+    /// Names of the machines.
     #[serde(rename = "hosts")]
     pub machines: Vec<String>,
 }
 
-/// Status of a machine that boots.
+/// Status of a machine that is booting.
 const BOOTING: &str = "booting";
 /// Status of a machine that the cloud has given up.
 const FAILED: &str = "failed";
 
-/// A machine in the list.
+/// A machine in the cloud's list.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct ListedMachine {
     /// Name.
     #[serde(rename = "uid")]
     pub name: String,
-    /// Address of its worker.
+    /// Address of the machine's worker; empty if the list has none.
     #[serde(rename = "endpoint", default)]
     pub addr: String,
-    /// Type.
+    /// Machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
     /// Zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// A spot machine.
+    /// True for a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// `booting`, `running` or `failed`.
     pub status: String,
-    /// Age.
+    /// Age of the machine, s.
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
 
 impl ListedMachine {
-    /// True if it has not come up yet.
+    /// True if the machine has not finished booting.
     pub fn is_booting(&self) -> bool {
         self.status == BOOTING
     }
 
-    /// True if it will never come up or has broken down.
+    /// True if the machine will never finish booting or has broken down.
     pub fn has_failed(&self) -> bool {
         self.status == FAILED
     }
 }
 
-/// A page of the list.
+/// A page of the cloud's list of machines.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct MachineListPage {
-    /// Machines by name.
+    /// Machines in the order of their names.
     #[serde(rename = "hosts")]
     pub machines: Vec<ListedMachine>,
-    /// There are more.
+    /// True if more machines follow on the next page.
     #[serde(default)]
     pub more: bool,
 }
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -1,7 +1,7 @@
 //! Messages of the key-value store, and its limits.
 //!
-//! `coordination::kv` sends and reads them. Wire names are pinned by `serde(rename)`; those of a
-//! transaction's writes and of events are told apart by their fields alone.
+//! `coordination::kv` sends and reads them. Wire names are pinned by `serde(rename)`. The kinds of
+//! a [`Write`] and of an [`Event`] are distinguished by their fields alone.
 
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,7 @@
     pub version: u64,
 }
 
-/// A change in a transaction.
+/// A write in a transaction.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 #[serde(untagged)]
 pub enum Write {
@@ -26,7 +26,7 @@
         set: String,
         /// Value.
         v: Value,
-        /// Lease with which the key is deleted.
+        /// Lease whose expiry deletes the key; `None`: the key does not expire.
         #[serde(rename = "hold", skip_serializing_if = "Option::is_none", default)]
         lease: Option<u64>,
     },
@@ -43,14 +43,14 @@
     /// Versions that keys must have.
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
-    /// Writes in order.
+    /// Writes, in the order in which they are applied.
     pub writes: Vec<Write>,
 }
 
-/// Answer to a transaction that was applied (200) or whose conditions failed (409).
+/// Response to a transaction that was applied (200) or whose conditions failed (409).
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct Committed {
-    /// Revision of the transaction, or the store's current one.
+    /// Revision of the transaction, or the store's current one if conditions failed.
     #[serde(rename = "epoch")]
     pub revision: u64,
     /// Keys whose condition failed.
@@ -70,29 +70,29 @@
     pub version: u64,
 }
 
-/// A page of keys.
+/// A page of keys with their values.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct Page {
     /// Entries in key order.
     pub entries: Vec<Entry>,
-    /// Whether more entries follow.
+    /// True if more entries follow on the next page.
     #[serde(default)]
     pub more: bool,
-    /// Revision.
+    /// Revision of the store when the page was read.
     #[serde(rename = "epoch")]
     pub revision: u64,
 }
 
-/// A change seen by a watch.
+/// A change reported by a watch: a key was either put or deleted.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct Event {
-    /// Key put.
+    /// Key that was put.
     #[serde(default)]
     pub set: Option<String>,
-    /// Key deleted.
+    /// Key that was deleted.
     #[serde(default)]
     pub remove: Option<String>,
-    /// Value put.
+    /// Value that was put.
     #[serde(default)]
     pub v: Option<Value>,
     /// Revision of the change, which is the key's version from then on.
@@ -100,29 +100,29 @@
     pub version: u64,
 }
 
-/// Answer to a watch.
+/// Response to a watch.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct Changes {
-    /// Revision.
+    /// Revision up to which all changes are included.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// Changes in order.
+    /// Changes in the order of their revisions.
     #[serde(rename = "log", default)]
     pub events: Vec<Event>,
 }
 
-/// A lease.
+/// Response to a [`LeaseRequest`]: the granted lease.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct Lease {
-    /// Its number.
+    /// Number of the lease.
     #[serde(rename = "hold")]
     pub lease: u64,
 }
 
-/// Asks for a lease.
+/// A request for a lease.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct LeaseRequest {
-    /// Time to live.
+    /// Time to live, ms.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
@@ -130,11 +130,11 @@
 /// Limits of the key-value store.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Limits {
-    /// Writes in a transaction.
+    /// Maximum number of writes in a transaction.
     pub txn_ops: usize,
-    /// Bytes of a value.
+    /// Maximum size of a value, in bytes.
     pub value_bytes: usize,
-    /// Writes a second, of all controllers together.
+    /// Maximum number of writes per second, of all controllers together.
     pub write_rps: f64,
 }
 
@@ -145,7 +145,7 @@
         value_bytes: usize::MAX,
         write_rps: f64::MAX,
     };
-    /// Limits under which both hold.
+    /// The stricter one of each limit.
     pub fn min(self, other: Limits) -> Limits {
         Limits {
             txn_ops: self.txn_ops.min(other.txn_ops),
@@ -154,8 +154,8 @@
         }
     }
 
-    /// The limits that the refusal of a transaction for its size shows: fewer writes if it had
-    /// several, else smaller values.
+    /// The limits after the store has refused a transaction for its size: fewer writes if it had
+    /// more than two, else values of three quarters of its largest.
     pub fn after_refusal(self, writes: usize, largest_bytes: usize) -> Limits {
         if writes <= FEW_WRITES {
             let smaller = self.value_bytes.min(largest_bytes * 3 / 4);
@@ -172,8 +172,9 @@
     }
 }
 
-/// Writes up to which a refusal is taken to be for the size of a value: a job's record and that of
-/// its team's quota have to go together, so a transaction of two can't be made smaller.
+/// A refused transaction with at most this many writes is taken to have too large a value: a job's
+/// record and that of its team's quota must be written together, so two writes can't be split.
 const FEW_WRITES: usize = 2;
-/// Size of a value below which refusals are for something else.
+/// The limit on values is not lowered below this size, in bytes: smaller values are refused for
+/// other reasons.
 const MIN_VALUE_BYTES: usize = 1024;
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! Wire types and their checks.
+//! Wire types and their validation.
 
 pub mod cloud;
 pub mod kv;
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -2,13 +2,13 @@
 //!
 //! A frame is a length (4 bytes, big endian), a version byte and an `rkyv` archive, which is
 //! validated before it is accessed. Most requests are hints: a frame that is lost, repeated or
-//! refused breaks nothing. Those that are not say so.
+//! refused breaks nothing. The documentation of the others says that they are not.
 //!
 //! Invariant: controllers of two versions run side by side during an upgrade, so the layout of
-//! what exists never changes. New variants go to the end of their enum and may be no larger than
-//! the largest there and need no wider alignment.
+//! existing types never changes. A new variant is appended to its enum, is no larger than the
+//! largest existing variant and needs no wider alignment.
 
-// rkyv's derive makes archived twins whose fields carry no docs of their own.
+// rkyv's derive generates archived types whose fields have no doc comments.
 #![allow(missing_docs)]
 
 use rkyv::{rancor::Error, Archive, Deserialize, Serialize};
@@ -17,10 +17,10 @@
 pub const VERSION: u8 = 3;
 /// Largest frame, in bytes.
 pub const MAX_FRAME: usize = 64 * 1024;
-/// Most cancelled jobs in a frame; their ids are short.
+/// Maximum number of cancelled jobs in a frame. Job ids are so short that this many fit.
 pub const MAX_CANCELLED_JOBS: usize = 1500;
 
-/// A task by name.
+/// A task, identified by its job and number.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct TaskRef {
     /// Job id.
@@ -44,15 +44,15 @@
     pub spot: bool,
     /// Time since its last heartbeat, or since the owner began to wait for one, ms.
     pub silent_ms: u64,
-    /// It has sent at least one heartbeat.
+    /// True once it has sent at least one heartbeat.
     pub has_sent_heartbeat: bool,
-    /// Its heartbeats show the owner's fencing token.
+    /// True if its heartbeats show the owner's fencing token.
     pub fencing_token_confirmed: bool,
-    /// Tasks in its queue.
+    /// Number of tasks in its queue; 255 stands for all larger numbers as well.
     pub queue_length: u8,
-    /// It takes no more tasks.
+    /// True if it gets no more tasks.
     pub cordoned: bool,
-    /// It is suspected to be faulty.
+    /// True if it is presumed faulty.
     pub quarantined: bool,
 }
 
@@ -61,19 +61,20 @@
 pub struct ShardStatus {
     /// Shard; the last one is the autoscaler's.
     pub shard: u32,
-    /// Owner by the records.
+    /// Name of the owner according to the records.
     pub owner: String,
-    /// Fencing token by the records.
+    /// Fencing token according to the records.
     #[serde(rename = "token")]
     pub fencing_token: u64,
-    /// State of the shard's failover on the controller that was asked.
+    /// State of the shard's failover on the controller that reports it.
     pub state: String,
-    /// Standby as that controller sees it.
+    /// Name of the standby as that controller sees it, if there is one.
     pub standby: Option<String>,
-    /// Decisions that the standby lacks, if that controller streams to it and it has a snapshot.
+    /// Number of decisions that the standby lacks, if that controller replicates to it and it has a
+    /// snapshot.
     #[serde(rename = "behind")]
     pub replication_lag: Option<u64>,
-    /// Fencing token of the owner whose complete state that controller has as its standby.
+    /// Fencing token of the owner whose complete state that controller holds as its standby.
     #[serde(rename = "follows")]
     pub replica_of_token: Option<u64>,
 }
@@ -85,59 +86,60 @@
     Status {
         /// Name of the sender.
         sender: String,
-        /// The sender reaches the key-value store.
+        /// True if the sender can reach the key-value store.
         kv_reachable: bool,
-        /// Workers reach the sender, or it reaches them.
+        /// True if workers can reach the sender, or it can reach them.
         workers_reachable: bool,
         /// Machines of the shards that the sender owns.
         machines: Vec<MachineStatus>,
     },
-    /// Put tasks into the queues of the receiver's machines.
+    /// Adds tasks to the queues of the receiver's machines.
     EnqueueTasks {
-        /// Machine, and the task for its queue.
+        /// Name of a machine, and the task for its queue.
         tasks: Vec<(String, TaskRef)>,
     },
-    /// An idle machine polls the queues of the receiver's machines.
+    /// Takes a task for an idle machine from the queues of the receiver's machines.
     StealWork {
-        /// The idle machine.
+        /// Name of the idle machine.
         idle_machine: String,
-        /// The machines whose queues are polled, in this order.
+        /// Names of the machines whose queues are searched, in this order.
         machines: Vec<String>,
     },
-    /// Keep machines free for a gang for a while.
+    /// Reserves machines for a gang for a limited time.
     ReserveMachines {
-        /// The gang's job.
+        /// Job id of the gang.
         job: String,
         /// Machines to reserve.
         machines: Vec<String>,
     },
-    /// Start nothing more on these machines: the autoscaler is about to delete them.
+    /// Stops further starts on machines that the autoscaler is about to delete.
     Cordon {
         /// Machines to cordon.
         machines: Vec<String>,
     },
-    /// The cloud has deleted these machines.
+    /// Announces that the cloud has deleted machines.
     MachinesDeleted {
         /// Deleted machines.
         machines: Vec<String>,
     },
-    /// Cancelled jobs of which tasks may be left; the response tells those that the receiver knows.
+    /// Sends the cancelled jobs that may have tasks left; the response holds those that the
+    /// receiver knows.
     ///
-    /// Unlike the rest this is no hint: a cancelled job stays cancelled, whoever says so.
-    /// Controllers of version 0.1 know neither this nor its response and close the connection.
+    /// This is not a hint: a cancellation is final, whichever controller sends it. Controllers of
+    /// version 0.1 know neither this request nor its response and close the connection.
     CancelledJobs {
         /// Job ids.
         jobs: Vec<String>,
     },
-    /// From a shard's owner to its standby: an archive of the standby package's messages. Sent only
-    /// to controllers whose record says that they know it.
+    /// Replication from a shard's owner to its standby: an archived message of the standby package.
+    /// Sent only to controllers whose record says that they accept it.
     Replicate {
         /// Name of the sender.
         sender: String,
-        /// The archived message.
+        /// The message as an archive.
         message: Vec<u8>,
     },
-    /// From an operator's tool: the state of all shards and their standbys.
+    /// Asks for the state of all shards and their standbys; sent by an operator's tool.
     ShardStatuses,
 }
 
@@ -146,11 +148,11 @@
 pub enum PeerResponse {
     /// The request was handled.
     Acknowledged,
-    /// A task that was handed over to the idle machine, if one fitted.
+    /// The task that is handed over to the idle machine; `None` if no queued task fits it.
     StolenTask(Option<TaskRef>),
-    /// Machines that are cordoned and empty.
+    /// Names of the machines that are cordoned and empty.
     Cordoned(Vec<String>),
-    /// All cancelled jobs that the responder knows and of which tasks may be left.
+    /// All cancelled jobs that the responder knows and that may have tasks left.
     CancellationAttestation {
         /// For how long the responder's process has run, ms.
         uptime_ms: u32,
@@ -159,9 +161,9 @@
         /// Job ids.
         jobs: Vec<String>,
     },
-    /// Answer of a standby.
+    /// Response of a standby to a replication message.
     ReplicationAnswer {
-        /// The archived answer.
+        /// The response as an archive.
         answer: Vec<u8>,
     },
     /// State of all shards and their standbys.
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -1,4 +1,4 @@
-//! Messages of users: a job as it is submitted, and the answers on its state.
+//! Messages between users and controllers: submitted jobs, and responses with their state.
 //!
 //! `coordination::job_api` serves them, `job_command` sends them. Wire names are pinned by
 //! `serde(rename)`. Invariant: a [`JobSpec`] that has passed [`parse_job`] has amounts, lengths and
@@ -15,12 +15,12 @@
     /// All tasks run at once, or none.
     #[serde(rename = "group")]
     Gang,
-    /// Replicas until cancelled.
+    /// Replicas that run until the job is cancelled.
     #[serde(rename = "service")]
     Service,
 }
 
-/// Priority; the smaller one is served first.
+/// Priority of a job; the smallest one is served first.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Priority {
     /// Production.
@@ -43,10 +43,10 @@
     /// Job id.
     #[serde(rename = "uid")]
     pub id: String,
-    /// Class of jobs.
+    /// Class of similar jobs, by which objectives are set and demand is forecast.
     #[serde(rename = "jobline")]
     pub class: String,
-    /// Team.
+    /// Team whose quota the job uses.
     #[serde(rename = "crew")]
     pub team: String,
     /// How its tasks run.
@@ -58,11 +58,11 @@
     /// Number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// CPUs of a task.
+    /// CPUs that a task requests.
     pub vcpus: f64,
-    /// GPUs of a task.
+    /// GPUs that a task requests.
     pub gpus: f64,
-    /// Memory of a task, GB.
+    /// Memory that a task requests, GB.
     pub mem_gb: f64,
     /// Image that its tasks run.
     #[serde(rename = "kit")]
@@ -70,31 +70,31 @@
     /// Size of the image, GB.
     #[serde(rename = "size_gb")]
     pub image_gb: f64,
-    /// Machine types that it may run on; all if there is no list.
+    /// Machine types that the job may run on; `None`: all.
     #[serde(rename = "rigs", default, skip_serializing_if = "Option::is_none")]
     pub types: Option<Vec<String>>,
-    /// The only zone that it may run in.
+    /// The only zone that the job may run in; `None`: any.
     #[serde(rename = "yard", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// True if all tasks must run in one zone.
     #[serde(rename = "same_place")]
     pub one_zone: bool,
-    /// At most half of the tasks in a zone.
+    /// True if at most half of the tasks may run in one zone.
     #[serde(rename = "scatter")]
     pub spread: bool,
-    /// May use spot machines.
+    /// True if the job may run on spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// Estimate of a task's run time, s.
     #[serde(rename = "guess_s")]
     pub estimated_run_s: f64,
-    /// Progress between checkpoints, s; 0: it makes none.
+    /// Progress of a task between checkpoints, s; 0: the tasks write no checkpoints.
     #[serde(rename = "snapshot_s")]
     pub checkpoint_s: f64,
-    /// Time for a last checkpoint when it is stopped, s.
+    /// Time that a task has for a last checkpoint when it is stopped, s.
     #[serde(rename = "flush_s")]
     pub checkpoint_grace_s: f64,
-    /// Deadline, s from its submission.
+    /// Deadline, s after the submission; `None`: no deadline.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
     /// Dependencies: jobs that have to be done before any task of this one starts.
@@ -107,7 +107,7 @@
     pub dependencies: Vec<String>,
 }
 
-/// Reads a list of ids that may be null; an id that is named twice counts once.
+/// Deserializes a list of ids, or null for an empty one. Repeated ids are dropped.
 fn unique_ids<'de, D: serde::Deserializer<'de>>(from: D) -> Result<Vec<String>, D::Error> {
     let list: Option<Vec<String>> = Option::deserialize(from)?;
     let mut seen = std::collections::HashSet::new();
@@ -116,54 +116,54 @@
     Ok(list)
 }
 
-/// Dependencies that a job may name: as many as a record holds under limits of the key-value store
-/// that are a fraction of today's.
+/// Maximum number of dependencies of a job: as many as fit into its record even if the limits of
+/// the key-value store fall to a fraction of the current ones.
 pub const MAX_DEPENDENCIES: usize = 64;
 
-/// Most tasks a job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
 
-/// True for `job-` and digits.
+/// True for a valid job id: `job-` followed by 1 to 20 digits.
 pub fn valid_id(id: &str) -> bool {
     id.strip_prefix("job-")
         .is_some_and(|n| !n.is_empty() && n.len() <= 20 && n.bytes().all(|b| b.is_ascii_digit()))
 }
 
-/// Longest text in a job's description.
+/// Maximum length of a text in a job's description, in bytes.
 const MAX_TEXT_BYTES: usize = 128;
-/// Most machine types that a job may name.
+/// Maximum number of machine types that a job may name.
 const MAX_MACHINE_TYPES: usize = 64;
-/// Largest amount or duration.
+/// Maximum value of an amount or duration in a job's description.
 const MAX_AMOUNT: f64 = 1e9;
 
-/// What is wrong with a job's description. Fields go by their names in the protocol.
+/// Reason why a job's description is invalid. Messages name fields as the protocol does.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum InvalidJob {
-    /// The id is not of the protocol's form.
+    /// The id does not have the form that [`valid_id`] checks.
     #[error("uid must be `job-` and up to 20 digits")]
     Id,
-    /// No tasks, or too many.
+    /// The job has no tasks, or too many.
     #[error("pieces must be 1 to {MAX_TASKS}")]
     Tasks,
-    /// A text is empty or too long.
+    /// The text in the named field is empty or too long.
     #[error("{0} must have 1 to {MAX_TEXT_BYTES} characters")]
     Text(&'static str),
-    /// An amount or duration is negative, too large or no number.
+    /// The amount or duration in the named field is negative, too large or not a number.
     #[error("{0} must be a number from 0 to {MAX_AMOUNT}")]
     Amount(&'static str),
-    /// Too many machine types, or one that is empty or too long.
+    /// There are too many machine types, or the name of one is empty or too long.
     #[error("rigs must be at most {MAX_MACHINE_TYPES} names of machine types")]
     Types,
-    /// It depends on itself.
+    /// The job depends on itself.
     #[error("a job can't await itself")]
     DependsOnItself,
-    /// A dependency's id is too long for any job's.
+    /// The id of a dependency is too long to be that of any job.
     #[error("awaits must be ids of jobs")]
     Dependencies,
 }
 
 impl JobSpec {
-    /// Checks what the types of the fields leave open.
+    /// Checks the constraints that the types of the fields do not express.
     pub fn check(&self) -> Result<(), InvalidJob> {
         if !valid_id(&self.id) {
             return Err(InvalidJob::Id);
@@ -234,9 +234,9 @@
     amount.is_finite() && (0.0..=MAX_AMOUNT).contains(&amount)
 }
 
-/// Reads a submission; `None` if it is malformed.
+/// Parses and validates a submission; `None` if it is malformed or invalid.
 pub fn parse_job(body: &[u8]) -> Option<JobSpec> {
-    // rmp-serde would take a list for a struct as well.
+    // rmp-serde would accept a list for a struct as well.
     if !is_messagepack_map(*body.first()?) {
         return None;
     }
@@ -244,23 +244,23 @@
     spec.check().is_ok().then_some(spec)
 }
 
-/// True for the first byte of a map: the short form, or one with a 16 or 32 bit length.
+/// True for the first byte of a map: in the short form, or with a length of 16 or 32 bits.
 fn is_messagepack_map(first_byte: u8) -> bool {
     matches!(first_byte, 0x80..=0x8f | 0xde | 0xdf)
 }
 
-/// The answer to a submission, status request or cancellation.
+/// Response to a submission, status request or cancellation.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct JobStatus {
     /// Job id.
     #[serde(rename = "uid")]
     pub id: String,
-    /// State.
+    /// State of the job: `pending`, `running`, `done` or `aborted`.
     pub status: String,
-    /// Tasks done.
+    /// Number of tasks done; absent if nothing is known but that the job was accepted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Tasks running.
+    /// Number of tasks running; absent in the same case.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,8 +1,8 @@
 //! Messages between controllers and workers: heartbeats, their responses, and direct commands.
 //!
-//! The protocol's own words stand in `serde(rename)` attributes and nowhere else. A worker has one
-//! agent, which sends heartbeats and runs the commands of the responses. It holds a lease that
-//! each response renews; when the lease expires it ends its tasks and begins a new epoch.
+//! Wire names occur in `serde(rename)` attributes and nowhere else. A worker has one agent, which
+//! sends heartbeats and executes the commands in the responses. It holds a lease that each response
+//! renews; when the lease expires, the agent ends its tasks and begins a new epoch.
 
 use serde::{Deserialize, Serialize};
 pub use standby::ids::FencingToken;
@@ -15,7 +15,7 @@
 pub struct AgentEpoch(pub u64);
 
 impl AgentEpoch {
-    /// True once a message of the worker has told it: epochs begin at 1.
+    /// True if the epoch is known from a message of the worker: epochs begin at 1.
     pub fn is_known(self) -> bool {
         self.0 > 0
     }
@@ -36,7 +36,7 @@
     /// It has been told to stop and writes a checkpoint.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// It has ended. The worker shows it until the exit is acknowledged.
+    /// It has ended. The worker reports it until the exit is acknowledged.
     #[serde(rename = "exited")]
     Exited,
 }
@@ -73,7 +73,7 @@
     Other,
 }
 
-/// A task as a heartbeat shows it.
+/// A task in a heartbeat.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct TaskStatus {
     /// Job and task number, such as `job-1/3`; see [`parse_task_name`].
@@ -82,24 +82,24 @@
     /// Number of the attempt.
     #[serde(rename = "try")]
     pub attempt: u64,
-    /// State.
+    /// State of the attempt.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why it ended, once it has.
+    /// Why the attempt ended, once it has.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub exit_reason: Option<ExitReason>,
-    /// A checkpoint of its progress was written.
+    /// True if a checkpoint of its progress was written.
     #[serde(rename = "stored", default, skip_serializing_if = "Option::is_none")]
     pub checkpointed: Option<bool>,
 }
 
-/// A worker's heartbeat, and the form of its status wherever else it tells it.
+/// A worker's heartbeat. Responses to direct commands and to status requests have the same form.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct Heartbeat {
     /// Name of the machine.
     #[serde(rename = "host")]
     pub machine: String,
-    /// Address for direct commands.
+    /// Address to which direct commands are sent.
     #[serde(rename = "endpoint", default)]
     pub addr: String,
     /// Machine type.
@@ -117,7 +117,7 @@
     /// Sequence number of the message within the epoch.
     #[serde(rename = "tally")]
     pub sequence: u64,
-    /// Highest fencing token that the worker has seen; it obeys no lower one.
+    /// Highest fencing token that the worker has seen; it refuses commands with a lower one.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
     /// Seconds until the cloud preempts the machine, if it has announced that.
@@ -128,10 +128,10 @@
     pub tasks: Vec<TaskStatus>,
 }
 
-/// Orders a worker's messages: the one with the larger version is the newer one.
+/// Version of a worker's message: of two messages, the one with the larger version is newer.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct HeartbeatVersion {
-    /// Epoch of the worker's agent; it rises whenever the worker's lease expires.
+    /// Epoch of the worker's agent, raised whenever the worker's lease expires.
     pub agent_epoch: AgentEpoch,
     /// Sequence number of the message within its epoch.
     pub sequence: u64,
@@ -151,33 +151,34 @@
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 #[serde(tag = "verb")]
 pub enum Command {
-    /// Start an attempt of a task.
+    /// Starts an attempt of a task.
     #[serde(rename = "start")]
     Start {
-        /// Task, by its name.
+        /// Name of the task, see [`parse_task_name`].
         #[serde(rename = "piece")]
         task: String,
         /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
     },
-    /// Stop an attempt of a task.
+    /// Stops an attempt of a task.
     #[serde(rename = "stop")]
     Stop {
-        /// Task, by its name.
+        /// Name of the task, see [`parse_task_name`].
         #[serde(rename = "piece")]
         task: String,
         /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Seconds that it has to write a checkpoint.
+        /// Seconds that the task has to write a checkpoint.
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
-    /// Forget an exited attempt: its exit has been recorded, heartbeats need not show it any more.
+    /// Acknowledges that the exit of an attempt has been recorded: heartbeats need not show the
+    /// attempt any more.
     #[serde(rename = "reap")]
     AcknowledgeExit {
-        /// Task, by its name.
+        /// Name of the task, see [`parse_task_name`].
         #[serde(rename = "piece")]
         task: String,
         /// Number of the attempt.
@@ -186,32 +187,32 @@
     },
 }
 
-/// Response to an accepted heartbeat: it renews the worker's lease.
+/// Response to an accepted heartbeat, which renews the worker's lease.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct HeartbeatResponse {
     /// Fencing token of the owner.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Commands, to be run in this order.
+    /// Commands, to be executed in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Commands that a controller sends of its own accord, instead of in a response to a heartbeat.
+/// Commands that a controller sends directly, not in the response to a heartbeat.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct DirectCommands {
-    /// Fencing token; the worker refuses one below the highest that it has seen.
+    /// Fencing token of the owner; the worker refuses one below the highest that it has seen.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Epoch of the agent that they are meant for; the worker refuses any other.
+    /// Agent epoch that the commands are addressed to; the worker refuses those to any other.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
-    /// Commands, to be run in this order.
+    /// Commands, to be executed in this order.
     #[serde(rename = "orders")]
     pub commands: Vec<Command>,
 }
 
-/// Body of a 421: the heartbeat belongs to another controller.
+/// Body of a response with status 421: another controller owns the machine's shard.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct NotOwner {
     /// Name of the owner of the machine's shard, if it is known.
@@ -219,7 +220,8 @@
     pub owner: Option<String>,
 }
 
-/// Job id and task number of a task's name such as `job-1/3`; `None` if it is no such name.
+/// Splits the name of a task, such as `job-1/3`, into job id and task number; `None` if the name
+/// does not have this form.
 pub fn parse_task_name(name: &str) -> Option<(&str, u32)> {
     let (job, task) = name.split_once('/')?;
     Some((job, task.parse().ok()?))
