--- a/tests/golden_http_bodies.rs
+++ b/tests/golden_http_bodies.rs
@@ -1,8 +1,8 @@
-//! Bodies of requests and answers and the words in them to the letter, see
-//! `tests/support/golden.rs`.
+//! Bodies of HTTP requests and responses and the values in them, compared byte by byte with golden
+//! files; see `tests/support/golden.rs`.
 //!
-//! Bodies are given as JSON with the names of the protocol, so that these tests too name few
-//! fields; [`wire_names_reach_their_fields`] says once which name belongs to which field.
+//! Bodies are given as JSON with the names of the protocol, so that these tests name few fields of
+//! the program; [`wire_names_reach_their_fields`] checks which name belongs to which field.
 
 use pointhook::protocol::kv as kv_protocol;
 use pointhook::protocol::workers::AgentEpoch;
@@ -24,7 +24,7 @@
     pub mod golden_samples;
 }
 
-/// A submission as the users' door reads it, written as it is stored and forwarded.
+/// Parses a submission as the job API does, and encodes it as it is stored and forwarded.
 fn submission(body: &[u8]) -> Option<Vec<u8>> {
     users::parse_job(body).map(|spec| rmp_serde::to_vec_named(&spec).expect("a description"))
 }
@@ -112,7 +112,7 @@
         "unknown",
     ];
     for word in causes.into_iter().chain(["some new cause"]) {
-        // An unknown cause is read, but never written.
+        // An unknown cause is accepted when read, but is never written.
         let task = with(task.clone(), json!({"cause": word}));
         let bytes = rewritten::<workers::TaskStatus>(&packed(&task)).expect(word);
         g.line(&format!("task cause {word}"), &hex(&bytes));
@@ -242,8 +242,8 @@
     assert_eq!(e.owner.as_deref(), Some("x"));
 }
 
-/// What a job's description, an answer and records mean: `tests/version_compatibility.rs` says it
-/// for the records; this one for the bodies.
+/// Checks which field each wire name of a body belongs to; `tests/version_compatibility.rs` checks
+/// it for records.
 #[test]
 fn wire_names_reach_their_fields() {
     names_of_a_description();
@@ -251,7 +251,7 @@
     names_of_commands();
 }
 
-/// The same for the bodies of the cloud and the state service.
+/// Checks the same for the bodies of the cloud and the key-value store.
 #[test]
 fn wire_names_of_outside_services_reach_their_fields() {
     let f = &read::<cloud::MachineTypeCatalog>(offered()).types[0];
@@ -322,7 +322,8 @@
     g.line("takeover", &json!(names).to_string());
 }
 
-/// Words read back whichever value they stand for, so their order says which it is.
+/// A value that is written and read back does not show which variant it stands for, so the order of
+/// the values in the golden file does.
 #[test]
 fn words_of_values() {
     use pointhook::state::job::JobState;
@@ -366,7 +367,8 @@
     g.compare();
 }
 
-/// A request to a server of the program, and the answer as it comes over the wire but for the date.
+/// Sends a request to an HTTP server of the program; returns the response as received, without the
+/// `date` header.
 fn exchanged(addr: SocketAddr, path: &str) -> String {
     let mut stream = TcpStream::connect(addr).expect("a connection");
     let request = format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
--- a/tests/golden_peer_frames.rs
+++ b/tests/golden_peer_frames.rs
@@ -1,5 +1,5 @@
-//! Frames between controllers and the standby's messages to the letter, see
-//! `tests/support/golden.rs`.
+//! Frames between controllers and replication messages, compared byte by byte with golden files;
+//! see `tests/support/golden.rs`.
 
 use pointhook::protocol::peers::{self, MachineStatus, PeerRequest, PeerResponse, TaskRef};
 use standby::message::{
@@ -13,7 +13,7 @@
     pub mod golden_samples;
 }
 
-/// Names short enough to lie within an archive's string, and one that is not.
+/// Two names that are short enough for an archive to store them inline, and one that is not.
 fn names() -> Vec<String> {
     vec!["n-000231".into(), "n-7".into(), "n-000000000007".into()]
 }
@@ -41,7 +41,7 @@
     }
 }
 
-/// What a controller tells of itself and its machines.
+/// Status updates of a controller about itself and its machines.
 fn statuses() -> Vec<(&'static str, PeerRequest)> {
     vec![
         (
@@ -68,7 +68,7 @@
     ]
 }
 
-/// What a controller asks for, in any other request.
+/// All other requests between controllers.
 fn errands() -> Vec<(&'static str, PeerRequest)> {
     vec![
         (
@@ -166,7 +166,7 @@
     }
 }
 
-/// A machine with a queue that is held for a job.
+/// A machine with queued tasks that is reserved for a job.
 fn held() -> MachineState {
     MachineState {
         queue: vec![queued(3), queued(70_000)],
--- a/tests/golden_records.rs
+++ b/tests/golden_records.rs
@@ -1,4 +1,5 @@
-//! Stored records and their keys to the letter, see `tests/support/golden.rs`.
+//! Stored records and their keys, compared byte by byte with golden files; see
+//! `tests/support/golden.rs`.
 
 use pointhook::coordination::kv;
 use pointhook::coordination::membership::{begin_record_format_v2, move_transaction, Move};
@@ -67,7 +68,7 @@
     read(json!({"i": 7, "v": 2}))
 }
 
-/// A transaction that writes a record, for each kind of record.
+/// Adds the transactions that write a record, one for each kind of record.
 fn written_records(g: &mut Group, c: &ClusterState) {
     let record = JobRecord::submitted(read(described()), 1);
     let token = ShardRecord {
@@ -99,7 +100,7 @@
     }
 }
 
-/// Values of all kinds are found under their keys.
+/// Checks that records of all kinds are read from their keys.
 fn records_are_found_under_their_keys(c: &mut ClusterState) {
     let mut put = |key: &str, v: Value| {
         let v = rmp_serde::from_slice(&packed(&v)).expect("a value");
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -1,4 +1,4 @@
-//! Job dependencies, falling limits of the key-value store, and both record formats.
+//! Job dependencies, lowered limits of the key-value store, and both record formats.
 
 mod support;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// A cluster in the second record format, whose tasks run for this long.
+/// A cluster in record format 2 whose tasks run for `run_ms`.
 fn world(run_ms: u64) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(4);
     for h in &mut cluster.machines {
@@ -57,7 +57,7 @@
     assert!(read(Value::from("job-1")).is_none());
     assert!(read(Value::Array(vec![Value::from(1)])).is_none());
     assert!(read(list(&["job-1", "job-9"])).is_none());
-    // As many as a record holds under limits a fraction of today's.
+    // A record holds this many even under limits that are a fraction of the current ones.
     let many: Vec<String> = (0..MAX_DEPENDENCIES)
         .map(|i| format!("job-{i:06}"))
         .collect();
@@ -101,7 +101,7 @@
         spec.team = "mixers".into();
         assert!(cluster.submit(1, spec));
     }
-    // What waits for dependencies uses none of its team's quota of two.
+    // Jobs that wait for dependencies use none of their team's quota of two.
     let mut other = job("job-4", 1);
     other.team = "mixers".into();
     assert!(cluster.submit(2, other));
@@ -141,14 +141,14 @@
         assert_ne!(cluster.query_status(at, "job-1"), Some("aborted"));
         assert_ne!(cluster.query_status(at, "job-3"), Some("aborted"));
     }
-    // One that comes later, and names a cancelled job, is accepted and cancelled.
+    // A job submitted later with a cancelled dependency is accepted and cancelled.
     assert!(cluster.submit(2, after("job-999", 1, &["job-5", "job-4"])));
     for at in 0..3 {
         assert_eq!(cluster.query_status(at, "job-999"), Some("aborted"));
     }
     cluster.run_for(CANCEL_MS);
     assert!(!cluster.has_started("job-4") && !cluster.has_started(&last));
-    // The records follow, a few at a time.
+    // The records are updated a few at a time.
     cluster.run_for(200_000);
     for at in 0..3 {
         assert!(cluster
@@ -271,7 +271,7 @@
     cluster.run_for(3000);
     for at in 0..3 {
         cluster.start_controller(at);
-        // It was submitted after that end, so that counts.
+        // It was submitted after its dependency ended, so it is eligible since its submission.
         let node = cluster.controller(at);
         let own = node.job("job-3").submitted_at;
         assert_eq!(node.job("job-3").dependency_state.eligible_since, own);
@@ -305,10 +305,10 @@
         controller.job(id).dependency_state.deadline.unwrap()
     };
     assert_eq!(due(&controller, "job-3"), 103_000);
-    // The end less what it takes, and a little for each stage.
+    // The deadline of the dependent, less its run time and an overhead for each stage.
     assert!((75_000..83_000).contains(&due(&controller, "job-2")));
     assert!(due(&controller, "job-1") < due(&controller, "job-2") - 10_000);
-    // Once the last is cancelled nothing of it is inherited any more.
+    // Once the last job is cancelled, nothing is inherited from it any more.
     controller.cancel(&mut store, "job-3", 4000);
     assert_eq!(
         controller.job("job-1").dependency_state.priority,
@@ -366,7 +366,7 @@
     let s1 = SimulatedController::start("s1", 2, &mut store, 0);
     controller.sync(&store);
     let txn = begin_record_format_v2(&controller.cluster, &["n1", "s1"]).unwrap();
-    // One of them restarts with the old version before that is executed.
+    // One of them restarts with the old version before the transaction is executed.
     store.revoke_lease(s1.lease);
     let key = format!("{ROOT}node/s1");
     let old = pointhook::state::records::ControllerRecord {
@@ -392,7 +392,7 @@
     assert!(controller.cluster.record_format_v2);
     assert!(begin_record_format_v2(&controller.cluster, &["n1"]).is_none());
     assert_eq!(RECORD_FORMAT_V2, 2);
-    // A controller that starts later reads the same.
+    // A controller that starts later reads that format 2 has begun.
     assert!(
         SimulatedController::start("s1", 9, &mut store, 0)
             .cluster
@@ -400,7 +400,7 @@
     );
 }
 
-/// Sets the limits that the settings announce.
+/// Sets the coming limits that the settings announce.
 fn expect(cluster: &mut SimulatedCluster, next: Limits) {
     for controller in cluster.controllers.iter_mut().flatten() {
         controller.config.limits_next = next;
@@ -420,7 +420,7 @@
     for h in &mut cluster.machines {
         h.worker.run_ms = 40_000;
     }
-    // Wide while the old version may still live: as wide as one record holds.
+    // While the old version may still run, a job has as many placements as fit into one record.
     let slim = |id: &str, tasks, shape| {
         let mut spec = job(id, tasks);
         spec.vcpus = 0.5;
@@ -438,7 +438,7 @@
     };
     assert!(widest(&cluster) > 2048);
     assert!(cluster.controller(0).job("job-1").placements.len() > 100);
-    // All support the second record format: what is too large is split in advance.
+    // All controllers support record format 2: a record that is too large is split in advance.
     cluster.begin_record_format_v2();
     cluster.run_for(10_000);
     assert!(widest(&cluster) <= 2048, "{}", widest(&cluster));
@@ -456,7 +456,7 @@
     assert!(cluster.cancel(0, "job-2"));
     cluster.run_for(CANCEL_MS);
     cluster.assert_nothing_runs_of("job-2");
-    // A controller that starts now reads the same placements out of all overflow records.
+    // A controller that starts now reads the same placements from all overflow records.
     cluster.stop_controller(0);
     cluster.start_controller(0);
     let placed = |controller: &SimulatedController| {
@@ -481,7 +481,7 @@
     assert_eq!((seen.txn_ops, seen.value_bytes), (7, usize::MAX));
     let seen = seen.after_refusal(1, 4000);
     assert_eq!((seen.txn_ops, seen.value_bytes), (7, 3000));
-    // What is small anyway was refused for something else.
+    // Values that are small already were refused for another reason.
     assert_eq!(seen.after_refusal(1, 100).value_bytes, 1024);
     let (_, mut controller) = start_single_controller();
     controller.config.limits_observed.set(seen);
@@ -506,13 +506,13 @@
     let next = read("[next]\nvalue_kb = 2.0\ntxn_ops = 5\nwrite_rps = 15.0\n").next;
     let next = next.unwrap().limits();
     assert_eq!((next.txn_ops, next.value_bytes), (5, 1843));
-    // One that rises or is left out changes nothing.
+    // A limit that rises or is left out changes nothing.
     let now = read("").limits();
     let next = read("[next]\ntxn_ops = 50\n").next.unwrap().limits();
     assert_eq!(now.min(next), now);
 }
 
-/// A cancellation, a fault, its end or nothing.
+/// Causes a random event: a cancellation, a fault, the end of a fault, or nothing.
 fn random_event(
     cluster: &mut SimulatedCluster,
     rng: &mut fastrand::Rng,
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -1,4 +1,4 @@
-//! How a controller answers submissions of jobs with dependencies, its fresh reads scripted.
+//! Responses of a controller to submissions of jobs with dependencies, with scripted fresh reads.
 
 mod support;
 
@@ -16,18 +16,19 @@
 use std::rc::Rc;
 use support::{cloud, job};
 
-/// What a fresh read brings.
+/// Result of a fresh read.
 #[derive(Clone, Copy, PartialEq)]
 enum FreshRead {
     /// The key-value store can't be reached.
     Fails,
     /// Nothing new.
     Nothing,
-    /// A job that another controller has accepted a moment ago.
+    /// A job that another controller has just accepted.
     Job(&'static str),
 }
 
-/// A controller that knows the records and the machine types; nothing listens at the address of its key-value store.
+/// A controller that has read the records and knows the machine types. Nothing listens at the
+/// address of its key-value store.
 fn controller(second_form: bool) -> Rc<Controller> {
     let settings = include_str!("../examples/local_cluster.toml").replace("7483", "1");
     let platform: Platform = toml::from_str(&settings).expect("settings");
@@ -87,7 +88,8 @@
     let answer = submit(&node, &unknown, FreshRead::Fails);
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
-    // Another controller has accepted it: all that fails now is the write, and that may be tried again.
+    // Another controller has accepted the dependency: only the write fails now, and a client may
+    // retry that.
     let known = submit(&node, &unknown, FreshRead::Job("job-1"));
     assert_eq!(known.status, 503);
     assert!(node.cluster.borrow().job("job-1").is_some());
@@ -119,6 +121,6 @@
     let spec = awaiting(&["job-1"]);
     let record = JobRecord::submitted(spec.clone(), 0);
     node.cluster.borrow_mut().put_job("job-9", 1, &record);
-    // Its dependency is not known here, which would be a refusal for a new job.
+    // Its dependency is not known here, for which a new job would be refused.
     assert_eq!(submit(&node, &spec, FreshRead::Nothing).status, 200);
 }
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -1,4 +1,5 @@
-//! Both versions serve side by side: what either writes, the other reads.
+//! Controllers of two versions run side by side during an upgrade: each reads what the other
+//! writes.
 
 use pointhook::protocol::peers::{self, MachineStatus, PeerRequest, PeerResponse, TaskRef};
 use pointhook::protocol::users::{JobKind, JobSpec, Priority};
@@ -14,12 +15,12 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// What version 0.1 made, the last without dependencies.
+/// Samples written by version 0.1, the last version without job dependencies.
 const VERSION_0_1: &str = include_str!("data/version-0.1-e8fe952.txt");
-/// What the production version made: records of the second form.
+/// Samples written by the production version: records of format 2.
 const VERSION_0_2: &str = include_str!("data/version-0.2-75080fa.txt");
 
-/// Bytes that a version made, by name.
+/// The bytes of a version's sample, by name.
 fn sample_of(version: &str, name: &str) -> Vec<u8> {
     let line = version
         .lines()
@@ -29,17 +30,17 @@
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
-/// Bytes that version 0.1 made, by name.
+/// The bytes of a sample of version 0.1, by name.
 fn sample(name: &str) -> Vec<u8> {
     sample_of(VERSION_0_1, name)
 }
 
-/// The record of a sample of version 0.1 is this one, and this version writes it in the same form.
+/// Checks that a sample of version 0.1 reads as `rec`, and that this version writes the same bytes.
 fn same_record<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, rec: &T) {
     same_record_as(VERSION_0_1, name, rec);
 }
 
-/// The record of a version's sample is this one, and this version writes it in the same form.
+/// Checks that a version's sample reads as `rec`, and that this version writes the same bytes.
 fn same_record_as<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(
     version: &str,
     name: &str,
@@ -171,7 +172,7 @@
     }
 }
 
-/// A request of each kind that the old version knows.
+/// A request of each kind that version 0.1 knows.
 fn asks() -> [(&'static str, PeerRequest); 6] {
     let job = || "job-000412".to_string();
     [
@@ -215,8 +216,8 @@
     for (name, ask) in asks() {
         let bytes = sample(&format!("ask/{name}"));
         assert_eq!(peers::decode_request(&bytes), Some(ask.clone()), "{name}");
-        // Padding within a frame has no set value, so what this version makes is compared by
-        // its length and by what it says.
+        // Padding within a frame has no defined value, so this version's frame is compared by its
+        // length and by what version 0.1 reads from it.
         let made = peers::encode(&ask).expect(name);
         assert_eq!(made.len(), bytes.len(), "{name}");
         assert_eq!(
@@ -247,7 +248,7 @@
     }
 }
 
-/// A job with dependencies, as the samples of version 0.2 have it.
+/// The job with dependencies in the samples of version 0.2.
 fn dependent() -> JobSpec {
     JobSpec {
         id: "job-000412".into(),
@@ -334,7 +335,7 @@
     assert_eq!(peers::decode_response(&bytes), Some(reply.clone()));
     let made = peers::encode(&reply).expect("a frame");
     assert_eq!(made.len(), bytes.len());
-    // Padding has no set value, so what this version makes is compared by what it says.
+    // Padding has no defined value, so this version's frame is compared by what is read from it.
     assert_eq!(peers::decode_response(&made), Some(reply));
 }
 
