--- a/crates/testkit/src/kv_store.rs
+++ b/crates/testkit/src/kv_store.rs
@@ -2,7 +2,7 @@
 //! limits, with faults that a test can switch on.
 
 use pointhook::protocol::kv::{
-    Changes, Committed, Condition, Entry, Event, Page, Transaction, Write,
+    Changes, CommitResponse, Condition, Entry, Event, Page, Transaction, Write,
 };
 use rmpv::Value;
 use std::collections::BTreeMap;
@@ -153,7 +153,7 @@
     }
 
     /// Answers `POST /commit`.
-    pub fn commit(&mut self, transaction: &Transaction, now_ms: u64) -> KvResponse<Committed> {
+    pub fn commit(&mut self, transaction: &Transaction, now_ms: u64) -> KvResponse<CommitResponse> {
         if self.unavailable {
             return KvResponse::without_body(UNAVAILABLE);
         }
@@ -182,7 +182,7 @@
         }
     }
 
-    fn execute(&mut self, transaction: &Transaction, now_ms: u64) -> KvResponse<Committed> {
+    fn execute(&mut self, transaction: &Transaction, now_ms: u64) -> KvResponse<CommitResponse> {
         if !self.is_well_formed(transaction) {
             return KvResponse::without_body(BAD_REQUEST);
         }
@@ -192,7 +192,7 @@
         let failed = self.failed_conditions(transaction);
         if !failed.is_empty() {
             let revision = self.revision;
-            return KvResponse::with_body(CONFLICT, Committed { revision, failed });
+            return KvResponse::with_body(CONFLICT, CommitResponse { revision, failed });
         }
         if !transaction.writes.is_empty() {
             self.revision += 1;
@@ -203,7 +203,7 @@
                 Write::Remove { remove } => self.delete(remove),
             }
         }
-        let committed = Committed {
+        let committed = CommitResponse {
             revision: self.revision,
             failed: Vec::new(),
         };
--- a/crates/testkit/src/network/kv_service.rs
+++ b/crates/testkit/src/network/kv_service.rs
@@ -4,7 +4,7 @@
 use crate::kv_store::KvResponse;
 
 use http_types::Method;
-use pointhook::protocol::kv::{Committed, Lease, LeaseRequest, Transaction};
+use pointhook::protocol::kv::{CommitResponse, Lease, LeaseRequest, Transaction};
 use pointhook::transport::http::{Answer, Incoming};
 use pointhook::transport::pause;
 use std::rc::Rc;
@@ -45,7 +45,7 @@
 fn record_commit(
     cluster: &LoopbackCluster,
     transaction: &Transaction,
-    response: &KvResponse<Committed>,
+    response: &KvResponse<CommitResponse>,
     now: u64,
 ) {
     if let (200, Some(committed)) = (response.status, &response.body) {
--- a/src/coordination/kv/client.rs
+++ b/src/coordination/kv/client.rs
@@ -6,7 +6,7 @@
 
 use crate::coordination::controller::clock::MonotonicClock;
 use crate::coordination::scheduler::config::SchedulerConfig;
-use crate::protocol::kv::{Committed, Lease, LeaseRequest, Transaction, Write};
+use crate::protocol::kv::{CommitResponse, Lease, LeaseRequest, Transaction, Write};
 use crate::state::units::MonotonicMillis;
 use crate::transport::http::{Client, ClientResponse};
 use crate::transport::TransportError;
@@ -54,7 +54,7 @@
     const NOT_SENT: CommitOutcome = CommitOutcome::Refused(0);
 
     fn of_answer(answer: &ClientResponse) -> CommitOutcome {
-        let body = rmp_serde::from_slice::<Committed>(&answer.body);
+        let body = rmp_serde::from_slice::<CommitResponse>(&answer.body);
         match (answer.status, body) {
             (status::OK, Ok(committed)) => CommitOutcome::Committed(committed.revision),
             (status::CONFLICT, Ok(committed)) => CommitOutcome::Conflict(committed.failed),
--- a/src/coordination/kv/watch.rs
+++ b/src/coordination/kv/watch.rs
@@ -5,7 +5,7 @@
 //! state is that of one revision, which only grows.
 
 use crate::coordination::controller::Controller;
-use crate::protocol::kv::{Changes, Committed, Event, Page};
+use crate::protocol::kv::{Changes, CommitResponse, Event, Page};
 use crate::state::cluster_state::ROOT;
 use crate::state::units::MonotonicMillis;
 use crate::transport::http::{jittered, ClientResponse};
@@ -129,7 +129,7 @@
     // A key that never exists: the answer is nothing but the revision.
     let path = format!("/keys/{ROOT}none");
     let answer = controller.kv.call(Method::Get, &path, Vec::new()).await;
-    let newest = rmp_serde::from_slice::<Committed>(&answer.ok()?.body).ok()?;
+    let newest = rmp_serde::from_slice::<CommitResponse>(&answer.ok()?.body).ok()?;
     let revision = controller.cluster.borrow().revision;
     Some(newest.revision.saturating_sub(revision))
 }
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -49,7 +49,7 @@
 
 /// Response to a transaction that was applied (200) or whose conditions failed (409).
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
-pub struct Committed {
+pub struct CommitResponse {
     /// Revision of the transaction, or the store's current one if conditions failed.
     #[serde(rename = "epoch")]
     pub revision: u64,
--- a/tests/golden_http_bodies.rs
+++ b/tests/golden_http_bodies.rs
@@ -157,7 +157,10 @@
     for (i, name) in ["set", "set with a lease", "remove"].iter().enumerate() {
         g.all_keys::<kv_protocol::Write>(name, &txn["writes"][i]);
     }
-    g.all_keys::<kv_protocol::Committed>("committed", &json!({"epoch": 8, "failed": ["ph/a"]}));
+    g.all_keys::<kv_protocol::CommitResponse>(
+        "committed",
+        &json!({"epoch": 8, "failed": ["ph/a"]}),
+    );
     let entry = json!({"key": "ph/a", "v": {"x": 1}, "stamp": 7});
     g.all_keys::<kv_protocol::Entry>("entry", &entry);
     let page = json!({"entries": [entry], "more": true, "epoch": 8});
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -4,7 +4,7 @@
 //! (MessagePack with the protocol's names of fields), so that names in the code play no part.
 
 use super::kv_store::{FakeKvStore, KvResponse};
-use pointhook::protocol::kv::{Committed, Transaction};
+use pointhook::protocol::kv::{CommitResponse, Transaction};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::fs::File;
@@ -67,7 +67,7 @@
 }
 
 /// Commits a transaction, and takes it and its answer into the digest.
-pub fn commit(store: &mut FakeKvStore, txn: &Transaction, now: u64) -> KvResponse<Committed> {
+pub fn commit(store: &mut FakeKvStore, txn: &Transaction, now: u64) -> KvResponse<CommitResponse> {
     let response = store.commit(txn, now);
     note("transaction", now, txn);
     note(
