--- a/src/coordination/reconciliation/reconcile.rs
+++ b/src/coordination/reconciliation/reconcile.rs
@@ -48,7 +48,7 @@
 /// Writes down jobs that are cancelled with a dependency, a few at a time: they are so for every
 /// controller without being written, and a large graph should cost no burst of changes.
 fn write_cascaded_cancellations(pass: &PassContext, draft: &mut DraftTransaction) {
-    let unwritten = pass.cluster.dependency_graph.unwritten.iter();
+    let unwritten = pass.cluster.dependency_graph.unwritten_cancellations.iter();
     let own = unwritten.filter(|job| {
         let job = &pass.cluster.jobs[job.at()];
         pass.planning_permit(job).is_some()
--- a/src/state/dependency_graph.rs
+++ b/src/state/dependency_graph.rs
@@ -19,7 +19,7 @@
     /// Open dependents by the name of a dependency that is not finished.
     dependents: HashMap<Rc<str>, Vec<JobIndex>>,
     /// Jobs that are cancelled because a dependency was, but whose own record is still open.
-    pub unwritten: BTreeSet<JobIndex>,
+    pub unwritten_cancellations: BTreeSet<JobIndex>,
     /// Work list: jobs whose dependencies or dependents have changed.
     changed: Vec<JobIndex>,
 }
@@ -62,9 +62,9 @@
     /// open.
     pub fn set_cancellation_unwritten(&mut self, job: JobIndex, unwritten: bool) {
         if unwritten {
-            self.unwritten.insert(job);
+            self.unwritten_cancellations.insert(job);
         } else {
-            self.unwritten.remove(&job);
+            self.unwritten_cancellations.remove(&job);
         }
     }
 }
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -155,7 +155,7 @@
             .controller(at)
             .cluster
             .dependency_graph
-            .unwritten
+            .unwritten_cancellations
             .is_empty());
     }
     cluster.assert_no_violations();
