--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -155,9 +155,9 @@
     }
 
     /// The limits after the store has refused a transaction for its size: fewer writes if it had
-    /// more than two, else values of three quarters of its largest.
+    /// more than [`MAX_INDIVISIBLE_WRITES`], else values of three quarters of its largest.
     pub fn after_refusal(self, writes: usize, largest_bytes: usize) -> Limits {
-        if writes <= FEW_WRITES {
+        if writes <= MAX_INDIVISIBLE_WRITES {
             let smaller = self.value_bytes.min(largest_bytes * 3 / 4);
             Limits {
                 value_bytes: smaller.max(MIN_VALUE_BYTES),
@@ -174,7 +174,7 @@
 
 /// A refused transaction with at most this many writes is taken to have too large a value: a job's
 /// record and that of its team's quota must be written together, so two writes can't be split.
-const FEW_WRITES: usize = 2;
+const MAX_INDIVISIBLE_WRITES: usize = 2;
 /// The limit on values is not lowered below this size, in bytes: smaller values are refused for
 /// other reasons.
 const MIN_VALUE_BYTES: usize = 1024;
--- a/src/state/cancellation_watermark.rs
+++ b/src/state/cancellation_watermark.rs
@@ -47,13 +47,13 @@
 
     /// Records a peer's response to a request sent at `requested_at`. The response holds all
     /// unsettled cancellations that the peer knows; the peer's own set was complete up to `age_ms`
-    /// before, and its process has run for `up_ms`.
+    /// before, and its process has run for `uptime_ms`.
     pub fn record_attestation(
         &mut self,
         peer: usize,
         requested_at: MonotonicMillis,
         now: MonotonicMillis,
-        up_ms: u64,
+        uptime_ms: u64,
         age_ms: Option<u64>,
     ) {
         if let Some(slot) = self.peers.get_mut(peer) {
@@ -61,7 +61,7 @@
             if slot.is_none_or(|known| known.requested_at <= requested_at) {
                 *slot = Some(PeerAttestation {
                     requested_at,
-                    process_started: latest_process_start(now, up_ms),
+                    process_started: latest_process_start(now, uptime_ms),
                 });
             }
         }
@@ -102,16 +102,16 @@
     }
 }
 
-/// Upper bound of the start of a process that has run for `up_ms`. It allows for rounding to whole
-/// milliseconds and for a clock drift of 0.1 %: with a bound that is too early, the peer would
-/// attest cancellations that its previous process confirmed.
-fn latest_process_start(now: MonotonicMillis, up_ms: u64) -> MonotonicMillis {
-    let least_up_ms = up_ms - up_ms / 1000;
-    MonotonicMillis(now.0.saturating_sub(least_up_ms)).plus(2)
+/// Upper bound of the start of a process that has run for `uptime_ms`. It allows for rounding to
+/// whole milliseconds and for a clock drift of 0.1 %: with a bound that is too early, the peer
+/// would attest cancellations that its previous process confirmed.
+fn latest_process_start(now: MonotonicMillis, uptime_ms: u64) -> MonotonicMillis {
+    let min_uptime_ms = uptime_ms - uptime_ms / 1000;
+    MonotonicMillis(now.0.saturating_sub(min_uptime_ms)).plus(2)
 }
 
 /// Lower bound of the time up to which a peer's set was complete, with the same allowance.
 fn complete_until_of_peer(requested_at: MonotonicMillis, age_ms: u64) -> Option<MonotonicMillis> {
-    let most_age_ms = age_ms.saturating_add(age_ms / 1000 + 1);
-    requested_at.0.checked_sub(most_age_ms).map(MonotonicMillis)
+    let max_age_ms = age_ms.saturating_add(age_ms / 1000 + 1);
+    requested_at.0.checked_sub(max_age_ms).map(MonotonicMillis)
 }
--- a/src/state/cluster_state.rs
+++ b/src/state/cluster_state.rs
@@ -193,7 +193,7 @@
         (controller.record.incarnation == ownership.incarnation).then_some(ownership.owner.as_str())
     }
 
-    pub(super) fn warn_unreadable(&mut self, key: &str, error: &str) {
+    pub(super) fn log_unreadable(&mut self, key: &str, error: &str) {
         if self.unreadable_records.len() < MAX_UNREADABLE_RECORDS
             && self.unreadable_records.insert(key.to_string())
         {
--- a/src/state/dependencies.rs
+++ b/src/state/dependencies.rs
@@ -2,7 +2,7 @@
 //! or because a dependency was cancelled.
 
 use super::cluster_state::ClusterState;
-use super::dependency_graph::{self, OwnTerms};
+use super::dependency_graph::{self, OwnAttributes};
 use super::job::{DependencyState, Job, JobState, Spec};
 use super::names::{Index, JobIndex};
 use super::units::millis_from_seconds;
@@ -24,7 +24,7 @@
         let deadline_ms = spec
             .and_then(|spec| spec.wire.deadline_s)
             .map(millis_from_seconds);
-        let own = OwnTerms {
+        let own = OwnAttributes {
             submitted_at,
             priority: spec.map_or(Priority::Low, Spec::priority),
             deadline: deadline_ms.map(|ms| submitted_at.saturating_add(ms)),
--- a/src/state/dependency_graph.rs
+++ b/src/state/dependency_graph.rs
@@ -84,7 +84,7 @@
 
 /// Attributes of a job by itself, before its dependencies and dependents are considered.
 #[derive(Clone, Copy)]
-pub struct OwnTerms {
+pub struct OwnAttributes {
     /// Wall-clock time of the submission, ms.
     pub submitted_at: u64,
     /// Its own priority.
@@ -96,7 +96,7 @@
 /// Derives a job's state from its dependencies (`None`: not known to this controller) and its
 /// dependents. The second value is true if a dependency is cancelled.
 pub fn dependency_state<'a>(
-    own: OwnTerms,
+    own: OwnAttributes,
     dependencies: impl Iterator<Item = Option<&'a Job>>,
     dependents: impl Iterator<Item = &'a Job>,
 ) -> (DependencyState, bool) {
--- a/src/state/job_store.rs
+++ b/src/state/job_store.rs
@@ -130,7 +130,7 @@
         }
         let spec = self.intern_spec(wire).map(Rc::new);
         if spec.is_none() {
-            self.warn_unreadable(id, "unknown team or zone");
+            self.log_unreadable(id, "unknown team or zone");
         }
         spec
     }
--- a/src/state/record_ingestion.rs
+++ b/src/state/record_ingestion.rs
@@ -54,7 +54,7 @@
             return;
         };
         if let Err(error) = self.put_of_kind(kind, name, version, value) {
-            self.warn_unreadable(key, &error);
+            self.log_unreadable(key, &error);
         }
     }
 
