--- a/src/coordination/kv/transactions.rs
+++ b/src/coordination/kv/transactions.rs
@@ -65,12 +65,12 @@
 /// The job's record and those of its overflow records that change with it. These have no conditions
 /// of their own: they change with the job's record only, whose version stands for all of them.
 fn job_writes(cluster: &ClusterState, job_index: JobIndex, job: &Job) -> Vec<Write> {
-    let record = cluster.record(job);
+    let record = cluster.job_record(job);
     let mut writes = Vec::new();
     writes.extend(set(ClusterState::job_key(&job.id), &record, None));
     for overflow_index in cluster.changed_overflows(job_index, job) {
         let key = ClusterState::overflow_key(&job.id, overflow_index);
-        let placements = cluster.stored_overflow(job, overflow_index);
+        let placements = cluster.stored_placements(job, overflow_index);
         if placements.is_empty() {
             writes.push(Write::Remove { remove: key });
         } else {
@@ -95,11 +95,16 @@
 
 fn apply_committed(cluster: &mut ClusterState, draft: &DraftTransaction, revision: u64) {
     for (job_index, job) in &draft.jobs {
-        let record = cluster.record(job);
+        let record = cluster.job_record(job);
         let overflows: Vec<_> = cluster
             .changed_overflows(*job_index, job)
             .into_iter()
-            .map(|overflow_index| (overflow_index, cluster.stored_overflow(job, overflow_index)))
+            .map(|overflow_index| {
+                (
+                    overflow_index,
+                    cluster.stored_placements(job, overflow_index),
+                )
+            })
             .collect();
         cluster.put_job(&job.id, revision, &record);
         for (overflow_index, placements) in overflows {
--- a/src/state/record_formats.rs
+++ b/src/state/record_formats.rs
@@ -26,21 +26,21 @@
     }
 
     /// A job's record as it is stored, without the placements in overflow records.
-    pub fn record(&self, job: &Job) -> JobRecord {
+    pub fn job_record(&self, job: &Job) -> JobRecord {
         let spec = job.spec.as_ref().filter(|_| !job.is_settled());
         JobRecord {
             spec: spec.map(|spec| spec.wire.clone()),
             state: job.state,
             submitted_at: job.submitted_at,
             done: job.done.clone(),
-            placements: self.stored_overflow(job, 0),
+            placements: self.stored_placements(job, 0),
             next_attempt: job.next_attempt,
             finished_at: job.finished_at,
         }
     }
 
     /// Stored form of the placements in one overflow record; index 0 is the job's own record.
-    pub fn stored_overflow(&self, job: &Job, overflow_index: u16) -> Vec<StoredPlacement> {
+    pub fn stored_placements(&self, job: &Job, overflow_index: u16) -> Vec<StoredPlacement> {
         job.placements
             .iter()
             .filter(|p| p.overflow_index == overflow_index)
@@ -86,7 +86,7 @@
         indices.sort_unstable();
         indices.dedup();
         indices.retain(|index| {
-            *index > 0 && self.stored_overflow(old, *index) != self.stored_overflow(job, *index)
+            *index > 0 && self.stored_placements(old, *index) != self.stored_placements(job, *index)
         });
         indices
     }
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -197,7 +197,9 @@
     // A newer record that is still open, from a read that began before.
     let rec = pointhook::state::job::JobRecord {
         state: JobState::Open,
-        ..controller.cluster.record(&controller.job("job-1").clone())
+        ..controller
+            .cluster
+            .job_record(&controller.job("job-1").clone())
     };
     controller.cluster.put_job("job-1", before + 1, &rec);
     assert_eq!(controller.job("job-1").state, JobState::Cancelled);
