--- a/src/coordination/kv/watch.rs
+++ b/src/coordination/kv/watch.rs
@@ -104,7 +104,7 @@
     };
     {
         let mut cluster = controller.cluster.borrow_mut();
-        cluster.take_changes(from, changes.revision, &changes.events);
+        cluster.apply_changes(from, changes.revision, &changes.events);
         cluster.cancellation_watermark.record_read(began);
     }
     if changes.events.iter().any(affects_membership) {
@@ -153,14 +153,14 @@
         controller
             .cluster
             .borrow_mut()
-            .take_page(&page.entries, &mut fleeting);
+            .apply_page(&page.entries, &mut fleeting);
         match page.entries.last() {
             Some(last) if page.more => after = Some(last.key.clone()),
             _ => break,
         }
     }
     let mut cluster = controller.cluster.borrow_mut();
-    cluster.end_read(&fleeting, revision.unwrap_or(0));
+    cluster.finish_full_read(&fleeting, revision.unwrap_or(0));
     cluster.cancellation_watermark.record_read(began);
     controller.view_updated_at.set(Some(controller.now()));
     log::info!(
--- a/src/state/record_ingestion.rs
+++ b/src/state/record_ingestion.rs
@@ -134,7 +134,7 @@
     }
 
     /// Applies the events of a watch that started at revision `from` and has reached `revision`.
-    pub fn take_changes(&mut self, from: u64, revision: u64, events: &[Event]) {
+    pub fn apply_changes(&mut self, from: u64, revision: u64, events: &[Event]) {
         // Watches and reads overlap: an event that was applied already must not bring back a
         // controller or a provisioning request that has been deleted since.
         let known = self.revision;
@@ -156,8 +156,8 @@
     ///
     /// Only one page is in memory at a time, so the memory that a full read needs does not grow
     /// with the number of records. `deletable_keys` collects those keys of the page whose records
-    /// may be deleted, for [`ClusterState::end_read`].
-    pub fn take_page(&mut self, entries: &[Entry], deletable_keys: &mut HashSet<String>) {
+    /// may be deleted, for [`ClusterState::finish_full_read`].
+    pub fn apply_page(&mut self, entries: &[Entry], deletable_keys: &mut HashSet<String>) {
         for entry in entries {
             if matches!(
                 kind_and_name(&entry.key),
@@ -171,7 +171,7 @@
 
     /// Completes a full read whose lowest revision was `revision`: removes the records that it did
     /// not return.
-    pub fn end_read(&mut self, deletable_keys: &HashSet<String>, revision: u64) {
+    pub fn finish_full_read(&mut self, deletable_keys: &HashSet<String>, revision: u64) {
         // A record that is newer than the read has arrived by a watch in the meantime.
         let exists =
             |key: String, version: u64| version > revision || deletable_keys.contains(&key);
@@ -197,9 +197,9 @@
     }
 
     /// Applies a full read of a single page.
-    pub fn take_all(&mut self, entries: &[Entry], revision: u64) {
+    pub fn apply_full_read(&mut self, entries: &[Entry], revision: u64) {
         let mut deletable_keys = HashSet::new();
-        self.take_page(entries, &mut deletable_keys);
-        self.end_read(&deletable_keys, revision);
+        self.apply_page(entries, &mut deletable_keys);
+        self.finish_full_read(&deletable_keys, revision);
     }
 }
--- a/tests/kv_consistency.rs
+++ b/tests/kv_consistency.rs
@@ -25,7 +25,7 @@
     assert!(!controller.cluster.controllers.contains_key("s1"));
     controller
         .cluster
-        .take_changes(0, old.revision, &old.events);
+        .apply_changes(0, old.revision, &old.events);
     assert!(!controller.cluster.controllers.contains_key("s1"));
 }
 
@@ -67,7 +67,7 @@
         let page = store.read_page(ROOT, &from, 50);
         assert!(page.entries.len() <= 50);
         revision.get_or_insert(page.revision);
-        controller.cluster.take_page(&page.entries, &mut fleeting);
+        controller.cluster.apply_page(&page.entries, &mut fleeting);
         match page.entries.last() {
             Some(last) if page.more => from.clone_from(&last.key),
             _ => break,
@@ -82,7 +82,9 @@
     controller
         .cluster
         .put(&key, page.entries[0].version, &page.entries[0].v);
-    controller.cluster.end_read(&fleeting, revision.unwrap());
+    controller
+        .cluster
+        .finish_full_read(&fleeting, revision.unwrap());
     assert!((0..200).all(|i| controller.cluster.job(&format!("job-{i}")).is_some()));
     assert!(
         !controller.cluster.controllers.contains_key("s1")
--- a/tests/support/simulated_controller/mod.rs
+++ b/tests/support/simulated_controller/mod.rs
@@ -232,7 +232,7 @@
 
     fn read_all(&mut self, store: &FakeKvStore) {
         let page = store.read_page(ROOT, "", MAX_PAGE);
-        self.cluster.take_all(&page.entries, page.revision);
+        self.cluster.apply_full_read(&page.entries, page.revision);
     }
 
     /// Reads the newest changes; false while the store is unavailable.
@@ -242,7 +242,7 @@
         match (response.status, response.body) {
             (200, Some(changes)) => {
                 self.cluster
-                    .take_changes(from, changes.revision, &changes.events);
+                    .apply_changes(from, changes.revision, &changes.events);
                 true
             }
             (410, _) => {
