--- a/src/coordination/cancellations/exchange.rs
+++ b/src/coordination/cancellations/exchange.rs
@@ -91,7 +91,7 @@
 
 /// The cancelled jobs that go into one frame.
 pub fn cancelled_jobs_to_send(cluster: &ClusterState) -> Vec<String> {
-    let mut jobs = cluster.cancelled_names();
+    let mut jobs = cluster.cancelled_job_ids();
     jobs.truncate(MAX_CANCELLED_JOBS);
     jobs
 }
--- a/src/state/dependencies.rs
+++ b/src/state/dependencies.rs
@@ -115,7 +115,7 @@
 
     /// Ids of cancelled jobs of which tasks may still run. All jobs whose cancellation is known
     /// from peers only are included, as nothing is known of their tasks.
-    pub fn cancelled_names(&self) -> Vec<String> {
+    pub fn cancelled_job_ids(&self) -> Vec<String> {
         let by_record = self.cancelled().map(|(_, job)| &job.id);
         let by_record = by_record.filter(|id| !self.cancelled_by_peers.contains(*id));
         let all = by_record.chain(&self.cancelled_by_peers);
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -211,7 +211,7 @@
     assert_eq!(controller.job("job-77").state, JobState::Cancelled);
     assert!(controller
         .cluster
-        .cancelled_names()
+        .cancelled_job_ids()
         .contains(&"job-77".to_string()));
 }
 
