--- a/src/coordination/job_api/answers.rs
+++ b/src/coordination/job_api/answers.rs
@@ -34,7 +34,7 @@
 
 /// A job's state.
 pub(super) fn job_state(status: u16, job: &Job) -> Answer {
-    let (word, done, running) = ClusterState::status(job);
+    let (word, done, running) = ClusterState::job_status(job);
     let state = JobStatus {
         id: job.id.to_string(),
         status: word.into(),
--- a/src/state/job_store.rs
+++ b/src/state/job_store.rs
@@ -255,7 +255,7 @@
 
     /// Job status for users: status word, number of tasks done, number of tasks running. Tasks
     /// that are placed count as running.
-    pub fn status(job: &Job) -> (&'static str, u32, u32) {
+    pub fn job_status(job: &Job) -> (&'static str, u32, u32) {
         let running = job.unfinished_placements();
         let done = job.done.count();
         match job.state {
--- a/tests/golden_http_bodies.rs
+++ b/tests/golden_http_bodies.rs
@@ -69,7 +69,7 @@
             let rec = json!({"j": described(), "s": word, "t": 1, "n": 9, "d": [[0, 1]], "p": p});
             c.put_job("job-000412", 5, &read(rec));
             let (_, job) = c.job("job-000412").expect("known");
-            let (state, done, running) = ClusterState::status(job);
+            let (state, done, running) = ClusterState::job_status(job);
             g.line(
                 &format!("state {word}{what}"),
                 &format!("{state} {done} {running}"),
--- a/tests/outages_and_restarts.rs
+++ b/tests/outages_and_restarts.rs
@@ -22,7 +22,7 @@
     let mut next = SimulatedController::start("n1", 2, &mut store, 9000);
     next.apply_membership_moves(&mut store, 9000);
     run_heartbeats(&mut next, &mut store, &mut [&mut worker], 9500, 12_000);
-    assert_eq!(ClusterState::status(next.job("job-1")).0, "done");
+    assert_eq!(ClusterState::job_status(next.job("job-1")).0, "done");
     assert_eq!(worker.started.len(), 1);
 }
 
--- a/tests/support/simulated_cluster/users.rs
+++ b/tests/support/simulated_cluster/users.rs
@@ -96,7 +96,7 @@
             }
             return None;
         };
-        let answer = ClusterState::status(job);
+        let answer = ClusterState::job_status(job);
         digest::note("answer to a poll", self.now, &(NAMES[at], id, answer));
         let status = answer.0;
         self.check_completed(id, status);
