--- a/src/coordination/autoscaler/scale_in_plan.rs
+++ b/src/coordination/autoscaler/scale_in_plan.rs
@@ -243,7 +243,7 @@
 ) -> Vec<String> {
     let name = |machine_index| &**cluster.machine_names.name(machine_index);
     cluster
-        .occupied()
+        .occupied_machines()
         .filter(|machine_index| {
             !cluster.is_deleted(*machine_index)
                 && !listed.contains_key(name(*machine_index))
--- a/src/state/machine_store.rs
+++ b/src/state/machine_store.rs
@@ -116,8 +116,8 @@
     }
 
     /// Machines with placements, including those of which only the name is known.
-    pub fn occupied(&self) -> impl Iterator<Item = MachineIndex> + '_ {
-        self.totals.occupied()
+    pub fn occupied_machines(&self) -> impl Iterator<Item = MachineIndex> + '_ {
+        self.totals.occupied_machines()
     }
 
     /// Free capacity of a machine; `None` if the machine or its type is unknown.
--- a/src/state/resource_totals.rs
+++ b/src/state/resource_totals.rs
@@ -60,7 +60,7 @@
     }
 
     /// Machines with placements.
-    pub fn occupied(&self) -> impl Iterator<Item = MachineIndex> + '_ {
+    pub fn occupied_machines(&self) -> impl Iterator<Item = MachineIndex> + '_ {
         let by_machine = self.placed.iter().enumerate();
         by_machine
             .filter(|(_, attempts)| !attempts.is_empty())
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -130,7 +130,7 @@
         pointhook::coordination::kv::apply_outcome(&mut controller.cluster, &draft, &outcome);
     }
     assert_eq!(before, 0);
-    assert_eq!(controller.cluster.occupied().count(), MACHINES);
+    assert_eq!(controller.cluster.occupied_machines().count(), MACHINES);
 }
 
 #[test]
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -286,7 +286,7 @@
             .sum()
     };
     assert_eq!(placed(&controller), 720);
-    let machines: Vec<_> = controller.cluster.occupied().collect();
+    let machines: Vec<_> = controller.cluster.occupied_machines().collect();
     assert!(machines.len() >= 180);
     for m in &machines {
         controller.cluster.mark_deleted(*m);
