--- a/tests/golden_http_bodies.rs
+++ b/tests/golden_http_bodies.rs
@@ -2,7 +2,7 @@
 //! files; see `tests/support/golden.rs`.
 //!
 //! Bodies are given as JSON with the names of the protocol, so that these tests name few fields of
-//! the program; [`wire_names_reach_their_fields`] checks which name belongs to which field.
+//! the program; [`wire_names_map_to_their_fields`] checks which name belongs to which field.
 
 use pointhook::protocol::kv as kv_protocol;
 use pointhook::protocol::workers::AgentEpoch;
@@ -31,11 +31,11 @@
 
 #[test]
 fn bodies_of_users() {
-    let mut g = Group::new("users.txt");
-    g.read_by("job", &described(), submission);
-    g.keys_read_by("job", &described(), submission);
+    let mut group = Group::new("users.txt");
+    group.read_by("job", &described(), submission);
+    group.keys_read_by("job", &described(), submission);
     let twice = json!({"awaits": ["job-3", "job-3"]});
-    g.read_by("job twice awaited", &with(described(), twice), submission);
+    group.read_by("job twice awaited", &with(described(), twice), submission);
     let enums = [
         (
             "shape",
@@ -49,10 +49,10 @@
     for (key, words) in enums {
         for word in words {
             let job = with(described(), json!({ key: word }));
-            g.read_by(&format!("job {key} {word}"), &job, submission);
+            group.read_by(&format!("job {key} {word}"), &job, submission);
         }
     }
-    let list = Value::Array(
+    let as_list = Value::Array(
         described()
             .as_object()
             .expect("a map")
@@ -60,42 +60,46 @@
             .cloned()
             .collect(),
     );
-    g.read_by("job as a list", &list, submission);
+    group.read_by("job as a list", &as_list, submission);
     let status = json!({"uid": "job-000412", "status": "running", "done": 3, "running": 200});
-    g.all_keys::<users::JobStatus>("status", &status);
+    group.all_keys::<users::JobStatus>("status", &status);
     for word in ["o", "d", "c"] {
-        for (what, p) in [("", json!([])), (" placed", json!([[2, 7, "n-1", 1, 0]]))] {
-            let mut c = cluster();
-            let rec = json!({"j": described(), "s": word, "t": 1, "n": 9, "d": [[0, 1]], "p": p});
-            c.put_job("job-000412", 5, &read(rec));
-            let (_, job) = c.job("job-000412").expect("known");
+        for (suffix, placed) in [("", json!([])), (" placed", json!([[2, 7, "n-1", 1, 0]]))] {
+            let mut cluster = cluster();
+            let record = json!({"j": described(), "s": word, "t": 1, "n": 9, "d": [[0, 1]],
+                "p": placed});
+            cluster.put_job("job-000412", 5, &read(record));
+            let (_, job) = cluster.job("job-000412").expect("known");
             let (state, done, running) = ClusterState::job_status(job);
-            g.line(
-                &format!("state {word}{what}"),
+            group.line(
+                &format!("state {word}{suffix}"),
                 &format!("{state} {done} {running}"),
             );
         }
     }
-    let new = pointhook::coordination::job_api::accepted(&cluster(), "job-000412", 5);
-    g.line("accepted", &format!("{} {}", new.status, hex(&new.body)));
-    g.compare();
+    let accepted = pointhook::coordination::job_api::accepted(&cluster(), "job-000412", 5);
+    group.line(
+        "accepted",
+        &format!("{} {}", accepted.status, hex(&accepted.body)),
+    );
+    group.compare();
 }
 
 #[test]
 fn bodies_of_workers() {
-    let mut g = Group::new("workers.txt");
+    let mut group = Group::new("workers.txt");
     let task = json!({"piece": "job-000412/3", "try": 7, "status": "exited", "cause": "done",
         "stored": true});
-    let report = json!({
+    let heartbeat = json!({
         "host": "n-000231", "endpoint": "10.1.0.232:9000", "rig": "g8", "yard": "a",
         "loaners": true, "shift": 3, "tally": 70_000, "baton": 41, "warning_s": 30.5,
         "pieces": [task, {"piece": "job-1/0", "try": 1, "status": "running"}],
     });
-    g.all_keys::<workers::Heartbeat>("report", &report);
-    g.all_keys::<workers::TaskStatus>("task", &task);
+    group.all_keys::<workers::Heartbeat>("report", &heartbeat);
+    group.all_keys::<workers::TaskStatus>("task", &task);
     for word in ["pulling", "gathering", "running", "flushing", "exited", "x"] {
         let task = with(task.clone(), json!({"status": word}));
-        g.read_by(
+        group.read_by(
             &format!("task status {word}"),
             &task,
             rewritten::<workers::TaskStatus>,
@@ -115,191 +119,255 @@
         // An unknown cause is accepted when read, but is never written.
         let task = with(task.clone(), json!({"cause": word}));
         let bytes = rewritten::<workers::TaskStatus>(&packed(&task)).expect(word);
-        g.line(&format!("task cause {word}"), &hex(&bytes));
+        group.line(&format!("task cause {word}"), &hex(&bytes));
     }
-    let orders = [
+    let commands = [
         json!({"verb": "start", "piece": "job-1/0", "try": 1}),
         json!({"verb": "stop", "piece": "job-1/0", "try": 1, "wind_down_s": 4.5}),
         json!({"verb": "reap", "piece": "job-1/0", "try": 1}),
     ];
-    for order in &orders {
-        let verb = order["verb"].as_str().expect("a word");
-        g.all_keys::<workers::Command>(verb, order);
+    for command in &commands {
+        let verb = command["verb"].as_str().expect("a verb");
+        group.all_keys::<workers::Command>(verb, command);
     }
-    let other = json!({"verb": "forget", "piece": "job-1/0", "try": 1});
-    g.read_by("another verb", &other, rewritten::<workers::Command>);
-    g.all_keys::<workers::HeartbeatResponse>("answer", &json!({"baton": 41, "orders": orders}));
-    let commands = json!({"baton": 41, "shift": 3, "orders": orders});
-    g.all_keys::<workers::DirectCommands>("commands", &commands);
-    g.all_keys::<workers::NotOwner>("elsewhere", &json!({"foreman": "stoker-2"}));
-    g.compare();
+    let unknown = json!({"verb": "forget", "piece": "job-1/0", "try": 1});
+    group.read_by("another verb", &unknown, rewritten::<workers::Command>);
+    group.all_keys::<workers::HeartbeatResponse>(
+        "answer",
+        &json!({"baton": 41, "orders": commands}),
+    );
+    let direct = json!({"baton": 41, "shift": 3, "orders": commands});
+    group.all_keys::<workers::DirectCommands>("commands", &direct);
+    group.all_keys::<workers::NotOwner>("elsewhere", &json!({"foreman": "stoker-2"}));
+    group.compare();
 }
 
 #[test]
-fn bodies_of_the_cloud_and_the_state_service() {
-    let mut g = Group::new("outside.txt");
-    g.all_keys::<cloud::MachineTypeCatalog>("flavors", &offered());
-    g.all_keys::<cloud::CloudMachineType>("flavor", &offered()["rigs"][0]);
-    let rent = json!({"booking": "b-1", "rig": "g8", "yard": "a", "loaners": true, "count": 12});
-    g.all_keys::<cloud::ProvisioningRequest>("rent", &rent);
-    g.all_keys::<cloud::MachineNames>("hosts", &json!({"hosts": ["n-1", "n-2"]}));
-    let host = json!({"uid": "n-1", "endpoint": "10.1.0.2:9000", "rig": "g8", "yard": "a",
+fn bodies_of_the_cloud_and_the_key_value_store() {
+    let mut group = Group::new("outside.txt");
+    group.all_keys::<cloud::MachineTypeCatalog>("flavors", &offered());
+    group.all_keys::<cloud::CloudMachineType>("flavor", &offered()["rigs"][0]);
+    let request = json!({"booking": "b-1", "rig": "g8", "yard": "a", "loaners": true, "count": 12});
+    group.all_keys::<cloud::ProvisioningRequest>("rent", &request);
+    group.all_keys::<cloud::MachineNames>("hosts", &json!({"hosts": ["n-1", "n-2"]}));
+    let listed = json!({"uid": "n-1", "endpoint": "10.1.0.2:9000", "rig": "g8", "yard": "a",
         "loaners": false, "status": "booting", "held_s": 12.5});
-    g.all_keys::<cloud::ListedMachine>("listed", &host);
-    g.all_keys::<cloud::MachineListPage>("list", &json!({"hosts": [host], "more": true}));
-    let txn = json!({
+    group.all_keys::<cloud::ListedMachine>("listed", &listed);
+    group.all_keys::<cloud::MachineListPage>("list", &json!({"hosts": [listed], "more": true}));
+    let transaction = json!({
         "when": [{"key": "ph/a", "stamp": 0}, {"key": "ph/b", "stamp": 7}],
         "writes": [{"set": "ph/a", "v": {"x": [1, 2.5, "y", null, true]}},
             {"set": "ph/c", "v": 1, "hold": 99}, {"remove": "ph/b"}],
     });
-    g.all_keys::<kv_protocol::Transaction>("commit", &txn);
-    g.all_keys::<kv_protocol::Condition>("condition", &txn["when"][1]);
+    group.all_keys::<kv_protocol::Transaction>("commit", &transaction);
+    group.all_keys::<kv_protocol::Condition>("condition", &transaction["when"][1]);
     for (i, name) in ["set", "set with a lease", "remove"].iter().enumerate() {
-        g.all_keys::<kv_protocol::Write>(name, &txn["writes"][i]);
+        group.all_keys::<kv_protocol::Write>(name, &transaction["writes"][i]);
     }
-    g.all_keys::<kv_protocol::CommitResponse>(
+    group.all_keys::<kv_protocol::CommitResponse>(
         "committed",
         &json!({"epoch": 8, "failed": ["ph/a"]}),
     );
     let entry = json!({"key": "ph/a", "v": {"x": 1}, "stamp": 7});
-    g.all_keys::<kv_protocol::Entry>("entry", &entry);
+    group.all_keys::<kv_protocol::Entry>("entry", &entry);
     let page = json!({"entries": [entry], "more": true, "epoch": 8});
-    g.all_keys::<kv_protocol::Page>("page", &page);
+    group.all_keys::<kv_protocol::Page>("page", &page);
     let put = json!({"set": "ph/a", "v": {"x": 1}, "stamp": 7});
-    g.all_keys::<kv_protocol::Event>("put", &put);
-    g.all_keys::<kv_protocol::Event>("deletion", &json!({"remove": "ph/a", "stamp": 8}));
-    g.all_keys::<kv_protocol::Changes>("changes", &json!({"epoch": 8, "log": [put]}));
-    g.all_keys::<kv_protocol::Lease>("lease", &json!({"hold": 99}));
-    g.all_keys::<kv_protocol::LeaseRequest>("lease request", &json!({"life_ms": 4000}));
-    g.compare();
+    group.all_keys::<kv_protocol::Event>("put", &put);
+    group.all_keys::<kv_protocol::Event>("deletion", &json!({"remove": "ph/a", "stamp": 8}));
+    group.all_keys::<kv_protocol::Changes>("changes", &json!({"epoch": 8, "log": [put]}));
+    group.all_keys::<kv_protocol::Lease>("lease", &json!({"hold": 99}));
+    group.all_keys::<kv_protocol::LeaseRequest>("lease request", &json!({"life_ms": 4000}));
+    group.compare();
 }
 
-fn names_of_a_description() {
-    let s: users::JobSpec = read(described());
+fn check_names_of_a_job_description() {
+    let spec: users::JobSpec = read(described());
     assert_eq!(
-        (s.vcpus, s.gpus, s.mem_gb, s.image_gb),
+        (spec.vcpus, spec.gpus, spec.mem_gb, spec.image_gb),
         (8.0, 1.5, 64.25, 6.2)
     );
     assert_eq!(
-        (s.estimated_run_s, s.checkpoint_s, s.checkpoint_grace_s),
+        (
+            spec.estimated_run_s,
+            spec.checkpoint_s,
+            spec.checkpoint_grace_s
+        ),
         (240.0, 30.0, 4.0)
     );
     assert_eq!(
-        (s.one_zone, s.spread, s.spot, s.tasks),
+        (spec.one_zone, spec.spread, spec.spot, spec.tasks),
         (true, false, true, 4)
     );
     assert_eq!(
-        (s.id.as_str(), s.class.as_str(), s.team.as_str()),
+        (spec.id.as_str(), spec.class.as_str(), spec.team.as_str()),
         ("job-000412", "train", "vision")
     );
-    assert_eq!((s.image.as_str(), s.zone.as_deref()), ("img-07", Some("a")));
-    assert_eq!(s.types, Some(vec!["g8".to_string(), "g4".to_string()]));
-    assert_eq!((s.deadline_s, s.dependencies.len()), (Some(900.0), 2));
+    assert_eq!(
+        (spec.image.as_str(), spec.zone.as_deref()),
+        ("img-07", Some("a"))
+    );
+    assert_eq!(spec.types, Some(vec!["g8".to_string(), "g4".to_string()]));
+    assert_eq!((spec.deadline_s, spec.dependencies.len()), (Some(900.0), 2));
 }
 
-fn names_of_a_heartbeat() {
-    let r: workers::Heartbeat = read(json!({
+fn check_names_of_a_heartbeat() {
+    let heartbeat: workers::Heartbeat = read(json!({
         "host": "n-1", "endpoint": "e", "rig": "g8", "yard": "a", "loaners": true, "shift": 3,
         "tally": 4, "baton": 41, "warning_s": 30.5,
         "pieces": [{"piece": "job-1/0", "try": 7, "status": "exited", "cause": "mates_gone", "stored": true}],
     }));
-    assert_eq!((r.machine.as_str(), r.addr.as_str()), ("n-1", "e"));
     assert_eq!(
-        (r.machine_type.as_str(), r.zone.as_str(), r.spot),
+        (heartbeat.machine.as_str(), heartbeat.addr.as_str()),
+        ("n-1", "e")
+    );
+    assert_eq!(
+        (
+            heartbeat.machine_type.as_str(),
+            heartbeat.zone.as_str(),
+            heartbeat.spot
+        ),
         ("g8", "a", true)
     );
     assert_eq!(
         (
-            r.agent_epoch,
-            r.sequence,
-            r.fencing_token,
-            r.preemption_notice_s
+            heartbeat.agent_epoch,
+            heartbeat.sequence,
+            heartbeat.fencing_token,
+            heartbeat.preemption_notice_s
         ),
         (AgentEpoch(3), 4, FencingToken(41), Some(30.5))
     );
-    let t = &r.tasks[0];
+    let task = &heartbeat.tasks[0];
     assert_eq!(
-        (t.task.as_str(), t.attempt, t.checkpointed),
+        (task.task.as_str(), task.attempt, task.checkpointed),
         ("job-1/0", 7, Some(true))
     );
     assert!(
-        t.state == workers::TaskState::Exited
-            && t.exit_reason == Some(workers::ExitReason::GangMemberLost)
+        task.state == workers::TaskState::Exited
+            && task.exit_reason == Some(workers::ExitReason::GangMemberLost)
     );
 }
 
-fn names_of_commands() {
-    let c: workers::DirectCommands = read(json!({"baton": 41, "shift": 3, "orders": [
+fn check_names_of_commands() {
+    let direct: workers::DirectCommands = read(json!({"baton": 41, "shift": 3, "orders": [
         {"verb": "reap", "piece": "job-1/0", "try": 1}]}));
     assert_eq!(
-        (c.fencing_token, c.agent_epoch),
+        (direct.fencing_token, direct.agent_epoch),
         (FencingToken(41), AgentEpoch(3))
     );
     assert!(matches!(
-        c.commands[0],
+        direct.commands[0],
         workers::Command::AcknowledgeExit { attempt: 1, .. }
     ));
-    let o: workers::Command = read(json!({"verb": "start", "piece": "job-1/0", "try": 1}));
-    assert!(matches!(o, workers::Command::Start { attempt: 1, .. }));
-    let e: workers::NotOwner = read(json!({"foreman": "x"}));
-    assert_eq!(e.owner.as_deref(), Some("x"));
+    let start: workers::Command = read(json!({"verb": "start", "piece": "job-1/0", "try": 1}));
+    assert!(matches!(start, workers::Command::Start { attempt: 1, .. }));
+    let not_owner: workers::NotOwner = read(json!({"foreman": "x"}));
+    assert_eq!(not_owner.owner.as_deref(), Some("x"));
 }
 
 /// Checks which field each wire name of a body belongs to; `tests/version_compatibility.rs` checks
 /// it for records.
 #[test]
-fn wire_names_reach_their_fields() {
-    names_of_a_description();
-    names_of_a_heartbeat();
-    names_of_commands();
+fn wire_names_map_to_their_fields() {
+    check_names_of_a_job_description();
+    check_names_of_a_heartbeat();
+    check_names_of_commands();
 }
 
-/// Checks the same for the bodies of the cloud and the key-value store.
-#[test]
-fn wire_names_of_outside_services_reach_their_fields() {
-    let f = &read::<cloud::MachineTypeCatalog>(offered()).types[0];
+fn check_names_of_the_cloud() {
+    let machine_type = &read::<cloud::MachineTypeCatalog>(offered()).types[0];
     assert_eq!(
-        (f.name.as_str(), f.cache_gb, f.pull_gb_per_s),
+        (
+            machine_type.name.as_str(),
+            machine_type.cache_gb,
+            machine_type.pull_gb_per_s
+        ),
         ("g8", 400.5, 0.5)
     );
-    assert_eq!((f.vcpus, f.gpus, f.mem_gb), (96.0, 8.0, 768.0));
     assert_eq!(
-        (f.price, f.spot_price, f.boot_s, f.zones.len()),
+        (machine_type.vcpus, machine_type.gpus, machine_type.mem_gb),
+        (96.0, 8.0, 768.0)
+    );
+    assert_eq!(
+        (
+            machine_type.price,
+            machine_type.spot_price,
+            machine_type.boot_s,
+            machine_type.zones.len()
+        ),
         (21.5, 7.25, 95.0, 2)
     );
-    let l: cloud::ListedMachine =
+    let listed: cloud::ListedMachine =
         read(json!({"uid": "n", "endpoint": "e", "rig": "r", "yard": "y",
         "loaners": true, "status": "s", "held_s": 2.5}));
     assert_eq!(
-        (l.name.as_str(), l.addr.as_str(), l.machine_type.as_str()),
+        (
+            listed.name.as_str(),
+            listed.addr.as_str(),
+            listed.machine_type.as_str()
+        ),
         ("n", "e", "r")
     );
     assert_eq!(
-        (l.zone.as_str(), l.spot, l.status.as_str(), l.age_s),
+        (
+            listed.zone.as_str(),
+            listed.spot,
+            listed.status.as_str(),
+            listed.age_s
+        ),
         ("y", true, "s", 2.5)
     );
-    let b: cloud::ProvisioningRequest =
+    let request: cloud::ProvisioningRequest =
         read(json!({"booking": "b", "rig": "r", "yard": "y", "loaners": true, "count": 12}));
-    assert_eq!((b.request_id.as_str(), b.machine_type.as_str()), ("b", "r"));
-    assert_eq!((b.zone.as_str(), b.spot, b.count), ("y", true, 12));
-    let p: kv_protocol::Page =
+    assert_eq!(
+        (request.request_id.as_str(), request.machine_type.as_str()),
+        ("b", "r")
+    );
+    assert_eq!(
+        (request.zone.as_str(), request.spot, request.count),
+        ("y", true, 12)
+    );
+}
+
+fn check_names_of_the_key_value_store() {
+    let page: kv_protocol::Page =
         read(json!({"entries": [{"key": "k", "v": 1, "stamp": 7}], "more": true, "epoch": 8}));
-    assert_eq!((p.revision, p.more, p.entries[0].version), (8, true, 7));
-    let w: kv_protocol::Changes = read(json!({"epoch": 8, "log": [{"remove": "k", "stamp": 7}]}));
-    assert_eq!((w.revision, w.events[0].version), (8, 7));
-    assert!(w.events[0].remove.as_deref() == Some("k") && w.events[0].set.is_none());
+    assert_eq!(
+        (page.revision, page.more, page.entries[0].version),
+        (8, true, 7)
+    );
+    let changes: kv_protocol::Changes =
+        read(json!({"epoch": 8, "log": [{"remove": "k", "stamp": 7}]}));
+    assert_eq!((changes.revision, changes.events[0].version), (8, 7));
+    assert!(changes.events[0].remove.as_deref() == Some("k") && changes.events[0].set.is_none());
     assert_eq!(read::<kv_protocol::Lease>(json!({"hold": 9})).lease, 9);
-    let n: ControllerRecord = read(json!({"i": 7, "v": 2, "w": 1}));
+}
+
+fn check_names_of_a_controller_record() {
+    let controller: ControllerRecord = read(json!({"i": 7, "v": 2, "w": 1}));
     assert_eq!(
-        (n.incarnation, n.record_format, n.standby_version),
+        (
+            controller.incarnation,
+            controller.record_format,
+            controller.standby_version
+        ),
         (Incarnation(7), 2, 1)
     );
 }
 
-fn words_of_takeovers(g: &mut Group) {
+/// Checks the same for the bodies of the cloud and the key-value store.
+#[test]
+fn wire_names_of_external_services_map_to_their_fields() {
+    check_names_of_the_cloud();
+    check_names_of_the_key_value_store();
+    check_names_of_a_controller_record();
+}
+
+fn add_failover_states(group: &mut Group) {
     use standby::failover::FailoverState;
     use standby::ids::{FencingToken, Revision};
-    let calm = [
+    let without_ownership = [
         FailoverState::Idle,
         FailoverState::Following,
         FailoverState::Suspecting,
@@ -319,40 +387,40 @@
         FailoverState::SteppedDown,
     ];
     let names = [
-        calm.map(FailoverState::name).to_vec(),
+        without_ownership.map(FailoverState::name).to_vec(),
         moving.map(FailoverState::name).to_vec(),
     ];
-    g.line("takeover", &json!(names).to_string());
+    group.line("takeover", &json!(names).to_string());
 }
 
 /// A value that is written and read back does not show which variant it stands for, so the order of
 /// the values in the golden file does.
 #[test]
-fn words_of_values() {
+fn wire_values_of_enums() {
     use pointhook::state::job::JobState;
     use users::{JobKind, Priority};
     use workers::{ExitReason, TaskState};
-    let mut g = Group::new("words.txt");
-    let shapes = [JobKind::Array, JobKind::Gang, JobKind::Service];
-    g.line("shape", &json!(shapes).to_string());
-    let ranks = [
+    let mut group = Group::new("words.txt");
+    let kinds = [JobKind::Array, JobKind::Gang, JobKind::Service];
+    group.line("shape", &json!(kinds).to_string());
+    let priorities = [
         Priority::Production,
         Priority::High,
         Priority::Normal,
         Priority::Low,
     ];
-    assert!(ranks.is_sorted());
-    g.line("rank", &json!(ranks).to_string());
+    assert!(priorities.is_sorted());
+    group.line("rank", &json!(priorities).to_string());
     let states = [JobState::Open, JobState::Done, JobState::Cancelled];
-    g.line("job", &json!(states).to_string());
-    let (fetching, waiting) = (TaskState::PullingImage, TaskState::AwaitingGang);
+    group.line("job", &json!(states).to_string());
+    let (pulling, awaiting) = (TaskState::PullingImage, TaskState::AwaitingGang);
     let rest = [
         TaskState::Running,
         TaskState::Checkpointing,
         TaskState::Exited,
     ];
-    g.line("task", &json!([fetching, waiting, rest]).to_string());
-    let ends = [
+    group.line("task", &json!([pulling, awaiting, rest]).to_string());
+    let exits = [
         ExitReason::Done,
         ExitReason::Stopped,
         ExitReason::GangMemberLost,
@@ -364,15 +432,15 @@
         ExitReason::OtherAttemptPresent,
         ExitReason::UnknownTask,
     ];
-    g.line("end", &json!([ends, refusals]).to_string());
+    group.line("end", &json!([exits, refusals]).to_string());
     assert!(read::<ExitReason>(json!("some new cause")) == ExitReason::Other);
-    words_of_takeovers(&mut g);
-    g.compare();
+    add_failover_states(&mut group);
+    group.compare();
 }
 
 /// Sends a request to an HTTP server of the program; returns the response as received, without the
 /// `date` header.
-fn exchanged(addr: SocketAddr, path: &str) -> String {
+fn exchange(addr: SocketAddr, path: &str) -> String {
     let mut stream = TcpStream::connect(addr).expect("a connection");
     let request = format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).expect("sent");
@@ -389,13 +457,13 @@
 }
 
 #[test]
-fn answers_over_the_wire() {
-    let (tell, told) = std::sync::mpsc::channel();
+fn http_responses_as_received() {
+    let (sender, receiver) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let listener = http::listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let addr = listener.get_ref().local_addr().expect("an address");
-        tell.send(addr).expect("a test");
-        let ex = Rc::new(async_executor::LocalExecutor::new());
+        sender.send(addr).expect("the test waits for it");
+        let executor = Rc::new(async_executor::LocalExecutor::new());
         let answer = |incoming: http::Incoming| async move {
             match incoming.path.as_str() {
                 "/later" => Answer::later(1),
@@ -403,16 +471,16 @@
                 path => Answer::bare(path[1..].parse().expect("a status")),
             }
         };
-        let serving = http::serve(ex.clone(), listener, 8, answer);
-        async_io::block_on(ex.run(serving));
+        let serving = http::serve(executor.clone(), listener, 8, answer);
+        async_io::block_on(executor.run(serving));
     });
-    let addr = told.recv().expect("a server");
-    let mut g = Group::new("http.txt");
-    g.line("largest body", &http::MAX_BODY.to_string());
+    let addr = receiver.recv().expect("a server");
+    let mut group = Group::new("http.txt");
+    group.line("largest body", &http::MAX_BODY.to_string());
     for path in [
         "/later", "/status", "/200", "/400", "/404", "/405", "/421", "/422", "/503",
     ] {
-        g.line(path, &exchanged(addr, path));
+        group.line(path, &exchange(addr, path));
     }
-    g.compare();
+    group.compare();
 }
--- a/tests/golden_peer_frames.rs
+++ b/tests/golden_peer_frames.rs
@@ -18,19 +18,20 @@
     vec!["n-000231".into(), "n-7".into(), "n-000000000007".into()]
 }
 
-fn machine_status(name: &str, flip: bool) -> MachineStatus {
+/// A status in which half of the flags are `flag` and the other half are its opposite.
+fn machine_status(name: &str, flag: bool) -> MachineStatus {
     MachineStatus {
         name: name.into(),
         addr: "10.1.0.232:9000".into(),
         machine_type: "g8".into(),
         zone: "a".into(),
-        spot: flip,
+        spot: flag,
         silent_ms: 1500,
-        has_sent_heartbeat: !flip,
-        fencing_token_confirmed: flip,
+        has_sent_heartbeat: !flag,
+        fencing_token_confirmed: flag,
         queue_length: 2,
-        cordoned: !flip,
-        quarantined: flip,
+        cordoned: !flag,
+        quarantined: flag,
     }
 }
 
@@ -42,7 +43,7 @@
 }
 
 /// Status updates of a controller about itself and its machines.
-fn statuses() -> Vec<(&'static str, PeerRequest)> {
+fn status_updates() -> Vec<(&'static str, PeerRequest)> {
     vec![
         (
             "news",
@@ -69,7 +70,7 @@
 }
 
 /// All other requests between controllers.
-fn errands() -> Vec<(&'static str, PeerRequest)> {
+fn other_requests() -> Vec<(&'static str, PeerRequest)> {
     vec![
         (
             "bind",
@@ -110,14 +111,14 @@
 
 #[test]
 fn frames_between_controllers() {
-    let mut g = Group::new("peers.txt");
-    g.line("version", &peers::VERSION.to_string());
-    g.line("largest", &peers::MAX_FRAME.to_string());
-    g.line("most jobs", &peers::MAX_CANCELLED_JOBS.to_string());
-    for (name, ask) in statuses().into_iter().chain(errands()) {
-        g.archive(
+    let mut group = Group::new("peers.txt");
+    group.line("version", &peers::VERSION.to_string());
+    group.line("largest", &peers::MAX_FRAME.to_string());
+    group.line("most jobs", &peers::MAX_CANCELLED_JOBS.to_string());
+    for (name, request) in status_updates().into_iter().chain(other_requests()) {
+        group.archive(
             &format!("ask {name}"),
-            &ask,
+            &request,
             peers::encode,
             peers::decode_request,
         );
@@ -126,7 +127,7 @@
         job: "job-000412".into(),
         task: 3,
     };
-    let replies = [
+    let responses = [
         ("noted", PeerResponse::Acknowledged),
         ("task", PeerResponse::StolenTask(Some(task))),
         ("no task", PeerResponse::StolenTask(None)),
@@ -152,11 +153,11 @@
             },
         ),
     ];
-    for (name, reply) in replies {
+    for (name, response) in responses {
         let name = format!("reply {name}");
-        g.archive(&name, &reply, peers::encode, peers::decode_response);
+        group.archive(&name, &response, peers::encode, peers::decode_response);
     }
-    g.compare();
+    group.compare();
 }
 
 fn queued(task: u32) -> QueuedTask {
@@ -167,7 +168,7 @@
 }
 
 /// A machine with queued tasks that is reserved for a job.
-fn held() -> MachineState {
+fn reserved_machine() -> MachineState {
     MachineState {
         queue: vec![queued(3), queued(70_000)],
         reserved_for: Some("job-000007".into()),
@@ -181,7 +182,7 @@
             "machine",
             Decision::MachineChanged {
                 name: "n-000231".into(),
-                state: held(),
+                state: reserved_machine(),
             },
         ),
         (
@@ -210,7 +211,7 @@
     ]
 }
 
-fn tail(decisions: Vec<Decision>) -> Message {
+fn log_tail(decisions: Vec<Decision>) -> Message {
     Message::LogTail {
         shard: 2,
         fencing_token: 41,
@@ -219,7 +220,7 @@
     }
 }
 
-fn snapshot() -> Message {
+fn snapshot_part() -> Message {
     Message::SnapshotPart {
         shard: 2,
         fencing_token: 41,
@@ -228,22 +229,25 @@
         part: 3,
         is_last: true,
         machines: vec![
-            ("n-000231".into(), held()),
+            ("n-000231".into(), reserved_machine()),
             ("n-000000000007".into(), MachineState::default()),
         ],
     }
 }
 
 #[test]
-fn messages_of_the_standby() {
-    let mut g = Group::new("standby.txt");
-    g.line("longest", &MAX_MESSAGE_BYTES.to_string());
+fn replication_messages() {
+    let mut group = Group::new("standby.txt");
+    group.line("longest", &MAX_MESSAGE_BYTES.to_string());
     let decisions = decisions();
-    let all = decisions.iter().map(|(_, d)| d.clone()).collect();
-    let mut messages = vec![("tail", tail(all)), ("snapshot", snapshot())];
-    messages.extend(decisions.map(|(name, d)| (name, tail(vec![d]))));
+    let all = decisions
+        .iter()
+        .map(|(_, decision)| decision.clone())
+        .collect();
+    let mut messages = vec![("tail", log_tail(all)), ("snapshot", snapshot_part())];
+    messages.extend(decisions.map(|(name, decision)| (name, log_tail(vec![decision]))));
     for (name, message) in messages {
-        g.archive(name, &message, Message::encode, Message::decode);
+        group.archive(name, &message, Message::encode, Message::decode);
     }
     let answers = [
         ("next", FollowerResponse::NextSequence(19)),
@@ -252,12 +256,12 @@
         ("outranked", FollowerResponse::StaleFencingToken(42)),
     ];
     for (name, answer) in answers {
-        g.archive(
+        group.archive(
             name,
             &answer,
             FollowerResponse::encode,
             FollowerResponse::decode,
         );
     }
-    g.compare();
+    group.compare();
 }
--- a/tests/golden_records.rs
+++ b/tests/golden_records.rs
@@ -25,8 +25,8 @@
 
 #[test]
 fn stored_records() {
-    let mut g = Group::new("records.txt");
-    let small = with(
+    let mut group = Group::new("records.txt");
+    let without_optional = with(
         described(),
         json!({"rigs": null, "yard": null, "due_s": null, "awaits": null}),
     );
@@ -35,47 +35,49 @@
         "p": [[2, 7, "n-000231", 1, 0], [4, 70_000, "n-000007", 3, 3]], "n": 70_001,
         "f": 1_764_650_090_456_u64,
     });
-    g.all_keys::<JobRecord>("job", &job);
+    group.all_keys::<JobRecord>("job", &job);
     for state in ["o", "d", "c"] {
-        let least = json!({"s": state, "t": 1, "n": 1});
-        g.form::<JobRecord>(&format!("job least {state}"), &least);
-        let whole = with(job.clone(), json!({"s": state, "f": null, "j": small}));
-        g.form::<JobRecord>(&format!("job {state}"), &whole);
+        let required_only = json!({"s": state, "t": 1, "n": 1});
+        group.form::<JobRecord>(&format!("job least {state}"), &required_only);
+        let full = with(
+            job.clone(),
+            json!({"s": state, "f": null, "j": without_optional}),
+        );
+        group.form::<JobRecord>(&format!("job {state}"), &full);
     }
-    g.read_by(
+    group.read_by(
         "job x",
         &with(job, json!({"s": "x"})),
         rewritten::<JobRecord>,
     );
-    let part = json!({"p": [[40, 41, "n-000007", 3, 3], [41, 42, "n-000231", 1, 0]]});
-    g.all_keys::<OverflowRecord>("more", &part);
-    g.form::<OverflowRecord>("more none", &json!({"p": []}));
-    g.all_keys::<ControllerRecord>("node", &json!({"i": u64::MAX, "v": 2, "w": 1}));
-    g.form::<ControllerRecord>("node zeros", &json!({"i": 7, "v": 0, "w": 0}));
-    g.all_keys::<ShardRecord>("shard", &json!({"o": "stoker-1", "i": 1_234_567, "t": 41}));
-    g.all_keys::<TeamRecord>("team", &json!({"s": [[1, 8000, 2000], [3, -5, 0]]}));
-    let send_provisioning_request =
-        json!({"r": "g8", "z": "a", "s": true, "n": 12, "h": ["n-000231"]});
-    g.all_keys::<ProvisioningRecord>("book", &send_provisioning_request);
-    g.form::<cloud::MachineTypeCatalog>("flavors", &offered());
-    g.form::<bool>("form", &json!(true));
-    g.line("second form", &RECORD_FORMAT_V2.to_string());
-    g.line("standby version", &STANDBY_VERSION.to_string());
-    g.compare();
+    let overflow = json!({"p": [[40, 41, "n-000007", 3, 3], [41, 42, "n-000231", 1, 0]]});
+    group.all_keys::<OverflowRecord>("more", &overflow);
+    group.form::<OverflowRecord>("more none", &json!({"p": []}));
+    group.all_keys::<ControllerRecord>("node", &json!({"i": u64::MAX, "v": 2, "w": 1}));
+    group.form::<ControllerRecord>("node zeros", &json!({"i": 7, "v": 0, "w": 0}));
+    group.all_keys::<ShardRecord>("shard", &json!({"o": "stoker-1", "i": 1_234_567, "t": 41}));
+    group.all_keys::<TeamRecord>("team", &json!({"s": [[1, 8000, 2000], [3, -5, 0]]}));
+    let provisioning = json!({"r": "g8", "z": "a", "s": true, "n": 12, "h": ["n-000231"]});
+    group.all_keys::<ProvisioningRecord>("book", &provisioning);
+    group.form::<cloud::MachineTypeCatalog>("flavors", &offered());
+    group.form::<bool>("form", &json!(true));
+    group.line("second form", &RECORD_FORMAT_V2.to_string());
+    group.line("standby version", &STANDBY_VERSION.to_string());
+    group.compare();
 }
 
-fn node() -> ControllerRecord {
+fn controller_record() -> ControllerRecord {
     read(json!({"i": 7, "v": 2}))
 }
 
 /// Adds the transactions that write a record, one for each kind of record.
-fn written_records(g: &mut Group, c: &ClusterState) {
+fn add_record_writes(group: &mut Group, cluster: &ClusterState) {
     let record = JobRecord::submitted(read(described()), 1);
-    let token = ShardRecord {
+    let shard = ShardRecord {
         fencing_token: FencingToken(5),
         ..ShardRecord::default()
     };
-    let node = node();
+    let controller = controller_record();
     let writes = [
         kv::set(ClusterState::job_key("job-000412"), &record, None),
         kv::set(
@@ -83,28 +85,28 @@
             &OverflowRecord::default(),
             None,
         ),
-        kv::set(c.shard_key(ShardIndex(3)), &token, None),
-        kv::set(c.team_key(TeamIndex(0)), &TeamRecord::default(), None),
-        kv::set("ph/node/stoker-1".into(), &node, Some(99)),
+        kv::set(cluster.shard_key(ShardIndex(3)), &shard, None),
+        kv::set(cluster.team_key(TeamIndex(0)), &TeamRecord::default(), None),
+        kv::set("ph/node/stoker-1".into(), &controller, Some(99)),
     ];
     for write in writes.into_iter().flatten() {
-        let txn = kv_protocol::Transaction {
+        let transaction = kv_protocol::Transaction {
             conditions: Vec::new(),
             writes: vec![write],
         };
-        let bytes = rmp_serde::to_vec_named(&txn).expect("a transaction");
-        let kv_protocol::Write::Set { set: key, .. } = &txn.writes[0] else {
-            panic!("not a put");
+        let bytes = rmp_serde::to_vec_named(&transaction).expect("a transaction");
+        let kv_protocol::Write::Set { set: key, .. } = &transaction.writes[0] else {
+            panic!("the write is not a put");
         };
-        g.line(key, &hex(&bytes));
+        group.line(key, &hex(&bytes));
     }
 }
 
 /// Checks that records of all kinds are read from their keys.
-fn records_are_found_under_their_keys(c: &mut ClusterState) {
-    let mut put = |key: &str, v: Value| {
-        let v = rmp_serde::from_slice(&packed(&v)).expect("a value");
-        c.put(key, 9, &v);
+fn check_records_are_read_from_their_keys(cluster: &mut ClusterState) {
+    let mut put = |key: &str, value: Value| {
+        let value = rmp_serde::from_slice(&packed(&value)).expect("a value");
+        cluster.put(key, 9, &value);
     };
     put("ph/node/stoker-1", json!({"i": 7, "v": 2}));
     put("ph/shard/3", json!({"o": "stoker-1", "i": 7, "t": 41}));
@@ -115,50 +117,54 @@
     );
     put("ph/flavors/all", offered());
     put("ph/job/job-1", json!({"s": "c", "t": 1, "n": 1}));
-    assert_eq!(c.controllers["stoker-1"].version, 9);
+    assert_eq!(cluster.controllers["stoker-1"].version, 9);
     assert_eq!(
-        (c.shards[3].version, c.shards[3].record.fencing_token),
+        (
+            cluster.shards[3].version,
+            cluster.shards[3].record.fencing_token
+        ),
         (9, FencingToken(41))
     );
     assert_eq!(
-        c.team_quotas[0].record.share(ShardIndex(1)),
+        cluster.team_quotas[0].record.share(ShardIndex(1)),
         QuotaUsage {
             cpu_milli: 8000,
             gpu_milli: 2000
         }
     );
-    assert_eq!(c.provisioning_requests["b-1"].record.count, 12);
-    assert_eq!(c.machine_types_version, 9);
-    assert!(c.job("job-1").is_some() && !c.record_format_v2);
+    assert_eq!(cluster.provisioning_requests["b-1"].record.count, 12);
+    assert_eq!(cluster.machine_types_version, 9);
+    assert!(cluster.job("job-1").is_some() && !cluster.record_format_v2);
 }
 
-fn transactions_of_membership(g: &mut Group, c: &mut ClusterState) {
-    c.loaded = true;
-    let begins = begin_record_format_v2(c, &["stoker-1"]).expect("all know it");
-    let bytes = rmp_serde::to_vec_named(&begins).expect("a transaction");
-    g.line("second form begins", &hex(&bytes));
-    c.put("ph/form/2", 10, &rmpv::Value::Boolean(true));
-    assert!(c.record_format_v2);
+fn membership_transactions(group: &mut Group, cluster: &mut ClusterState) {
+    cluster.loaded = true;
+    let transaction =
+        begin_record_format_v2(cluster, &["stoker-1"]).expect("all controllers support it");
+    let bytes = rmp_serde::to_vec_named(&transaction).expect("a transaction");
+    group.line("second form begins", &hex(&bytes));
+    cluster.put("ph/form/2", 10, &rmpv::Value::Boolean(true));
+    assert!(cluster.record_format_v2);
     let target = Versioned {
         version: 3,
-        record: node(),
+        record: controller_record(),
     };
-    c.controllers.insert("stoker-2".into(), target);
-    let moved = Move {
+    cluster.controllers.insert("stoker-2".into(), target);
+    let shard_move = Move {
         shard: ShardIndex(3),
         to: "stoker-2".into(),
     };
-    let (txn, _) = move_transaction(c, &moved).expect("a move");
-    let bytes = rmp_serde::to_vec_named(&txn).expect("a transaction");
-    g.line("a shard moves", &hex(&bytes));
+    let (transaction, _) = move_transaction(cluster, &shard_move).expect("a move");
+    let bytes = rmp_serde::to_vec_named(&transaction).expect("a transaction");
+    group.line("a shard moves", &hex(&bytes));
 }
 
 #[test]
 fn keys_of_records_and_the_transactions_that_write_them() {
-    let mut g = Group::new("keys.txt");
-    let mut c = cluster();
-    written_records(&mut g, &c);
-    records_are_found_under_their_keys(&mut c);
-    transactions_of_membership(&mut g, &mut c);
-    g.compare();
+    let mut group = Group::new("keys.txt");
+    let mut cluster = cluster();
+    add_record_writes(&mut group, &cluster);
+    check_records_are_read_from_their_keys(&mut cluster);
+    membership_transactions(&mut group, &mut cluster);
+    group.compare();
 }
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -24,9 +24,9 @@
 fn sample_of(version: &str, name: &str) -> Vec<u8> {
     let line = version
         .lines()
-        .find_map(|l| l.strip_prefix(&format!("{name} ")));
+        .find_map(|line| line.strip_prefix(&format!("{name} ")));
     let hex = line.unwrap_or_else(|| panic!("no sample {name}"));
-    let byte = |i| u8::from_str_radix(&hex[i..i + 2], 16).expect("hex");
+    let byte = |at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex");
     (0..hex.len()).step_by(2).map(byte).collect()
 }
 
@@ -35,20 +35,28 @@
     sample_of(VERSION_0_1, name)
 }
 
-/// Checks that a sample of version 0.1 reads as `rec`, and that this version writes the same bytes.
-fn same_record<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(name: &str, rec: &T) {
-    same_record_as(VERSION_0_1, name, rec);
+/// Checks that a sample of version 0.1 reads as `record`, and that this version writes the same
+/// bytes.
+fn check_record<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(
+    name: &str,
+    record: &T,
+) {
+    check_record_of(VERSION_0_1, name, record);
 }
 
-/// Checks that a version's sample reads as `rec`, and that this version writes the same bytes.
-fn same_record_as<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(
+/// Checks that a version's sample reads as `record`, and that this version writes the same bytes.
+fn check_record_of<T: Serialize + DeserializeOwned + PartialEq + std::fmt::Debug>(
     version: &str,
     name: &str,
-    rec: &T,
+    record: &T,
 ) {
     let bytes = sample_of(version, name);
-    assert_eq!(&rmp_serde::from_slice::<T>(&bytes).expect(name), rec);
-    assert_eq!(rmp_serde::to_vec_named(rec).expect(name), bytes, "{name}");
+    assert_eq!(&rmp_serde::from_slice::<T>(&bytes).expect(name), record);
+    assert_eq!(
+        rmp_serde::to_vec_named(record).expect(name),
+        bytes,
+        "{name}"
+    );
 }
 
 fn names() -> Vec<String> {
@@ -56,7 +64,7 @@
 }
 
 /// A gang's description.
-fn gang() -> JobSpec {
+fn gang_spec() -> JobSpec {
     JobSpec {
         id: "job-000412".into(),
         class: "train".into(),
@@ -85,11 +93,11 @@
 /// An open job of which two tasks are placed.
 fn open_job() -> JobRecord {
     let mut done = TaskRanges::default();
-    for t in [0, 1, 3] {
-        done.add(t);
+    for task in [0, 1, 3] {
+        done.add(task);
     }
     JobRecord {
-        spec: Some(gang()),
+        spec: Some(gang_spec()),
         state: JobState::Open,
         submitted_at: 1_764_650_000_123,
         done,
@@ -104,8 +112,8 @@
 
 #[test]
 fn records_are_encoded_identically_by_both_versions() {
-    same_record("record/job/open", &open_job());
-    let over = JobRecord {
+    check_record("record/job/open", &open_job());
+    let cancelled = JobRecord {
         spec: None,
         state: JobState::Cancelled,
         submitted_at: 1_764_650_000_123,
@@ -114,9 +122,9 @@
         next_attempt: 2,
         finished_at: 0,
     };
-    same_record("record/job/over", &over);
+    check_record("record/job/over", &cancelled);
     let incarnation = 1_234_567;
-    same_record(
+    check_record(
         "record/node",
         &ControllerRecord {
             incarnation: Incarnation(incarnation),
@@ -129,7 +137,7 @@
         incarnation: Incarnation(incarnation),
         fencing_token: FencingToken(41),
     };
-    same_record("record/shard", &shard);
+    check_record("record/shard", &shard);
     let mut team = TeamRecord::default();
     team.set(
         ShardIndex(1),
@@ -138,15 +146,15 @@
             gpu_milli: 2000,
         },
     );
-    same_record("record/team", &team);
-    let booking = ProvisioningRecord {
+    check_record("record/team", &team);
+    let provisioning = ProvisioningRecord {
         machine_type: "g8".into(),
         zone: "a".into(),
         spot: true,
         count: 12,
         machines: vec!["n-000231".into()],
     };
-    same_record("record/book", &booking);
+    check_record("record/book", &provisioning);
 }
 
 fn machine_status() -> MachineStatus {
@@ -173,7 +181,7 @@
 }
 
 /// A request of each kind that version 0.1 knows.
-fn asks() -> [(&'static str, PeerRequest); 6] {
+fn requests() -> [(&'static str, PeerRequest); 6] {
     let job = || "job-000412".to_string();
     [
         (
@@ -213,43 +221,47 @@
 #[test]
 fn frames_of_all_kinds_known_to_the_old_version_are_encoded_identically() {
     assert_eq!(peers::VERSION, 3);
-    for (name, ask) in asks() {
+    for (name, request) in requests() {
         let bytes = sample(&format!("ask/{name}"));
-        assert_eq!(peers::decode_request(&bytes), Some(ask.clone()), "{name}");
+        assert_eq!(
+            peers::decode_request(&bytes),
+            Some(request.clone()),
+            "{name}"
+        );
         // Padding within a frame has no defined value, so this version's frame is compared by its
         // length and by what version 0.1 reads from it.
-        let made = peers::encode(&ask).expect(name);
-        assert_eq!(made.len(), bytes.len(), "{name}");
+        let encoded = peers::encode(&request).expect(name);
+        assert_eq!(encoded.len(), bytes.len(), "{name}");
         assert_eq!(
-            old::decode_request(&made),
+            old::decode_request(&encoded),
             old::decode_request(&bytes),
             "{name}"
         );
-        assert!(old::decode_request(&made).is_some(), "{name}");
+        assert!(old::decode_request(&encoded).is_some(), "{name}");
     }
-    let replies = [
+    let responses = [
         ("noted", PeerResponse::Acknowledged),
         ("task", PeerResponse::StolenTask(Some(task()))),
         ("none", PeerResponse::StolenTask(None)),
         ("closed", PeerResponse::Cordoned(names())),
     ];
-    for (name, reply) in replies {
+    for (name, response) in responses {
         let bytes = sample(&format!("reply/{name}"));
         assert_eq!(
             peers::decode_response(&bytes),
-            Some(reply.clone()),
+            Some(response.clone()),
             "{name}"
         );
-        let made = peers::encode(&reply).expect(name);
-        assert_eq!(made.len(), bytes.len(), "{name}");
-        let read = old::decode_response(&made);
+        let encoded = peers::encode(&response).expect(name);
+        assert_eq!(encoded.len(), bytes.len(), "{name}");
+        let read = old::decode_response(&encoded);
         assert_eq!(read, old::decode_response(&bytes), "{name}");
         assert!(read.is_some(), "{name}");
     }
 }
 
 /// The job with dependencies in the samples of version 0.2.
-fn dependent() -> JobSpec {
+fn dependent_spec() -> JobSpec {
     JobSpec {
         id: "job-000412".into(),
         class: "train".into(),
@@ -277,9 +289,9 @@
 
 #[test]
 fn records_of_format_v2_equal_those_of_the_production_version() {
-    let same = |name: &str, rec: &JobRecord| same_record_as(VERSION_0_2, name, rec);
-    let waiting = JobRecord::submitted(dependent(), 1_764_650_000_123);
-    same("record/job/waiting", &waiting);
+    let check = |name: &str, record: &JobRecord| check_record_of(VERSION_0_2, name, record);
+    let waiting = JobRecord::submitted(dependent_spec(), 1_764_650_000_123);
+    check("record/job/waiting", &waiting);
     let mut done = TaskRanges::default();
     for task in [0, 1, 7] {
         done.add(task);
@@ -290,8 +302,8 @@
         next_attempt: 9,
         ..waiting.clone()
     };
-    same("record/job/running", &running);
-    let over = JobRecord {
+    check("record/job/running", &running);
+    let finished = JobRecord {
         spec: None,
         state: JobState::Done,
         done: TaskRanges::all(300),
@@ -299,60 +311,60 @@
         finished_at: 1_764_650_090_456,
         ..waiting
     };
-    same("record/job/done", &over);
-    let part = OverflowRecord {
+    check("record/job/done", &finished);
+    let overflow = OverflowRecord {
         placements: vec![
             StoredPlacement::from((40, 41, "n-000007".to_string(), 3, 3)),
             StoredPlacement::from((41, 42, "n-000231".to_string(), 1, 0)),
         ],
     };
-    same_record_as(VERSION_0_2, "record/part", &part);
-    let node = ControllerRecord {
+    check_record_of(VERSION_0_2, "record/part", &overflow);
+    let controller = ControllerRecord {
         incarnation: Incarnation(1_234_567),
         record_format: RECORD_FORMAT_V2,
         standby_version: 0,
     };
-    same_record_as(VERSION_0_2, "record/node", &node);
-    same_record_as(VERSION_0_2, "record/form", &true);
+    check_record_of(VERSION_0_2, "record/node", &controller);
+    check_record_of(VERSION_0_2, "record/form", &true);
 }
 
 #[test]
 fn cancellation_frames_equal_those_of_the_production_version() {
     let jobs = vec!["job-000412".to_string(), "job-000398".to_string()];
-    let ask = PeerRequest::CancelledJobs { jobs: jobs.clone() };
-    let reply = PeerResponse::CancellationAttestation {
+    let request = PeerRequest::CancelledJobs { jobs: jobs.clone() };
+    let response = PeerResponse::CancellationAttestation {
         uptime_ms: 90_000,
         watermark_age_ms: 250,
         jobs,
     };
     let bytes = sample_of(VERSION_0_2, "ask/cancelled");
-    assert_eq!(peers::decode_request(&bytes), Some(ask.clone()));
+    assert_eq!(peers::decode_request(&bytes), Some(request.clone()));
     assert_eq!(
-        peers::encode(&ask).map(|made| made.len()),
+        peers::encode(&request).map(|encoded| encoded.len()),
         Some(bytes.len())
     );
     let bytes = sample_of(VERSION_0_2, "reply/cancelled");
-    assert_eq!(peers::decode_response(&bytes), Some(reply.clone()));
-    let made = peers::encode(&reply).expect("a frame");
-    assert_eq!(made.len(), bytes.len());
+    assert_eq!(peers::decode_response(&bytes), Some(response.clone()));
+    let encoded = peers::encode(&response).expect("a frame");
+    assert_eq!(encoded.len(), bytes.len());
     // Padding has no defined value, so this version's frame is compared by what is read from it.
-    assert_eq!(peers::decode_response(&made), Some(reply));
+    assert_eq!(peers::decode_response(&encoded), Some(response));
 }
 
 #[test]
 fn the_old_version_refuses_unknown_frames() {
     let jobs = vec!["job-1".to_string()];
-    let ask = peers::encode(&PeerRequest::CancelledJobs { jobs: jobs.clone() }).unwrap();
-    assert!(peers::decode_request(&ask).is_some());
-    assert_eq!(old::decode_request(&ask), None);
-    let told = peers::encode(&PeerResponse::CancellationAttestation {
+    let request = peers::encode(&PeerRequest::CancelledJobs { jobs: jobs.clone() }).unwrap();
+    assert!(peers::decode_request(&request).is_some());
+    assert_eq!(old::decode_request(&request), None);
+    let response = peers::encode(&PeerResponse::CancellationAttestation {
         uptime_ms: 1,
         watermark_age_ms: 2,
         jobs,
     })
     .unwrap();
-    assert!(peers::decode_response(&told).is_some());
-    assert_eq!(old::decode_response(&told), None);
+    assert!(peers::decode_response(&response).is_some());
+    assert_eq!(old::decode_response(&response), None);
 }
 
 /// The frames as version 0.1 declares them.
