--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -15,18 +15,18 @@
 use support::simulated_cluster::SimulatedCluster;
 use support::simulated_controller::{start_single_controller, SimulatedController, CANCEL_MS};
 
-fn after(id: &str, tasks: u32, awaits: &[&str]) -> JobSpec {
+fn job_after(id: &str, tasks: u32, dependencies: &[&str]) -> JobSpec {
     JobSpec {
-        dependencies: awaits.iter().map(|s| s.to_string()).collect(),
+        dependencies: dependencies.iter().map(|id| id.to_string()).collect(),
         ..job(id, tasks)
     }
 }
 
 /// A cluster in record format 2 whose tasks run for `run_ms`.
-fn world(run_ms: u64) -> SimulatedCluster {
+fn format_v2_cluster(run_ms: u64) -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(4);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = run_ms;
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = run_ms;
     }
     cluster.begin_record_format_v2();
     cluster
@@ -34,32 +34,35 @@
 
 fn submission(awaits: rmpv::Value) -> Vec<u8> {
     let bytes = rmp_serde::to_vec_named(&job("job-9", 1)).unwrap();
-    let mut v = rmpv::decode::read_value(&mut bytes.as_slice()).unwrap();
-    if let rmpv::Value::Map(m) = &mut v {
-        m.push(("awaits".into(), awaits));
+    let mut spec = rmpv::decode::read_value(&mut bytes.as_slice()).unwrap();
+    if let rmpv::Value::Map(fields) = &mut spec {
+        fields.push(("awaits".into(), awaits));
     }
-    let mut out = Vec::new();
-    rmpv::encode::write_value(&mut out, &v).unwrap();
-    out
+    let mut body = Vec::new();
+    rmpv::encode::write_value(&mut body, &spec).unwrap();
+    body
 }
 
 #[test]
 fn a_submission_names_its_dependencies_in_every_form_the_protocol_allows() {
     use rmpv::Value;
-    let list = |ids: &[&str]| Value::Array(ids.iter().map(|i| Value::from(*i)).collect());
-    let read = |v| parse_job(&submission(v));
-    assert_eq!(read(Value::Nil).unwrap().dependencies, Vec::<String>::new());
-    assert_eq!(read(list(&[])).unwrap().dependencies, Vec::<String>::new());
-    let twice = read(list(&["job-1", "job-2", "job-1"])).unwrap();
+    let list = |ids: &[&str]| Value::Array(ids.iter().map(|id| Value::from(*id)).collect());
+    let parse = |awaits| parse_job(&submission(awaits));
+    assert_eq!(
+        parse(Value::Nil).unwrap().dependencies,
+        Vec::<String>::new()
+    );
+    assert_eq!(parse(list(&[])).unwrap().dependencies, Vec::<String>::new());
+    let twice = parse(list(&["job-1", "job-2", "job-1"])).unwrap();
     assert_eq!(twice.dependencies, ["job-1", "job-2"]);
     assert!(parse_job(&rmp_serde::to_vec_named(&job("job-9", 1)).unwrap()).is_some());
     // Not a list, not text, the job itself.
-    assert!(read(Value::from("job-1")).is_none());
-    assert!(read(Value::Array(vec![Value::from(1)])).is_none());
-    assert!(read(list(&["job-1", "job-9"])).is_none());
+    assert!(parse(Value::from("job-1")).is_none());
+    assert!(parse(Value::Array(vec![Value::from(1)])).is_none());
+    assert!(parse(list(&["job-1", "job-9"])).is_none());
     // A record holds this many even under limits that are a fraction of the current ones.
     let many: Vec<String> = (0..MAX_DEPENDENCIES)
-        .map(|i| format!("job-{i:06}"))
+        .map(|number| format!("job-{number:06}"))
         .collect();
     let mut spec = job("job-9", 1);
     spec.dependencies = many;
@@ -73,14 +76,14 @@
 
 #[test]
 fn no_task_of_a_job_starts_before_all_its_dependencies_are_done() {
-    let mut cluster = world(3000);
-    for (id, awaits) in [
+    let mut cluster = format_v2_cluster(3000);
+    for (id, dependencies) in [
         ("job-1", vec![]),
         ("job-2", vec!["job-1"]),
         ("job-3", vec!["job-1"]),
         ("job-4", vec!["job-2", "job-3"]),
     ] {
-        assert!(cluster.submit(2, after(id, 2, &awaits)));
+        assert!(cluster.submit(2, job_after(id, 2, &dependencies)));
     }
     cluster.run_for(1500);
     assert_eq!(cluster.query_status(0, "job-4"), Some("pending"));
@@ -91,13 +94,13 @@
 
 #[test]
 fn a_gang_and_a_service_wait_for_dependencies_and_reserve_nothing_meanwhile() {
-    let mut cluster = world(30_000);
+    let mut cluster = format_v2_cluster(30_000);
     let mut first = job("job-1", 1);
     first.team = "mixers".into();
     assert!(cluster.submit(0, first));
-    for (id, shape) in [("job-2", JobKind::Gang), ("job-3", JobKind::Service)] {
-        let mut spec = after(id, 2, &["job-1"]);
-        spec.kind = shape;
+    for (id, kind) in [("job-2", JobKind::Gang), ("job-3", JobKind::Service)] {
+        let mut spec = job_after(id, 2, &["job-1"]);
+        spec.kind = kind;
         spec.team = "mixers".into();
         assert!(cluster.submit(1, spec));
     }
@@ -115,44 +118,44 @@
 
 #[test]
 fn a_cancellation_cascades_to_all_transitive_dependents() {
-    let mut cluster = world(20_000);
+    let mut cluster = format_v2_cluster(20_000);
     assert!(cluster.submit(0, job("job-1", 1)));
-    assert!(cluster.submit(0, after("job-2", 1, &["job-1"])));
-    assert!(cluster.submit(1, after("job-3", 1, &["job-1"])));
-    assert!(cluster.submit(2, after("job-4", 1, &["job-2", "job-3"])));
+    assert!(cluster.submit(0, job_after("job-2", 1, &["job-1"])));
+    assert!(cluster.submit(1, job_after("job-3", 1, &["job-1"])));
+    assert!(cluster.submit(2, job_after("job-4", 1, &["job-2", "job-3"])));
     let mut last = "job-4".to_string();
-    for i in 10..310 {
-        let id = format!("job-{i}");
-        assert!(cluster.submit(i % 3, after(&id, 1, &[&last])));
+    for number in 10..310 {
+        let id = format!("job-{number}");
+        assert!(cluster.submit(number % 3, job_after(&id, 1, &[&last])));
         last = id;
     }
     assert!(cluster.submit(0, job("job-5", 1)));
     cluster.run_for(4000);
     assert!(cluster.cancel(1, "job-2"));
     // Every controller reports all of them as cancelled at once, before any record does.
-    for at in 0..3 {
+    for index in 0..3 {
         for id in ["job-4", "job-10", "job-200", last.as_str()] {
             assert_eq!(
-                cluster.query_status(at, id),
+                cluster.query_status(index, id),
                 Some("aborted"),
-                "{id} at {at}"
+                "{id} at controller {index}"
             );
         }
-        assert_ne!(cluster.query_status(at, "job-1"), Some("aborted"));
-        assert_ne!(cluster.query_status(at, "job-3"), Some("aborted"));
+        assert_ne!(cluster.query_status(index, "job-1"), Some("aborted"));
+        assert_ne!(cluster.query_status(index, "job-3"), Some("aborted"));
     }
     // A job submitted later with a cancelled dependency is accepted and cancelled.
-    assert!(cluster.submit(2, after("job-999", 1, &["job-5", "job-4"])));
-    for at in 0..3 {
-        assert_eq!(cluster.query_status(at, "job-999"), Some("aborted"));
+    assert!(cluster.submit(2, job_after("job-999", 1, &["job-5", "job-4"])));
+    for index in 0..3 {
+        assert_eq!(cluster.query_status(index, "job-999"), Some("aborted"));
     }
     cluster.run_for(CANCEL_MS);
     assert!(!cluster.has_started("job-4") && !cluster.has_started(&last));
     // The records are updated a few at a time.
     cluster.run_for(200_000);
-    for at in 0..3 {
+    for index in 0..3 {
         assert!(cluster
-            .controller(at)
+            .controller(index)
             .cluster
             .dependency_graph
             .unwritten_cancellations
@@ -163,11 +166,11 @@
 
 #[test]
 fn a_cancellation_that_is_answered_with_done_cancels_nothing() {
-    let mut cluster = world(2000);
+    let mut cluster = format_v2_cluster(2000);
     assert!(cluster.submit(0, job("job-1", 1)));
     cluster.run_for(8000);
     assert_eq!(cluster.query_status(1, "job-1"), Some("done"));
-    assert!(cluster.submit(1, after("job-2", 1, &["job-1"])));
+    assert!(cluster.submit(1, job_after("job-2", 1, &["job-1"])));
     assert!(!cluster.cancel(2, "job-1"));
     cluster.run_for(12_000);
     assert_eq!(cluster.query_status(0, "job-2"), Some("done"));
@@ -177,20 +180,20 @@
 #[test]
 fn a_dependent_submitted_concurrently_with_the_cancellation_is_cancelled_in_either_order() {
     for cancel_first in [true, false] {
-        let mut cluster = world(20_000);
+        let mut cluster = format_v2_cluster(20_000);
         assert!(cluster.submit(0, job("job-1", 1)));
         cluster.run_for(3000);
         if cancel_first {
             // The controller that accepts the dependent does not know of the cancellation.
             cluster.controller_faults[1].isolated_from_peers = true;
             assert!(cluster.cancel(0, "job-1"));
-            assert!(cluster.submit(1, after("job-2", 1, &["job-1"])));
+            assert!(cluster.submit(1, job_after("job-2", 1, &["job-1"])));
         } else {
-            assert!(cluster.submit(1, after("job-2", 1, &["job-1"])));
+            assert!(cluster.submit(1, job_after("job-2", 1, &["job-1"])));
             assert!(cluster.cancel(0, "job-1"));
         }
-        for at in 0..3 {
-            assert_eq!(cluster.query_status(at, "job-2"), Some("aborted"));
+        for index in 0..3 {
+            assert_eq!(cluster.query_status(index, "job-2"), Some("aborted"));
         }
         cluster.controller_faults[1].isolated_from_peers = false;
         cluster.run_for(40_000);
@@ -211,21 +214,21 @@
         body.status
     };
     controller.submit(&mut store, job("job-1", 1), 0);
-    controller.submit(&mut store, after("job-2", 1, &["job-1"]), 100);
+    controller.submit(&mut store, job_after("job-2", 1, &["job-1"]), 100);
     assert_eq!(status(&controller, "job-2"), "pending");
     controller.cancel(&mut store, "job-1", 200);
-    controller.submit(&mut store, after("job-3", 1, &["job-1"]), 300);
-    controller.submit(&mut store, after("job-4", 1, &["job-3"]), 400);
+    controller.submit(&mut store, job_after("job-3", 1, &["job-1"]), 300);
+    controller.submit(&mut store, job_after("job-4", 1, &["job-3"]), 400);
     assert_eq!(status(&controller, "job-3"), "aborted");
     assert_eq!(status(&controller, "job-4"), "aborted");
 }
 
 #[test]
 fn readiness_holds_across_stale_views_delayed_writes_outages_and_failovers() {
-    let mut cluster = world(6000);
+    let mut cluster = format_v2_cluster(6000);
     assert!(cluster.submit(0, job("job-1", 3)));
-    assert!(cluster.submit(1, after("job-2", 3, &["job-1"])));
-    assert!(cluster.submit(2, after("job-3", 3, &["job-2"])));
+    assert!(cluster.submit(1, job_after("job-2", 3, &["job-1"])));
+    assert!(cluster.submit(2, job_after("job-3", 3, &["job-2"])));
     cluster.run_for(3000);
     cluster.store.execution_delay_ms = Some(3000);
     cluster.run_for(6000);
@@ -245,10 +248,10 @@
 }
 
 #[test]
-fn times_count_from_the_end_of_the_last_dependency_even_after_a_restart_of_all() {
-    let mut cluster = world(4000);
+fn a_job_is_eligible_since_the_end_of_its_last_dependency_even_after_a_restart_of_all() {
+    let mut cluster = format_v2_cluster(4000);
     assert!(cluster.submit(0, job("job-1", 1)));
-    let mut second = after("job-2", 1, &["job-1"]);
+    let mut second = job_after("job-2", 1, &["job-1"]);
     second.vcpus = 1000.0;
     assert!(cluster.submit(0, second));
     cluster.run_for(20_000);
@@ -262,20 +265,23 @@
             .eligible_since,
         job.finished_at
     );
-    let mut wide = after("job-3", 1, &["job-1"]);
-    wide.vcpus = 1000.0;
-    assert!(cluster.submit(0, wide));
-    for at in 0..3 {
-        cluster.stop_controller(at);
+    let mut third = job_after("job-3", 1, &["job-1"]);
+    third.vcpus = 1000.0;
+    assert!(cluster.submit(0, third));
+    for index in 0..3 {
+        cluster.stop_controller(index);
     }
     cluster.run_for(3000);
-    for at in 0..3 {
-        cluster.start_controller(at);
+    for index in 0..3 {
+        cluster.start_controller(index);
         // It was submitted after its dependency ended, so it is eligible since its submission.
-        let node = cluster.controller(at);
-        let own = node.job("job-3").submitted_at;
-        assert_eq!(node.job("job-3").dependency_state.eligible_since, own);
-        assert_eq!(node.job("job-1").finished_at, job.finished_at);
+        let controller = cluster.controller(index);
+        let submitted_at = controller.job("job-3").submitted_at;
+        assert_eq!(
+            controller.job("job-3").dependency_state.eligible_since,
+            submitted_at
+        );
+        assert_eq!(controller.job("job-1").finished_at, job.finished_at);
     }
 }
 
@@ -284,7 +290,7 @@
     let (mut store, mut controller) = start_single_controller();
     let mut first = job("job-1", 1);
     first.priority = Priority::Low;
-    let mut second = after("job-2", 1, &["job-1"]);
+    let mut second = job_after("job-2", 1, &["job-1"]);
     second.priority = Priority::Normal;
     controller.submit(&mut store, first, 1000);
     controller.submit(&mut store, second, 2000);
@@ -293,7 +299,7 @@
         Priority::Normal
     );
     assert_eq!(controller.job("job-1").dependency_state.deadline, None);
-    let mut last = after("job-3", 1, &["job-2"]);
+    let mut last = job_after("job-3", 1, &["job-2"]);
     last.priority = Priority::High;
     last.deadline_s = Some(100.0);
     last.estimated_run_s = 20.0;
@@ -301,13 +307,13 @@
     for id in ["job-1", "job-2", "job-3"] {
         assert_eq!(controller.job(id).dependency_state.priority, Priority::High);
     }
-    let due = |controller: &SimulatedController, id: &str| {
+    let deadline = |controller: &SimulatedController, id: &str| {
         controller.job(id).dependency_state.deadline.unwrap()
     };
-    assert_eq!(due(&controller, "job-3"), 103_000);
+    assert_eq!(deadline(&controller, "job-3"), 103_000);
     // The deadline of the dependent, less its run time and an overhead for each stage.
-    assert!((75_000..83_000).contains(&due(&controller, "job-2")));
-    assert!(due(&controller, "job-1") < due(&controller, "job-2") - 10_000);
+    assert!((75_000..83_000).contains(&deadline(&controller, "job-2")));
+    assert!(deadline(&controller, "job-1") < deadline(&controller, "job-2") - 10_000);
     // Once the last job is cancelled, nothing is inherited from it any more.
     controller.cancel(&mut store, "job-3", 4000);
     assert_eq!(
@@ -320,7 +326,7 @@
 #[test]
 fn a_dependency_of_an_urgent_job_is_not_preempted_for_another_urgent_job() {
     use pointhook::state::names::ShardIndex;
-    for needed in [false, true] {
+    for has_urgent_dependent in [false, true] {
         let (mut store, mut controller) = start_single_controller();
         let mut worker = support::worker::FakeWorker::new("m1", "north", 0);
         worker.run_ms = 100_000;
@@ -335,8 +341,8 @@
             4000,
         );
         assert!(worker.has_task("job-1/0"));
-        if needed {
-            let mut last = after("job-2", 1, &["job-1"]);
+        if has_urgent_dependent {
+            let mut last = job_after("job-2", 1, &["job-1"]);
             last.priority = Priority::High;
             controller.submit(&mut store, last, 4000);
         }
@@ -350,9 +356,9 @@
             4000,
             12_000,
         );
-        let turn = ShardIndex(0);
-        let stops = preemption::preempt(&controller.pass(12_000), turn);
-        assert_eq!(stops.len(), usize::from(!needed));
+        let shard = ShardIndex(0);
+        let stops = preemption::preempt(&controller.pass(12_000), shard);
+        assert_eq!(stops.len(), usize::from(!has_urgent_dependent));
     }
 }
 
@@ -365,7 +371,7 @@
     );
     let s1 = SimulatedController::start("s1", 2, &mut store, 0);
     controller.sync(&store);
-    let txn = begin_record_format_v2(&controller.cluster, &["n1", "s1"]).unwrap();
+    let transaction = begin_record_format_v2(&controller.cluster, &["n1", "s1"]).unwrap();
     // One of them restarts with the old version before the transaction is executed.
     store.revoke_lease(s1.lease);
     let key = format!("{ROOT}node/s1");
@@ -381,13 +387,13 @@
             .collect(),
     };
     store.commit(&write, 0);
-    assert_eq!(store.commit(&txn, 0).status, 409);
+    assert_eq!(store.commit(&transaction, 0).status, 409);
     controller.sync(&store);
     assert!(begin_record_format_v2(&controller.cluster, &["n1", "s1"]).is_none());
     assert!(begin_record_format_v2(&controller.cluster, &["n1"]).is_some());
     assert!(!controller.cluster.record_format_v2);
-    let txn = begin_record_format_v2(&controller.cluster, &["n1"]).unwrap();
-    assert_eq!(store.commit(&txn, 0).status, 200);
+    let transaction = begin_record_format_v2(&controller.cluster, &["n1"]).unwrap();
+    assert_eq!(store.commit(&transaction, 0).status, 200);
     controller.sync(&store);
     assert!(controller.cluster.record_format_v2);
     assert!(begin_record_format_v2(&controller.cluster, &["n1"]).is_none());
@@ -401,7 +407,7 @@
 }
 
 /// Sets the coming limits that the settings announce.
-fn expect(cluster: &mut SimulatedCluster, next: Limits) {
+fn announce_limits(cluster: &mut SimulatedCluster, next: Limits) {
     for controller in cluster.controllers.iter_mut().flatten() {
         controller.config.limits_next = next;
     }
@@ -416,43 +422,43 @@
     };
     let mut cluster = SimulatedCluster::new(16);
     cluster.store.max_txn_ops = 12;
-    expect(&mut cluster, next);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 40_000;
+    announce_limits(&mut cluster, next);
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 40_000;
     }
     // While the old version may still run, a job has as many placements as fit into one record.
-    let slim = |id: &str, tasks, shape| {
+    let small_job = |id: &str, tasks, kind| {
         let mut spec = job(id, tasks);
         spec.vcpus = 0.5;
         spec.gpus = 0.01;
         spec.mem_gb = 0.1;
-        spec.kind = shape;
+        spec.kind = kind;
         spec
     };
-    assert!(cluster.submit(0, slim("job-1", 150, JobKind::Array)));
+    assert!(cluster.submit(0, small_job("job-1", 150, JobKind::Array)));
     cluster.run_for(20_000);
-    let widest = |cluster: &SimulatedCluster| {
+    let largest = |cluster: &SimulatedCluster| {
         let entries = cluster.store.read_page(ROOT, "", 10_000).entries;
-        let size = |e: &pointhook::protocol::kv::Entry| e.v.to_string().len();
+        let size = |entry: &pointhook::protocol::kv::Entry| entry.v.to_string().len();
         entries.iter().map(size).max().unwrap()
     };
-    assert!(widest(&cluster) > 2048);
+    assert!(largest(&cluster) > 2048);
     assert!(cluster.controller(0).job("job-1").placements.len() > 100);
     // All controllers support record format 2: a record that is too large is split in advance.
     cluster.begin_record_format_v2();
     cluster.run_for(10_000);
-    assert!(widest(&cluster) <= 2048, "{}", widest(&cluster));
+    assert!(largest(&cluster) <= 2048, "{}", largest(&cluster));
     cluster.store.max_value_bytes = 2048;
     cluster.store.max_txn_ops = 5;
     cluster.store.max_writes_per_s = 15.0;
-    assert!(cluster.submit(1, slim("job-2", 200, JobKind::Array)));
-    assert!(cluster.submit(2, slim("job-3", 16, JobKind::Gang)));
-    assert!(cluster.submit(2, slim("job-4", 90, JobKind::Gang)));
+    assert!(cluster.submit(1, small_job("job-2", 200, JobKind::Array)));
+    assert!(cluster.submit(2, small_job("job-3", 16, JobKind::Gang)));
+    assert!(cluster.submit(2, small_job("job-4", 90, JobKind::Gang)));
     cluster.run_for(30_000);
-    let at = cluster.controller(1);
-    assert!(at.job("job-2").placements.len() > 150);
-    assert_eq!(at.job("job-3").placements.len(), 16);
-    assert_eq!(at.job("job-4").placements.len(), 90);
+    let controller = cluster.controller(1);
+    assert!(controller.job("job-2").placements.len() > 150);
+    assert_eq!(controller.job("job-3").placements.len(), 16);
+    assert_eq!(controller.job("job-4").placements.len(), 90);
     assert!(cluster.cancel(0, "job-2"));
     cluster.run_for(CANCEL_MS);
     cluster.assert_nothing_runs_of("job-2");
@@ -462,8 +468,7 @@
     let placed = |controller: &SimulatedController| {
         controller.cluster.job("job-4").unwrap().1.placements.len()
     };
-    let (a, b) = (placed(cluster.controller(0)), placed(cluster.controller(2)));
-    assert_eq!(a, b);
+    assert_eq!(placed(cluster.controller(0)), placed(cluster.controller(2)));
     cluster.run_for(400_000);
     assert_eq!(cluster.finished_count(), 4);
     // No overflow record is left.
@@ -477,14 +482,14 @@
 
 #[test]
 fn a_refusal_for_size_lowers_the_observed_limit() {
-    let seen = Limits::UNLIMITED.after_refusal(8, 5000);
-    assert_eq!((seen.txn_ops, seen.value_bytes), (7, usize::MAX));
-    let seen = seen.after_refusal(1, 4000);
-    assert_eq!((seen.txn_ops, seen.value_bytes), (7, 3000));
+    let observed = Limits::UNLIMITED.after_refusal(8, 5000);
+    assert_eq!((observed.txn_ops, observed.value_bytes), (7, usize::MAX));
+    let observed = observed.after_refusal(1, 4000);
+    assert_eq!((observed.txn_ops, observed.value_bytes), (7, 3000));
     // Values that are small already were refused for another reason.
-    assert_eq!(seen.after_refusal(1, 100).value_bytes, 1024);
+    assert_eq!(observed.after_refusal(1, 100).value_bytes, 1024);
     let (_, mut controller) = start_single_controller();
-    controller.config.limits_observed.set(seen);
+    controller.config.limits_observed.set(observed);
     assert_eq!(controller.config.limits(&controller.cluster).txn_ops, 7);
     controller.config.limits_next.txn_ops = 5;
     assert_eq!(
@@ -516,19 +521,22 @@
 fn random_event(
     cluster: &mut SimulatedCluster,
     rng: &mut fastrand::Rng,
-    at: usize,
+    index: usize,
     ids: &[String],
 ) {
     match rng.u32(..10) {
         0 if !ids.is_empty() => {
             let id = ids[rng.usize(..ids.len())].clone();
-            cluster.cancel(at, &id);
+            cluster.cancel(index, &id);
         }
         1 => cluster.kv_outage = true,
         2 | 3 => cluster.kv_outage = false,
-        4 => cluster.controller_faults[at].kv_refused = !cluster.controller_faults[at].kv_refused,
-        5 => cluster.stop_controller(at),
-        6 | 7 if cluster.controllers[at].is_none() => cluster.start_controller(at),
+        4 => {
+            cluster.controller_faults[index].kv_refused =
+                !cluster.controller_faults[index].kv_refused
+        }
+        5 => cluster.stop_controller(index),
+        6 | 7 if cluster.controllers[index].is_none() => cluster.start_controller(index),
         8 => cluster.store.execution_delay_ms = rng.bool().then_some(3000),
         _ => {}
     }
@@ -539,33 +547,33 @@
     cluster.controller_faults = Default::default();
     cluster.store.execution_delay_ms = None;
     cluster.run_for(6000);
-    for at in 0..3 {
-        if cluster.controllers[at].is_none() {
-            cluster.start_controller(at);
+    for index in 0..3 {
+        if cluster.controllers[index].is_none() {
+            cluster.start_controller(index);
         }
     }
 }
 
 #[test]
 fn random_dependency_graphs_with_cancellations_crashes_and_outages_break_no_invariant() {
-    let (mut cascades, mut ended) = (0, 0);
+    let (mut cascades, mut done) = (0, 0);
     for seed in 1..=24u64 {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut cluster = world(3000);
+        let mut cluster = format_v2_cluster(3000);
         let mut ids: Vec<String> = Vec::new();
-        for i in 0..40 {
-            let id = format!("job-{}", i + 1);
-            let n = rng.usize(..3);
-            let some = rng.choose_multiple(ids.iter(), n);
-            let awaits: Vec<&str> = some.into_iter().map(String::as_str).collect();
-            let at = rng.usize(..3);
-            let mut spec = after(&id, rng.u32(1..4), &awaits);
+        for number in 1..=40 {
+            let id = format!("job-{number}");
+            let count = rng.usize(..3);
+            let chosen = rng.choose_multiple(ids.iter(), count);
+            let dependencies: Vec<&str> = chosen.into_iter().map(String::as_str).collect();
+            let index = rng.usize(..3);
+            let mut spec = job_after(&id, rng.u32(1..4), &dependencies);
             spec.priority = [Priority::High, Priority::Normal, Priority::Low][rng.usize(..3)];
-            if cluster.submit(at, spec) {
+            if cluster.submit(index, spec) {
                 ids.push(id);
             }
             cluster.run_for(500 * rng.u64(1..4));
-            random_event(&mut cluster, &mut rng, at, &ids);
+            random_event(&mut cluster, &mut rng, index, &ids);
             for id in &ids {
                 cluster.query_status(rng.usize(..3), id);
             }
@@ -581,17 +589,17 @@
         );
         for id in &ids {
             let state = cluster.controller(0).job(id).state;
-            for at in 1..3 {
+            for index in 1..3 {
                 assert_eq!(
-                    cluster.controller(at).job(id).state,
+                    cluster.controller(index).job(id).state,
                     state,
                     "seed {seed}: {id}"
                 );
             }
             cascades += usize::from(state == JobState::Cancelled && !cluster.cancelled_by_user(id));
-            ended += usize::from(state == JobState::Done);
+            done += usize::from(state == JobState::Done);
         }
         cluster.assert_no_violations();
     }
-    assert!(cascades > 20 && ended > 150, "{cascades} {ended}");
+    assert!(cascades > 20 && done > 150, "{cascades} {done}");
 }
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -29,51 +29,54 @@
 
 /// A controller that has read the records and knows the machine types. Nothing listens at the
 /// address of its key-value store.
-fn controller(second_form: bool) -> Rc<Controller> {
+fn controller(record_format_v2: bool) -> Rc<Controller> {
     let settings = include_str!("../examples/local_cluster.toml").replace("7483", "1");
     let platform: Platform = toml::from_str(&settings).expect("settings");
     let executor = Rc::new(LocalExecutor::new());
-    let node = Rc::new(Controller::new(
+    let controller = Rc::new(Controller::new(
         platform,
         Operator::default(),
         Features::default(),
         executor,
     ));
-    let mut cluster = node.cluster.borrow_mut();
+    let mut cluster = controller.cluster.borrow_mut();
     cluster.loaded = true;
-    cluster.record_format_v2 = second_form;
+    cluster.record_format_v2 = record_format_v2;
     cluster.set_machine_types(&MachineTypeCatalog {
         types: vec![cloud::machine_type()],
     });
     drop(cluster);
-    node
+    controller
 }
 
 /// Serves fresh reads as scripted, for as long as it is polled.
-async fn serve_reads(node: &Controller, read: FreshRead) -> Answer {
+async fn serve_reads(controller: &Controller, read: FreshRead) -> Answer {
     loop {
-        node.fresh_reads.notified(60_000).await;
+        controller.fresh_reads.notified(60_000).await;
         if let FreshRead::Job(id) = read {
             let record = JobRecord::submitted(job(id, 1), 0);
-            node.cluster.borrow_mut().put_job(id, 1, &record);
+            controller.cluster.borrow_mut().put_job(id, 1, &record);
         }
-        for waiter in node.fresh_reads.take_waiters() {
+        for waiter in controller.fresh_reads.take_waiters() {
             let _ = waiter.try_send(read != FreshRead::Fails);
         }
     }
 }
 
-fn submit(node: &Rc<Controller>, spec: &JobSpec, read: FreshRead) -> Answer {
+fn submit(controller: &Rc<Controller>, spec: &JobSpec, read: FreshRead) -> Answer {
     let request = Incoming {
         method: Method::Post,
         path: "/v1/jobs".into(),
         query: String::new(),
         body: rmp_serde::to_vec_named(spec).ok(),
     };
-    block_on(or(handle(node.clone(), request), serve_reads(node, read)))
+    block_on(or(
+        handle(controller.clone(), request),
+        serve_reads(controller, read),
+    ))
 }
 
-fn awaiting(ids: &[&str]) -> JobSpec {
+fn job_with_dependencies(ids: &[&str]) -> JobSpec {
     JobSpec {
         dependencies: ids.iter().map(|id| id.to_string()).collect(),
         ..job("job-9", 1)
@@ -81,46 +84,53 @@
 }
 
 #[test]
-fn an_unknown_id_is_refused_for_good_only_after_a_fresh_read() {
-    let node = controller(true);
-    let unknown = awaiting(&["job-1"]);
-    assert_eq!(submit(&node, &unknown, FreshRead::Nothing).status, 422);
-    let answer = submit(&node, &unknown, FreshRead::Fails);
+fn an_unknown_id_is_refused_permanently_only_after_a_fresh_read() {
+    let controller = controller(true);
+    let unknown = job_with_dependencies(&["job-1"]);
+    assert_eq!(
+        submit(&controller, &unknown, FreshRead::Nothing).status,
+        422
+    );
+    let answer = submit(&controller, &unknown, FreshRead::Fails);
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
     // Another controller has accepted the dependency: only the write fails now, and a client may
     // retry that.
-    let known = submit(&node, &unknown, FreshRead::Job("job-1"));
+    let known = submit(&controller, &unknown, FreshRead::Job("job-1"));
     assert_eq!(known.status, 503);
-    assert!(node.cluster.borrow().job("job-1").is_some());
+    assert!(controller.cluster.borrow().job("job-1").is_some());
 }
 
 #[test]
 fn dependencies_are_accepted_only_in_record_format_v2_and_as_many_as_a_record_holds() {
-    let first_form = controller(false);
-    let spec = awaiting(&["job-1"]);
+    let format_v1 = controller(false);
+    let spec = job_with_dependencies(&["job-1"]);
     for read in [FreshRead::Nothing, FreshRead::Job("job-1")] {
-        let answer = submit(&first_form, &spec, read);
+        let answer = submit(&format_v1, &spec, read);
         assert_eq!(answer.status, 503);
         assert!(answer.retry_after.is_some());
     }
-    let node = controller(true);
+    let format_v2 = controller(true);
     let ids: Vec<String> = (1..=MAX_DEPENDENCIES + 1)
         .map(|n| format!("job-{}", 100 + n))
         .collect();
     let ids: Vec<&str> = ids.iter().map(String::as_str).collect();
-    let too_many = submit(&node, &awaiting(&ids), FreshRead::Nothing);
+    let too_many = submit(&format_v2, &job_with_dependencies(&ids), FreshRead::Nothing);
     assert_eq!(too_many.status, 422);
-    let itself = submit(&node, &awaiting(&["job-9"]), FreshRead::Nothing);
+    let itself = submit(
+        &format_v2,
+        &job_with_dependencies(&["job-9"]),
+        FreshRead::Nothing,
+    );
     assert_eq!(itself.status, 400);
 }
 
 #[test]
 fn a_repeated_submission_is_answered_whatever_became_of_its_dependencies() {
-    let node = controller(true);
-    let spec = awaiting(&["job-1"]);
+    let controller = controller(true);
+    let spec = job_with_dependencies(&["job-1"]);
     let record = JobRecord::submitted(spec.clone(), 0);
-    node.cluster.borrow_mut().put_job("job-9", 1, &record);
+    controller.cluster.borrow_mut().put_job("job-9", 1, &record);
     // Its dependency is not known here, for which a new job would be refused.
-    assert_eq!(submit(&node, &spec, FreshRead::Nothing).status, 200);
+    assert_eq!(submit(&controller, &spec, FreshRead::Nothing).status, 200);
 }
