--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -155,7 +155,7 @@
     }
 
     /// The limits after the store has refused a transaction for its size: fewer writes if it had
-    /// more than [`MAX_INDIVISIBLE_WRITES`], else values of three quarters of its largest.
+    /// more than two, else values of at most three quarters of its largest.
     pub fn after_refusal(self, writes: usize, largest_bytes: usize) -> Limits {
         if writes <= MAX_INDIVISIBLE_WRITES {
             let smaller = self.value_bytes.min(largest_bytes * 3 / 4);
--- a/src/state/cluster_state.rs
+++ b/src/state/cluster_state.rs
@@ -66,7 +66,7 @@
     pub teams_with_unknown_outcome: HashSet<TeamIndex>,
     /// The time up to which all confirmed cancellations are known here.
     pub cancellation_watermark: CancellationWatermark,
-    /// True once records may be written in format 2, which every controller can then read.
+    /// True once records may be written in format 2, because every controller can read it.
     pub record_format_v2: bool,
     /// Dependencies between jobs.
     pub dependency_graph: DependencyGraph,
--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -188,7 +188,8 @@
     pub fn is_wide_gang(&self) -> bool {
         self.wire.kind == JobKind::Gang && self.wire.tasks > 1
     }
-    /// Maximum number of tasks in one zone: half of them, rounded up, if the job is to be spread.
+    /// Maximum number of tasks in one zone: half of them, rounded up, if the job is to be spread,
+    /// else no limit.
     pub fn zone_cap(&self) -> u32 {
         if self.wire.spread {
             self.wire.tasks.div_ceil(2)
--- a/src/state/machine.rs
+++ b/src/state/machine.rs
@@ -114,7 +114,8 @@
     pub version: HeartbeatVersion,
     /// Fencing token in the newest heartbeat.
     pub fencing_token: FencingToken,
-    /// Number of heartbeats received whose response is not complete yet.
+    /// Number of heartbeats whose response waits for a scheduling round; meanwhile no start is sent
+    /// directly.
     pub responses_in_progress: u32,
     /// When the cloud will preempt the machine, if it has given notice.
     pub preemption_deadline: Option<MonotonicMillis>,
@@ -227,7 +228,7 @@
 /// The latest status update of the machine's owner, if that is another controller.
 #[derive(Clone, Debug, Default)]
 pub struct OwnerStatus {
-    /// Length of the machine's queue.
+    /// Length of the machine's queue; 255 stands for all larger numbers as well.
     pub queue_length: u8,
     /// True if the machine gets no tasks, for whatever reason.
     ///
--- a/src/state/record_ingestion.rs
+++ b/src/state/record_ingestion.rs
@@ -135,7 +135,7 @@
 
     /// Applies the events of a watch that started at revision `from` and has reached `revision`.
     pub fn apply_changes(&mut self, from: u64, revision: u64, events: &[Event]) {
-        // Watches and reads overlap: an event that was applied already must not bring back a
+        // Watches and reads overlap: an event that is known already must not bring back a
         // controller or a provisioning request that has been deleted since.
         let known = self.revision;
         for event in events.iter().filter(|event| event.version > known) {
