--- a/src/coordination/kv/watch.rs
+++ b/src/coordination/kv/watch.rs
@@ -5,7 +5,7 @@
 //! of one revision, which never decreases.
 
 use crate::coordination::controller::Controller;
-use crate::protocol::kv::{Changes, Committed, Event, Page};
+use crate::protocol::kv::{Changes, CommitResponse, Event, Page};
 use crate::state::cluster_state::ROOT;
 use crate::state::units::MonotonicMillis;
 use crate::transport::http::{jittered, ClientResponse};
@@ -107,7 +107,7 @@
     };
     {
         let mut cluster = controller.cluster.borrow_mut();
-        cluster.take_changes(from, changes.revision, &changes.events);
+        cluster.apply_changes(from, changes.revision, &changes.events);
         cluster.cancellation_watermark.record_read(began);
     }
     if changes.events.iter().any(affects_membership) {
@@ -132,7 +132,7 @@
     // This key never exists, so the response has only the store's current revision.
     let path = format!("/keys/{ROOT}none");
     let answer = controller.kv.call(Method::Get, &path, Vec::new()).await;
-    let newest = rmp_serde::from_slice::<Committed>(&answer.ok()?.body).ok()?;
+    let newest = rmp_serde::from_slice::<CommitResponse>(&answer.ok()?.body).ok()?;
     let revision = controller.cluster.borrow().revision;
     Some(newest.revision.saturating_sub(revision))
 }
@@ -156,14 +156,14 @@
         controller
             .cluster
             .borrow_mut()
-            .take_page(&page.entries, &mut deletable_keys);
+            .apply_page(&page.entries, &mut deletable_keys);
         match page.entries.last() {
             Some(last) if page.more => after = Some(last.key.clone()),
             _ => break,
         }
     }
     let mut cluster = controller.cluster.borrow_mut();
-    cluster.end_read(&deletable_keys, revision.unwrap_or(0));
+    cluster.finish_full_read(&deletable_keys, revision.unwrap_or(0));
     cluster.cancellation_watermark.record_read(began);
     controller.view_updated_at.set(Some(controller.now()));
     log::info!(
