--- a/src/coordination/scheduler/claims.rs
+++ b/src/coordination/scheduler/claims.rs
@@ -1,8 +1,8 @@
-//! Claims: waiting tasks get owned machines with free capacity.
+//! Claims: assigns waiting tasks to owned machines with free capacity.
 //!
-//! The second step of a scheduling pass. Gangs go first, then each priority in turn: the machines'
-//! own queues, then the waiting jobs in the order of service. What is claimed is only a draft; a
-//! start goes out once the transaction is committed.
+//! Claiming is the second step of a scheduling pass. Gangs are placed first, then each priority in
+//! turn: the tasks in the machines' queues, then the other waiting tasks in scheduling order. A
+//! claim is only part of the draft; the start command is sent after the transaction is committed.
 
 use crate::coordination::scheduler::bin_packing::bin_packing_cost;
 use crate::coordination::scheduler::draft::DraftTransaction;
@@ -26,11 +26,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashSet};
 
-/// Most tasks of a job that a pass considers for each machine with free capacity.
+/// Maximum number of tasks of one job that a pass considers per machine with free capacity.
 const MAX_TASKS_PER_MACHINE: usize = 8;
 
-/// Claims waiting tasks for owned machines with free capacity; returns the machines that found
-/// nothing.
+/// Claims waiting tasks for owned machines with free capacity. Returns the machines that have free
+/// capacity left and for which the pass claimed nothing.
 pub fn claim(pass: &PassContext, draft: &mut DraftTransaction) -> Vec<MachineIndex> {
     let mut free = free_capacity(pass.cluster, draft);
     claim_gangs(pass, draft, &mut free);
@@ -42,7 +42,7 @@
         return Vec::new();
     };
     let permits = pass.permits_by_shard();
-    // Those without capacity are most of a busy fleet.
+    // In a busy fleet most machines have no free capacity and are skipped here.
     let machines: Vec<MachineRef> = machines_with_capacity(pass, &free, smallest)
         .filter(|on| permits[on.machine.shard.at()].is_some())
         .collect();
@@ -68,12 +68,14 @@
     claims.found_nothing(smallest)
 }
 
-/// True for tasks that are claimed many at a time while changes are scarce.
+/// True for array tasks below high priority: while the key-value store is near its write limit,
+/// they are claimed in batches.
 fn can_be_batched(spec: &Spec, priority: Priority) -> bool {
     spec.wire.kind == JobKind::Array && priority > Priority::High
 }
 
-/// Tasks that wait in a machine's queue and may not be claimed for any other machine yet.
+/// Tasks that have been in a machine's queue for less than `steal_after_ms`, so that no other
+/// machine may claim them yet.
 fn freshly_queued(pass: &PassContext) -> HashSet<(JobIndex, u32)> {
     let queues = pass.cluster.all_machines().map(|(_, m)| &m.queue);
     queues
@@ -83,27 +85,27 @@
         .collect()
 }
 
-/// The claims of a pass, in which each priority is served in turn.
+/// State of the claim step of one pass.
 struct ClaimPass<'a> {
     pass: PassContext<'a>,
     /// Owned machines with free capacity.
     machines: Vec<MachineRef<'a>>,
-    /// By shard: the permit to decide for it.
+    /// Permits by shard index; `None` for a shard that this controller may not decide for.
     permits: Vec<Option<&'a Permit>>,
-    /// Tasks left to the machines in whose queues they wait.
+    /// Queued tasks that only the machine with the queue may claim.
     queued: HashSet<(JobIndex, u32)>,
     starved_gangs: StarvedGangs,
     free: FreeCapacity,
-    /// Machines for which something was claimed.
+    /// Machines for which this pass has claimed a task.
     claimed_for: HashSet<MachineIndex>,
 }
 
-/// How well a machine suits a job's next task; the least cost first, then by index.
+/// A machine ranked for a job's next task: by lowest cost, then by machine index.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RankedMachine {
     cost: i64,
     index: MachineIndex,
-    /// Position among the machines of the pass.
+    /// Position in `ClaimPass::machines`.
     position: usize,
 }
 
@@ -112,7 +114,8 @@
         self.pass.cluster
     }
 
-    /// True if the machine may take a task of the job now.
+    /// True if a task of the job may be placed on the machine now: it fits into the free capacity,
+    /// and reservations and placement rules allow it.
     fn fits(&self, job: JobRef, on: MachineRef, free: Resources) -> bool {
         let state = &job.job.dependency_state;
         let reserved = on
@@ -139,18 +142,19 @@
             )
     }
 
-    /// True if the job leaves its team's limit to a gang.
+    /// True if the job must not use more of its team's limit because a gang of the team waits for
+    /// it.
     fn would_starve_gang(&self, draft: &DraftTransaction, job: &Job, spec: &Spec) -> bool {
         self.starved_gangs
             .would_starve(&self.pass, draft, job, spec)
     }
 
-    /// Each machine's own queue, first in first out among those of one priority.
+    /// Claims the queued tasks of one priority for the machines that hold them, in FIFO order.
     fn claim_from_queues(&mut self, draft: &mut DraftTransaction, priority: Priority) {
         for position in 0..self.machines.len() {
             let on = self.machines[position];
             for queued in &on.machine.queue {
-                // What has waited here for long is unbound again, and served in that order.
+                // After `steal_after_ms` any machine may claim the task, in scheduling order.
                 if self.pass.now.since(queued.queued_at) >= self.pass.config.steal_after_ms {
                     continue;
                 }
@@ -173,7 +177,7 @@
         }
     }
 
-    /// True if a task may be claimed now for the machine in whose queue it waits.
+    /// True if a queued task may be claimed now for the machine that holds it.
     fn may_claim_queued(
         &self,
         draft: &DraftTransaction,
@@ -191,10 +195,11 @@
             && self.fits(job, on, free)
     }
 
-    /// The job's next unbound tasks, each by the machine that suits it best.
+    /// Claims the job's next unbound tasks, each for the machine with the lowest cost.
     ///
-    /// What a task takes changes its machine alone, and placements only ever rule more out, so
-    /// each machine is looked at once and once a task.
+    /// A claim changes the free capacity of its own machine only, and more placements can only
+    /// exclude machines, never allow new ones. So each machine is ranked once at the start, and
+    /// again only after a task has been placed on it.
     fn claim_for_job(&mut self, draft: &mut DraftTransaction, waiting: &Waiting) {
         let positions = 0..self.machines.len();
         let mut best: BinaryHeap<Reverse<RankedMachine>> = positions
@@ -221,7 +226,8 @@
         }
     }
 
-    /// The job's waiting tasks that no machine's queue holds, as many as may be claimed.
+    /// The job's waiting tasks that are not held by a machine's queue, up to
+    /// `MAX_TASKS_PER_MACHINE` per machine.
     fn unbound_tasks(&self, draft: &DraftTransaction, job_index: JobIndex) -> Vec<u32> {
         let job = draft.job(self.cluster(), job_index);
         job.waiting_tasks()
@@ -230,7 +236,7 @@
             .collect()
     }
 
-    /// The best machine that can still take a task of the job.
+    /// Pops the position of the lowest-cost machine that can still run a task of the job.
     fn pop_usable(
         &self,
         best: &mut BinaryHeap<Reverse<RankedMachine>>,
@@ -245,7 +251,7 @@
         None
     }
 
-    /// How well a machine suits the job's next task; `None` if it can't take it.
+    /// Ranks a machine for the job's next task; `None` if the machine can't run it.
     fn rank(
         &self,
         draft: &DraftTransaction,
@@ -266,7 +272,7 @@
         })
     }
 
-    /// Drafts one placement; false if neither the transaction nor the team's limit allows it.
+    /// Drafts one placement; false if the transaction is full or the team's limit is reached.
     fn place(
         &mut self,
         draft: &mut DraftTransaction,
@@ -292,7 +298,8 @@
         placed
     }
 
-    /// Machines that have free capacity left and for which nothing was claimed.
+    /// Machines that still have free capacity for the smallest need and for which this pass
+    /// claimed nothing.
     fn found_nothing(&self, smallest: Resources) -> Vec<MachineIndex> {
         let has_capacity = |index| self.free.get(index).is_some_and(|f| smallest.fits(f));
         let indices = self.machines.iter().map(|on| on.index);
--- a/src/coordination/scheduler/gang_reservations.rs
+++ b/src/coordination/scheduler/gang_reservations.rs
@@ -1,8 +1,8 @@
-//! Reservations: machines are kept free for gangs that have waited for long.
+//! Gang reservations: decides which machines are kept free for gangs that have waited for long.
 //!
-//! A pure decision, carried out by the status round. All controllers derive the same order of
-//! gangs, and a machine is reserved for the first that wants it: two gangs never hold halves of
-//! what either needs.
+//! This module only decides; the status broadcast task carries out the reservations. All
+//! controllers derive the same order of gangs, and a machine is reserved for the first gang that
+//! can use it. So two gangs never deadlock with each holding a part of what both need.
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::job_order::waiting_gangs;
@@ -12,16 +12,17 @@
 use crate::state::names::{Index, JobIndex, MachineIndex, ZoneIndex};
 use crate::state::units::{MonotonicMillis, Resources};
 
-/// Machines to be reserved for a gang.
+/// The machines to reserve for one gang.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct GangReservation {
     /// The gang.
     pub job: JobIndex,
-    /// A machine for each of its tasks.
+    /// One machine per task of the gang.
     pub machines: Vec<MachineIndex>,
 }
 
-/// Machines to be reserved for the gangs of this controller that wait for too long.
+/// Decides the reservations for the gangs that have waited for at least
+/// `gang_reservation_after_ms` and whose planning shard this controller owns.
 pub fn gang_reservations(
     cluster: &ClusterState,
     config: &SchedulerConfig,
@@ -45,7 +46,7 @@
         let Some(chosen) = least_loaded_machines(cluster, gang, &machines) else {
             continue;
         };
-        // Taken from all later gangs, also where another controller reserves them.
+        // Excluded for all later gangs, even if another controller makes this reservation.
         machines.retain(|loaded| !chosen.contains(&loaded.on.index));
         if config.owns(cluster, cluster.planning_shard(&job.id)) {
             reservations.push(GangReservation {
@@ -57,10 +58,11 @@
     reservations
 }
 
-/// Gangs that have waited for long, in the order of service.
+/// Gangs that have waited for at least `gang_reservation_after_ms`: by priority, then the oldest
+/// first.
 ///
-/// Not those that their team's services keep out of its limit: they would keep machines free for
-/// nothing.
+/// Gangs that can't fit into their team's limit because of the team's running services are left
+/// out: machines reserved for them would stay unused.
 fn gangs_to_reserve_for(
     cluster: &ClusterState,
     config: &SchedulerConfig,
@@ -77,15 +79,15 @@
     gangs
 }
 
-/// A machine with what it has in all and what is in use of that.
+/// A machine with its load, the sum of the CPU and GPU thousandths in use, and its total capacity.
 struct LoadedMachine<'a> {
     on: MachineRef<'a>,
     load: i64,
     capacity: Resources,
 }
 
-/// All schedulable machines, those that are nearly free first. The order is the same for all
-/// gangs, so it is made once.
+/// All schedulable machines, the least loaded first. The order is the same for all gangs, so the
+/// list is sorted once.
 fn machines_by_load<'a>(
     cluster: &'a ClusterState,
     config: &SchedulerConfig,
@@ -107,15 +109,16 @@
     machines
 }
 
-/// A machine for each task of a gang, of the zone where they have the least load if the gang must
-/// be in one; `None` if there are too few.
+/// Selects one machine per task of a gang, the least loaded first. If the gang must run in one
+/// zone, the zone with the lowest total load of its selection is chosen. `None` if there are too
+/// few machines.
 fn least_loaded_machines(
     cluster: &ClusterState,
     gang: JobRef,
     machines: &[LoadedMachine],
 ) -> Option<Vec<MachineIndex>> {
     let zones = cluster.zone_names.len();
-    // Without a zone to be in, the first choice holds for all of them.
+    // If the gang may span zones, every zone gives the same selection: one is enough.
     let zones = if gang.spec.wire.one_zone {
         zones
     } else {
--- a/src/coordination/scheduler/gangs.rs
+++ b/src/coordination/scheduler/gangs.rs
@@ -1,8 +1,9 @@
-//! Gang scheduling: gangs of more than one task skip the queues, and all their tasks are claimed
-//! in one transaction.
+//! Gang scheduling: gangs of more than one task are not queued; all their tasks are claimed in one
+//! transaction.
 //!
-//! The owner of the shard that a gang's name maps to gathers machines of any owner; the owners see
-//! the placements by the watch and start them.
+//! A gang is placed by the owner of the shard that the gang's id hashes to, on machines of any
+//! owner. The owners of those machines learn of the placements through the watch on the key-value
+//! store and start the tasks.
 
 use crate::coordination::scheduler::bin_packing::image_pull_ms;
 use crate::coordination::scheduler::draft::DraftTransaction;
@@ -27,7 +28,8 @@
     permit: &'a Permit,
 }
 
-/// Places gangs whose shard this controller owns, all tasks in one claim.
+/// Places the gangs whose planning shard this controller owns, each with all its tasks or not at
+/// all.
 pub(super) fn claim_gangs(
     pass: &PassContext,
     draft: &mut DraftTransaction,
@@ -74,15 +76,15 @@
         .collect()
 }
 
-/// Capacity for one task of a gang.
+/// Free capacity on a machine for one task of a gang.
 struct Slot<'a> {
     on: MachineRef<'a>,
-    /// Time that the machine needs to pull the image.
+    /// Time that the machine needs to pull the gang's image, ms; 0 if it is cached.
     pull_ms: u64,
 }
 
-/// Machines for all tasks of a gang, in one zone if it must be; the choice that begins first.
-/// `None` if there is no such choice.
+/// Selects a machine for each task of a gang, all in one zone if the job requires it. Among the
+/// zones, the one where the gang can start first is chosen. `None` if the gang fits nowhere.
 fn select_gang_machines<'a>(
     pass: &PassContext<'a>,
     gang: JobRef,
@@ -94,7 +96,7 @@
         let Some(slots) = fastest_slots(gang.spec, slots) else {
             continue;
         };
-        // A gang begins with the last of its image pulls.
+        // A gang can start only when its slowest image pull is finished.
         let begins_ms = slots.iter().map(|slot| slot.pull_ms).max().unwrap_or(0);
         if best.as_ref().is_none_or(|(ms, _)| begins_ms < *ms) {
             best = Some((begins_ms, slots));
@@ -103,7 +105,8 @@
     best.map(|(_, slots)| slots.into_iter().map(|slot| slot.on).collect())
 }
 
-/// All slots for tasks of a gang, by zone if the gang must be in one, else all together.
+/// All slots for tasks of a gang: grouped by zone if the gang must run in one zone, else all under
+/// the same key.
 fn slots_by_zone<'a>(
     pass: &PassContext<'a>,
     gang: JobRef,
@@ -129,7 +132,7 @@
         while need.fits(free) {
             slots.push(Slot { on, pull_ms });
             free = free.minus(need);
-            // Tasks that need nothing would fit for ever.
+            // A task that requests no resources always fits: stop after one slot.
             if need == Resources::default() {
                 break;
             }
@@ -143,8 +146,8 @@
     reservation.is_some_and(|reserved| reserved.gang != gang.index && reserved.is_active(pass.now))
 }
 
-/// As many slots as the gang has tasks, those that pull the image in the shortest time, spot
-/// machines first; `None` if there are too few.
+/// Selects one slot per task of the gang: the shortest image pull first, then spot machines before
+/// on-demand ones. `None` if there are too few slots.
 fn fastest_slots<'a>(spec: &Spec, mut slots: Vec<Slot<'a>>) -> Option<Vec<Slot<'a>>> {
     slots.sort_by_key(|slot| (slot.pull_ms, !slot.on.machine.spot, slot.on.index));
     if spec.wire.spread {
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -1,8 +1,8 @@
-//! The order of service: which waiting job claims next.
+//! Scheduling order: which waiting job is placed next.
 //!
-//! By priority; within a priority by whether the job can still make the time expected of it; then
-//! by size, for jobs with a deadline of their own; then by age. Claims, gangs and preemption all
-//! take the waiting jobs from here.
+//! Jobs are ordered by priority; within a priority by whether the job can still meet its completion
+//! targets; then by size, for jobs with a deadline of their own; then by age. Claims, gangs and
+//! preemption all get their waiting jobs from this module.
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::draft::DraftTransaction;
@@ -14,14 +14,15 @@
 use crate::state::units::{millis_from_seconds, MonotonicMillis};
 use std::rc::Rc;
 
-/// One second in so many belongs to what is late.
+/// Period in which late jobs go first for one second, s.
 const OVERDUE_TURN_SECONDS: u64 = 5;
 
-/// Age at which any job's first task goes before others of its priority.
+/// Waiting time after which a job without any placed or finished task goes before others of its
+/// priority, ms.
 const MAX_WAIT_FOR_FIRST_TASK_MS: u64 = 120_000;
 
-/// True if nothing of a job may be placed for now: a write of its record may still be applied, or
-/// its tasks have just failed on several machines.
+/// True if no task of a job may be placed for now: a write of the job's record with unknown outcome
+/// may still be applied, or the job is backed off after its tasks failed on several machines.
 pub(crate) fn is_backed_off(
     cluster: &ClusterState,
     job_index: JobIndex,
@@ -32,36 +33,40 @@
         || failures.is_some_and(|failures| failures.is_backed_off(now))
 }
 
-/// A waiting job, in the order of service.
+/// A job with tasks that wait for a placement.
 pub struct Waiting {
-    /// Job.
+    /// Index of the job.
     pub job_index: JobIndex,
     pub(crate) priority: Priority,
     pub(crate) spec: Rc<Spec>,
 }
 
-/// Where the order of service puts a job within its priority.
+/// Position of a job within its priority; the smaller one is scheduled first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum ServiceTier {
-    /// It has waited for too long, or may just still make its last time.
+    /// The job has waited too long, can only just meet its last target, or is late and late jobs
+    /// have their turn.
     First,
-    /// It can make what is expected of it, or nothing is.
+    /// The job can meet its first target, or has no targets.
     OnTime,
-    /// It has missed the first of several times, or will.
+    /// The job has missed or will miss its first target, but can meet its last one.
     LateForFirst,
-    /// It has missed all that was expected of it, or will.
+    /// The job has missed or will miss all its targets.
     Late,
 }
 
-/// Where the order of service puts a job within its priority.
+/// Returns the position of a job within its priority.
 ///
-/// One that has missed what is expected of it, or will whatever happens now, goes behind those
-/// that can still make it: when more is asked than can be done, someone is late, and it is
-/// better the same ones. A class may have several times, and one that has missed the first may
-/// still keep the last: it waits until a good part of that has passed, and then goes first.
-/// Two bounds keep any job from starving, whatever younger or smaller work comes: after two
-/// minutes, or two and a half times the time allowed if that is less, its first task goes
-/// before all; and in one second of five all late work does, the oldest first.
+/// A job that has missed its targets, or is certain to miss them, goes after those that can still
+/// meet theirs. Under overload some jobs are late in any case, and it is better that it is always
+/// the same ones. A class may have several targets, and a job that has missed the first may still
+/// meet the last: it waits until two fifths of the time for the last target have passed, and then
+/// goes first.
+///
+/// Two rules keep younger or smaller jobs from starving any job. After two minutes, or two and a
+/// half times the first target if that is less, a job without any placed or finished task goes
+/// first. And in one second out of five, all jobs that are late for a target go first, the oldest
+/// before the others.
 pub fn service_tier(config: &SchedulerConfig, job: &Job, spec: &Spec, wall_ms: u64) -> ServiceTier {
     let targets = completion_targets(config, job, spec);
     let age_ms = job.waited_ms(wall_ms);
@@ -77,7 +82,7 @@
         return ServiceTier::OnTime;
     }
     let makes_last = end_ms <= targets.last_ms;
-    // Two fifths of the last time have passed.
+    // At least two fifths of the time for the last target have passed.
     let last_in_doubt = targets.last_ms > targets.first_ms && age_ms * 5 >= targets.last_ms * 2;
     let overdue_turn = (wall_ms / 1000).is_multiple_of(OVERDUE_TURN_SECONDS);
     match makes_last {
@@ -88,14 +93,14 @@
     }
 }
 
-/// Ages by which a job should be done.
+/// Ages by which a job should be done, ms since it became eligible to run.
 #[derive(Clone, Copy)]
 struct CompletionTargets {
     first_ms: u64,
     last_ms: u64,
 }
 
-/// A job's own deadline and the times expected of its class; `None` if it has neither.
+/// Completion targets from the job's own deadline and from its class; `None` if it has neither.
 fn completion_targets(
     config: &SchedulerConfig,
     job: &Job,
@@ -111,18 +116,20 @@
     Some(CompletionTargets { first_ms, last_ms })
 }
 
-/// Age at which a job's first task goes before all.
+/// Age from which a job without any placed or finished task goes first within its priority, ms.
 fn begin_by_ms(targets: Option<CompletionTargets>) -> u64 {
     targets.map_or(MAX_WAIT_FOR_FIRST_TASK_MS, |targets| {
         MAX_WAIT_FOR_FIRST_TASK_MS.min(targets.first_ms * 5 / 2)
     })
 }
 
-/// Among jobs with a deadline of their own that can still make it, the smaller goes first, in
-/// steps of two: when not all can be in time, more jobs are.
+/// Size of a job as the binary logarithm of its number of waiting tasks. Among jobs that can still
+/// meet a deadline of their own, the smaller one goes first: if not all can be on time, more of
+/// them are.
 ///
-/// Not so where a class is only expected to finish within some time: there a team's guarantee
-/// and the waits count as much, and the oldest first serves them better.
+/// 0 for all other jobs, including those with only the targets of their class. For those the
+/// waiting times and the guarantees of teams matter as much, and oldest-first order suits them
+/// better.
 fn size_step(job: &Job, tier: ServiceTier) -> u32 {
     if tier != ServiceTier::OnTime || job.dependency_state.deadline.is_none() {
         return 0;
@@ -130,7 +137,7 @@
     job.waiting_count().max(1).ilog2()
 }
 
-/// What the order of service compares, in this order.
+/// Sort key of the scheduling order; the fields are compared from top to bottom.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ServiceKey {
     priority: Priority,
@@ -140,7 +147,7 @@
     job_index: JobIndex,
 }
 
-/// Jobs with waiting tasks in the order of service, wide gangs apart.
+/// Jobs with waiting tasks in scheduling order, except gangs of more than one task.
 pub fn waiting_jobs(pass: &PassContext, draft: &DraftTransaction) -> Vec<Waiting> {
     let cluster = pass.cluster;
     let mut jobs: Vec<(ServiceKey, Rc<Spec>)> = cluster
@@ -172,7 +179,7 @@
     waiting.collect()
 }
 
-/// Wide gangs that wait, the oldest of the highest priority first.
+/// Waiting gangs of more than one task: by priority, then the oldest first.
 pub fn waiting_gangs(cluster: &ClusterState, now: MonotonicMillis) -> Vec<JobIndex> {
     let mut gangs: Vec<(Priority, u64, JobIndex)> = cluster
         .active_jobs()
--- a/src/coordination/scheduler/placement_rules.rs
+++ b/src/coordination/scheduler/placement_rules.rs
@@ -1,5 +1,6 @@
-//! Which machines a job may use, free capacity aside: types, zones, spot machines, and machines
-//! on which it has failed. Scheduling and the autoscaler keep to the same rules.
+//! Placement rules: which machines a job may use, regardless of free capacity. They cover machine
+//! types, zones, spot machines, and machines on which the job has failed. The scheduler and the
+//! autoscaler apply the same rules.
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::protocol::users::Priority;
@@ -10,30 +11,32 @@
 use crate::state::units::Resources;
 use std::collections::HashMap;
 
-/// Price of an on-demand machine in spot prices, where the latter is not known.
+/// Ratio of the on-demand price to the spot price that is assumed for an unknown machine type.
 const DEFAULT_PRICE_RATIO: f64 = 4.0;
-/// Ratio of prices up to which work does not wait for spot machines at all.
+/// Ratio of the on-demand price to the spot price up to which a task does not wait for a spot
+/// machine at all.
 const NO_PATIENCE_PRICE_RATIO: f64 = 2.0;
-/// Ratio of prices from which on work waits for all of the operators' patience.
+/// Ratio of the on-demand price to the spot price from which a task waits for the full
+/// `spot_patience_ms`.
 const FULL_PATIENCE_PRICE_RATIO: f64 = 4.0;
-/// Least spot price that a ratio is computed with.
+/// Lower bound of the spot price in a price ratio; avoids a division by zero.
 const MIN_SPOT_PRICE: f64 = 0.001;
 
-/// A job whose tasks look for machines.
+/// A job with waiting tasks, its index and its description.
 #[derive(Clone, Copy)]
 pub struct JobRef<'a> {
-    /// Its index.
+    /// Index of the job.
     pub index: JobIndex,
-    /// The job, as drafted so far.
+    /// The job, including the changes drafted so far.
     pub job: &'a Job,
-    /// Its description.
+    /// Description of the job.
     pub spec: &'a Spec,
 }
 
 /// A machine with its index.
 #[derive(Clone, Copy)]
 pub struct MachineRef<'a> {
-    /// Its index.
+    /// Index of the machine.
     pub index: MachineIndex,
     /// The machine.
     pub machine: &'a Machine,
@@ -45,8 +48,8 @@
     }
 }
 
-/// True if the job may have a task on this machine, free capacity aside, given its other
-/// placements.
+/// True if the placement rules allow a task of the job on this machine, given the job's other
+/// placements. Free capacity is not checked.
 pub fn is_allowed(cluster: &ClusterState, job: JobRef, on: MachineRef) -> bool {
     let failures = cluster.failures.get(&job.index);
     kind_allowed(job.spec, on.machine)
@@ -54,7 +57,7 @@
         && zone_allowed(cluster, job.job, job.spec, on.machine.zone)
 }
 
-/// True if the machine is of a type, in a zone and of a price that the job takes.
+/// True if the job accepts the machine's type and zone, and spot machines if it is one.
 fn kind_allowed(spec: &Spec, machine: &Machine) -> bool {
     let types = spec.machine_types.as_ref();
     types.is_none_or(|types| types.contains(&machine.machine_type))
@@ -62,7 +65,8 @@
         && (spec.wire.spot || !machine.spot)
 }
 
-/// Zone rules against all placements of the record, old attempts counted until proven absent.
+/// True if another task in the zone keeps the job's `one_zone` and `spread` rules. All placements
+/// in the job's record count, including old attempts that are not yet proven absent.
 fn zone_allowed(cluster: &ClusterState, job: &Job, spec: &Spec, zone: ZoneIndex) -> bool {
     let zones = || {
         let placements = job.placements.iter();
@@ -72,12 +76,12 @@
         && (zones().filter(|z| *z == zone).count() as u32) < spec.zone_cap()
 }
 
-/// How many tasks of a job are in each zone.
+/// Number of tasks of a job in each zone.
 #[derive(Default)]
 pub struct TasksByZone(HashMap<ZoneIndex, u32>);
 
 impl TasksByZone {
-    /// Counts a job's placements.
+    /// Counts the placements of a job.
     pub fn of_placements(cluster: &ClusterState, job: &Job) -> TasksByZone {
         let mut counts = TasksByZone::default();
         for placement in &job.placements {
@@ -87,11 +91,11 @@
         }
         counts
     }
-    /// Counts one more task.
+    /// Counts one more task in a zone.
     pub fn add(&mut self, zone: ZoneIndex) {
         *self.0.entry(zone).or_default() += 1;
     }
-    /// Tasks in a zone.
+    /// Number of tasks in a zone.
     pub fn count(&self, zone: ZoneIndex) -> u32 {
         self.0.get(&zone).copied().unwrap_or(0)
     }
@@ -101,33 +105,34 @@
     }
 }
 
-/// Work that chooses between spot and on-demand machines.
+/// The properties of a waiting task that decide whether it waits for a spot machine.
 #[derive(Clone, Copy)]
 pub struct SpotWork<'a> {
-    /// Its job's description.
+    /// Description of the task's job.
     pub spec: &'a Spec,
-    /// The job's priority, or a higher one that a job depending on it lends.
+    /// The highest priority of the job and of the jobs that depend on it.
     pub priority: Priority,
-    /// How long it has waited, ms.
+    /// Time since the job became eligible to run, ms.
     pub waited_ms: u64,
 }
 
-/// What such work is offered.
+/// A machine on which a task could be placed now.
 #[derive(Clone, Copy)]
 pub struct OfferedMachine {
-    /// Type of the machine.
+    /// Machine type.
     pub machine_type: MachineTypeIndex,
-    /// It is a spot machine.
+    /// True for a spot machine, false for an on-demand machine.
     pub spot: bool,
-    /// Nothing runs on it.
+    /// True if all of the machine's capacity is free.
     pub is_empty: bool,
 }
 
-/// True if a task that may run on spot machines should leave this one alone for now: an empty
-/// on-demand machine is what work that must not use spot machines waits for.
+/// True if a task that may run on spot machines should not use this machine yet. An empty
+/// on-demand machine is left for a while to tasks that must not run on spot machines.
 ///
-/// The dearer on-demand machines of that type are, the longer: at four times the spot price the
-/// whole of the operators' patience, at twice the price or less none.
+/// The wait grows with the price ratio of the machine type: at four times the spot price or more
+/// it is the full `spot_patience_ms`, at twice the spot price or less there is none. Production
+/// and high-priority tasks never wait.
 pub fn is_reserved_for_on_demand(
     cluster: &ClusterState,
     config: &SchedulerConfig,
@@ -149,7 +154,7 @@
     (work.waited_ms as f64) < patience_ms
 }
 
-/// True if nothing runs on a machine with this much free.
+/// True if the free capacity of a machine equals its total capacity.
 pub(crate) fn is_empty(cluster: &ClusterState, machine: &Machine, free: Resources) -> bool {
     let machine_type = cluster.machine_types.get(&machine.machine_type);
     machine_type.is_some_and(|machine_type| machine_type.capacity == free)
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -1,8 +1,9 @@
-//! Preemption: which tasks are stopped so that waiting work of a higher priority can run.
+//! Preemption: decides which tasks to stop so that waiting tasks of a higher priority can run.
 //!
-//! A pure decision, carried out by `preemption_round`. The shards take turns, so that no two
-//! owners stop work for the same task. The invariant: only work of a strictly lower priority is
-//! stopped, never a part of a gang, and only where stopping it frees enough.
+//! This module only decides; `preemption_round` carries out the decisions. The shards take turns,
+//! so that no two owners stop tasks for the same waiting task. Invariant: only tasks of a strictly
+//! lower priority are stopped, never a task of a gang of several, and only if stopping them frees
+//! enough capacity.
 
 use crate::coordination::scheduler::commands::stop_grace_s;
 use crate::coordination::scheduler::draft::DraftTransaction;
@@ -20,26 +21,26 @@
 use crate::state::units::Resources;
 use std::cmp::Reverse;
 
-/// Wait after which production work preempts, ms.
+/// Waiting time after which a production job may preempt others, ms.
 const PRODUCTION_PATIENCE_MS: u64 = 1500;
-/// Wait after which high-priority work preempts, ms.
+/// Waiting time after which a high-priority job may preempt others, ms.
 const HIGH_PATIENCE_MS: u64 = 4000;
-/// Victims in a round after which no further job preempts.
+/// Number of victims in one round from which on no further job preempts.
 const MAX_VICTIMS_PER_ROUND: usize = 8;
 
-/// An attempt to be stopped.
+/// A task attempt to be stopped for a task of a higher priority.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct PreemptionVictim {
-    /// Its machine.
+    /// Machine on which the attempt runs.
     pub machine: MachineIndex,
     /// The attempt.
     pub attempt: TaskAttempt,
-    /// Time that it gets to checkpoint, s.
+    /// Time that the attempt gets to write a checkpoint, s.
     pub grace_s: f64,
 }
 
-/// Attempts to be stopped on machines of one shard, to free capacity for work of a higher
-/// priority that finds none anywhere.
+/// Selects attempts to stop on machines of one shard, to free capacity for waiting tasks of a
+/// higher priority that fit on no machine of any shard.
 pub fn preempt(pass: &PassContext, shard: ShardIndex) -> Vec<PreemptionVictim> {
     let mut victims = Vec::new();
     if pass.permit(shard).is_none() {
@@ -69,7 +70,7 @@
     victims
 }
 
-/// Free capacity of all machines once what is being stopped has ended.
+/// Free capacity of all machines once the attempts that are being stopped have ended.
 fn free_capacity_after_stops(cluster: &ClusterState) -> FreeCapacity {
     let mut free = free_capacity(cluster, &DraftTransaction::default());
     for (machine_index, machine) in cluster.all_machines() {
@@ -83,7 +84,8 @@
     free
 }
 
-/// True if a job of sufficient priority has waited for long enough within its team's limit.
+/// True if a production or high-priority job has waited long enough and its team's limit allows
+/// one more task.
 fn may_preempt(pass: &PassContext, job: &Job, waiting: &Waiting) -> bool {
     let patience_ms = match waiting.priority {
         Priority::Production => PRODUCTION_PATIENCE_MS,
@@ -105,13 +107,13 @@
     waiting: Waiting,
 }
 
-/// The tasks to stop on a machine.
+/// The attempts to stop on one machine to make room for a task.
 struct PreemptionChoice {
     machine: MachineIndex,
     candidates: Vec<PreemptionCandidate>,
 }
 
-/// An attempt that may be stopped, and what that frees.
+/// An attempt that may be stopped, and the resources that it frees.
 struct PreemptionCandidate {
     attempt: TaskAttempt,
     need: Resources,
@@ -142,7 +144,7 @@
             && is_allowed(pass.cluster, job, MachineRef { index, machine })
     }
 
-    /// A machine of any owner that can take the task as it is.
+    /// A machine of any owner with enough free capacity, so that nothing has to be stopped.
     fn machine_with_capacity(&self, free: &FreeCapacity) -> Option<MachineIndex> {
         let need = self.waiting.spec.need;
         let mut machines = self.pass.cluster.all_machines();
@@ -153,7 +155,7 @@
         found.map(|(machine_index, _)| machine_index)
     }
 
-    /// The machine of the shard on which the fewest tasks have to be stopped.
+    /// The machine of the shard on which the fewest tasks have to be stopped, with those tasks.
     fn cheapest_machine(
         &self,
         free: &FreeCapacity,
@@ -180,8 +182,8 @@
         best
     }
 
-    /// The cheapest tasks of a machine that free enough for the task; `None` if all of them do
-    /// not.
+    /// The cheapest tasks to stop on a machine so that the waiting task fits; `None` if stopping
+    /// all stoppable tasks does not free enough.
     fn sufficient_candidates(
         &self,
         machine: &Machine,
@@ -194,7 +196,7 @@
             if need.fits(free) {
                 break;
             }
-            // One that is stopped for another task already frees its capacity only once.
+            // The capacity of a victim chosen earlier in this round is already counted as free.
             if chosen.iter().any(|victim| victim.attempt == attempt) {
                 continue;
             }
@@ -211,19 +213,19 @@
     }
 }
 
-/// What stopping a task loses, the cheapest first.
+/// Work lost by stopping a task, the cheapest first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum StopCost {
-    /// It still pulls its image.
+    /// Nothing is lost: the task is still pulling its image.
     Nothing,
-    /// It checkpoints first.
+    /// Little is lost: the task writes a checkpoint before it stops.
     Checkpoint,
-    /// All that it has done: only for production work.
+    /// All progress is lost: accepted only for production jobs.
     Work,
 }
 
-/// Tasks of a lower priority on a machine, the cheapest to stop first, among those of one cost
-/// the one of the lowest priority.
+/// Attempts on a machine that a job of the given priority may preempt: the cheapest to stop first,
+/// then the lowest priority first.
 fn stoppable_attempts(
     cluster: &ClusterState,
     machine: &Machine,
@@ -238,7 +240,8 @@
             let job = &cluster.jobs[attempt.job.at()];
             let spec = job.spec.as_ref()?;
             let cost = stop_cost(task, spec.wire.checkpoint_s > 0.0, priority)?;
-            // A dependency of a job of the higher priority has that priority too.
+            // The priority includes that of dependent jobs: a dependency of a more urgent job is
+            // not stopped.
             let own = job.dependency_state.priority;
             let may_stop = own > priority
                 && !spec.is_wide_gang()
@@ -253,7 +256,8 @@
         .collect()
 }
 
-/// What stopping a task for work of a priority would lose; `None` if it is left alone.
+/// The cost of stopping a task for a job of the given priority; `None` if the task may not be
+/// stopped.
 fn stop_cost(task: &ObservedTask, checkpoints: bool, priority: Priority) -> Option<StopCost> {
     match task.state {
         TaskState::PullingImage => Some(StopCost::Nothing),
--- a/src/coordination/scheduler/preemption_round.rs
+++ b/src/coordination/scheduler/preemption_round.rs
@@ -1,15 +1,16 @@
-//! Carries out preemption: marks the victims that `preemption` chooses. The status round calls it
-//! once a second.
+//! Preemption rounds: marks the victims that `preemption` selects, so that they are stopped. The
+//! status broadcast task runs one round a second.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::planner::with_pass;
 use crate::coordination::scheduler::preemption;
 use crate::state::names::{Index, ShardIndex};
 
-/// Time that a shard has for preemption until it is the next one's turn.
+/// Duration of a shard's turn to preempt, ms; the turns follow the wall clock.
 const SHARD_TURN_MS: u64 = 2000;
 
-/// Marks tasks to be stopped for work of a higher priority.
+/// Marks tasks to be stopped for tasks of a higher priority, on machines of the shard whose turn
+/// it is.
 pub fn preempt_for_waiting(controller: &Controller) {
     let victims = with_pass(controller, |pass| {
         // The last shard is the autoscaler's and has no machines.
--- a/src/coordination/scheduler/quota.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -1,8 +1,9 @@
-//! Teams' limits and the shards' quota shares of them.
+//! Quotas: team limits, and the shares of a limit that shards hold.
 //!
-//! What fits into a shard's share is claimed without the team's record; a claim that does not
-//! raises the share in the same transaction, if the limit allows. The invariant: the shares of a
-//! team's record never add up to more than its limit, and no shard uses more than its share.
+//! A claim that fits into the share of the charged shard does not touch the team's record. A claim
+//! that does not fit raises the share in the same transaction, if the team's limit allows it.
+//! Invariant: the shares in a team's record never add up to more than the team's limit, and no
+//! shard uses more than its share.
 
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::coordination::scheduler::pass::PassContext;
@@ -12,7 +13,8 @@
 use crate::state::units::QuotaUsage;
 use standby::permit::Permit;
 
-/// What placements of a team use, whichever shard is charged.
+/// Quota that all placements of a team use, including the drafted ones, summed over all charged
+/// shards.
 pub fn used_by_team(
     cluster: &ClusterState,
     draft: &DraftTransaction,
@@ -29,15 +31,15 @@
     used
 }
 
-/// Use of a team's quota that a shard is to be charged for.
+/// A quota usage to charge to one shard's share of a team's limit.
 pub(super) struct QuotaCharge {
     pub(super) team: TeamIndex,
     pub(super) charged_shard: ShardIndex,
     pub(super) usage: QuotaUsage,
 }
 
-/// True if the charged shard's share of the team's limit covers the use, raising the share if the
-/// limit allows.
+/// Checks that the charged shard's share of the team's limit covers the usage, and drafts a raised
+/// share if needed. False if the limit or the transaction does not allow it.
 pub(super) fn charge(
     pass: &PassContext,
     draft: &mut DraftTransaction,
@@ -46,8 +48,9 @@
     if pass.cluster.team_limits[charge.team.at()].unlimited() {
         return true;
     }
-    // A claim of unknown outcome may still take what looks free, and a share that is lowered by
-    // one may be less than it looks: what fits into a share is claimed without its record.
+    // A transaction with unknown outcome may still be applied. It may claim quota that looks free
+    // here, or lower a share. A claim within a share is not conditional on the team's record, so
+    // it would not conflict with that transaction.
     let team = charge.team;
     if pass.cluster.teams_with_unknown_outcome.contains(&team)
         || has_job_with_unknown_outcome(pass.cluster, team)
@@ -75,8 +78,8 @@
     job.spec.as_ref().is_some_and(|spec| spec.team == team)
 }
 
-/// What a shard is charged for, with what the draft adds. What the draft frees is free only once
-/// it is committed.
+/// Quota of a team that is charged to a shard, plus what the draft adds. Quota that the draft
+/// releases still counts, since it is free only after the commit.
 fn used_by_shard(
     cluster: &ClusterState,
     draft: &DraftTransaction,
@@ -105,8 +108,8 @@
     raised
 }
 
-/// Drafts a team's record with a raised share; false if neither the limit nor the transaction
-/// allows it.
+/// Drafts a team's record with a raised share; false if the limit or the transaction does not
+/// allow it.
 fn draft_raised_shares(
     pass: &PassContext,
     draft: &mut DraftTransaction,
@@ -115,10 +118,10 @@
 ) -> bool {
     let limit = &pass.cluster.team_limits[team.at()];
     let team_record = usize::from(!draft.team_quotas.contains_key(&team));
-    // The job's record changes as well.
+    // One more key for the record of the job that is placed.
     let keys = team_record + 1;
     if !limit.allows(raised.total()) || !draft.has_capacity_for(pass.cluster, pass.config, keys) {
-        // What this draft frees is free for others once it is committed.
+        // Quota released by this draft is available only after the commit: ask for another pass.
         draft.truncated = true;
         return false;
     }
@@ -126,7 +129,8 @@
     true
 }
 
-/// Lowers quota shares of owned shards that are not used while work of the team waits.
+/// Lowers the quota shares of owned shards to their usage, for each limited team that has waiting
+/// tasks.
 pub fn lower_unused_quota(pass: &PassContext, draft: &mut DraftTransaction) {
     let permits = pass.permits_by_shard();
     for position in 0..pass.cluster.team_limits.len() {
@@ -137,8 +141,8 @@
     }
 }
 
-/// True if a limited team has waiting work, and nothing else is about to change its shares or
-/// their use.
+/// True if a limited team has waiting tasks and no draft or transaction with unknown outcome
+/// changes the team's shares or their usage.
 fn may_lower_shares(pass: &PassContext, draft: &DraftTransaction, team: TeamIndex) -> bool {
     let cluster = pass.cluster;
     if cluster.team_limits[team.at()].unlimited()
