--- a/src/coordination/scheduler/binding.rs
+++ b/src/coordination/scheduler/binding.rs
@@ -1,8 +1,8 @@
-//! Binding: the tasks of a job just accepted get a place in machines' queues.
+//! Binding: decides in which machines' queues the tasks of a newly accepted job wait.
 //!
-//! A pure decision on a view that may be stale, for machines of any owner; `queues` carries it
-//! out. Tasks that find all queues full stay unbound, and the next machine with free capacity
-//! claims them.
+//! The decision uses the cached cluster state, which may be stale, and covers machines of any
+//! owner; `queues` carries it out. If all queues are full, a task stays unbound and is claimed
+//! later for any machine with free capacity.
 
 use crate::coordination::scheduler::bin_packing::bin_packing_cost;
 use crate::coordination::scheduler::config::SchedulerConfig;
@@ -18,20 +18,22 @@
 use crate::state::units::{MonotonicMillis, Resources};
 use std::collections::HashMap;
 
-/// Machines looked at when there are more: a sample in place of a full search.
+/// Maximum number of machines that binding considers from each of two groups: machines that can
+/// start a task at once, and all others. From a larger group a random sample is taken, to avoid a
+/// full search.
 const SAMPLE: usize = 64;
 
-/// A task, and the machine in whose queue it is to wait.
+/// A task and the machine in whose queue it should wait.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct QueueBinding {
-    /// Number of the task.
+    /// Task number.
     pub task: u32,
-    /// The machine.
+    /// Machine with the queue.
     pub machine: MachineIndex,
 }
 
-/// Binds a job's waiting tasks: to the machine in the stale view that suits best, else to the
-/// shortest queue under the cap.
+/// Binds a job's waiting tasks to machines: each task to the lowest-cost machine with free
+/// capacity, else to the machine with the shortest queue, unless all queues are at the cap.
 pub fn bind(
     cluster: &ClusterState,
     config: &SchedulerConfig,
@@ -76,7 +78,7 @@
     bound
 }
 
-/// Free capacity once all that waits in queues has started where it waits.
+/// Free capacity of all machines, less the needs of the tasks that wait in their queues.
 fn free_capacity_beside_queues(cluster: &ClusterState) -> FreeCapacity {
     let mut free = free_capacity(cluster, &DraftTransaction::default());
     for (machine_index, machine) in cluster.all_machines() {
@@ -93,10 +95,10 @@
     free
 }
 
-/// A sample of the machines that may run the job.
+/// A random sample of the machines that may run the job.
 ///
-/// Machines with free capacity and the image are few, and a sample of hundreds misses most of
-/// them: so they are sampled apart from the others.
+/// Machines that have both free capacity and the image are few, and a common sample of hundreds
+/// would miss most of them. So they are sampled separately.
 fn sample_machines<'a>(
     cluster: &'a ClusterState,
     config: &SchedulerConfig,
@@ -143,12 +145,13 @@
 }
 
 impl<'a> Binder<'a> {
-    /// The machine for the next task; `None` if no queue takes it.
+    /// Chooses the machine for the next task; `None` if no machine has free capacity and no queue
+    /// may take the task.
     fn choose(&self) -> Option<MachineRef<'a>> {
         self.best_fitting().or_else(|| self.shortest_queue())
     }
 
-    /// The machine with free capacity that suits the task best.
+    /// The lowest-cost machine with free capacity for the task.
     fn best_fitting(&self) -> Option<MachineRef<'a>> {
         let costs = self.machines.iter().filter_map(|on| {
             let free = self.free.get(on.index)?;
--- a/src/coordination/scheduler/queues.rs
+++ b/src/coordination/scheduler/queues.rs
@@ -1,9 +1,9 @@
-//! The queues of machines: how tasks get into them, here or at the machine's owner, and which
-//! entries go.
+//! Machine queues: adds tasks to the queues of owned machines, sends tasks to the owners of other
+//! machines, and removes stale entries.
 //!
 //! The handler of submissions calls [`bind_job`], the handlers of peer messages and work stealing
-//! call [`enqueue`], the status round calls [`prune_queues`]. Queues are hints: an entry that is
-//! lost, doubled or stale breaks nothing, because a claim is conditional on the job's record.
+//! call [`enqueue`], and the status broadcast task calls [`prune_queues`]. Queues are only hints: a
+//! lost, duplicate or stale entry is harmless, because a claim is conditional on the job's record.
 
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
@@ -14,26 +14,28 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Longest wait for a peer's response about queues.
+/// Timeout of a request to a peer that concerns queues, ms.
 pub(super) const PEER_TIMEOUT_MS: u64 = 800;
 
-/// Least cap of a queue: a free machine may take a few tasks at once, the operators' cap is for
-/// those that wait.
+/// Lower bound of the queue cap: a free machine may start several tasks at once, while the
+/// operators' `queue_cap` is meant for tasks that have to wait.
 const MIN_QUEUE_CAP: usize = 8;
 
-/// Most tasks bound in one frame: a wide job's tasks would make a frame that is refused.
+/// Maximum number of tasks in one `EnqueueTasks` frame: a frame with all tasks of a wide job would
+/// exceed the frame size limit and be refused.
 const TASKS_PER_BIND: usize = 500;
 
-/// Where a task enters a queue.
+/// The end of a queue at which a task is inserted.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum QueueEnd {
-    /// Before all others: the task was stolen for a machine that is free now.
+    /// Before all other tasks: for a stolen task, since the machine is free now.
     Front,
-    /// Behind all others.
+    /// After all other tasks.
     Back,
 }
 
-/// Puts a task into an owned machine's queue; false if it does not wait or the queue is full.
+/// Adds a task to the queue of an owned machine. False if the job or the machine is unknown, the
+/// task is not waiting or already in the queue, or the queue is full.
 pub fn enqueue(
     controller: &Controller,
     machine_index: MachineIndex,
@@ -63,7 +65,7 @@
     true
 }
 
-/// The requests that tell an owner of tasks bound to its machines, as many as it takes.
+/// The requests that send bound tasks to the owner of their machines, split by the frame size.
 pub fn bind_requests(tasks: &[(String, TaskRef)]) -> Vec<PeerRequest> {
     let request = |tasks: &[(String, TaskRef)]| PeerRequest::EnqueueTasks {
         tasks: tasks.to_vec(),
@@ -71,7 +73,8 @@
     tasks.chunks(TASKS_PER_BIND).map(request).collect()
 }
 
-/// Binds the tasks of a job just accepted here to machines, wherever their queues are.
+/// Binds the tasks of a job that this controller has just accepted: adds them to the queues of its
+/// own machines, or sends them to the owners of the chosen machines.
 pub fn bind_job(controller: &Rc<Controller>, job_index: JobIndex) {
     let bound = binding::bind(
         &controller.cluster.borrow(),
@@ -99,7 +102,7 @@
     }
 }
 
-/// A task, the machine that it is bound to, and that machine's owner, by their names.
+/// A task, the machine that it is bound to and the owner of that machine, by name.
 struct BindTarget {
     owner: String,
     machine: String,
@@ -135,7 +138,7 @@
     }
 }
 
-/// Drops queue entries that no longer wait.
+/// Removes the queue entries whose tasks no longer wait for a placement.
 pub fn prune_queues(controller: &Controller) {
     let mut cluster = controller.cluster.borrow_mut();
     let cluster = &mut *cluster;
--- a/src/coordination/scheduler/starved_gangs.rs
+++ b/src/coordination/scheduler/starved_gangs.rs
@@ -1,8 +1,8 @@
-//! Gangs that wait for their team's limit, and the younger work that leaves the limit to them.
+//! Starved gangs: keeps younger jobs from using up the team limit that a gang waits for.
 //!
-//! Small tasks use every bit of a limit as it comes free, so a gang that needs much at once would
-//! wait for as long as any come. Claims ask here before each placement; the autoscaler follows the
-//! same rule.
+//! Small tasks use any part of a team's limit as soon as it is released. A gang, which needs a
+//! large part at once, would wait as long as new small tasks arrive. Claims check this rule before
+//! each placement; the autoscaler follows the same rule.
 
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::coordination::scheduler::job_order::waiting_gangs;
@@ -14,11 +14,12 @@
 use crate::state::names::{Index, TeamIndex};
 use crate::state::units::{QuotaUsage, Resources};
 
-/// Wait after which a job leaves none of its team's limit to gangs any more: work that could run
-/// may not wait for 90 s.
+/// Waiting time after which a job no longer yields its team's limit to gangs, ms: a job that could
+/// run must start within 90 s.
 const MAX_WAIT_FOR_GANGS_MS: u64 = 75_000;
 
-/// What services of a team use of its limit, which comes free only when their users cancel them.
+/// Part of a team's limit that its services use. It is released only when users cancel the
+/// services.
 fn used_by_services(cluster: &ClusterState, team: TeamIndex) -> QuotaUsage {
     let services = cluster.active_jobs().filter_map(|(_, job)| {
         let spec = job.spec.as_ref()?;
@@ -28,31 +29,33 @@
     services.fold(QuotaUsage::default(), |sum, used| sum.plus(used.quota()))
 }
 
-/// True if all of a gang fits into its team's limit once the team's other work but services has
-/// ended. One that does not fit waits for a user, and nothing else may wait for it meanwhile.
+/// True if a gang fits into its team's limit once all other jobs of the team except services have
+/// ended. A gang that does not fit can start only after a user cancels a service, so no other job
+/// may wait for it.
 pub(crate) fn fits_beside_services(cluster: &ClusterState, gang: &Spec) -> bool {
     let services = used_by_services(cluster, gang.team);
     let demand = gang.need.times(gang.tasks());
     cluster.team_limits[gang.team.at()].allows(services.plus(demand.quota()))
 }
 
-/// True if a job has waited long enough to take capacity that a gang of its team waits for.
+/// True if a job has waited so long that it may use quota that a gang of its team waits for.
 pub(crate) fn reservation_expired(job: &Job, wall_ms: u64) -> bool {
     job.waited_ms(wall_ms) >= MAX_WAIT_FOR_GANGS_MS
 }
 
-/// A gang that has waited for its part of its team's limit.
+/// A gang that has waited long for a part of its team's limit.
 struct StarvedGang {
     team: TeamIndex,
     priority_and_age: (Priority, u64),
     demand: Resources,
 }
 
-/// The gangs for whose sake younger work of their team takes no more of its limit, one a team.
+/// The gangs to which younger jobs of the same team yield the team's limit; at most one per team.
 pub(super) struct StarvedGangs(Vec<StarvedGang>);
 
 impl StarvedGangs {
-    /// The first of each limited team that has waited for long and can come to fit.
+    /// Finds, for each team with a limit, the first gang that has waited for at least
+    /// `gang_reservation_after_ms` and can fit into the limit beside the team's services.
     pub(super) fn find(pass: &PassContext) -> StarvedGangs {
         let cluster = pass.cluster;
         let mut starved: Vec<StarvedGang> = Vec::new();
@@ -73,7 +76,8 @@
         StarvedGangs(starved)
     }
 
-    /// True if a task would take what an older gang of its team waits for.
+    /// True if placing a task of the job would use quota that a starved gang of its team waits for.
+    /// False if the job goes before the gang by priority and age, or has waited too long itself.
     pub(super) fn would_starve(
         &self,
         pass: &PassContext,
@@ -94,7 +98,7 @@
     }
 }
 
-/// By this jobs of a team come before each other: the higher priority, then the older.
+/// Sort key of jobs of one team: the higher priority first, then the older job.
 fn priority_and_age(job: &Job) -> (Priority, u64) {
     let state = &job.dependency_state;
     (state.priority, state.eligible_since)
--- a/src/coordination/scheduler/work_stealing.rs
+++ b/src/coordination/scheduler/work_stealing.rs
@@ -1,10 +1,10 @@
-//! Work stealing: an idle machine polls a few random machines with queues and takes the first
-//! queued task that fits.
+//! Work stealing: moves queued tasks to idle machines. For an idle machine, the controller polls a
+//! few random machines with queues and takes the first queued task that fits.
 //!
-//! The planner calls `WorkStealing::steal` with the machines for which its last pass found
-//! nothing; the handler of peer messages calls [`hand_over`] for the polls of other controllers.
-//! Queues are hints: a task that is lost on its way is unbound again, since the job's record alone
-//! says what has been started.
+//! The planner calls `WorkStealing::steal` with the machines for which its last pass claimed
+//! nothing. The handler of peer messages calls [`hand_over`] when another controller polls.
+//! Queues are only hints: a task that is lost in transit is simply unbound again, because only the
+//! job's record determines which tasks have been started.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::failover;
@@ -18,29 +18,31 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// A machine that has tasks in its queue.
+/// A machine with tasks in its queue, and its shard.
 #[derive(Clone, Copy)]
 struct MachineWithQueue {
     machine_index: MachineIndex,
     shard: ShardIndex,
 }
 
-/// Remembers for which message each machine polled last: it polls once for each.
+/// State of work stealing: the last message of each idle machine for which other machines were
+/// polled. A machine polls at most once per message.
 #[derive(Default)]
 pub(super) struct WorkStealing {
     last_poll: HashMap<MachineIndex, HeartbeatVersion>,
 }
 
 impl WorkStealing {
-    /// Drops what is remembered of machines that are no more.
+    /// Drops the entries of machines that no longer exist.
     pub(super) fn forget_deleted_machines(&mut self, cluster: &ClusterState) {
         self.last_poll
             .retain(|machine_index, _| cluster.machine(*machine_index).is_some());
     }
 
-    /// Idle machines poll a few random others, once for each of their heartbeats.
+    /// Polls a few random machines with queues on behalf of each idle machine, at most once per
+    /// message of the idle machine.
     pub(super) fn steal(&mut self, controller: &Rc<Controller>, idle: &[MachineIndex]) {
-        // Machines with queues, looked up once for all that poll now.
+        // Machines with queues, computed at most once per call.
         let mut queues: Option<Vec<MachineWithQueue>> = None;
         for machine_index in idle.iter().copied() {
             if let Some(polled) = self.choose_polled(controller, machine_index, &mut queues) {
@@ -49,7 +51,8 @@
         }
     }
 
-    /// The machines that an idle machine polls; `None` if it has polled since its last heartbeat.
+    /// Chooses the machines to poll for an idle machine; `None` if it has polled since its last
+    /// message.
     fn choose_polled(
         &mut self,
         controller: &Controller,
@@ -82,7 +85,8 @@
         .collect()
 }
 
-/// Takes a task from an own machine's queue if one fits, else asks the owners of the others.
+/// Steals a task for an idle machine: from the queue of a polled machine of this controller if one
+/// fits, else by requests to the owners of the other polled machines.
 fn poll(controller: &Rc<Controller>, idle: MachineIndex, polled: Vec<MachineWithQueue>) {
     let mut by_owner: HashMap<String, Vec<String>> = HashMap::new();
     for MachineWithQueue {
@@ -137,8 +141,8 @@
     cluster.machine_names.name(machine_index).to_string()
 }
 
-/// Takes the first task of a machine's queue that fits the idle machine of another controller.
-/// The giver drops it from its queue.
+/// Removes the first queued task of an owned machine that fits an idle machine of another
+/// controller, and returns it.
 pub fn hand_over(
     controller: &Controller,
     giver: MachineIndex,
@@ -150,7 +154,8 @@
     Some(TaskRef { job, task })
 }
 
-/// Moves the first task of an own machine's queue that fits to another own machine's.
+/// Moves the first queued task that fits from one owned machine to the front of another's queue;
+/// false if none fits.
 fn steal_locally(controller: &Controller, giver: MachineIndex, idle: MachineIndex) -> bool {
     let Some((job_index, task)) = take_fitting(controller, giver, idle) else {
         return false;
@@ -165,7 +170,7 @@
     true
 }
 
-/// Removes the first task that fits the idle machine from an owned machine's queue.
+/// Removes the first task that fits the idle machine from the queue of an owned machine.
 fn take_fitting(
     controller: &Controller,
     giver: MachineIndex,
