--- a/src/coordination/scheduler/bin_packing.rs
+++ b/src/coordination/scheduler/bin_packing.rs
@@ -1,21 +1,21 @@
-//! How well machines suit tasks: the cost that claims and bindings minimise.
+//! Bin packing: the cost of placing a task on a machine, which claims and bindings minimize.
 
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::Spec;
 use crate::state::machine::Machine;
 use crate::state::units::{millis_from_seconds, Resources};
 
-/// Cost of capacity that is stranded: seconds for all of a machine's.
+/// Cost of stranding all of a machine's capacity, in seconds of waiting.
 const STRANDED_CAPACITY_COST_S: f64 = 20.0;
-/// Cost of an on-demand machine for work that may run on a spot machine.
+/// Cost of an on-demand machine for a task that may run on a spot machine, in seconds of waiting.
 const ON_DEMAND_COST_S: f64 = 10.0;
-/// Cost of what is left free: the fuller machine goes first, so that others stay empty for large
-/// tasks or for scale-in.
+/// Cost of leaving all of a machine's capacity free, in seconds of waiting. It prefers fuller
+/// machines, so that others stay empty for large tasks or for scale-in.
 const SPARE_CAPACITY_COST_S: f64 = 3.0;
-/// Least rate of image pulls that a time is computed with.
+/// Lower bound of the image pull rate in an estimate of the pull time, GB per second.
 const MIN_PULL_GB_PER_S: f64 = 0.01;
 
-/// Time that a machine needs to pull a task's image.
+/// Time that a machine needs to pull a task's image, ms; 0 if the image is cached.
 pub(crate) fn image_pull_ms(cluster: &ClusterState, spec: &Spec, machine: &Machine) -> u64 {
     if machine.has_image(spec.image) {
         return 0;
@@ -25,10 +25,11 @@
     millis_from_seconds(spec.wire.image_gb / rate.max(MIN_PULL_GB_PER_S))
 }
 
-/// How well a machine suits a task; less is better, in milliseconds of waiting.
+/// Cost of placing a task on a machine, in milliseconds of waiting; lower is better.
 ///
-/// Pulling an image is time lost. Capacity that nothing else can use once the task is there is
-/// lost too, and spot machines are for the work that may run on them.
+/// The cost covers the time to pull the image, the capacity that is stranded because one resource
+/// runs out before the others, and a penalty for using an on-demand machine for a task that may
+/// run on a spot machine.
 pub fn bin_packing_cost(
     cluster: &ClusterState,
     spec: &Spec,
@@ -53,7 +54,7 @@
     ((pull_s + stranded_s + on_demand_s + spare_s) * 1000.0) as i64
 }
 
-/// The part of each resource of a machine that is left; 0 for what it does not have.
+/// Remaining fraction of each resource of a machine; 0 for a resource that the machine lacks.
 fn fractions_of(left: Resources, capacity: Resources) -> [f64; 3] {
     let fraction = |left: i64, whole: i64| match whole {
         1.. => left as f64 / whole as f64,
--- a/src/coordination/scheduler/commands.rs
+++ b/src/coordination/scheduler/commands.rs
@@ -1,8 +1,9 @@
-//! Commands to a worker in response to its newest heartbeat.
+//! Commands: what a worker is told to start, stop and acknowledge in response to its newest
+//! heartbeat.
 //!
-//! The handler of heartbeats calls [`heartbeat_commands`] for machines that this controller owns under a
-//! permit. The invariants: an exit is acknowledged only once the job's record no longer has the
-//! placement, and nothing is started that the record does not place there.
+//! The handler of heartbeats calls [`heartbeat_commands`] for machines that this controller owns
+//! under a permit. Invariants: an exit is acknowledged only after the placement has been removed
+//! from the job's record, and only attempts that the record places on the machine are started.
 
 use crate::coordination::reconciliation::{
     is_abandoned, is_unwanted, retry_gang_wait, start_in_flight, unacknowledged_start,
@@ -18,10 +19,11 @@
 use standby::ids::FencingToken;
 use standby::permit::Permits;
 
-/// Time beyond a job's checkpoint grace that a task to be stopped gets, s.
+/// Time that a stopped task gets in addition to its job's checkpoint grace period, s.
 const CHECKPOINT_GRACE_MARGIN_S: f64 = 1.0;
 
-/// Commands for a machine in response to its newest heartbeat. Notes the starts that it sends.
+/// Commands for a machine in response to its newest heartbeat. Records the start commands in
+/// `StartTracking::sent` of the machine.
 pub fn heartbeat_commands(
     cluster: &mut ClusterState,
     config: &SchedulerConfig,
@@ -57,7 +59,7 @@
     commands
 }
 
-/// Collects the commands that the tasks of a heartbeat call for.
+/// Collects the commands of one response from the tasks in the heartbeat and the placements.
 struct ResponseBuilder<'a> {
     cluster: &'a ClusterState,
     machine: &'a Machine,
@@ -83,11 +85,12 @@
         }
     }
 
-    /// Acknowledges an exit that the record has: the worker keeps it until then.
+    /// Acknowledges an exit that the job's record reflects; the worker reports it until then.
     ///
-    /// Not while a start may run late or be repeated: the worker would take it for a new one,
-    /// although the task may be on another machine by then. An exit as done does no harm, since
-    /// all that a repeated start does is to show it once more.
+    /// The exit is not acknowledged while a direct start of the attempt may still be delivered,
+    /// late or twice: the worker would have forgotten the attempt and run it, although the task may
+    /// be on another machine by then. A repeated start of an attempt that exited as done is
+    /// harmless, since its only effect is that the worker reports the attempt once more.
     fn acknowledge_exit(&mut self, task: &ObservedTask) {
         let may_run_again = task.task_attempt().is_some_and(|attempt| {
             unacknowledged_start(self.machine, self.fencing_token, attempt)
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Starts a gang task again that timed out waiting for the rest of its gang.
+    /// Restarts a gang task that timed out while it waited for the other tasks of its gang.
     fn retry_gang_task(&mut self, task: &ObservedTask, attempt: TaskAttempt) {
         let job = &self.cluster.jobs[attempt.job.at()];
         if self.may_start
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Starts what the records place on the machine and its heartbeat lacks.
+    /// Starts the attempts that the records place on the machine and that its heartbeat lacks.
     fn start_missing(&mut self, machine_index: MachineIndex) {
         if !self.may_start {
             return;
@@ -123,7 +126,8 @@
         }
     }
 
-    /// Stops a task that must not run any more, with the time that its job needs to checkpoint.
+    /// Stops a task that should no longer run. A task of an open job that the owner has decided to
+    /// stop gets its checkpoint grace period; all others get none.
     fn stop_unwanted(&mut self, task: &ObservedTask, attempt: TaskAttempt) {
         let job = &self.cluster.jobs[attempt.job.at()];
         if !is_unwanted(job, self.machine, attempt) {
@@ -134,7 +138,8 @@
             .copied()
             .filter(|_| job.is_open())
             .unwrap_or_default();
-        // One that is checkpointing has been told already, unless the time for it is over.
+        // A checkpointing task has already received its stop command; it gets another one only to
+        // end the grace period.
         if task.state != TaskState::Checkpointing || grace_s == 0.0 {
             self.commands.push(stop(task, grace_s));
         }
@@ -164,7 +169,7 @@
     }
 }
 
-/// Placements on a machine whose start it has not shown yet.
+/// Attempts that are placed on a machine, do not show in its newest message and should be started.
 pub(super) fn missing_starts(
     cluster: &ClusterState,
     machine_index: MachineIndex,
@@ -181,12 +186,14 @@
         .collect()
 }
 
-/// Time that a task of a job gets to checkpoint before it is killed, s.
+/// Time that a task of a job gets to write a checkpoint before it is killed, s.
 pub(super) fn stop_grace_s(spec: &Spec) -> f64 {
     spec.wire.checkpoint_grace_s + CHECKPOINT_GRACE_MARGIN_S
 }
 
-/// Attempts that should leave a machine with a preemption deadline, with the time to checkpoint.
+/// Attempts that should be stopped on a machine that the cloud is about to preempt, each with the
+/// time to write a checkpoint, s. These are running tasks that write checkpoints, and tasks that
+/// lose no progress: those of services and those that still pull their image.
 pub fn checkpoint_before_preemption(
     cluster: &ClusterState,
     machine_index: MachineIndex,
--- a/src/coordination/scheduler/config.rs
+++ b/src/coordination/scheduler/config.rs
@@ -1,4 +1,4 @@
-//! Parameters of scheduling decisions.
+//! Scheduler configuration: the parameters of all scheduling decisions.
 
 use crate::protocol::kv::Limits;
 use crate::state::cluster_state::ClusterState;
@@ -6,49 +6,56 @@
 use std::cell::Cell;
 use std::collections::HashMap;
 
-/// What a controller decides by.
+/// Parameters of a controller's scheduling decisions.
 #[derive(Clone, Debug)]
 pub struct SchedulerConfig {
     /// Name of this controller.
     pub controller_name: String,
-    /// Incarnation of its process.
+    /// Incarnation of this controller's process.
     pub incarnation: Incarnation,
-    /// Silence after which a machine gets nothing new, ms.
+    /// Time since the last heartbeat after which a machine gets no new tasks, ms.
     pub unresponsive_ms: u64,
-    /// Most tasks that wait in a machine's queue.
+    /// Queue length at which no further task is bound to a machine without free capacity.
     pub queue_cap: usize,
-    /// Wait after which a queued task may be claimed for any machine, ms.
+    /// Time in a queue after which a task may be claimed for any machine, ms.
     pub steal_after_ms: u64,
-    /// Wait after which machines are reserved for a gang, ms.
+    /// Waiting time after which machines are reserved for a gang, ms.
     pub gang_reservation_after_ms: u64,
-    /// Wait after which work for spot machines takes empty on-demand ones, ms.
+    /// Waiting time after which a task that may run on spot machines may use an empty on-demand
+    /// machine, ms. It applies in full to machine types whose on-demand price is at least four
+    /// times the spot price.
     pub spot_patience_ms: u64,
-    /// Part of the spot work expected during a boot that a capacity buffer is kept for.
+    /// Capacity to keep free for tasks that may run on spot machines, as a factor of the tasks
+    /// expected while a machine boots.
     pub capacity_buffer_spot: f64,
-    /// The same for work that must not run on spot machines.
+    /// The same factor for tasks that must not run on spot machines.
     pub capacity_buffer_on_demand: f64,
-    /// Silence after which a worker that only this owner responded to has killed its tasks, ms.
+    /// Time without a heartbeat or response after which a worker has killed its tasks, ms. It
+    /// holds only if this owner alone has responded to the worker.
     pub lease_expiry_ms: u64,
-    /// Age of the cancellation watermark from which on no lease of a machine with tasks is
-    /// renewed, ms.
+    /// Maximum age of the cancellation watermark at which the lease of a machine with tasks is
+    /// still renewed, ms.
     pub max_watermark_age_ms: u64,
-    /// Time in which a cancelled job's tasks have to be stopped, ms.
+    /// Time within which all tasks of a cancelled job have to be stopped, ms.
     pub cancel_ms: u64,
-    /// Times in which jobs of a class are expected to finish, ms, the shortest first.
+    /// Completion targets by job class: times within which a job should finish, ms, ascending.
     pub completion_targets: HashMap<String, Vec<u64>>,
-    /// Limits of the key-value store now, as the settings say.
+    /// Limits of the key-value store that hold now according to the settings.
     pub limits_now: Limits,
-    /// Limits that come without notice.
+    /// Limits of the key-value store that may take effect at any time, without notice; unlimited
+    /// where the settings announce none.
     pub limits_next: Limits,
-    /// Limits that its refusals have shown.
+    /// Limits derived from transactions that the key-value store has refused; unlimited until one
+    /// is refused for its size.
     pub limits_observed: Cell<Limits>,
 }
 
 impl SchedulerConfig {
-    /// Limits that hold for what is written.
+    /// The limits that all writes keep to.
     ///
-    /// Once every controller knows how to keep to those that come, nothing is written any more
-    /// that only today's allow: what is stored and too large can't be written back later.
+    /// Once every controller can read record format 2, which fits records into smaller limits, the
+    /// announced limits are kept as well: a stored record that exceeds them could not be written
+    /// back after they take effect.
     pub fn limits(&self, cluster: &ClusterState) -> Limits {
         let now = self.limits_now.min(self.limits_observed.get());
         if cluster.record_format_v2 {
--- a/src/coordination/scheduler/direct_start_delivery.rs
+++ b/src/coordination/scheduler/direct_start_delivery.rs
@@ -1,5 +1,5 @@
-//! Sends direct starts to workers and takes in their responses. The planner calls it after its
-//! passes; what to send is decided in `direct_starts`.
+//! Delivery of direct starts: sends start commands to workers and processes their responses. The
+//! planner calls it after its passes; `direct_starts` decides what to send.
 
 use crate::coordination::controller::worker_connections::WorkerConnectionSlot;
 use crate::coordination::controller::Controller;
@@ -14,13 +14,13 @@
 use http_types::Method;
 use std::rc::Rc;
 
-/// Longest wait for a worker's response to direct commands.
+/// Timeout of a request with direct commands to a worker, ms.
 const WORKER_TIMEOUT_MS: u64 = 2000;
 
-/// Sends starts that can't wait for the next heartbeat.
+/// Sends the start commands that should not wait for the machines' next heartbeats.
 pub(super) fn send_direct_starts(controller: &Rc<Controller>) {
     let mut connections: Vec<WorkerConnectionSlot> = Vec::new();
-    // What finds no connection goes out in the response to the machine's next heartbeat.
+    // Without a free connection the commands are sent in the response to the next heartbeat.
     let reserve_connection = || {
         let connection = controller.worker_connections.acquire();
         connection.map(|c| connections.push(c)).is_some()
@@ -68,7 +68,7 @@
 ) {
     let outcome = outcome_of(&response);
     if outcome == DirectStartOutcome::Unknown {
-        // It may run minutes later: the fencing token of this shard has to be raised.
+        // The start may take effect minutes later, unless the shard's fencing token is raised.
         log::info!("direct start outcome unknown: address={}", start.addr);
     }
     let answer = response.ok().filter(is_answer);
@@ -84,7 +84,8 @@
     }
 }
 
-/// True for the worker's own responses; any other status may come from what is in between.
+/// True for a response of the worker itself. Any other status may come from an intermediary, such
+/// as a proxy.
 fn is_answer(response: &ClientResponse) -> bool {
     matches!(response.status, 200 | 409)
 }
--- a/src/coordination/scheduler/direct_starts.rs
+++ b/src/coordination/scheduler/direct_starts.rs
@@ -1,8 +1,9 @@
-//! Which starts can't wait for a machine's next heartbeat, and what their outcome means.
+//! Direct starts: start commands that are sent at once instead of in the response to the machine's
+//! next heartbeat, and the effects of their outcomes.
 //!
-//! Pure decisions; `direct_start_delivery` sends them. The invariant: from before it is sent until
-//! the worker has responded, a direct start counts as in flight, so that nothing takes its attempt
-//! for absent.
+//! This module only decides; `direct_start_delivery` sends the commands. Invariant: a direct start
+//! is recorded as in flight before it is sent and until the worker has responded, so that its
+//! attempt is never considered proven absent meanwhile.
 
 use crate::coordination::scheduler::commands::{missing_starts, start};
 use crate::coordination::scheduler::config::SchedulerConfig;
@@ -14,26 +15,26 @@
 use standby::ids::FencingToken;
 use standby::permit::{Permit, Permits};
 
-/// Direct starts for a machine, whose next heartbeat may be seconds away.
+/// Start commands to send directly to one machine, whose next heartbeat may be seconds away.
 #[derive(Debug)]
 pub struct DirectStart {
-    /// Machine.
+    /// Machine that runs the attempts.
     pub machine: MachineIndex,
-    /// Address of its worker.
+    /// Address of the machine's worker.
     pub addr: String,
-    /// Fencing token that the commands are bound to.
+    /// Fencing token of the commands; a worker that has seen a higher one refuses them.
     pub fencing_token: FencingToken,
-    /// Agent epoch that the commands are bound to.
+    /// Agent epoch that the commands are meant for; the worker refuses them in any other.
     pub agent_epoch: AgentEpoch,
     /// Attempts to start.
     pub attempts: Vec<TaskAttempt>,
-    /// The commands.
+    /// One start command per attempt.
     pub commands: Vec<Command>,
 }
 
-/// Starts that no command has gone out for yet, on machines that no heartbeat is being answered
-/// to. They are noted as in flight. `reserve_connection` tells whether there is a connection left
-/// for one more machine.
+/// Selects the attempts for which no start command has been sent yet, on machines to which no
+/// heartbeat response is in progress, and marks them as in flight. `reserve_connection` is called
+/// once per machine and returns whether a connection is available for it.
 pub fn direct_starts(
     cluster: &mut ClusterState,
     config: &SchedulerConfig,
@@ -60,8 +61,8 @@
     starts
 }
 
-/// What to start on a machine, if it is owned and takes direct commands; `None` if there is
-/// nothing.
+/// The direct start commands for one machine. `None` if there are none, or if the machine is not
+/// owned, not schedulable or does not accept direct commands.
 fn direct_start_for(
     cluster: &ClusterState,
     config: &SchedulerConfig,
@@ -91,7 +92,8 @@
     })
 }
 
-/// True if the worker knows this owner, can be reached, and is not being answered right now.
+/// True if the worker has confirmed this owner's fencing token and has a known address, and no
+/// heartbeat response to it is in progress.
 fn takes_direct_commands(machine: &Machine, fencing_token: FencingToken) -> bool {
     machine.heartbeat.responses_in_progress == 0
         && machine.heartbeat.fencing_token == fencing_token
@@ -125,18 +127,19 @@
     }
 }
 
-/// How direct starts went.
+/// Outcome of a request with direct start commands.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum DirectStartOutcome {
-    /// They were executed.
+    /// The worker executed the commands.
     Executed,
-    /// They never left, or the worker refused them.
+    /// The request was never sent, or the worker refused it.
     Refused,
-    /// There was no response: they may run at any time until the fencing token has risen.
+    /// There was no response from the worker: the commands may take effect at any time until the
+    /// fencing token is raised.
     Unknown,
 }
 
-/// Notes how direct starts went.
+/// Records the outcome of direct starts. An unknown outcome leaves them in flight.
 pub fn record_direct_start_outcome(
     cluster: &mut ClusterState,
     sent: &DirectStart,
--- a/src/coordination/scheduler/draft.rs
+++ b/src/coordination/scheduler/draft.rs
@@ -1,8 +1,8 @@
-//! The draft of one transaction: what a scheduling pass changes, and what that rests on.
+//! Draft transactions: the changes of one scheduling pass and the ownership that they depend on.
 //!
-//! The steps of a pass edit the draft one after another; the key-value store's module turns it
-//! into a compare-and-swap transaction. A draft never grows beyond what one transaction holds:
-//! what does not fit is left out and `truncated` is set.
+//! The steps of a pass edit the draft one after another; `coordination::kv` converts it into a
+//! compare-and-swap transaction. A draft never exceeds the limits of one transaction: changes that
+//! do not fit are left out, and `truncated` is set.
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::state::cluster_state::{ClusterState, TeamRecord};
@@ -12,62 +12,65 @@
 use standby::permit::Permit;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most bytes of records in a transaction.
+/// Size of the drafted job records from which on no further record is added, bytes.
 const MAX_TRANSACTION_BYTES: usize = 48 * 1024;
 
-/// A new placement.
+/// A placement that a draft adds to a job.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Claim {
-    /// Its job.
+    /// Job of the placed task.
     pub job: JobIndex,
-    /// The placement.
+    /// The new placement.
     pub placement: Placement,
 }
 
 /// Changes to be committed together.
 #[derive(Default, Debug)]
 pub struct DraftTransaction {
-    /// Jobs as they shall be.
+    /// Changed jobs in their new state.
     pub jobs: BTreeMap<JobIndex, Job>,
-    /// Shards whose ownership the changes rest on, with the fencing tokens of the permits.
+    /// Shards that this controller must still own at the commit, with the fencing tokens of the
+    /// permits.
     shards: BTreeMap<ShardIndex, FencingToken>,
-    /// Teams' quota shares as they shall be.
+    /// Changed records of team quotas in their new state.
     pub team_quotas: BTreeMap<TeamIndex, TeamRecord>,
-    /// New placements.
+    /// Placements that the draft adds.
     pub claims: Vec<Claim>,
-    /// Leave small updates of arrays for later, when more of them are written at once.
+    /// True if this pass should leave small updates of array jobs for a later batch.
     pub batch_array_updates: bool,
-    /// Overflow records of jobs that change with them.
+    /// Overflow records that change together with their jobs, by job and overflow index.
     pub overflow_records: BTreeSet<(JobIndex, u16)>,
-    /// How many jobs cancelled with a dependency this pass may write down.
+    /// Maximum number of jobs that this pass may write as cancelled because a dependency was
+    /// cancelled.
     pub cascade_budget: usize,
-    /// Something was left out because the transaction or a team's quota share was full.
+    /// True if a change was left out because the transaction was full or a team's limit reached.
     pub truncated: bool,
     bytes: usize,
 }
 
 impl DraftTransaction {
-    /// A draft that may leave small updates of arrays for later.
+    /// An empty draft; `batch_array_updates` leaves small updates of array jobs for a later batch.
     pub fn batching(batch_array_updates: bool) -> DraftTransaction {
         DraftTransaction {
             batch_array_updates,
             ..DraftTransaction::default()
         }
     }
-    /// Notes that the changes rest on the ownership that a permit stands for.
+    /// Makes the transaction conditional on the ownership of the permit's shard.
     pub(crate) fn require_ownership(&mut self, permit: &Permit) {
         self.shards
             .insert(permit.shard().into(), permit.fencing_token());
     }
-    /// Shards whose ownership the changes rest on, with the fencing tokens of the permits.
+    /// Shards that this controller must still own at the commit, with the fencing tokens of the
+    /// permits.
     pub fn shards(&self) -> &BTreeMap<ShardIndex, FencingToken> {
         &self.shards
     }
-    /// True if nothing changes.
+    /// True if the draft changes neither jobs nor team quotas.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty() && self.team_quotas.is_empty()
     }
-    /// True if this many more changed keys still go into the transaction.
+    /// True if the transaction has space for this many more changed keys.
     pub(crate) fn has_capacity_for(
         &self,
         cluster: &ClusterState,
@@ -78,7 +81,8 @@
         keys + additional_keys <= config.limits(cluster).txn_ops
             && self.bytes < MAX_TRANSACTION_BYTES
     }
-    /// Notes that an overflow record of a job changes; false if the transaction is full.
+    /// Adds an overflow record of a job to the changed ones; false if the transaction is full.
+    /// For index 0, the job's own record, nothing is added.
     pub(crate) fn include_overflow(
         &mut self,
         cluster: &ClusterState,
@@ -96,13 +100,13 @@
         }
         self.overflow_records.insert(record)
     }
-    /// The job as drafted so far.
+    /// The job, including the changes drafted so far.
     pub fn job<'a>(&'a self, cluster: &'a ClusterState, job_index: JobIndex) -> &'a Job {
         self.jobs
             .get(&job_index)
             .unwrap_or(&cluster.jobs[job_index.at()])
     }
-    /// The job, to change it; `None` if the transaction is full.
+    /// The job for editing, added to the draft if necessary; `None` if the transaction is full.
     pub(crate) fn edit(
         &mut self,
         cluster: &ClusterState,
--- a/src/coordination/scheduler/free_capacity.rs
+++ b/src/coordination/scheduler/free_capacity.rs
@@ -1,4 +1,4 @@
-//! Free capacity of machines, with what a draft changes.
+//! Free capacity of machines, including the changes of a draft.
 
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::coordination::scheduler::pass::PassContext;
@@ -10,20 +10,20 @@
 use crate::state::names::{Index, JobIndex, MachineIndex};
 use crate::state::units::Resources;
 
-/// Free capacity by machine, drafted changes included.
+/// Free capacity by machine index, including drafted changes.
 #[derive(Clone, Debug)]
 pub struct FreeCapacity(Vec<Option<Resources>>);
 
 impl FreeCapacity {
-    /// What is free on a machine; `None` if the machine or its type is not known.
+    /// Free capacity of a machine; `None` if the machine or its type is unknown.
     pub fn get(&self, machine: MachineIndex) -> Option<Resources> {
         self.0.get(machine.at()).copied().flatten()
     }
-    /// Takes some of it; parts may become negative.
+    /// Subtracts resources from a machine's free capacity, which may become negative.
     pub fn take(&mut self, machine: MachineIndex, need: Resources) {
         self.change(machine, |free| free.minus(need));
     }
-    /// Gives some back.
+    /// Adds resources to a machine's free capacity.
     pub fn give(&mut self, machine: MachineIndex, need: Resources) {
         self.change(machine, |free| free.plus(need));
     }
@@ -34,7 +34,8 @@
     }
 }
 
-/// Free capacity of machines, after placements and whatever else their heartbeats show.
+/// Free capacity of all machines, less stored and drafted placements and all other tasks that
+/// heartbeats show.
 pub fn free_capacity(cluster: &ClusterState, draft: &DraftTransaction) -> FreeCapacity {
     let mut free = FreeCapacity(cluster.free_capacity().to_vec());
     for (job_index, drafted) in &draft.jobs {
@@ -57,8 +58,9 @@
     all.filter(|placement| !other.placements.contains(placement))
 }
 
-/// True if the removal of a placement frees capacity: what a heartbeat still shows takes its
-/// capacity until it has exited, and what is done takes none in the view either.
+/// True if the removal of a placement frees capacity in the cached cluster state. A task that the
+/// machine's newest message still shows uses capacity until it has exited. A task that has exited
+/// as done is already counted as free.
 fn frees_capacity(cluster: &ClusterState, job_index: JobIndex, placement: &Placement) -> bool {
     let attempt = TaskAttempt::new(job_index, placement.task, placement.attempt);
     let machine = cluster.machine(placement.machine);
@@ -66,12 +68,13 @@
     task.is_none_or(|task| task.state == TaskState::Exited && !task.is_done())
 }
 
-/// The least of each part that any of these needs: a machine without that suits none of them.
+/// The minimum of each resource over the tasks of these jobs: a machine with less free fits none of
+/// them. `None` if there are no jobs.
 pub fn smallest_need<'a>(specs: impl Iterator<Item = &'a Spec>) -> Option<Resources> {
     specs.map(|spec| spec.need).reduce(Resources::least)
 }
 
-/// Schedulable machines of any owner with free capacity for the smallest need.
+/// Schedulable machines of any owner whose free capacity fits the smallest need.
 pub(super) fn machines_with_capacity<'a: 'f, 'f>(
     pass: &PassContext<'a>,
     free: &'f FreeCapacity,
--- a/src/coordination/scheduler/mod.rs
+++ b/src/coordination/scheduler/mod.rs
@@ -1,21 +1,21 @@
-//! Scheduling decisions, as pure functions of the cluster state, and the tasks that carry them
-//! out.
+//! The scheduler: decisions, as pure functions of the cluster state, and the code that carries
+//! them out.
 //!
-//! A pass first reconciles what heartbeats prove, then claims waiting tasks for machines with free
-//! capacity. Its result is one transaction, conditional on every job record it changes and on every
-//! shard record it rests on.
+//! A scheduling pass first removes the placements that have provably ended, then claims waiting
+//! tasks for machines with free capacity. Its result is one transaction, conditional on every job
+//! record that it changes and on the records of all shards whose ownership it requires.
 //!
-//! | decides | carries it out |
+//! | decision | carried out by |
 //! | --- | --- |
-//! | `claims`, `gangs`, `quota` (in the order of `job_order`) | `planner` |
+//! | `claims`, `gangs`, `quota` (jobs in the order of `job_order`) | `planner` |
 //! | `direct_starts` | `direct_start_delivery` |
 //! | `commands` | the handler of heartbeats |
 //! | `binding` | `queues` |
 //! | `preemption` | `preemption_round` |
-//! | `gang_reservations` | the status round between controllers |
+//! | `gang_reservations` | the status broadcast task |
 //!
-//! `placement_rules`, `bin_packing` and `free_capacity` say which machines suit a task; `draft`
-//! and `placement` are what a pass writes to.
+//! `placement_rules`, `bin_packing` and `free_capacity` determine which machines suit a task. A
+//! pass writes its changes to a `draft`, and all new placements go through `placement`.
 
 pub mod bin_packing;
 pub mod binding;
--- a/src/coordination/scheduler/ownership.rs
+++ b/src/coordination/scheduler/ownership.rs
@@ -1,5 +1,5 @@
-//! What this controller may decide: for shards that it owns under a permit, and as long as it
-//! hears of cancellations.
+//! Ownership checks: a controller decides only for shards that it owns under a permit, and starts
+//! tasks and renews leases only while its knowledge of cancellations is recent enough.
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::state::cluster_state::ClusterState;
@@ -7,17 +7,18 @@
 use crate::state::units::MonotonicMillis;
 use standby::permit::{Permit, Permits};
 
-/// Age of the cancellation watermark up to which tasks are started: above the wait of a watch.
+/// Maximum age of the cancellation watermark at which tasks are still started, ms. It exceeds the
+/// 5 s for which a watch request of the key-value store waits without changes.
 const MAX_WATERMARK_AGE_FOR_STARTS_MS: u64 = 6500;
 
 impl SchedulerConfig {
-    /// True if this incarnation owns the shard, as far as is known.
+    /// True if this incarnation owns the shard according to the cached shard record.
     pub fn owns(&self, cluster: &ClusterState, shard: ShardIndex) -> bool {
         let record = &cluster.shards[shard.at()].record;
         record.owner == self.controller_name && record.incarnation == self.incarnation
     }
-    /// The permit to decide for a shard, if this incarnation owns it under the permit's fencing
-    /// token.
+    /// The permit to decide for a shard; `None` unless this incarnation owns the shard under the
+    /// permit's fencing token.
     pub fn permit<'p>(
         &self,
         cluster: &ClusterState,
@@ -28,7 +29,8 @@
         let permit = permits.get(shard.into())?;
         (self.owns(cluster, shard) && permit.fencing_token() == fencing_token).then_some(permit)
     }
-    /// The permits of all shards, by index: for loops over machines and placements.
+    /// The permits of all shards by shard index, so that loops over machines or placements look up
+    /// each permit once.
     pub fn permitted<'p>(
         &self,
         cluster: &ClusterState,
@@ -39,22 +41,22 @@
             .map(|shard| self.permit(cluster, permits, shard))
             .collect()
     }
-    /// True if this incarnation owns a shard, for all shards by index.
+    /// Whether this incarnation owns each shard, by shard index.
     pub fn owned(&self, cluster: &ClusterState) -> Vec<bool> {
         let shards = (0..cluster.shards.len()).map(ShardIndex::new);
         shards.map(|shard| self.owns(cluster, shard)).collect()
     }
-    /// True if an owner may renew the leases of machines with tasks: a task whose cancellation it
-    /// has not heard of by then would outlive the time for cancellations.
+    /// True if this controller may renew the leases of machines with tasks.
     ///
-    /// An owner that reaches neither the key-value store nor its peers may have missed some. Its
-    /// response gives a worker one more lease, so it gives the last one while enough time is left.
+    /// A controller that reaches neither the key-value store nor its peers may have missed
+    /// cancellations, and a renewed lease lets a cancelled task run until the lease expires. So
+    /// leases are renewed only while enough of `cancel_ms` remains for one more lease.
     pub fn may_renew(&self, cluster: &ClusterState, now: MonotonicMillis) -> bool {
         let age_ms = cluster.cancellation_watermark.age_ms(now);
         age_ms.is_some_and(|age| age <= self.max_watermark_age_ms)
     }
-    /// True if tasks may be started: their jobs' records, read a moment ago, may be out of date,
-    /// but not by more than it takes to hear of a cancellation.
+    /// True if this controller may start tasks: its view of the jobs may be stale, but all
+    /// cancellations are known up to a recent enough time.
     pub fn may_start(&self, cluster: &ClusterState, now: MonotonicMillis) -> bool {
         let max_age_ms = MAX_WATERMARK_AGE_FOR_STARTS_MS.min(self.max_watermark_age_ms);
         let age_ms = cluster.cancellation_watermark.age_ms(now);
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -1,8 +1,8 @@
-//! Drafts placements: the one way by which tasks get a machine in a job's record.
+//! Placement: the only code that drafts new placements in a job's record.
 //!
-//! Claims of single tasks and of whole gangs both end here. The invariant: a placement is drafted
-//! only within the team's quota, within what the job's records and the transaction hold, and under
-//! a permit that the transaction then requires.
+//! Claims of single tasks and of whole gangs both use it. Invariant: a placement is drafted only
+//! within the team's quota, within the size limits of the job's records and of the transaction,
+//! and under a permit whose shard the transaction then requires to be owned.
 
 use crate::coordination::scheduler::draft::{Claim, DraftTransaction};
 use crate::coordination::scheduler::pass::PassContext;
@@ -12,23 +12,24 @@
 use crate::state::names::{JobIndex, ShardIndex};
 use standby::permit::Permit;
 
-/// A task and the machine for it.
+/// A task number and the machine to place the task on.
 #[derive(Clone, Copy)]
 pub(super) struct TaskOnMachine<'a> {
     pub(super) task: u32,
     pub(super) on: MachineRef<'a>,
 }
 
-/// Tasks of a job to be placed under one attempt number.
+/// Tasks of a job to place under a common attempt number.
 pub(super) struct PlacementRequest<'a> {
     pub(super) job_index: JobIndex,
     pub(super) spec: &'a Spec,
     pub(super) tasks: &'a [TaskOnMachine<'a>],
-    /// Permit for the shard whose quota share is charged.
+    /// Permit of the shard whose quota share is charged.
     pub(super) permit: &'a Permit,
 }
 
-/// Drafts placements of one attempt; false if the transaction is full or the limit is reached.
+/// Drafts placements of tasks under the job's next attempt number. False if the transaction is
+/// full, the job's records can't hold the placements, or the team's limit is reached.
 pub(super) fn place(
     pass: &PassContext,
     draft: &mut DraftTransaction,
@@ -78,9 +79,8 @@
     true
 }
 
-/// Where the job's records hold this many more placements, with the overflow records among them
-/// noted as changing; `None` if the records can't hold them, or the transaction not all that
-/// changes.
+/// The overflow index of the record that stores each of this many new placements; the overflow
+/// records are added to the draft. `None` if the job's records or the transaction have no space.
 fn include_overflows(
     pass: &PassContext,
     draft: &mut DraftTransaction,
--- a/src/coordination/scheduler/planner.rs
+++ b/src/coordination/scheduler/planner.rs
@@ -1,9 +1,9 @@
-//! The planner: the background task that makes scheduling passes and commits them.
+//! The planner: the background task that runs scheduling passes and commits their drafts.
 //!
-//! It wakes when something has changed, and now and then. Each pass drafts one transaction by the
-//! pure steps of this folder; the planner commits it and applies the outcome. It holds no state of
-//! the cluster: a draft that meets a conflict is dropped, and the next pass decides anew on a
-//! fresh view.
+//! It wakes on notifications of changes and after a timeout. Each pass drafts one transaction with
+//! the pure functions of this module tree; the planner commits it and applies the outcome. It holds
+//! no cluster state of its own: after a conflict the draft is dropped, and the next pass decides
+//! again on a refreshed view.
 
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
@@ -27,27 +27,27 @@
 use standby::ids::Revision;
 use std::rc::Rc;
 
-/// Most passes in a row before other tasks run.
+/// Maximum number of passes in a row before direct starts and work stealing get their turn.
 const MAX_PASSES: usize = 12;
-/// Longest wait for a fresh read after a conflict or an unknown outcome.
+/// Timeout of the fresh read after a conflict or an unknown outcome, ms.
 const REFRESH_TIMEOUT_MS: u64 = 1500;
-/// Pause after the key-value store has refused a transaction, before jitter.
+/// Pause after the key-value store has refused a transaction, ms before jitter.
 const REFUSAL_PAUSE_MS: u64 = 150;
-/// How many jobs cancelled with a dependency are written down at a time.
+/// Maximum number of jobs that one pass writes as cancelled because a dependency was cancelled.
 const CASCADES_PER_PASS: usize = 2;
-/// Time between two passes that write such jobs down.
+/// Minimum time between two passes that write such cancellations, ms.
 const CASCADE_INTERVAL_MS: u64 = 1000;
-/// Time between two lowerings of unused quota shares.
+/// Minimum time between two passes that lower unused quota shares, ms.
 const QUOTA_LOWERING_INTERVAL_MS: u64 = 2000;
 
-/// When the steps that not every pass makes were made last.
+/// Times of the last run of the steps that not every pass includes.
 #[derive(Default)]
 struct PeriodicSteps {
     quota_lowered_at: MonotonicMillis,
     cascades_written_at: MonotonicMillis,
 }
 
-/// Background task: plans whenever something has changed, and now and then.
+/// Background task: runs scheduling passes on every notification and after a timeout.
 pub async fn run(controller: Rc<Controller>) {
     let mut periodic = PeriodicSteps::default();
     let mut work_stealing = WorkStealing::default();
@@ -80,8 +80,8 @@
     write_budget.batch_array_updates(controller.now(), cluster.changes, limit)
 }
 
-/// Makes passes until nothing is left to change; returns the machines that found nothing in the
-/// last one.
+/// Runs passes until no other should follow at once, at most `MAX_PASSES`. Returns the machines
+/// with free capacity for which the last pass claimed nothing.
 async fn make_passes(
     controller: &Rc<Controller>,
     batch_array_updates: bool,
@@ -98,9 +98,9 @@
     idle
 }
 
-/// Decides on the view and the permits that a controller has now.
+/// Calls `decide` with the cluster state and the permits that the controller has now.
 pub(super) fn with_pass<T>(controller: &Controller, decide: impl FnOnce(&PassContext) -> T) -> T {
-    // Observes the shards, so it comes before the cluster state is borrowed.
+    // Observing the shards may change the cluster state, so this call precedes the borrow.
     let permits = failover::permits(controller);
     let cluster = controller.cluster.borrow();
     decide(&PassContext {
@@ -112,7 +112,8 @@
     })
 }
 
-/// What one pass changes, and the machines that found nothing in it.
+/// Drafts one pass. Returns the draft and the machines with free capacity for which the pass
+/// claimed nothing.
 fn draft_pass(
     controller: &Controller,
     batch_array_updates: bool,
@@ -137,7 +138,7 @@
     })
 }
 
-/// Commits what a pass changes; true if another pass should follow at once.
+/// Commits the draft of a pass and applies the outcome; true if another pass should follow at once.
 async fn commit_pass(controller: &Rc<Controller>, draft: &DraftTransaction) -> bool {
     let claim_lines = describe_claims(controller, draft);
     let ended = replication::ended_attempts(controller, draft);
@@ -149,7 +150,7 @@
             for line in claim_lines {
                 log::debug!("{line}");
             }
-            // What was ready is done; the next pass is for what comes next.
+            // Only a truncated draft leaves work that another pass can do at once.
             draft.truncated
         }
         CommitOutcome::Conflict(keys) => {
@@ -171,8 +172,8 @@
     }
 }
 
-/// Shards whose record has another version than the draft rests on: their fencing tokens are
-/// refused.
+/// Reports the fencing tokens of the shards whose records conflicted: they have another version
+/// than the draft requires.
 fn report_stale_tokens(controller: &Controller, draft: &DraftTransaction, keys: &[String]) {
     for (shard, fencing_token) in draft.shards() {
         let key = controller.cluster.borrow().shard_key(*shard);
@@ -183,7 +184,8 @@
     }
 }
 
-/// Which tasks a draft claims, for which machine, and how long after their job could run.
+/// One log line per claim of a draft, with the machine and the time since the job became eligible
+/// to run; empty unless debug logging is enabled.
 fn describe_claims(controller: &Controller, draft: &DraftTransaction) -> Vec<String> {
     if !log::log_enabled!(log::Level::Debug) {
         return Vec::new();
--- a/src/coordination/scheduler/write_budget.rs
+++ b/src/coordination/scheduler/write_budget.rs
@@ -1,28 +1,29 @@
-//! How scarce changes of the key-value store are: what all controllers write, as the watch shows
-//! it, against the limit that they share.
+//! Write budget: compares the rate of changes that all controllers write to the key-value store, as
+//! the watch shows it, with the write limit that they share.
 //!
-//! The planner asks before each series of passes. Arrays make most of the changes, a claim and an
-//! end for each task. The nearer the limit, the longer these are batched, so that one change of a
-//! record tells of several; high-priority work, gangs and services never wait for a batch.
+//! The planner checks it before each series of passes. Array jobs cause most of the changes: a
+//! claim and an end for each task. The closer the rate is to the limit, the longer these are
+//! batched, so that one change of a record covers several tasks. High-priority jobs, gangs and
+//! services never wait for a batch.
 
 use crate::state::units::MonotonicMillis;
 
-/// Longest sleep of the planner.
+/// Maximum sleep of the planner, ms.
 const MAX_PLANNER_SLEEP_MS: u64 = 700;
-/// Shortest sleep of the planner while it batches.
+/// Minimum sleep of the planner while it batches, ms.
 const MIN_BATCHING_SLEEP_MS: u64 = 20;
-/// Part of the limit on changes from which on they are batched.
+/// Fraction of the write limit above which changes are batched.
 const BATCHING_FROM_UTILIZATION: f64 = 0.5;
-/// Part of the limit on changes at which the batching window is longest.
+/// Fraction of the write limit at which the batching window reaches its maximum.
 const FULL_BATCHING_AT_UTILIZATION: f64 = 0.9;
-/// Longest time that ends and claims of arrays are batched. A job's end is written at once by
-/// the controller that sees it whole, and no later than this by others.
+/// Maximum batching window for ends and claims of array tasks, ms. The end of a whole job is
+/// written at once by a controller that sees all of it, and by others no later than this.
 const MAX_BATCH_WINDOW_MS: f64 = 1000.0;
-/// Time between two measurements of the rate of changes.
+/// Minimum time between two measurements of the rate of changes, ms.
 const MEASURING_INTERVAL_MS: u64 = 1000;
-/// Weight of a new measurement: smooths the rate over a few seconds.
+/// Weight of a new measurement in the moving average, which smooths the rate over a few seconds.
 const SMOOTHING: f64 = 0.4;
-/// Least limit that utilization is computed against.
+/// Lower bound of the write limit in the computation of the utilization; avoids a division by zero.
 const MIN_CHANGES_PER_SECOND: f64 = 0.1;
 
 /// Measures the rate of changes and derives the batching window from it.
@@ -36,8 +37,8 @@
 }
 
 impl WriteBudget {
-    /// True if small updates of arrays should wait for more of them; `total_changes` counts all
-    /// changes seen so far.
+    /// True if small updates of array jobs should wait for the next batch. `total_changes` is the
+    /// number of all changes seen so far, by any controller.
     pub fn batch_array_updates(
         &mut self,
         now: MonotonicMillis,
@@ -55,7 +56,7 @@
         false
     }
 
-    /// How long the planner may sleep.
+    /// Time that the planner may sleep without a notification, ms.
     pub fn planner_sleep_ms(&self, now: MonotonicMillis) -> u64 {
         if self.window_ms == 0 {
             return MAX_PLANNER_SLEEP_MS;
