--- a/tests/claims_and_binding.rs
+++ b/tests/claims_and_binding.rs
@@ -1,4 +1,5 @@
-//! Claims and bindings of tasks: each task is placed at most once, whatever races with the claim.
+//! Claims and bindings: a task is placed at most once, even if other controllers, cancellations or
+//! delayed transactions race with the claim.
 
 mod support;
 
@@ -47,7 +48,7 @@
     store.revoke_lease(north.lease);
     south.sync(&store);
     south.apply_membership_moves(&mut store, 0);
-    // The old owner has not noticed yet and still claims.
+    // The previous owner has not yet noticed the loss of its lease and still claims tasks.
     let (mut worker1, mut worker2) = (
         FakeWorker::new("m1", "north", 0),
         FakeWorker::new("m2", "south", 0),
@@ -127,8 +128,9 @@
     assert!(e.v.to_string().len() <= store.max_value_bytes);
 }
 
-// Seen when a controller was seconds late: while the removal of a placement was in flight, the
-// machine sent a heartbeat in a new agent epoch and was told to start what the record then abandoned.
+// Guards against a failure seen when a controller was seconds late: while the removal of a
+// placement was in flight, the machine sent a heartbeat in a new agent epoch and was told to start
+// the attempt that the transaction then removed from the record.
 #[test]
 fn an_abandoned_attempt_is_not_started_while_its_transaction_is_in_flight() {
     let (mut store, mut controller) = start_single_controller();
@@ -142,9 +144,9 @@
     assert_eq!(
         count_starts(&lost.commands),
         1,
-        "a response that never arrives"
+        "the start command is in a response that gets lost"
     );
-    // Nobody answers the machine for longer than a lease: its tasks are proven dead.
+    // The machine gets no response for longer than a lease, so its tasks are proven dead.
     let now = 500 + controller.config.lease_expiry_ms + 10;
     let draft = controller.draft_plan(now);
     let job_index = controller.job_index("job-1");
--- a/tests/direct_starts.rs
+++ b/tests/direct_starts.rs
@@ -1,4 +1,5 @@
-//! Direct starts: commands that are sent without waiting for the next heartbeat start nothing twice.
+//! Direct starts: a start command that is sent without waiting for the next heartbeat never starts
+//! a task twice.
 
 mod support;
 
@@ -84,7 +85,7 @@
         .unwrap()
         .acknowledged = true;
     controller.exchange_heartbeat(&mut store, &mut worker, 1000);
-    // It is stopped, and the task moves to another machine.
+    // The attempt is stopped, and the task moves to another machine.
     controller
         .cluster
         .machine_mut(machine)
@@ -109,13 +110,14 @@
         6000,
     );
     assert!(other.has_task("job-1/0") && !worker.has_task("job-1/0"));
-    // The command that was executed long ago arrives once more.
+    // The direct start is delivered a second time, long after it was executed.
     assert_eq!(
         worker.receive_commands(&direct_commands(&direct_start), 6000),
         200
     );
     assert_eq!(worker.started.len(), 1);
-    // Once the fencing token is raised the exit need not be kept.
+    // With a higher fencing token the worker refuses the repeated start, so the exit need not be
+    // kept any more.
     worker.fencing_token.0 += 1;
     assert_eq!(
         worker.receive_commands(&direct_commands(&direct_start), 6100),
@@ -150,14 +152,15 @@
     assert_eq!(controller.job("job-1").placements.len(), 1);
     assert!(worker.receive_response(&answer, heartbeat.agent_epoch, 500, 800));
     assert!(worker.has_task("job-1/0"));
-    // Then a heartbeat shows it, and it is stopped.
+    // The next heartbeat shows the task, and it is stopped.
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 1000, 2500);
     assert!(!worker.has_task("job-1/0"));
     assert!(controller.job("job-1").is_settled());
 }
 
-// A silent machine keeps the direct starts of older fencing tokens until it is deleted. Counted like
-// open ones, they raised their shard's fencing token every few seconds.
+// Direct starts under older fencing tokens are kept until their machine, which is silent, is
+// deleted. When they were counted like starts that may still run, the shard's fencing token was
+// raised every few seconds.
 #[test]
 fn only_direct_starts_that_may_still_run_raise_the_fencing_token() {
     use pointhook::state::machine::InFlightStart;
--- a/tests/gang_scheduling.rs
+++ b/tests/gang_scheduling.rs
@@ -18,7 +18,7 @@
     spec
 }
 
-/// A team with a quota of two, of which a long job of this kind uses one while a gang that needs
+/// A team with a quota of two tasks: a long job of the given kind uses one, while a gang that needs
 /// both waits.
 fn gang_behind(kind: JobKind) -> (FakeKvStore, SimulatedController, FakeWorker) {
     let (mut store, mut controller) = start_single_controller();
@@ -165,7 +165,7 @@
     gang.kind = JobKind::Gang;
     controller.submit(&mut store, gang, 100);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 500, 6000);
-    // The quota is two: one runs, the gang needs both.
+    // The quota is two tasks: one is running, and the gang needs both.
     first.id = "job-3".into();
     first.tasks = 8;
     controller.submit(&mut store, first, 6000);
--- a/tests/placement_constraints.rs
+++ b/tests/placement_constraints.rs
@@ -21,7 +21,7 @@
     assert_eq!(worker1.started.len(), 4);
     controller.exchange_heartbeat(&mut store, &mut worker2, 100);
     assert_eq!(worker2.started.len(), 0);
-    // The northern machine falls silent; its tasks may still be there.
+    // The northern machine sends no more heartbeats, but its tasks may still be running.
     controller.exchange_heartbeat(&mut store, &mut worker2, 5000);
     assert_eq!(worker2.started.len(), 0);
 }
--- a/tests/preemption.rs
+++ b/tests/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption by more urgent work and by preemption notices of the cloud.
+//! Preemption by jobs of a higher priority and by preemption notices of the cloud.
 
 mod support;
 
@@ -36,7 +36,7 @@
     assert_eq!(stops.len(), 1);
     assert_eq!(stops[0].attempt.job, controller.job_index("job-1"));
     assert!(stops[0].grace_s >= 2.0);
-    // For two tasks two are preempted, and none of them twice.
+    // Two waiting tasks preempt two attempts, neither of them twice.
     let mut second = job("job-5", 1);
     second.priority = Priority::Production;
     second.vcpus = 8.0;
@@ -45,7 +45,7 @@
     let stopped: HashSet<_> = stops.iter().map(|s| s.attempt).collect();
     assert_eq!((stops.len(), stopped.len()), (2, 2));
     controller.cancel(&mut store, "job-5", 5000);
-    // Work of the same priority preempts nothing.
+    // A job of the same priority preempts nothing.
     let mut same = job("job-4", 1);
     same.vcpus = 8.0;
     controller.cancel(&mut store, "job-3", 5000);
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -14,7 +14,7 @@
 use support::simulated_controller::{start_single_controller, SimulatedController};
 use support::worker::FakeWorker;
 
-/// A heartbeat to the owner that has this fencing token.
+/// The source of a heartbeat that was sent to an owner with this fencing token.
 fn heartbeat_under(owner_token: FencingToken) -> heartbeats::StatusSource {
     heartbeats::StatusSource::Heartbeat {
         owner_token,
@@ -42,7 +42,7 @@
     ));
 }
 
-/// The worker's first heartbeat to its owner, which has this fencing token.
+/// Applies the worker's first heartbeat to its owner, which has this fencing token.
 fn report_to(
     controller: &mut SimulatedController,
     worker: &mut FakeWorker,
@@ -121,7 +121,7 @@
     let mut draft = DraftTransaction::default();
     quota::lower_unused_quota(&controller.pass(0), &mut draft);
     assert!(draft.team_quotas.is_empty());
-    // Another shard's unused quota share is released, since a task waits.
+    // The unused part of the shard's quota share is released, since a task waits.
     let mut rec = controller.cluster.team_quotas[1].record.clone();
     rec.set(ShardIndex(0), quota_usage(8000, 2500));
     controller.cluster.team_quotas[1].record = rec;
@@ -148,7 +148,8 @@
     controller.submit(&mut store, spec, 20);
     let draft = controller.draft_plan(30);
     assert_eq!(draft.claims.len(), 0);
-    // Planning writes the record with unknown outcome once more; then the delayed one can't be committed.
+    // The next pass rewrites the record with unknown outcome, so that the delayed transaction can't
+    // be committed any more.
     assert!(draft.jobs.contains_key(&controller.job_index("job-1")));
     controller.run_planner(&mut store, 30);
     assert!(matches!(
