--- a/src/coordination/scheduler/claims.rs
+++ b/src/coordination/scheduler/claims.rs
@@ -10,7 +10,7 @@
     free_capacity, machines_with_capacity, smallest_need, FreeCapacity,
 };
 use crate::coordination::scheduler::gangs::claim_gangs;
-use crate::coordination::scheduler::job_order::{is_backed_off, waiting_jobs, Waiting};
+use crate::coordination::scheduler::job_order::{is_backed_off, waiting_jobs, WaitingJob};
 use crate::coordination::scheduler::pass::PassContext;
 use crate::coordination::scheduler::placement::{place, PlacementRequest, TaskOnMachine};
 use crate::coordination::scheduler::placement_rules::{
@@ -200,7 +200,7 @@
     /// A claim changes the free capacity of its own machine only, and more placements can only
     /// exclude machines, never allow new ones. So each machine is ranked once at the start, and
     /// again only after a task has been placed on it.
-    fn claim_for_job(&mut self, draft: &mut DraftTransaction, waiting: &Waiting) {
+    fn claim_for_job(&mut self, draft: &mut DraftTransaction, waiting: &WaitingJob) {
         let positions = 0..self.machines.len();
         let mut best: BinaryHeap<Reverse<RankedMachine>> = positions
             .filter_map(|position| self.rank(draft, waiting, position))
@@ -241,7 +241,7 @@
         &self,
         best: &mut BinaryHeap<Reverse<RankedMachine>>,
         draft: &DraftTransaction,
-        waiting: &Waiting,
+        waiting: &WaitingJob,
     ) -> Option<usize> {
         while let Some(Reverse(ranked)) = best.pop() {
             if self.rank(draft, waiting, ranked.position).is_some() {
@@ -255,7 +255,7 @@
     fn rank(
         &self,
         draft: &DraftTransaction,
-        waiting: &Waiting,
+        waiting: &WaitingJob,
         position: usize,
     ) -> Option<RankedMachine> {
         let on = self.machines[position];
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 
 /// Period in which late jobs go first for one second, s.
-const OVERDUE_TURN_SECONDS: u64 = 5;
+const LATE_JOBS_TURN_PERIOD_S: u64 = 5;
 
 /// Waiting time after which a job without any placed or finished task goes before others of its
 /// priority, ms.
@@ -34,7 +34,7 @@
 }
 
 /// A job with tasks that wait for a placement.
-pub struct Waiting {
+pub struct WaitingJob {
     /// Index of the job.
     pub job_index: JobIndex,
     pub(crate) priority: Priority,
@@ -43,16 +43,16 @@
 
 /// Position of a job within its priority; the smaller one is scheduled first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum ServiceTier {
+pub enum SchedulingTier {
     /// The job has waited too long, can only just meet its last target, or is late and late jobs
     /// have their turn.
     First,
     /// The job can meet its first target, or has no targets.
     OnTime,
     /// The job has missed or will miss its first target, but can meet its last one.
-    LateForFirst,
+    MissesFirstTarget,
     /// The job has missed or will miss all its targets.
-    Late,
+    MissesAllTargets,
 }
 
 /// Returns the position of a job within its priority.
@@ -67,29 +67,35 @@
 /// half times the first target if that is less, a job without any placed or finished task goes
 /// first. And in one second out of five, all jobs that are late for a target go first, the oldest
 /// before the others.
-pub fn service_tier(config: &SchedulerConfig, job: &Job, spec: &Spec, wall_ms: u64) -> ServiceTier {
+pub fn scheduling_tier(
+    config: &SchedulerConfig,
+    job: &Job,
+    spec: &Spec,
+    wall_ms: u64,
+) -> SchedulingTier {
     let targets = completion_targets(config, job, spec);
     let age_ms = job.waited_ms(wall_ms);
-    let begun = !job.placements.is_empty() || job.done.count() > 0;
-    if !begun && age_ms >= begin_by_ms(targets) {
-        return ServiceTier::First;
+    let has_begun = !job.placements.is_empty() || job.done.count() > 0;
+    if !has_begun && age_ms >= max_wait_for_first_task_ms(targets) {
+        return SchedulingTier::First;
     }
     let Some(targets) = targets else {
-        return ServiceTier::OnTime;
+        return SchedulingTier::OnTime;
     };
     let end_ms = age_ms + millis_from_seconds(spec.wire.estimated_run_s);
     if end_ms <= targets.first_ms {
-        return ServiceTier::OnTime;
+        return SchedulingTier::OnTime;
     }
-    let makes_last = end_ms <= targets.last_ms;
+    let can_meet_last = end_ms <= targets.last_ms;
     // At least two fifths of the time for the last target have passed.
-    let last_in_doubt = targets.last_ms > targets.first_ms && age_ms * 5 >= targets.last_ms * 2;
-    let overdue_turn = (wall_ms / 1000).is_multiple_of(OVERDUE_TURN_SECONDS);
-    match makes_last {
-        true if last_in_doubt => ServiceTier::First,
-        _ if overdue_turn => ServiceTier::First,
-        true => ServiceTier::LateForFirst,
-        false => ServiceTier::Late,
+    let last_target_at_risk =
+        targets.last_ms > targets.first_ms && age_ms * 5 >= targets.last_ms * 2;
+    let is_late_jobs_turn = (wall_ms / 1000).is_multiple_of(LATE_JOBS_TURN_PERIOD_S);
+    match can_meet_last {
+        true if last_target_at_risk => SchedulingTier::First,
+        _ if is_late_jobs_turn => SchedulingTier::First,
+        true => SchedulingTier::MissesFirstTarget,
+        false => SchedulingTier::MissesAllTargets,
     }
 }
 
@@ -117,7 +123,7 @@
 }
 
 /// Age from which a job without any placed or finished task goes first within its priority, ms.
-fn begin_by_ms(targets: Option<CompletionTargets>) -> u64 {
+fn max_wait_for_first_task_ms(targets: Option<CompletionTargets>) -> u64 {
     targets.map_or(MAX_WAIT_FOR_FIRST_TASK_MS, |targets| {
         MAX_WAIT_FOR_FIRST_TASK_MS.min(targets.first_ms * 5 / 2)
     })
@@ -130,8 +136,8 @@
 /// 0 for all other jobs, including those with only the targets of their class. For those the
 /// waiting times and the guarantees of teams matter as much, and oldest-first order suits them
 /// better.
-fn size_step(job: &Job, tier: ServiceTier) -> u32 {
-    if tier != ServiceTier::OnTime || job.dependency_state.deadline.is_none() {
+fn size_log2(job: &Job, tier: SchedulingTier) -> u32 {
+    if tier != SchedulingTier::OnTime || job.dependency_state.deadline.is_none() {
         return 0;
     }
     job.waiting_count().max(1).ilog2()
@@ -139,18 +145,18 @@
 
 /// Sort key of the scheduling order; the fields are compared from top to bottom.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct ServiceKey {
+struct SchedulingKey {
     priority: Priority,
-    tier: ServiceTier,
-    size_step: u32,
+    tier: SchedulingTier,
+    size_log2: u32,
     eligible_since: u64,
     job_index: JobIndex,
 }
 
 /// Jobs with waiting tasks in scheduling order, except gangs of more than one task.
-pub fn waiting_jobs(pass: &PassContext, draft: &DraftTransaction) -> Vec<Waiting> {
+pub fn waiting_jobs(pass: &PassContext, draft: &DraftTransaction) -> Vec<WaitingJob> {
     let cluster = pass.cluster;
-    let mut jobs: Vec<(ServiceKey, Rc<Spec>)> = cluster
+    let mut jobs: Vec<(SchedulingKey, Rc<Spec>)> = cluster
         .active_jobs()
         .filter(|(job_index, _)| !is_backed_off(cluster, *job_index, pass.now))
         .filter_map(|(job_index, _)| {
@@ -159,11 +165,11 @@
             if job.waiting_count() == 0 || spec.is_wide_gang() {
                 return None;
             }
-            let tier = service_tier(pass.config, job, &spec, pass.wall_ms);
-            let key = ServiceKey {
+            let tier = scheduling_tier(pass.config, job, &spec, pass.wall_ms);
+            let key = SchedulingKey {
                 priority: job.dependency_state.priority,
                 tier,
-                size_step: size_step(job, tier),
+                size_log2: size_log2(job, tier),
                 eligible_since: job.dependency_state.eligible_since,
                 job_index,
             };
@@ -171,7 +177,7 @@
         })
         .collect();
     jobs.sort_by(|(a, _), (b, _)| a.cmp(b));
-    let waiting = jobs.into_iter().map(|(key, spec)| Waiting {
+    let waiting = jobs.into_iter().map(|(key, spec)| WaitingJob {
         job_index: key.job_index,
         priority: key.priority,
         spec,
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -8,7 +8,7 @@
 use crate::coordination::scheduler::commands::stop_grace_s;
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::coordination::scheduler::free_capacity::{free_capacity, FreeCapacity};
-use crate::coordination::scheduler::job_order::{waiting_jobs, Waiting};
+use crate::coordination::scheduler::job_order::{waiting_jobs, WaitingJob};
 use crate::coordination::scheduler::pass::PassContext;
 use crate::coordination::scheduler::placement_rules::{is_allowed, JobRef, MachineRef};
 use crate::coordination::scheduler::quota::used_by_team;
@@ -86,7 +86,7 @@
 
 /// True if a production or high-priority job has waited long enough and its team's limit allows
 /// one more task.
-fn may_preempt(pass: &PassContext, job: &Job, waiting: &Waiting) -> bool {
+fn may_preempt(pass: &PassContext, job: &Job, waiting: &WaitingJob) -> bool {
     let patience_ms = match waiting.priority {
         Priority::Production => PRODUCTION_PATIENCE_MS,
         Priority::High => HIGH_PATIENCE_MS,
@@ -104,7 +104,7 @@
 struct Preemptor<'a> {
     pass: &'a PassContext<'a>,
     job: &'a Job,
-    waiting: Waiting,
+    waiting: WaitingJob,
 }
 
 /// The attempts to stop on one machine to make room for a task.
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -10,7 +10,7 @@
 use pointhook::coordination::scheduler::claims;
 use pointhook::coordination::scheduler::draft;
 use pointhook::coordination::scheduler::gang_reservations::gang_reservations;
-use pointhook::coordination::scheduler::job_order::{self, ServiceTier};
+use pointhook::coordination::scheduler::job_order::{self, SchedulingTier};
 use pointhook::coordination::scheduler::write_budget::WriteBudget;
 use pointhook::protocol::peers::{self, MachineStatus, PeerRequest};
 use pointhook::protocol::users::{JobKind, Priority};
@@ -406,20 +406,20 @@
     // Younger work keeps coming that can make the first time.
     let tier = |controller: &SimulatedController, age: u64| {
         let job = controller.job("job-1");
-        job_order::service_tier(
+        job_order::scheduling_tier(
             &controller.config,
             job,
             job.spec.as_ref().unwrap(),
             age * 1000 + 1,
         )
     };
-    assert_eq!(tier(&controller, 100), ServiceTier::OnTime);
+    assert_eq!(tier(&controller, 100), SchedulingTier::OnTime);
     // It can't make 150 s any more, but the last: it goes first before that is in doubt.
-    assert_eq!(tier(&controller, 141), ServiceTier::First);
-    assert_eq!(tier(&controller, 300), ServiceTier::First);
+    assert_eq!(tier(&controller, 141), SchedulingTier::First);
+    assert_eq!(tier(&controller, 300), SchedulingTier::First);
     // Once that is gone too, it goes behind, but for one second of five.
-    assert_eq!(tier(&controller, 341), ServiceTier::Late);
-    assert_eq!(tier(&controller, 345), ServiceTier::First);
+    assert_eq!(tier(&controller, 341), SchedulingTier::MissesAllTargets);
+    assert_eq!(tier(&controller, 345), SchedulingTier::First);
     // With a deadline of its own that it missed early, it is patient for a while.
     controller
         .config
@@ -431,7 +431,7 @@
     controller.run_planner(&mut store, 10);
     let job = controller.job("job-2");
     let at = |age: u64| {
-        job_order::service_tier(
+        job_order::scheduling_tier(
             &controller.config,
             job,
             job.spec.as_ref().unwrap(),
@@ -439,10 +439,10 @@
         )
     };
     assert!(!job.placements.is_empty());
-    assert_eq!(at(40), ServiceTier::OnTime);
-    assert_eq!(at(61), ServiceTier::LateForFirst);
-    assert_eq!(at(139), ServiceTier::LateForFirst);
-    assert_eq!(at(140), ServiceTier::First);
+    assert_eq!(at(40), SchedulingTier::OnTime);
+    assert_eq!(at(61), SchedulingTier::MissesFirstTarget);
+    assert_eq!(at(139), SchedulingTier::MissesFirstTarget);
+    assert_eq!(at(140), SchedulingTier::First);
 }
 
 /// Adds machines and a job of which some tasks have begun.
