--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -8,7 +8,7 @@
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::coordination::scheduler::quota::used_by_team;
-use crate::coordination::scheduler::starved_gangs::{fits_beside_services, reservation_expired};
+use crate::coordination::scheduler::starved_gangs::{fits_beside_services, may_bypass_gangs};
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::{Job, Spec};
 use crate::state::names::{Index, JobIndex, TeamIndex};
@@ -47,7 +47,7 @@
 /// gang that waits for it. The rule stands here a second time because it counts differently: the
 /// scheduler compares running tasks with one gang's demand, this shares out what is left to all
 /// waiting jobs in turn, and the gang need not have waited for long. What both must agree on is
-/// shared: `reservation_expired` and `fits_beside_services`.
+/// shared: `may_bypass_gangs` and `fits_beside_services`.
 pub(super) fn waiting(cluster: &ClusterState, now: MonotonicMillis, wall_ms: u64) -> Vec<Demand> {
     let mut remaining = remaining_quotas(cluster);
     let mut teams_with_waiting_gang: HashSet<TeamIndex> = HashSet::new();
@@ -55,7 +55,7 @@
     for (job_index, job) in waiting_jobs(cluster, now) {
         let Some(spec) = &job.spec else { continue };
         let left_to_gang = teams_with_waiting_gang.contains(&spec.team);
-        if left_to_gang && !reservation_expired(job, wall_ms) {
+        if left_to_gang && !may_bypass_gangs(job, wall_ms) {
             continue;
         }
         let remaining = &mut remaining[spec.team.at()];
--- a/src/coordination/autoscaler/placement.rs
+++ b/src/coordination/autoscaler/placement.rs
@@ -10,8 +10,7 @@
 use super::supply::{Pool, Supply};
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::placement_rules::{
-    is_allowed, is_reserved_for_on_demand, JobRef, MachineRef, OfferedMachine, SpotWork,
-    TasksByZone,
+    is_allowed, should_wait_for_spot, JobRef, MachineRef, OfferedMachine, TasksByZone, WaitingTask,
 };
 use crate::protocol::users::Priority;
 use crate::state::cluster_state::ClusterState;
@@ -232,7 +231,7 @@
 
     /// True for on-demand machines that the job leaves to others for now.
     fn reserved_for_on_demand(&self, pool: &Pool, empty: bool) -> bool {
-        let work = SpotWork {
+        let work = WaitingTask {
             spec: &self.demand.spec,
             priority: self.priority,
             waited_ms: self.waited_ms,
@@ -242,7 +241,7 @@
             spot: pool.spot,
             is_empty: empty,
         };
-        is_reserved_for_on_demand(self.cluster, self.config, work, offered)
+        should_wait_for_spot(self.cluster, self.config, work, offered)
     }
 
     /// True for on-demand machines if the tasks are only expected and may use spot machines:
--- a/src/coordination/scheduler/binding.rs
+++ b/src/coordination/scheduler/binding.rs
@@ -9,8 +9,8 @@
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::coordination::scheduler::free_capacity::{free_capacity, FreeCapacity};
 use crate::coordination::scheduler::placement_rules::{
-    is_allowed, is_empty, is_reserved_for_on_demand, JobRef, MachineRef, OfferedMachine, SpotWork,
-    TasksByZone,
+    is_allowed, is_empty, should_wait_for_spot, JobRef, MachineRef, OfferedMachine, TasksByZone,
+    WaitingTask,
 };
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::Spec;
@@ -56,7 +56,7 @@
     let mut binder = Binder {
         cluster,
         config,
-        work: SpotWork {
+        waiting: WaitingTask {
             spec,
             priority: job.dependency_state.priority,
             waited_ms: job.waited_ms(wall_ms),
@@ -137,7 +137,7 @@
 struct Binder<'a> {
     cluster: &'a ClusterState,
     config: &'a SchedulerConfig,
-    work: SpotWork<'a>,
+    waiting: WaitingTask<'a>,
     machines: Vec<MachineRef<'a>>,
     free: FreeCapacity,
     queue_lengths: HashMap<MachineIndex, usize>,
@@ -172,7 +172,7 @@
         };
         self.zone_has_capacity(on)
             && self.spec().need.fits(free)
-            && !is_reserved_for_on_demand(self.cluster, self.config, self.work, offered)
+            && !should_wait_for_spot(self.cluster, self.config, self.waiting, offered)
     }
 
     fn shortest_queue(&self) -> Option<MachineRef<'a>> {
@@ -189,12 +189,12 @@
     }
 
     fn take(&mut self, on: MachineRef) {
-        self.free.take(on.index, self.work.spec.need);
+        self.free.take(on.index, self.waiting.spec.need);
         *self.queue_lengths.entry(on.index).or_default() += 1;
         self.by_zone.add(on.machine.zone);
     }
 
     fn spec(&self) -> &'a Spec {
-        self.work.spec
+        self.waiting.spec
     }
 }
--- a/src/coordination/scheduler/claims.rs
+++ b/src/coordination/scheduler/claims.rs
@@ -14,7 +14,7 @@
 use crate::coordination::scheduler::pass::PassContext;
 use crate::coordination::scheduler::placement::{place, PlacementRequest, TaskOnMachine};
 use crate::coordination::scheduler::placement_rules::{
-    is_allowed, is_empty, is_reserved_for_on_demand, JobRef, MachineRef, OfferedMachine, SpotWork,
+    is_allowed, is_empty, should_wait_for_spot, JobRef, MachineRef, OfferedMachine, WaitingTask,
 };
 use crate::coordination::scheduler::starved_gangs::StarvedGangs;
 use crate::protocol::users::{JobKind, Priority};
@@ -126,10 +126,10 @@
         job.spec.need.fits(free)
             && (!reserved || state.priority == Priority::Production)
             && is_allowed(self.cluster(), job, on)
-            && !is_reserved_for_on_demand(
+            && !should_wait_for_spot(
                 self.cluster(),
                 self.pass.config,
-                SpotWork {
+                WaitingTask {
                     spec: job.spec,
                     priority: state.priority,
                     waited_ms: job.job.waited_ms(self.pass.wall_ms),
--- a/src/coordination/scheduler/placement_rules.rs
+++ b/src/coordination/scheduler/placement_rules.rs
@@ -15,10 +15,10 @@
 const DEFAULT_PRICE_RATIO: f64 = 4.0;
 /// Ratio of the on-demand price to the spot price up to which a task does not wait for a spot
 /// machine at all.
-const NO_PATIENCE_PRICE_RATIO: f64 = 2.0;
+const NO_WAIT_PRICE_RATIO: f64 = 2.0;
 /// Ratio of the on-demand price to the spot price from which a task waits for the full
 /// `spot_patience_ms`.
-const FULL_PATIENCE_PRICE_RATIO: f64 = 4.0;
+const FULL_WAIT_PRICE_RATIO: f64 = 4.0;
 /// Lower bound of the spot price in a price ratio; avoids a division by zero.
 const MIN_SPOT_PRICE: f64 = 0.001;
 
@@ -52,13 +52,13 @@
 /// placements. Free capacity is not checked.
 pub fn is_allowed(cluster: &ClusterState, job: JobRef, on: MachineRef) -> bool {
     let failures = cluster.failures.get(&job.index);
-    kind_allowed(job.spec, on.machine)
+    machine_allowed(job.spec, on.machine)
         && !failures.is_some_and(|failures| failures.machines.contains(&on.index))
         && zone_allowed(cluster, job.job, job.spec, on.machine.zone)
 }
 
 /// True if the job accepts the machine's type and zone, and spot machines if it is one.
-fn kind_allowed(spec: &Spec, machine: &Machine) -> bool {
+fn machine_allowed(spec: &Spec, machine: &Machine) -> bool {
     let types = spec.machine_types.as_ref();
     types.is_none_or(|types| types.contains(&machine.machine_type))
         && spec.zone.is_none_or(|zone| zone == machine.zone)
@@ -107,7 +107,7 @@
 
 /// The properties of a waiting task that decide whether it waits for a spot machine.
 #[derive(Clone, Copy)]
-pub struct SpotWork<'a> {
+pub struct WaitingTask<'a> {
     /// Description of the task's job.
     pub spec: &'a Spec,
     /// The highest priority of the job and of the jobs that depend on it.
@@ -133,14 +133,14 @@
 /// The wait grows with the price ratio of the machine type: at four times the spot price or more
 /// it is the full `spot_patience_ms`, at twice the spot price or less there is none. Production
 /// and high-priority tasks never wait.
-pub fn is_reserved_for_on_demand(
+pub fn should_wait_for_spot(
     cluster: &ClusterState,
     config: &SchedulerConfig,
-    work: SpotWork,
+    task: WaitingTask,
     offered: OfferedMachine,
 ) -> bool {
-    let has_no_choice = !work.spec.wire.spot || offered.spot;
-    if has_no_choice || !offered.is_empty || work.priority <= Priority::High {
+    let is_first_choice = !task.spec.wire.spot || offered.spot;
+    if is_first_choice || !offered.is_empty || task.priority <= Priority::High {
         return false;
     }
     let machine_type = cluster.machine_types.get(&offered.machine_type);
@@ -148,10 +148,10 @@
         let description = &machine_type.description;
         description.price / description.spot_price.max(MIN_SPOT_PRICE)
     });
-    let patience = (price_ratio - NO_PATIENCE_PRICE_RATIO)
-        / (FULL_PATIENCE_PRICE_RATIO - NO_PATIENCE_PRICE_RATIO);
-    let patience_ms = config.spot_patience_ms as f64 * patience.clamp(0.0, 1.0);
-    (work.waited_ms as f64) < patience_ms
+    let wait_fraction =
+        (price_ratio - NO_WAIT_PRICE_RATIO) / (FULL_WAIT_PRICE_RATIO - NO_WAIT_PRICE_RATIO);
+    let max_wait_ms = config.spot_patience_ms as f64 * wait_fraction.clamp(0.0, 1.0);
+    (task.waited_ms as f64) < max_wait_ms
 }
 
 /// True if the free capacity of a machine equals its total capacity.
--- a/src/coordination/scheduler/starved_gangs.rs
+++ b/src/coordination/scheduler/starved_gangs.rs
@@ -39,7 +39,7 @@
 }
 
 /// True if a job has waited so long that it may use quota that a gang of its team waits for.
-pub(crate) fn reservation_expired(job: &Job, wall_ms: u64) -> bool {
+pub(crate) fn may_bypass_gangs(job: &Job, wall_ms: u64) -> bool {
     job.waited_ms(wall_ms) >= MAX_WAIT_FOR_GANGS_MS
 }
 
@@ -89,7 +89,7 @@
             return false;
         };
         let goes_first = priority_and_age(job) < gang.priority_and_age;
-        if goes_first || reservation_expired(job, pass.wall_ms) {
+        if goes_first || may_bypass_gangs(job, pass.wall_ms) {
             return false;
         }
         let used = used_by_team(pass.cluster, draft, spec.team);
