--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -22,9 +22,9 @@
 use std::cmp::Reverse;
 
 /// Waiting time after which a production job may preempt others, ms.
-const PRODUCTION_PATIENCE_MS: u64 = 1500;
+const PRODUCTION_PREEMPTION_DELAY_MS: u64 = 1500;
 /// Waiting time after which a high-priority job may preempt others, ms.
-const HIGH_PATIENCE_MS: u64 = 4000;
+const HIGH_PREEMPTION_DELAY_MS: u64 = 4000;
 /// Number of victims in one round from which on no further job preempts.
 const MAX_VICTIMS_PER_ROUND: usize = 8;
 
@@ -41,7 +41,7 @@
 
 /// Selects attempts to stop on machines of one shard, to free capacity for waiting tasks of a
 /// higher priority that fit on no machine of any shard.
-pub fn preempt(pass: &PassContext, shard: ShardIndex) -> Vec<PreemptionVictim> {
+pub fn select_victims(pass: &PassContext, shard: ShardIndex) -> Vec<PreemptionVictim> {
     let mut victims = Vec::new();
     if pass.permit(shard).is_none() {
         return victims;
@@ -87,12 +87,12 @@
 /// True if a production or high-priority job has waited long enough and its team's limit allows
 /// one more task.
 fn may_preempt(pass: &PassContext, job: &Job, waiting: &WaitingJob) -> bool {
-    let patience_ms = match waiting.priority {
-        Priority::Production => PRODUCTION_PATIENCE_MS,
-        Priority::High => HIGH_PATIENCE_MS,
+    let delay_ms = match waiting.priority {
+        Priority::Production => PRODUCTION_PREEMPTION_DELAY_MS,
+        Priority::High => HIGH_PREEMPTION_DELAY_MS,
         _ => return false,
     };
-    if job.waited_ms(pass.wall_ms) < patience_ms {
+    if job.waited_ms(pass.wall_ms) < delay_ms {
         return false;
     }
     let (team, need) = (waiting.spec.team, waiting.spec.need);
--- a/src/coordination/scheduler/preemption_round.rs
+++ b/src/coordination/scheduler/preemption_round.rs
@@ -16,7 +16,7 @@
         // The last shard is the autoscaler's and has no machines.
         let shards = pass.cluster.shards.len() - 1;
         let turn = (pass.wall_ms / SHARD_TURN_MS) as usize % shards;
-        preemption::preempt(pass, ShardIndex::new(turn))
+        preemption::select_victims(pass, ShardIndex::new(turn))
     });
     let mut cluster = controller.cluster.borrow_mut();
     for victim in victims {
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -351,7 +351,7 @@
             12_000,
         );
         let turn = ShardIndex(0);
-        let stops = preemption::preempt(&controller.pass(12_000), turn);
+        let stops = preemption::select_victims(&controller.pass(12_000), turn);
         assert_eq!(stops.len(), usize::from(!needed));
     }
 }
--- a/tests/preemption.rs
+++ b/tests/preemption.rs
@@ -31,8 +31,8 @@
     prod.priority = Priority::Production;
     prod.vcpus = 8.0;
     controller.submit(&mut store, prod, 3000);
-    assert!(preemption::preempt(&controller.pass(5000), ShardIndex(1)).is_empty());
-    let stops = preemption::preempt(&controller.pass(5000), ShardIndex(0));
+    assert!(preemption::select_victims(&controller.pass(5000), ShardIndex(1)).is_empty());
+    let stops = preemption::select_victims(&controller.pass(5000), ShardIndex(0));
     assert_eq!(stops.len(), 1);
     assert_eq!(stops[0].attempt.job, controller.job_index("job-1"));
     assert!(stops[0].grace_s >= 2.0);
@@ -41,7 +41,7 @@
     second.priority = Priority::Production;
     second.vcpus = 8.0;
     controller.submit(&mut store, second, 3000);
-    let stops = preemption::preempt(&controller.pass(5000), ShardIndex(0));
+    let stops = preemption::select_victims(&controller.pass(5000), ShardIndex(0));
     let stopped: HashSet<_> = stops.iter().map(|s| s.attempt).collect();
     assert_eq!((stops.len(), stopped.len()), (2, 2));
     controller.cancel(&mut store, "job-5", 5000);
@@ -50,7 +50,7 @@
     same.vcpus = 8.0;
     controller.cancel(&mut store, "job-3", 5000);
     controller.submit(&mut store, same, 5000);
-    assert!(preemption::preempt(
+    assert!(preemption::select_victims(
         &PassContext {
             wall_ms: 9000,
             ..controller.pass(6000)
--- a/tests/support/simulated_cluster/tick.rs
+++ b/tests/support/simulated_cluster/tick.rs
@@ -381,7 +381,7 @@
 fn preempt(controller: &mut SimulatedController, now: u64) {
     let shard = ShardIndex((now / ROUND_MS % SHARDS) as u32);
     controller.observe_failovers(now);
-    for victim in preemption::preempt(&controller.pass(now), shard) {
+    for victim in preemption::select_victims(&controller.pass(now), shard) {
         if let Some(machine) = controller.cluster.machine_mut(victim.machine) {
             machine
                 .decisions
