--- a/src/coordination/scheduler/binding.rs
+++ b/src/coordination/scheduler/binding.rs
@@ -68,11 +68,13 @@
     };
     let mut bound = Vec::new();
     for task in job.waiting_tasks() {
-        let Some(on) = binder.choose() else { break };
-        binder.take(on);
+        let Some(candidate) = binder.choose() else {
+            break;
+        };
+        binder.take(candidate);
         bound.push(QueueBinding {
             task,
-            machine: on.index,
+            machine: candidate.index,
         });
     }
     bound
@@ -107,14 +109,18 @@
     now: MonotonicMillis,
 ) -> Vec<MachineRef<'a>> {
     let machines = cluster.all_machines().map(MachineRef::from);
-    let candidates = machines.filter(|on| {
-        on.machine.is_schedulable(now, config.unresponsive_ms)
-            && on.machine.decisions.reservation.is_none()
-            && is_allowed(cluster, job, *on)
+    let candidates = machines.filter(|candidate| {
+        candidate
+            .machine
+            .is_schedulable(now, config.unresponsive_ms)
+            && candidate.machine.decisions.reservation.is_none()
+            && is_allowed(cluster, job, *candidate)
     });
-    let (mut ready, mut others): (Vec<_>, Vec<_>) = candidates.partition(|on| {
-        on.machine.has_image(job.spec.image)
-            && free.get(on.index).is_some_and(|f| job.spec.need.fits(f))
+    let (mut ready, mut others): (Vec<_>, Vec<_>) = candidates.partition(|candidate| {
+        candidate.machine.has_image(job.spec.image)
+            && free
+                .get(candidate.index)
+                .is_some_and(|f| job.spec.need.fits(f))
     });
     for list in [&mut ready, &mut others] {
         while list.len() > SAMPLE {
@@ -126,11 +132,14 @@
 }
 
 fn queue_lengths(machines: &[MachineRef]) -> HashMap<MachineIndex, usize> {
-    let length = |on: &MachineRef| {
-        let told_by_owner = on.machine.owner_status.queue_length.into();
-        on.machine.queue.len().max(told_by_owner)
+    let length = |candidate: &MachineRef| {
+        let told_by_owner = candidate.machine.owner_status.queue_length.into();
+        candidate.machine.queue.len().max(told_by_owner)
     };
-    machines.iter().map(|on| (on.index, length(on))).collect()
+    machines
+        .iter()
+        .map(|candidate| (candidate.index, length(candidate)))
+        .collect()
 }
 
 /// Chooses machines for the tasks of one job, one after another.
@@ -153,24 +162,24 @@
 
     /// The lowest-cost machine with free capacity for the task.
     fn best_fitting(&self) -> Option<MachineRef<'a>> {
-        let costs = self.machines.iter().filter_map(|on| {
-            let free = self.free.get(on.index)?;
-            self.fits(*on, free).then(|| {
-                let cost = bin_packing_cost(self.cluster, self.spec(), on.machine, free);
-                (cost, *on)
+        let costs = self.machines.iter().filter_map(|candidate| {
+            let free = self.free.get(candidate.index)?;
+            self.fits(*candidate, free).then(|| {
+                let cost = bin_packing_cost(self.cluster, self.spec(), candidate.machine, free);
+                (cost, *candidate)
             })
         });
-        let best = costs.min_by_key(|(cost, on)| (*cost, on.index));
-        best.map(|(_, on)| on)
+        let best = costs.min_by_key(|(cost, candidate)| (*cost, candidate.index));
+        best.map(|(_, candidate)| candidate)
     }
 
-    fn fits(&self, on: MachineRef, free: Resources) -> bool {
+    fn fits(&self, candidate: MachineRef, free: Resources) -> bool {
         let offered = OfferedMachine {
-            machine_type: on.machine.machine_type,
-            spot: on.machine.spot,
-            is_empty: is_empty(self.cluster, on.machine, free),
+            machine_type: candidate.machine.machine_type,
+            spot: candidate.machine.spot,
+            is_empty: is_empty(self.cluster, candidate.machine, free),
         };
-        self.zone_has_capacity(on)
+        self.zone_has_capacity(candidate)
             && self.spec().need.fits(free)
             && !should_wait_for_spot(self.cluster, self.config, self.waiting, offered)
     }
@@ -178,20 +187,21 @@
     fn shortest_queue(&self) -> Option<MachineRef<'a>> {
         let machines = self.machines.iter().copied();
         machines
-            .filter(|on| {
-                self.zone_has_capacity(*on) && self.queue_lengths[&on.index] < self.config.queue_cap
+            .filter(|candidate| {
+                self.zone_has_capacity(*candidate)
+                    && self.queue_lengths[&candidate.index] < self.config.queue_cap
             })
-            .min_by_key(|on| self.queue_lengths[&on.index])
+            .min_by_key(|candidate| self.queue_lengths[&candidate.index])
     }
 
-    fn zone_has_capacity(&self, on: MachineRef) -> bool {
-        self.by_zone.count(on.machine.zone) < self.spec().zone_cap()
+    fn zone_has_capacity(&self, candidate: MachineRef) -> bool {
+        self.by_zone.count(candidate.machine.zone) < self.spec().zone_cap()
     }
 
-    fn take(&mut self, on: MachineRef) {
-        self.free.take(on.index, self.waiting.spec.need);
-        *self.queue_lengths.entry(on.index).or_default() += 1;
-        self.by_zone.add(on.machine.zone);
+    fn take(&mut self, candidate: MachineRef) {
+        self.free.take(candidate.index, self.waiting.spec.need);
+        *self.queue_lengths.entry(candidate.index).or_default() += 1;
+        self.by_zone.add(candidate.machine.zone);
     }
 
     fn spec(&self) -> &'a Spec {
--- a/src/coordination/scheduler/claims.rs
+++ b/src/coordination/scheduler/claims.rs
@@ -44,7 +44,7 @@
     let permits = pass.permits_by_shard();
     // In a busy fleet most machines have no free capacity and are skipped here.
     let machines: Vec<MachineRef> = machines_with_capacity(pass, &free, smallest)
-        .filter(|on| permits[on.machine.shard.at()].is_some())
+        .filter(|candidate| permits[candidate.machine.shard.at()].is_some())
         .collect();
     if machines.is_empty() {
         return Vec::new();
@@ -116,16 +116,16 @@
 
     /// True if a task of the job may be placed on the machine now: it fits into the free capacity,
     /// and reservations and placement rules allow it.
-    fn fits(&self, job: JobRef, on: MachineRef, free: Resources) -> bool {
+    fn fits(&self, job: JobRef, candidate: MachineRef, free: Resources) -> bool {
         let state = &job.job.dependency_state;
-        let reserved = on
+        let reserved = candidate
             .machine
             .decisions
             .reservation
             .is_some_and(|reservation| reservation.is_active(self.pass.now));
         job.spec.need.fits(free)
             && (!reserved || state.priority == Priority::Production)
-            && is_allowed(self.cluster(), job, on)
+            && is_allowed(self.cluster(), job, candidate)
             && !should_wait_for_spot(
                 self.cluster(),
                 self.pass.config,
@@ -135,9 +135,9 @@
                     waited_ms: job.job.waited_ms(self.pass.wall_ms),
                 },
                 OfferedMachine {
-                    machine_type: on.machine.machine_type,
-                    spot: on.machine.spot,
-                    is_empty: is_empty(self.cluster(), on.machine, free),
+                    machine_type: candidate.machine.machine_type,
+                    spot: candidate.machine.spot,
+                    is_empty: is_empty(self.cluster(), candidate.machine, free),
                 },
             )
     }
@@ -152,8 +152,8 @@
     /// Claims the queued tasks of one priority for the machines that hold them, in FIFO order.
     fn claim_from_queues(&mut self, draft: &mut DraftTransaction, priority: Priority) {
         for position in 0..self.machines.len() {
-            let on = self.machines[position];
-            for queued in &on.machine.queue {
+            let candidate = self.machines[position];
+            for queued in &candidate.machine.queue {
                 // After `steal_after_ms` any machine may claim the task, in scheduling order.
                 if self.pass.now.since(queued.queued_at) >= self.pass.config.steal_after_ms {
                     continue;
@@ -170,8 +170,8 @@
                     job,
                     spec: &spec,
                 };
-                if self.may_claim_queued(draft, job, queued.task, on) {
-                    self.place(draft, queued.job, &spec, queued.task, on);
+                if self.may_claim_queued(draft, job, queued.task, candidate) {
+                    self.place(draft, queued.job, &spec, queued.task, candidate);
                 }
             }
         }
@@ -183,16 +183,16 @@
         draft: &DraftTransaction,
         job: JobRef,
         task: u32,
-        on: MachineRef,
+        candidate: MachineRef,
     ) -> bool {
         let priority = job.job.dependency_state.priority;
         let waits_for_batch = draft.batch_array_updates && can_be_batched(job.spec, priority);
-        let free = self.free.get(on.index).unwrap_or_default();
+        let free = self.free.get(candidate.index).unwrap_or_default();
         !waits_for_batch
             && job.job.is_waiting(task)
             && !is_backed_off(self.cluster(), job.index, self.pass.now)
             && !self.would_starve_gang(draft, job.job, job.spec)
-            && self.fits(job, on, free)
+            && self.fits(job, candidate, free)
     }
 
     /// Claims the job's next unbound tasks, each for the machine with the lowest cost.
@@ -218,8 +218,8 @@
             let Some(position) = self.pop_usable(&mut best, draft, waiting) else {
                 return;
             };
-            let on = self.machines[position];
-            if !self.place(draft, waiting.job_index, spec, task, on) {
+            let candidate = self.machines[position];
+            if !self.place(draft, waiting.job_index, spec, task, candidate) {
                 return;
             }
             best.extend(self.rank(draft, waiting, position).map(Reverse));
@@ -258,16 +258,16 @@
         waiting: &WaitingJob,
         position: usize,
     ) -> Option<RankedMachine> {
-        let on = self.machines[position];
-        let free = self.free.get(on.index)?;
+        let candidate = self.machines[position];
+        let free = self.free.get(candidate.index)?;
         let job = JobRef {
             index: waiting.job_index,
             job: draft.job(self.cluster(), waiting.job_index),
             spec: &waiting.spec,
         };
-        self.fits(job, on, free).then(|| RankedMachine {
-            cost: bin_packing_cost(self.cluster(), job.spec, on.machine, free),
-            index: on.index,
+        self.fits(job, candidate, free).then(|| RankedMachine {
+            cost: bin_packing_cost(self.cluster(), job.spec, candidate.machine, free),
+            index: candidate.index,
             position,
         })
     }
@@ -279,21 +279,21 @@
         job_index: JobIndex,
         spec: &Spec,
         task: u32,
-        on: MachineRef,
+        target: MachineRef,
     ) -> bool {
-        let Some(permit) = self.permits[on.machine.shard.at()] else {
+        let Some(permit) = self.permits[target.machine.shard.at()] else {
             return false;
         };
         let request = PlacementRequest {
             job_index,
             spec,
-            tasks: &[TaskOnMachine { task, on }],
+            tasks: &[TaskOnMachine { task, target }],
             permit,
         };
         let placed = place(&self.pass, draft, &request);
         if placed {
-            self.free.take(on.index, spec.need);
-            self.claimed_for.insert(on.index);
+            self.free.take(target.index, spec.need);
+            self.claimed_for.insert(target.index);
         }
         placed
     }
@@ -302,7 +302,7 @@
     /// claimed nothing.
     fn found_nothing(&self, smallest: Resources) -> Vec<MachineIndex> {
         let has_capacity = |index| self.free.get(index).is_some_and(|f| smallest.fits(f));
-        let indices = self.machines.iter().map(|on| on.index);
+        let indices = self.machines.iter().map(|candidate| candidate.index);
         indices
             .filter(|index| !self.claimed_for.contains(index) && has_capacity(*index))
             .collect()
--- a/src/coordination/scheduler/free_capacity.rs
+++ b/src/coordination/scheduler/free_capacity.rs
@@ -82,8 +82,8 @@
 ) -> impl Iterator<Item = MachineRef<'a>> + use<'a, 'f> {
     let (now, unresponsive_ms) = (pass.now, pass.config.unresponsive_ms);
     let machines = pass.cluster.all_machines().map(MachineRef::from);
-    machines.filter(move |on| {
-        free.get(on.index).is_some_and(|f| smallest.fits(f))
-            && on.machine.is_schedulable(now, unresponsive_ms)
+    machines.filter(move |candidate| {
+        free.get(candidate.index).is_some_and(|f| smallest.fits(f))
+            && candidate.machine.is_schedulable(now, unresponsive_ms)
     })
 }
--- a/src/coordination/scheduler/gang_reservations.rs
+++ b/src/coordination/scheduler/gang_reservations.rs
@@ -47,7 +47,7 @@
             continue;
         };
         // Excluded for all later gangs, even if another controller makes this reservation.
-        machines.retain(|loaded| !chosen.contains(&loaded.on.index));
+        machines.retain(|loaded| !chosen.contains(&loaded.candidate.index));
         if config.owns(cluster, cluster.planning_shard(&job.id)) {
             reservations.push(GangReservation {
                 job: job_index,
@@ -81,7 +81,7 @@
 
 /// A machine with its load, the sum of the CPU and GPU thousandths in use, and its total capacity.
 struct LoadedMachine<'a> {
-    on: MachineRef<'a>,
+    candidate: MachineRef<'a>,
     load: i64,
     capacity: Resources,
 }
@@ -96,16 +96,24 @@
     let mut machines: Vec<LoadedMachine> = cluster
         .all_machines()
         .map(MachineRef::from)
-        .filter(|on| on.machine.is_schedulable(now, config.unresponsive_ms))
-        .filter_map(|on| {
-            let machine_type = cluster.machine_types.get(&on.machine.machine_type)?;
+        .filter(|candidate| {
+            candidate
+                .machine
+                .is_schedulable(now, config.unresponsive_ms)
+        })
+        .filter_map(|candidate| {
+            let machine_type = cluster.machine_types.get(&candidate.machine.machine_type)?;
             let capacity = machine_type.capacity;
-            let used = capacity.minus(cluster.free_on(on.index).unwrap_or_default());
+            let used = capacity.minus(cluster.free_on(candidate.index).unwrap_or_default());
             let load = used.gpu + used.cpu;
-            Some(LoadedMachine { on, load, capacity })
+            Some(LoadedMachine {
+                candidate,
+                load,
+                capacity,
+            })
         })
         .collect();
-    machines.sort_unstable_by_key(|loaded| (loaded.load, loaded.on.index));
+    machines.sort_unstable_by_key(|loaded| (loaded.load, loaded.candidate.index));
     machines
 }
 
@@ -140,12 +148,12 @@
 ) -> Option<(i64, Vec<MachineIndex>)> {
     let tasks = gang.spec.tasks() as usize;
     let usable = machines.iter().filter(|loaded| {
-        (!gang.spec.wire.one_zone || loaded.on.machine.zone == zone)
+        (!gang.spec.wire.one_zone || loaded.candidate.machine.zone == zone)
             && gang.spec.need.fits(loaded.capacity)
-            && is_allowed(cluster, gang, loaded.on)
+            && is_allowed(cluster, gang, loaded.candidate)
     });
     let (loads, chosen): (Vec<i64>, Vec<MachineIndex>) = usable
-        .map(|loaded| (loaded.load, loaded.on.index))
+        .map(|loaded| (loaded.load, loaded.candidate.index))
         .take(tasks)
         .unzip();
     (chosen.len() == tasks).then(|| (loads.iter().sum(), chosen))
--- a/src/coordination/scheduler/gangs.rs
+++ b/src/coordination/scheduler/gangs.rs
@@ -46,7 +46,10 @@
         };
         let numbered = (0..).zip(&chosen);
         let tasks: Vec<TaskOnMachine> = numbered
-            .map(|(task, on)| TaskOnMachine { task, on: *on })
+            .map(|(task, target)| TaskOnMachine {
+                task,
+                target: *target,
+            })
             .collect();
         let request = PlacementRequest {
             job_index: gang.job.index,
@@ -55,8 +58,8 @@
             permit: gang.permit,
         };
         if place(pass, draft, &request) {
-            for on in chosen {
-                free.take(on.index, gang.job.spec.need);
+            for candidate in chosen {
+                free.take(candidate.index, gang.job.spec.need);
             }
         }
     }
@@ -78,7 +81,7 @@
 
 /// Free capacity on a machine for one task of a gang.
 struct Slot<'a> {
-    on: MachineRef<'a>,
+    candidate: MachineRef<'a>,
     /// Time that the machine needs to pull the gang's image, ms; 0 if it is cached.
     pull_ms: u64,
 }
@@ -102,7 +105,7 @@
             best = Some((begins_ms, slots));
         }
     }
-    best.map(|(_, slots)| slots.into_iter().map(|slot| slot.on).collect())
+    best.map(|(_, slots)| slots.into_iter().map(|slot| slot.candidate).collect())
 }
 
 /// All slots for tasks of a gang: grouped by zone if the gang must run in one zone, else all under
@@ -115,22 +118,22 @@
 ) -> BTreeMap<ZoneIndex, Vec<Slot<'a>>> {
     let need = gang.spec.need;
     let mut zones: BTreeMap<ZoneIndex, Vec<Slot>> = BTreeMap::new();
-    for on in machines.iter().copied() {
-        let mut free = free.get(on.index).unwrap_or_default();
+    for candidate in machines.iter().copied() {
+        let mut free = free.get(candidate.index).unwrap_or_default();
         if !need.fits(free)
-            || is_reserved_for_other(pass, gang, on)
-            || !is_allowed(pass.cluster, gang, on)
+            || is_reserved_for_other(pass, gang, candidate)
+            || !is_allowed(pass.cluster, gang, candidate)
         {
             continue;
         }
         let zone = match gang.spec.wire.one_zone {
-            true => on.machine.zone,
+            true => candidate.machine.zone,
             false => ZoneIndex(0),
         };
-        let pull_ms = image_pull_ms(pass.cluster, gang.spec, on.machine);
+        let pull_ms = image_pull_ms(pass.cluster, gang.spec, candidate.machine);
         let slots = zones.entry(zone).or_default();
         while need.fits(free) {
-            slots.push(Slot { on, pull_ms });
+            slots.push(Slot { candidate, pull_ms });
             free = free.minus(need);
             // A task that requests no resources always fits: stop after one slot.
             if need == Resources::default() {
@@ -141,20 +144,26 @@
     zones
 }
 
-fn is_reserved_for_other(pass: &PassContext, gang: JobRef, on: MachineRef) -> bool {
-    let reservation = on.machine.decisions.reservation;
+fn is_reserved_for_other(pass: &PassContext, gang: JobRef, candidate: MachineRef) -> bool {
+    let reservation = candidate.machine.decisions.reservation;
     reservation.is_some_and(|reserved| reserved.gang != gang.index && reserved.is_active(pass.now))
 }
 
 /// Selects one slot per task of the gang: the shortest image pull first, then spot machines before
 /// on-demand ones. `None` if there are too few slots.
 fn fastest_slots<'a>(spec: &Spec, mut slots: Vec<Slot<'a>>) -> Option<Vec<Slot<'a>>> {
-    slots.sort_by_key(|slot| (slot.pull_ms, !slot.on.machine.spot, slot.on.index));
+    slots.sort_by_key(|slot| {
+        (
+            slot.pull_ms,
+            !slot.candidate.machine.spot,
+            slot.candidate.index,
+        )
+    });
     if spec.wire.spread {
         let mut by_zone = TasksByZone::default();
         slots.retain(|slot| {
-            by_zone.add(slot.on.machine.zone);
-            by_zone.count(slot.on.machine.zone) <= spec.zone_cap()
+            by_zone.add(slot.candidate.machine.zone);
+            by_zone.count(slot.candidate.machine.zone) <= spec.zone_cap()
         });
     }
     let tasks = spec.tasks() as usize;
--- a/src/coordination/scheduler/placement.rs
+++ b/src/coordination/scheduler/placement.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct TaskOnMachine<'a> {
     pub(super) task: u32,
-    pub(super) on: MachineRef<'a>,
+    pub(super) target: MachineRef<'a>,
 }
 
 /// Tasks of a job to place under a common attempt number.
@@ -59,13 +59,13 @@
     };
     let attempt = job.next_attempt;
     job.next_attempt += 1;
-    for (TaskOnMachine { task, on }, overflow_index) in tasks.iter().zip(overflow_indices) {
+    for (TaskOnMachine { task, target }, overflow_index) in tasks.iter().zip(overflow_indices) {
         let placement = Placement {
             overflow_index,
             task: *task,
             attempt,
-            machine: on.index,
-            shard: on.machine.shard,
+            machine: target.index,
+            shard: target.machine.shard,
             charged_shard,
         };
         job.placements.push(placement);
--- a/src/coordination/scheduler/placement_rules.rs
+++ b/src/coordination/scheduler/placement_rules.rs
@@ -50,11 +50,11 @@
 
 /// True if the placement rules allow a task of the job on this machine, given the job's other
 /// placements. Free capacity is not checked.
-pub fn is_allowed(cluster: &ClusterState, job: JobRef, on: MachineRef) -> bool {
+pub fn is_allowed(cluster: &ClusterState, job: JobRef, candidate: MachineRef) -> bool {
     let failures = cluster.failures.get(&job.index);
-    machine_allowed(job.spec, on.machine)
-        && !failures.is_some_and(|failures| failures.machines.contains(&on.index))
-        && zone_allowed(cluster, job.job, job.spec, on.machine.zone)
+    machine_allowed(job.spec, candidate.machine)
+        && !failures.is_some_and(|failures| failures.machines.contains(&candidate.index))
+        && zone_allowed(cluster, job.job, job.spec, candidate.machine.zone)
 }
 
 /// True if the job accepts the machine's type and zone, and spot machines if it is one.
--- a/src/coordination/scheduler/work_stealing.rs
+++ b/src/coordination/scheduler/work_stealing.rs
@@ -191,7 +191,7 @@
     let cluster = controller.cluster.borrow();
     let giver = cluster.machine(giver)?;
     controller.config.permit(&cluster, &permits, giver.shard)?;
-    let on = MachineRef {
+    let target = MachineRef {
         index: idle,
         machine: cluster.machine(idle)?,
     };
@@ -202,6 +202,6 @@
         let Some(spec) = job.spec.as_ref().filter(|_| job.is_waiting(queued.task)) else {
             return false;
         };
-        spec.need.fits(free) && is_allowed(&cluster, JobRef { index, job, spec }, on)
+        spec.need.fits(free) && is_allowed(&cluster, JobRef { index, job, spec }, target)
     })
 }
