--- a/src/coordination/scheduler/binding.rs
+++ b/src/coordination/scheduler/binding.rs
@@ -21,7 +21,7 @@
 /// Maximum number of machines that binding considers from each of two groups: machines that can
 /// start a task at once, and all others. From a larger group a random sample is taken, to avoid a
 /// full search.
-const SAMPLE: usize = 64;
+const SAMPLE_SIZE: usize = 64;
 
 /// A task and the machine in whose queue it should wait.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -51,7 +51,7 @@
         job,
         spec,
     };
-    let free = free_capacity_beside_queues(cluster);
+    let free = free_capacity_after_queues(cluster);
     let machines = sample_machines(cluster, config, job_ref, &free, now);
     let mut binder = Binder {
         cluster,
@@ -71,7 +71,7 @@
         let Some(candidate) = binder.choose() else {
             break;
         };
-        binder.take(candidate);
+        binder.record_binding(candidate);
         bound.push(QueueBinding {
             task,
             machine: candidate.index,
@@ -81,7 +81,7 @@
 }
 
 /// Free capacity of all machines, less the needs of the tasks that wait in their queues.
-fn free_capacity_beside_queues(cluster: &ClusterState) -> FreeCapacity {
+fn free_capacity_after_queues(cluster: &ClusterState) -> FreeCapacity {
     let mut free = free_capacity(cluster, &DraftTransaction::default());
     for (machine_index, machine) in cluster.all_machines() {
         for queued in &machine.queue {
@@ -122,9 +122,9 @@
                 .get(candidate.index)
                 .is_some_and(|f| job.spec.need.fits(f))
     });
-    for list in [&mut ready, &mut others] {
-        while list.len() > SAMPLE {
-            list.swap_remove(fastrand::usize(..list.len()));
+    for group in [&mut ready, &mut others] {
+        while group.len() > SAMPLE_SIZE {
+            group.swap_remove(fastrand::usize(..group.len()));
         }
     }
     ready.extend(others);
@@ -133,8 +133,8 @@
 
 fn queue_lengths(machines: &[MachineRef]) -> HashMap<MachineIndex, usize> {
     let length = |candidate: &MachineRef| {
-        let told_by_owner = candidate.machine.owner_status.queue_length.into();
-        candidate.machine.queue.len().max(told_by_owner)
+        let reported_by_owner = candidate.machine.owner_status.queue_length.into();
+        candidate.machine.queue.len().max(reported_by_owner)
     };
     machines
         .iter()
@@ -198,7 +198,7 @@
         self.by_zone.count(candidate.machine.zone) < self.spec().zone_cap()
     }
 
-    fn take(&mut self, candidate: MachineRef) {
+    fn record_binding(&mut self, candidate: MachineRef) {
         self.free.take(candidate.index, self.waiting.spec.need);
         *self.queue_lengths.entry(candidate.index).or_default() += 1;
         self.by_zone.add(candidate.machine.zone);
--- a/src/coordination/scheduler/claims.rs
+++ b/src/coordination/scheduler/claims.rs
@@ -53,7 +53,7 @@
         pass: *pass,
         machines,
         permits,
-        queued: freshly_queued(pass),
+        queued: recently_queued(pass),
         starved_gangs: StarvedGangs::find(pass),
         free,
         claimed_for: HashSet::new(),
@@ -65,7 +65,7 @@
             claims.claim_for_job(draft, waiting);
         }
     }
-    claims.found_nothing(smallest)
+    claims.machines_without_claim(smallest)
 }
 
 /// True for array tasks below high priority: while the key-value store is near its write limit,
@@ -76,7 +76,7 @@
 
 /// Tasks that have been in a machine's queue for less than `steal_after_ms`, so that no other
 /// machine may claim them yet.
-fn freshly_queued(pass: &PassContext) -> HashSet<(JobIndex, u32)> {
+fn recently_queued(pass: &PassContext) -> HashSet<(JobIndex, u32)> {
     let queues = pass.cluster.all_machines().map(|(_, m)| &m.queue);
     queues
         .flatten()
@@ -215,7 +215,7 @@
             if self.would_starve_gang(draft, job, spec) {
                 return;
             }
-            let Some(position) = self.pop_usable(&mut best, draft, waiting) else {
+            let Some(position) = self.pop_best_usable(&mut best, draft, waiting) else {
                 return;
             };
             let candidate = self.machines[position];
@@ -237,7 +237,7 @@
     }
 
     /// Pops the position of the lowest-cost machine that can still run a task of the job.
-    fn pop_usable(
+    fn pop_best_usable(
         &self,
         best: &mut BinaryHeap<Reverse<RankedMachine>>,
         draft: &DraftTransaction,
@@ -300,7 +300,7 @@
 
     /// Machines that still have free capacity for the smallest need and for which this pass
     /// claimed nothing.
-    fn found_nothing(&self, smallest: Resources) -> Vec<MachineIndex> {
+    fn machines_without_claim(&self, smallest: Resources) -> Vec<MachineIndex> {
         let has_capacity = |index| self.free.get(index).is_some_and(|f| smallest.fits(f));
         let indices = self.machines.iter().map(|candidate| candidate.index);
         indices
--- a/src/coordination/scheduler/commands.rs
+++ b/src/coordination/scheduler/commands.rs
@@ -80,7 +80,7 @@
         match (task.state, placed) {
             (TaskState::Exited, None) => self.acknowledge_exit(task),
             (TaskState::Exited, Some(attempt)) => self.retry_gang_task(task, attempt),
-            (_, None) => self.commands.push(stop(task, 0.0)),
+            (_, None) => self.commands.push(stop_command(task, 0.0)),
             (_, Some(attempt)) => self.stop_unwanted(task, attempt),
         }
     }
@@ -98,7 +98,7 @@
                     && task.exit_reason != Some(ExitReason::Done)
         });
         if !may_run_again {
-            self.commands.push(acknowledge(task));
+            self.commands.push(acknowledge_command(task));
         }
     }
 
@@ -109,8 +109,8 @@
             && retry_gang_wait(job, self.machine, attempt)
             && !unacknowledged_start(self.machine, self.fencing_token, attempt)
         {
-            self.commands.push(acknowledge(task));
-            self.commands.push(start(self.cluster, attempt));
+            self.commands.push(acknowledge_command(task));
+            self.commands.push(start_command(self.cluster, attempt));
             self.started.push(attempt);
         }
     }
@@ -121,7 +121,7 @@
             return;
         }
         for attempt in missing_starts(self.cluster, machine_index, self.machine) {
-            self.commands.push(start(self.cluster, attempt));
+            self.commands.push(start_command(self.cluster, attempt));
             self.started.push(attempt);
         }
     }
@@ -141,19 +141,19 @@
         // A checkpointing task has already received its stop command; it gets another one only to
         // end the grace period.
         if task.state != TaskState::Checkpointing || grace_s == 0.0 {
-            self.commands.push(stop(task, grace_s));
+            self.commands.push(stop_command(task, grace_s));
         }
     }
 }
 
-fn acknowledge(task: &ObservedTask) -> Command {
+fn acknowledge_command(task: &ObservedTask) -> Command {
     Command::AcknowledgeExit {
         task: task.name.to_string(),
         attempt: task.attempt,
     }
 }
 
-fn stop(task: &ObservedTask, grace_s: f64) -> Command {
+fn stop_command(task: &ObservedTask, grace_s: f64) -> Command {
     Command::Stop {
         task: task.name.to_string(),
         attempt: task.attempt,
@@ -162,7 +162,7 @@
 }
 
 /// The command that starts an attempt.
-pub(super) fn start(cluster: &ClusterState, attempt: TaskAttempt) -> Command {
+pub(super) fn start_command(cluster: &ClusterState, attempt: TaskAttempt) -> Command {
     Command::Start {
         task: format!("{}/{}", cluster.jobs[attempt.job.at()].id, attempt.task),
         attempt: attempt.attempt,
--- a/src/coordination/scheduler/direct_start_delivery.rs
+++ b/src/coordination/scheduler/direct_start_delivery.rs
@@ -23,7 +23,7 @@
     // Without a free connection the commands are sent in the response to the next heartbeat.
     let reserve_connection = || {
         let connection = controller.worker_connections.acquire();
-        connection.map(|c| connections.push(c)).is_some()
+        connection.map(|slot| connections.push(slot)).is_some()
     };
     let permits = failover::permits(controller);
     let starts = direct_starts(
@@ -71,13 +71,14 @@
         // The start may take effect minutes later, unless the shard's fencing token is raised.
         log::info!("direct start outcome unknown: address={}", start.addr);
     }
-    let answer = response.ok().filter(is_answer);
-    if answer.is_some() {
+    let worker_response = response.ok().filter(is_worker_response);
+    if worker_response.is_some() {
         controller.record_worker_contact();
     }
     let mut cluster = controller.cluster.borrow_mut();
     record_direct_start_outcome(&mut cluster, start, outcome);
-    let heartbeat = answer.and_then(|f| rmp_serde::from_slice::<Heartbeat>(&f.body).ok());
+    let heartbeat = worker_response
+        .and_then(|response| rmp_serde::from_slice::<Heartbeat>(&response.body).ok());
     if let Some(heartbeat) = heartbeat {
         let (now, source) = (controller.now(), StatusSource::CommandResponse);
         heartbeats::apply(&mut cluster, start.machine, &heartbeat, now, source);
@@ -86,14 +87,14 @@
 
 /// True for a response of the worker itself. Any other status may come from an intermediary, such
 /// as a proxy.
-fn is_answer(response: &ClientResponse) -> bool {
+fn is_worker_response(response: &ClientResponse) -> bool {
     matches!(response.status, 200 | 409)
 }
 
 fn outcome_of(response: &Result<ClientResponse, TransportError>) -> DirectStartOutcome {
     match response {
-        Ok(f) if f.status == 200 => DirectStartOutcome::Executed,
-        Ok(f) if is_answer(f) => DirectStartOutcome::Refused,
+        Ok(response) if response.status == 200 => DirectStartOutcome::Executed,
+        Ok(response) if is_worker_response(response) => DirectStartOutcome::Refused,
         Err(TransportError::Connect { .. }) => DirectStartOutcome::Refused,
         _ => DirectStartOutcome::Unknown,
     }
--- a/src/coordination/scheduler/direct_starts.rs
+++ b/src/coordination/scheduler/direct_starts.rs
@@ -5,7 +5,7 @@
 //! is recorded as in flight before it is sent and until the worker has responded, so that its
 //! attempt is never considered proven absent meanwhile.
 
-use crate::coordination::scheduler::commands::{missing_starts, start};
+use crate::coordination::scheduler::commands::{missing_starts, start_command};
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::protocol::workers::{AgentEpoch, Command};
 use crate::state::cluster_state::ClusterState;
@@ -46,10 +46,11 @@
     if !config.may_start(cluster, now) {
         return starts;
     }
-    let permitted = config.permitted(cluster, permits);
+    let permits_by_shard = config.permits_by_shard(cluster, permits);
     for position in 0..cluster.machines.len() {
         let machine_index = MachineIndex::new(position);
-        let Some(start) = direct_start_for(cluster, config, &permitted, machine_index, now) else {
+        let Some(start) = direct_start_for(cluster, config, &permits_by_shard, machine_index, now)
+        else {
             continue;
         };
         if !reserve_connection() {
@@ -81,7 +82,9 @@
     if attempts.is_empty() {
         return None;
     }
-    let commands = attempts.iter().map(|attempt| start(cluster, *attempt));
+    let commands = attempts
+        .iter()
+        .map(|attempt| start_command(cluster, *attempt));
     Some(DirectStart {
         machine: machine_index,
         addr: machine.addr.clone(),
--- a/src/coordination/scheduler/ownership.rs
+++ b/src/coordination/scheduler/ownership.rs
@@ -31,7 +31,7 @@
     }
     /// The permits of all shards by shard index, so that loops over machines or placements look up
     /// each permit once.
-    pub fn permitted<'p>(
+    pub fn permits_by_shard<'p>(
         &self,
         cluster: &ClusterState,
         permits: &'p Permits,
--- a/src/coordination/scheduler/pass.rs
+++ b/src/coordination/scheduler/pass.rs
@@ -37,6 +37,6 @@
     /// The permits of all shards by shard index; `None` for those that this controller does not
     /// hold.
     pub fn permits_by_shard(&self) -> Vec<Option<&'a Permit>> {
-        self.config.permitted(self.cluster, self.permits)
+        self.config.permits_by_shard(self.cluster, self.permits)
     }
 }
--- a/src/coordination/scheduler/planner.rs
+++ b/src/coordination/scheduler/planner.rs
@@ -61,7 +61,7 @@
         let waiters = controller.scheduling.take_waiters();
         let batch_array_updates = should_batch(&controller, &mut write_budget);
         let quota_lowered_before = periodic.quota_lowered_at;
-        let idle = make_passes(&controller, batch_array_updates, &mut periodic).await;
+        let idle = run_passes(&controller, batch_array_updates, &mut periodic).await;
         for waiter in waiters {
             let _ = waiter.try_send(true);
         }
@@ -82,7 +82,7 @@
 
 /// Runs passes until no other should follow at once, at most `MAX_PASSES`. Returns the machines
 /// with free capacity for which the last pass claimed nothing.
-async fn make_passes(
+async fn run_passes(
     controller: &Rc<Controller>,
     batch_array_updates: bool,
     periodic: &mut PeriodicSteps,
--- a/src/coordination/scheduler/queues.rs
+++ b/src/coordination/scheduler/queues.rs
@@ -23,7 +23,7 @@
 
 /// Maximum number of tasks in one `EnqueueTasks` frame: a frame with all tasks of a wide job would
 /// exceed the frame size limit and be refused.
-const TASKS_PER_BIND: usize = 500;
+const MAX_TASKS_PER_REQUEST: usize = 500;
 
 /// The end of a queue at which a task is inserted.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -70,7 +70,7 @@
     let request = |tasks: &[(String, TaskRef)]| PeerRequest::EnqueueTasks {
         tasks: tasks.to_vec(),
     };
-    tasks.chunks(TASKS_PER_BIND).map(request).collect()
+    tasks.chunks(MAX_TASKS_PER_REQUEST).map(request).collect()
 }
 
 /// Binds the tasks of a job that this controller has just accepted: adds them to the queues of its
@@ -97,7 +97,7 @@
     }
     controller.scheduling.notify();
     for (owner, tasks) in by_owner {
-        let request = send_binds(controller.clone(), owner, tasks);
+        let request = send_bind_requests(controller.clone(), owner, tasks);
         controller.executor.spawn(request).detach();
     }
 }
@@ -127,7 +127,11 @@
     })
 }
 
-async fn send_binds(controller: Rc<Controller>, owner: String, tasks: Vec<(String, TaskRef)>) {
+async fn send_bind_requests(
+    controller: Rc<Controller>,
+    owner: String,
+    tasks: Vec<(String, TaskRef)>,
+) {
     let Some(peer) = controller.peer(&owner) else {
         return;
     };
--- a/src/coordination/scheduler/quota.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -43,28 +43,28 @@
 pub(super) fn charge(
     pass: &PassContext,
     draft: &mut DraftTransaction,
-    charge: &QuotaCharge,
+    quota_charge: &QuotaCharge,
 ) -> bool {
-    if pass.cluster.team_limits[charge.team.at()].unlimited() {
+    if pass.cluster.team_limits[quota_charge.team.at()].unlimited() {
         return true;
     }
     // A transaction with unknown outcome may still be applied. It may claim quota that looks free
     // here, or lower a share. A claim within a share is not conditional on the team's record, so
     // it would not conflict with that transaction.
-    let team = charge.team;
+    let team = quota_charge.team;
     if pass.cluster.teams_with_unknown_outcome.contains(&team)
         || has_job_with_unknown_outcome(pass.cluster, team)
     {
         return false;
     }
-    let used = used_by_shard(pass.cluster, draft, team, charge.charged_shard);
-    let wanted = used.plus(charge.usage);
+    let used = used_by_shard(pass.cluster, draft, team, quota_charge.charged_shard);
+    let wanted = used.plus(quota_charge.usage);
     let stored = &pass.cluster.team_quotas[team.at()].record;
     let record = draft.team_quotas.get(&team).unwrap_or(stored);
-    if wanted.within(record.share(charge.charged_shard)) {
+    if wanted.within(record.share(quota_charge.charged_shard)) {
         return true;
     }
-    let raised = with_raised_share(record, charge.charged_shard, wanted);
+    let raised = with_raised_share(record, quota_charge.charged_shard, wanted);
     draft_raised_shares(pass, draft, team, raised)
 }
 
--- a/src/coordination/scheduler/work_stealing.rs
+++ b/src/coordination/scheduler/work_stealing.rs
@@ -145,10 +145,10 @@
 /// controller, and returns it.
 pub fn hand_over(
     controller: &Controller,
-    giver: MachineIndex,
+    source: MachineIndex,
     idle: MachineIndex,
 ) -> Option<TaskRef> {
-    let (job_index, task) = take_fitting(controller, giver, idle)?;
+    let (job_index, task) = remove_first_fitting(controller, source, idle)?;
     let cluster = controller.cluster.borrow();
     let job = cluster.jobs[job_index.at()].id.to_string();
     Some(TaskRef { job, task })
@@ -156,8 +156,8 @@
 
 /// Moves the first queued task that fits from one owned machine to the front of another's queue;
 /// false if none fits.
-fn steal_locally(controller: &Controller, giver: MachineIndex, idle: MachineIndex) -> bool {
-    let Some((job_index, task)) = take_fitting(controller, giver, idle) else {
+fn steal_locally(controller: &Controller, source: MachineIndex, idle: MachineIndex) -> bool {
+    let Some((job_index, task)) = remove_first_fitting(controller, source, idle) else {
         return false;
     };
     let now = controller.now();
@@ -171,32 +171,32 @@
 }
 
 /// Removes the first task that fits the idle machine from the queue of an owned machine.
-fn take_fitting(
+fn remove_first_fitting(
     controller: &Controller,
-    giver: MachineIndex,
+    source: MachineIndex,
     idle: MachineIndex,
 ) -> Option<(JobIndex, u32)> {
-    let position = first_fitting(controller, giver, idle)?;
+    let position = first_fitting(controller, source, idle)?;
     let mut cluster = controller.cluster.borrow_mut();
-    let taken = cluster.machine_mut(giver)?.queue.remove(position)?;
+    let taken = cluster.machine_mut(source)?.queue.remove(position)?;
     Some((taken.job, taken.task))
 }
 
 fn first_fitting(
     controller: &Controller,
-    giver: MachineIndex,
+    source: MachineIndex,
     idle: MachineIndex,
 ) -> Option<usize> {
     let permits = failover::permits(controller);
     let cluster = controller.cluster.borrow();
-    let giver = cluster.machine(giver)?;
-    controller.config.permit(&cluster, &permits, giver.shard)?;
+    let source = cluster.machine(source)?;
+    controller.config.permit(&cluster, &permits, source.shard)?;
     let target = MachineRef {
         index: idle,
         machine: cluster.machine(idle)?,
     };
     let free = cluster.free_on(idle)?;
-    giver.queue.iter().position(|queued| {
+    source.queue.iter().position(|queued| {
         let index = queued.job;
         let job = &cluster.jobs[index.at()];
         let Some(spec) = job.spec.as_ref().filter(|_| job.is_waiting(queued.task)) else {
