--- a/tests/claims_and_binding.rs
+++ b/tests/claims_and_binding.rs
@@ -28,17 +28,17 @@
 
 #[test]
 fn a_job_accepted_by_two_controllers_is_stored_once() {
-    let (mut store, mut a) = start_single_controller();
-    let mut b = SimulatedController::start("s1", 2, &mut store, 0);
+    let (mut store, mut first) = start_single_controller();
+    let mut second = SimulatedController::start("s1", 2, &mut store, 0);
     assert!(matches!(
-        a.submit(&mut store, job("job-1", 1), 1),
+        first.submit(&mut store, job("job-1", 1), 1),
         CommitOutcome::Committed(_)
     ));
     assert!(matches!(
-        b.submit(&mut store, job("job-1", 1), 2),
+        second.submit(&mut store, job("job-1", 1), 2),
         CommitOutcome::Conflict(_)
     ));
-    assert_eq!(b.job("job-1").version, a.job("job-1").version);
+    assert_eq!(second.job("job-1").version, first.job("job-1").version);
 }
 
 #[test]
@@ -70,14 +70,14 @@
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     controller.submit(&mut store, job("job-1", 2), 100);
     let heartbeat = worker.heartbeat(500);
-    let answer = controller
+    let response = controller
         .receive_heartbeat(&mut store, &heartbeat, 500)
         .unwrap();
     assert!(matches!(
         controller.cancel(&mut store, "job-1", 550),
         CommitOutcome::Committed(_)
     ));
-    worker.receive_response(&answer, heartbeat.agent_epoch, 500, 600);
+    worker.receive_response(&response, heartbeat.agent_epoch, 500, 600);
     assert!(worker.has_task("job-1/1"));
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 1000, 3000);
     assert!(!worker.has_task("job-1/0") && !worker.has_task("job-1/1"));
@@ -101,14 +101,14 @@
 fn a_running_task_without_a_placement_is_stopped() {
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
-    let stray = pointhook::protocol::workers::HeartbeatResponse {
+    let stray_start = pointhook::protocol::workers::HeartbeatResponse {
         fencing_token: FencingToken(0),
         commands: vec![Command::Start {
             task: "job-77/0".into(),
             attempt: 4,
         }],
     };
-    worker.receive_response(&stray, AgentEpoch(1), 0, 0);
+    worker.receive_response(&stray_start, AgentEpoch(1), 0, 0);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 500, 2500);
     assert!(worker.heartbeat(2500).tasks.is_empty());
 }
@@ -124,8 +124,8 @@
     let mut worker = FakeWorker::new("m1", "north", 0);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 20_000);
     assert!(controller.job("job-1").done.count() > 200);
-    let e = store.entry(&ClusterState::job_key("job-1")).unwrap();
-    assert!(e.v.to_string().len() <= store.max_value_bytes);
+    let entry = store.entry(&ClusterState::job_key("job-1")).unwrap();
+    assert!(entry.v.to_string().len() <= store.max_value_bytes);
 }
 
 // Guards against a failure seen when a controller was seconds late: while the removal of a
@@ -138,11 +138,11 @@
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     controller.submit(&mut store, job("job-1", 1), 100);
     let heartbeat = worker.heartbeat(500);
-    let lost = controller
+    let lost_response = controller
         .receive_heartbeat(&mut store, &heartbeat, 500)
         .unwrap();
     assert_eq!(
-        count_starts(&lost.commands),
+        count_starts(&lost_response.commands),
         1,
         "the start command is in a response that gets lost"
     );
@@ -152,20 +152,20 @@
     let job_index = controller.job_index("job-1");
     assert!(draft.jobs[&job_index].placements.is_empty());
     reconciliation::mark_abandoned(&mut controller.cluster, &draft);
-    let on_its_way = transaction(&controller.cluster, &draft);
+    let in_flight = transaction(&controller.cluster, &draft);
     let heartbeat = worker.heartbeat(now + 20);
     assert_eq!(heartbeat.agent_epoch, AgentEpoch(2));
-    let got = heartbeats::receive(
+    let received = heartbeats::receive(
         &mut controller.cluster,
         &controller.config,
         &heartbeat,
         10_000,
         MonotonicMillis(now + 20),
     );
-    let heartbeats::HeartbeatOutcome::Accepted(accepted) = got else {
+    let heartbeats::HeartbeatOutcome::Accepted(accepted) = received else {
         panic!("not accepted");
     };
-    let answer = heartbeats::respond(
+    let response = heartbeats::respond(
         &mut controller.cluster,
         &controller.config,
         controller.failovers.permits(),
@@ -173,11 +173,11 @@
         MonotonicMillis(now + 20),
     )
     .unwrap();
-    assert_eq!(count_starts(&answer.commands), 0);
+    assert_eq!(count_starts(&response.commands), 0);
     assert!(controller.direct_starts(now + 20).is_empty());
-    let out = SimulatedController::commit(&mut store, &on_its_way, now + 50);
-    assert!(matches!(out, CommitOutcome::Committed(_)));
-    apply_outcome(&mut controller.cluster, &draft, &out);
+    let outcome = SimulatedController::commit(&mut store, &in_flight, now + 50);
+    assert!(matches!(outcome, CommitOutcome::Committed(_)));
+    apply_outcome(&mut controller.cluster, &draft, &outcome);
     run_heartbeats(
         &mut controller,
         &mut store,
--- a/tests/direct_starts.rs
+++ b/tests/direct_starts.rs
@@ -74,14 +74,14 @@
         200
     );
     let machine = controller.machine("m1");
-    let a = direct_start.attempts[0];
+    let attempt = direct_start.attempts[0];
     controller
         .cluster
         .machine_mut(machine)
         .unwrap()
         .starts
         .in_flight
-        .get_mut(&a)
+        .get_mut(&attempt)
         .unwrap()
         .acknowledged = true;
     controller.exchange_heartbeat(&mut store, &mut worker, 1000);
@@ -92,7 +92,7 @@
         .unwrap()
         .decisions
         .stopping
-        .insert(a, 0.0);
+        .insert(attempt, 0.0);
     controller
         .cluster
         .machine_mut(machine)
@@ -133,24 +133,24 @@
     controller.submit(&mut store, job("job-1", 1), 100);
     // The start is in the response to this heartbeat, which is still in flight.
     let heartbeat = worker.heartbeat(500);
-    let answer = controller
+    let response = controller
         .receive_heartbeat(&mut store, &heartbeat, 500)
         .unwrap();
-    assert_eq!(count_starts(&answer.commands), 1);
+    assert_eq!(count_starts(&response.commands), 1);
     controller.cancel(&mut store, "job-1", 600);
     // A newer message without the task, sent before the response arrived.
-    let other = worker.heartbeat(700);
+    let newer = worker.heartbeat(700);
     let machine = controller.machine("m1");
     heartbeats::apply(
         &mut controller.cluster,
         machine,
-        &other,
+        &newer,
         MonotonicMillis(700),
         heartbeats::StatusSource::CommandResponse,
     );
     controller.run_planner(&mut store, 700);
     assert_eq!(controller.job("job-1").placements.len(), 1);
-    assert!(worker.receive_response(&answer, heartbeat.agent_epoch, 500, 800));
+    assert!(worker.receive_response(&response, heartbeat.agent_epoch, 500, 800));
     assert!(worker.has_task("job-1/0"));
     // The next heartbeat shows the task, and it is stopped.
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 1000, 2500);
@@ -168,34 +168,34 @@
     let mut worker = FakeWorker::new("m1", "north", 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
     controller.submit(&mut store, job("job-1", 1), 10);
-    let (job_index, mix) = (controller.job_index("job-1"), controller.machine("m1"));
-    let shard = controller.cluster.machine(mix).unwrap().shard;
+    let (job_index, machine_index) = (controller.job_index("job-1"), controller.machine("m1"));
+    let shard = controller.cluster.machine(machine_index).unwrap().shard;
     let token = controller.cluster.shards[shard.at()].record.fencing_token;
-    let kept = |controller: &mut SimulatedController, token: u64| {
-        let late = InFlightStart {
+    let keep_starts_under = |controller: &mut SimulatedController, token: u64| {
+        let start = InFlightStart {
             fencing_token: FencingToken(token),
             agent_epoch: AgentEpoch(1),
             sent_at: MonotonicMillis(10),
             acknowledged: true,
         };
-        let m = controller.cluster.machine_mut(mix).unwrap();
-        m.starts.in_flight = (0..250)
-            .map(|i| (TaskAttempt::new(job_index, 0, i), late))
+        let machine = controller.cluster.machine_mut(machine_index).unwrap();
+        machine.starts.in_flight = (0..250)
+            .map(|i| (TaskAttempt::new(job_index, 0, i), start))
             .collect();
     };
-    let raised = |controller: &SimulatedController| {
-        let known = pointhook::coordination::membership::MembershipView {
+    let raises_token = |controller: &SimulatedController| {
+        let view = pointhook::coordination::membership::MembershipView {
             owned_since: controller.owned_since_start(),
             ..Default::default()
         };
-        let moves = controller.assignment(&known, true, 20_000).moves();
+        let moves = controller.assignment(&view, true, 20_000).moves();
         moves.iter().any(|m| m.shard == shard)
     };
-    kept(&mut controller, token.0);
+    keep_starts_under(&mut controller, token.0);
     assert!(
-        raised(&controller),
+        raises_token(&controller),
         "too many exits are kept with the worker"
     );
-    kept(&mut controller, token.0 - 1);
-    assert!(!raised(&controller), "none of them can run any more");
+    keep_starts_under(&mut controller, token.0 - 1);
+    assert!(!raises_token(&controller), "none of them can run any more");
 }
--- a/tests/gang_scheduling.rs
+++ b/tests/gang_scheduling.rs
@@ -20,7 +20,7 @@
 
 /// A team with a quota of two tasks: a long job of the given kind uses one, while a gang that needs
 /// both waits.
-fn gang_behind(kind: JobKind) -> (FakeKvStore, SimulatedController, FakeWorker) {
+fn gang_waiting_for_quota(kind: JobKind) -> (FakeKvStore, SimulatedController, FakeWorker) {
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     worker.run_ms = 500_000;
@@ -184,7 +184,7 @@
 
 #[test]
 fn jobs_do_not_wait_for_a_gang_whose_quota_services_use() {
-    let (mut store, mut controller, mut worker) = gang_behind(JobKind::Service);
+    let (mut store, mut controller, mut worker) = gang_waiting_for_quota(JobKind::Service);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 500, 8000);
     let mut younger = job("job-3", 1);
     younger.team = "mixers".into();
@@ -202,7 +202,7 @@
 
 #[test]
 fn no_machine_is_reserved_for_a_gang_whose_quota_services_use() {
-    let (mut store, mut controller, mut worker) = gang_behind(JobKind::Service);
+    let (mut store, mut controller, mut worker) = gang_waiting_for_quota(JobKind::Service);
     let mut other = FakeWorker::new("m2", "north", 0);
     run_heartbeats(
         &mut controller,
@@ -227,7 +227,7 @@
 
 #[test]
 fn jobs_wait_for_a_gang_of_their_team_for_less_than_ninety_seconds() {
-    let (mut store, mut controller, mut worker) = gang_behind(JobKind::Array);
+    let (mut store, mut controller, mut worker) = gang_waiting_for_quota(JobKind::Array);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 500, 8000);
     let mut younger = job("job-3", 1);
     younger.team = "mixers".into();
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -15,7 +15,7 @@
 use support::worker::FakeWorker;
 
 /// The source of a heartbeat that was sent to an owner with this fencing token.
-fn heartbeat_under(owner_token: FencingToken) -> heartbeats::StatusSource {
+fn heartbeat_source(owner_token: FencingToken) -> heartbeats::StatusSource {
     heartbeats::StatusSource::Heartbeat {
         owner_token,
         lease_ms: 10_000,
@@ -29,21 +29,21 @@
     }
 }
 
-fn hand_over_the_southern_shard(store: &mut FakeKvStore, north: &SimulatedController) {
-    let m = pointhook::coordination::membership::Move {
+fn move_southern_shard(store: &mut FakeKvStore, north: &SimulatedController) {
+    let change = pointhook::coordination::membership::Move {
         shard: ShardIndex(1),
         to: "s1".into(),
     };
-    let (txn, _) =
-        pointhook::coordination::membership::move_transaction(&north.cluster, &m).unwrap();
+    let (transaction, _) =
+        pointhook::coordination::membership::move_transaction(&north.cluster, &change).unwrap();
     assert!(matches!(
-        SimulatedController::commit(store, &txn, 0),
+        SimulatedController::commit(store, &transaction, 0),
         CommitOutcome::Committed(_)
     ));
 }
 
 /// Applies the worker's first heartbeat to its owner, which has this fencing token.
-fn report_to(
+fn apply_first_heartbeat(
     controller: &mut SimulatedController,
     worker: &mut FakeWorker,
     zone: &str,
@@ -60,7 +60,7 @@
         machine,
         &heartbeat,
         MonotonicMillis(10),
-        heartbeat_under(token),
+        heartbeat_source(token),
     );
 }
 
@@ -69,7 +69,7 @@
     let (mut store, mut north) = start_single_controller();
     let mut south = SimulatedController::start("s1", 2, &mut store, 0);
     north.sync(&store);
-    hand_over_the_southern_shard(&mut store, &north);
+    move_southern_shard(&mut store, &north);
     north.sync(&store);
     south.sync(&store);
     let mut spec = job("job-1", 8);
@@ -82,21 +82,21 @@
     );
     let tokens = (0..2).map(|s| north.cluster.shards[s].record.fencing_token);
     let tokens: Vec<FencingToken> = tokens.collect();
-    report_to(&mut north, &mut worker1, "north", tokens[0]);
-    report_to(&mut south, &mut worker2, "south", tokens[1]);
+    apply_first_heartbeat(&mut north, &mut worker1, "north", tokens[0]);
+    apply_first_heartbeat(&mut south, &mut worker2, "south", tokens[1]);
     // Both decide on the same view; only one of the raised quota shares can be committed.
-    let (a, b) = (north.draft_plan(10), south.draft_plan(10));
-    assert!(a.claims.len() == 2 && b.claims.len() == 2);
-    let (transaction_a, transaction_b) = (
-        transaction(&north.cluster, &a),
-        transaction(&south.cluster, &b),
+    let (north_draft, south_draft) = (north.draft_plan(10), south.draft_plan(10));
+    assert!(north_draft.claims.len() == 2 && south_draft.claims.len() == 2);
+    let (north_transaction, south_transaction) = (
+        transaction(&north.cluster, &north_draft),
+        transaction(&south.cluster, &south_draft),
     );
     assert!(matches!(
-        SimulatedController::commit(&mut store, &transaction_a, 11),
+        SimulatedController::commit(&mut store, &north_transaction, 11),
         CommitOutcome::Committed(_)
     ));
     assert!(matches!(
-        SimulatedController::commit(&mut store, &transaction_b, 11),
+        SimulatedController::commit(&mut store, &south_transaction, 11),
         CommitOutcome::Conflict(_)
     ));
     south.sync(&store);
@@ -122,9 +122,9 @@
     quota::lower_unused_quota(&controller.pass(0), &mut draft);
     assert!(draft.team_quotas.is_empty());
     // The unused part of the shard's quota share is released, since a task waits.
-    let mut rec = controller.cluster.team_quotas[1].record.clone();
-    rec.set(ShardIndex(0), quota_usage(8000, 2500));
-    controller.cluster.team_quotas[1].record = rec;
+    let mut record = controller.cluster.team_quotas[1].record.clone();
+    record.set(ShardIndex(0), quota_usage(8000, 2500));
+    controller.cluster.team_quotas[1].record = record;
     quota::lower_unused_quota(&controller.pass(0), &mut draft);
     assert_eq!(
         draft.team_quotas[&team].share(ShardIndex(0)),
@@ -142,7 +142,7 @@
     controller.submit(&mut store, spec.clone(), 0);
     let first = controller.draft_plan(10);
     assert_eq!(first.claims.len(), 2);
-    let late = transaction(&controller.cluster, &first);
+    let delayed = transaction(&controller.cluster, &first);
     apply_outcome(&mut controller.cluster, &first, &CommitOutcome::Unknown);
     spec.id = "job-2".into();
     controller.submit(&mut store, spec, 20);
@@ -153,7 +153,7 @@
     assert!(draft.jobs.contains_key(&controller.job_index("job-1")));
     controller.run_planner(&mut store, 30);
     assert!(matches!(
-        SimulatedController::commit(&mut store, &late, 40),
+        SimulatedController::commit(&mut store, &delayed, 40),
         CommitOutcome::Conflict(_)
     ));
     let placed: usize = ["job-1", "job-2"]
