--- a/src/coordination/scheduler/gangs.rs
+++ b/src/coordination/scheduler/gangs.rs
@@ -23,7 +23,7 @@
 use std::collections::BTreeMap;
 
 /// A waiting gang that this controller may place.
-struct OwnGang<'a> {
+struct OwnedGang<'a> {
     job: JobRef<'a>,
     permit: &'a Permit,
 }
@@ -35,7 +35,7 @@
     draft: &mut DraftTransaction,
     free: &mut FreeCapacity,
 ) {
-    let gangs = own_gangs(pass);
+    let gangs = owned_gangs(pass);
     let Some(smallest) = smallest_need(gangs.iter().map(|gang| gang.job.spec)) else {
         return;
     };
@@ -65,7 +65,7 @@
     }
 }
 
-fn own_gangs<'a>(pass: &PassContext<'a>) -> Vec<OwnGang<'a>> {
+fn owned_gangs<'a>(pass: &PassContext<'a>) -> Vec<OwnedGang<'a>> {
     let cluster = pass.cluster;
     let gangs = waiting_gangs(cluster, pass.now).into_iter();
     gangs
@@ -74,7 +74,7 @@
             let permit = pass.planning_permit(job)?;
             let spec = job.spec.as_deref()?;
             let job = JobRef { index, job, spec };
-            Some(OwnGang { job, permit })
+            Some(OwnedGang { job, permit })
         })
         .collect()
 }
@@ -100,9 +100,9 @@
             continue;
         };
         // A gang can start only when its slowest image pull is finished.
-        let begins_ms = slots.iter().map(|slot| slot.pull_ms).max().unwrap_or(0);
-        if best.as_ref().is_none_or(|(ms, _)| begins_ms < *ms) {
-            best = Some((begins_ms, slots));
+        let start_delay_ms = slots.iter().map(|slot| slot.pull_ms).max().unwrap_or(0);
+        if best.as_ref().is_none_or(|(ms, _)| start_delay_ms < *ms) {
+            best = Some((start_delay_ms, slots));
         }
     }
     best.map(|(_, slots)| slots.into_iter().map(|slot| slot.candidate).collect())
