--- a/src/coordination/scheduler/claims.rs
+++ b/src/coordination/scheduler/claims.rs
@@ -115,7 +115,8 @@
     }
 
     /// True if a task of the job may be placed on the machine now: it fits into the free capacity,
-    /// and reservations and placement rules allow it.
+    /// the placement rules allow it, and the machine is not reserved for a gang. Production tasks
+    /// may use reserved machines as well.
     fn fits(&self, job: JobRef, candidate: MachineRef, free: Resources) -> bool {
         let state = &job.job.dependency_state;
         let reserved = candidate
--- a/src/coordination/scheduler/direct_starts.rs
+++ b/src/coordination/scheduler/direct_starts.rs
@@ -95,8 +95,8 @@
     })
 }
 
-/// True if the worker has confirmed this owner's fencing token and has a known address, and no
-/// heartbeat response to it is in progress.
+/// True if the worker has confirmed this owner's fencing token, its address and agent epoch are
+/// known, and no heartbeat response to it is in progress.
 fn takes_direct_commands(machine: &Machine, fencing_token: FencingToken) -> bool {
     machine.heartbeat.responses_in_progress == 0
         && machine.heartbeat.fencing_token == fencing_token
