--- a/tests/worker_reachability.rs
+++ b/tests/worker_reachability.rs
@@ -1,4 +1,4 @@
-//! Worker reachability: machines that receive nothing, and controllers that no worker reaches.
+//! Worker reachability: machines that receive no responses, and controllers that no worker reaches.
 
 mod support;
 
@@ -16,12 +16,12 @@
 #[test]
 fn an_unreachable_machine_gets_no_work_and_its_tasks_move_elsewhere() {
     let (mut store, mut controller) = start_single_controller();
-    let mut deaf = FakeWorker::new("m1", "north", 0);
-    controller.exchange_heartbeat(&mut store, &mut deaf, 0);
+    let mut unreachable = FakeWorker::new("m1", "north", 0);
+    controller.exchange_heartbeat(&mut store, &mut unreachable, 0);
     controller.submit(&mut store, job("job-1", 1), 100);
-    // Its heartbeats arrive, the responses do not.
+    // Its heartbeats arrive, but the responses are lost.
     for now in (500..4000).step_by(500) {
-        let heartbeat = deaf.heartbeat(now);
+        let heartbeat = unreachable.heartbeat(now);
         controller
             .receive_heartbeat(&mut store, &heartbeat, now)
             .unwrap();
@@ -37,7 +37,7 @@
     let mut other = FakeWorker::new("m2", "north", 4000);
     controller.exchange_heartbeat(&mut store, &mut other, 4000);
     assert_eq!(other.started.len(), 1);
-    assert!(deaf.started.is_empty());
+    assert!(unreachable.started.is_empty());
 }
 
 #[test]
@@ -52,13 +52,13 @@
         .unwrap()
         .health
         .unreachable_since = Some(MonotonicMillis(1000));
-    let asked = probes::unreachable_machines(
+    let probe_targets = probes::unreachable_machines(
         &mut controller.cluster,
         &controller.config,
         10_000,
         MonotonicMillis(5000),
     );
-    assert_eq!(asked.len(), 1);
+    assert_eq!(probe_targets.len(), 1);
     assert!(
         !controller
             .cluster
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn an_agent_epoch_that_ends_under_steady_responses_shows_that_they_are_lost() {
+fn an_agent_epoch_that_ends_despite_responses_marks_the_machine_as_unreachable() {
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     controller.exchange_heartbeat(&mut store, &mut worker, 0);
@@ -98,21 +98,22 @@
             .unwrap();
     }
     assert!(worker.agent_epoch > AgentEpoch(1));
-    let m = controller
+    let machine = controller
         .cluster
         .machine(controller.machine("m1"))
         .unwrap();
     assert!(
-        m.health.unreachable_since.is_some() && !m.is_schedulable(MonotonicMillis(12_000), 4000)
+        machine.health.unreachable_since.is_some()
+            && !machine.is_schedulable(MonotonicMillis(12_000), 4000)
     );
 }
 
 #[test]
-fn an_agent_epoch_that_ends_without_responses_shows_nothing() {
+fn an_agent_epoch_that_ends_without_responses_does_not_mark_the_machine_as_unreachable() {
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 12_000);
-    // No controller answers for longer than its lease; then all is as before.
+    // No controller answers the worker for longer than a lease, after which responses resume.
     worker.advance(30_000);
     run_heartbeats(
         &mut controller,
@@ -132,9 +133,10 @@
 }
 
 #[test]
-fn worker_reachability_is_doubted_then_lost_and_regained_after_a_delay() {
+fn loss_of_worker_contact_leads_to_probes_then_unreachability_and_delayed_recovery() {
     let mut worker_contact = WorkerReachability::new(30_000);
-    // The first machine comes up late; until a while after that nothing is decided.
+    // The first machine starts late. The controller counts as reachable until the time limit has
+    // passed after that.
     assert!(worker_contact.update(false, None, MonotonicMillis(90_000)));
     assert!(worker_contact.update(true, None, MonotonicMillis(99_000)));
     worker_contact.record_contact(MonotonicMillis(100_000));
@@ -143,7 +145,7 @@
             && worker_contact.probe_needed(MonotonicMillis(106_000))
     );
     assert!(worker_contact.update(true, None, MonotonicMillis(109_000)));
-    // Without machines no heartbeats are expected, and a process pause is no silence.
+    // Without machines no heartbeats are expected, and the time of a process pause does not count.
     assert!(worker_contact
         .clone()
         .update(false, None, MonotonicMillis(111_000)));
@@ -167,7 +169,7 @@
         (south, counts(300, 280)),
         (east, counts(4, 4)),
     ]);
-    // A tenth of a zone, or all of a handful of machines, may well have failed.
+    // If a tenth of a zone, or all of very few machines, are silent, these may really have failed.
     assert!(autoscaler::partitioned_zones(&counts)
         .into_iter()
         .eq([south]));
