--- a/src/coordination/autoscaler/placement.rs
+++ b/src/coordination/autoscaler/placement.rs
@@ -11,8 +11,7 @@
 use super::supply::{Pool, Supply};
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::placement_rules::{
-    is_allowed, is_reserved_for_on_demand, JobRef, MachineRef, OfferedMachine, SpotWork,
-    TasksByZone,
+    is_allowed, should_wait_for_spot, JobRef, MachineRef, OfferedMachine, TasksByZone, WaitingTask,
 };
 use crate::protocol::users::Priority;
 use crate::state::cluster_state::ClusterState;
@@ -239,7 +238,7 @@
     /// True for an empty on-demand machine that is kept for now for jobs that must not use spot
     /// machines.
     fn reserved_for_on_demand(&self, pool: &Pool, empty: bool) -> bool {
-        let work = SpotWork {
+        let work = WaitingTask {
             spec: &self.demand.spec,
             priority: self.priority,
             waited_ms: self.waited_ms,
@@ -249,7 +248,7 @@
             spot: pool.spot,
             is_empty: empty,
         };
-        is_reserved_for_on_demand(self.cluster, self.config, work, offered)
+        should_wait_for_spot(self.cluster, self.config, work, offered)
     }
 
     /// True for on-demand pools if the tasks are only expected and may run on spot machines:
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -357,7 +357,7 @@
             12_000,
         );
         let shard = ShardIndex(0);
-        let stops = preemption::preempt(&controller.pass(12_000), shard);
+        let stops = preemption::select_victims(&controller.pass(12_000), shard);
         assert_eq!(stops.len(), usize::from(!has_urgent_dependent));
     }
 }
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -10,7 +10,7 @@
 use pointhook::coordination::scheduler::claims;
 use pointhook::coordination::scheduler::draft;
 use pointhook::coordination::scheduler::gang_reservations::gang_reservations;
-use pointhook::coordination::scheduler::job_order::{self, ServiceTier};
+use pointhook::coordination::scheduler::job_order::{self, SchedulingTier};
 use pointhook::coordination::scheduler::write_budget::WriteBudget;
 use pointhook::protocol::peers::{self, MachineStatus, PeerRequest};
 use pointhook::protocol::users::{JobKind, Priority};
@@ -417,22 +417,22 @@
     // jobs that can meet their first target go before it, until its last target is in doubt.
     let tier = |controller: &SimulatedController, age: u64| {
         let job = controller.job("job-1");
-        job_order::service_tier(
+        job_order::scheduling_tier(
             &controller.config,
             job,
             job.spec.as_ref().unwrap(),
             age * 1000 + 1,
         )
     };
-    assert_eq!(tier(&controller, 100), ServiceTier::OnTime);
+    assert_eq!(tier(&controller, 100), SchedulingTier::OnTime);
     // It can't finish within 150 s any more, but still within 350 s, the last target. It goes first
     // once two fifths of that time have passed.
-    assert_eq!(tier(&controller, 141), ServiceTier::First);
-    assert_eq!(tier(&controller, 300), ServiceTier::First);
+    assert_eq!(tier(&controller, 141), SchedulingTier::First);
+    assert_eq!(tier(&controller, 300), SchedulingTier::First);
     // Once it has missed the last target as well, it goes behind other jobs, except in one of every
     // five seconds.
-    assert_eq!(tier(&controller, 341), ServiceTier::Late);
-    assert_eq!(tier(&controller, 345), ServiceTier::First);
+    assert_eq!(tier(&controller, 341), SchedulingTier::MissesAllTargets);
+    assert_eq!(tier(&controller, 345), SchedulingTier::First);
     // A job that misses its own, earlier deadline goes behind others until the class's target is in
     // doubt.
     controller
@@ -445,7 +445,7 @@
     controller.run_planner(&mut store, 10);
     let job = controller.job("job-2");
     let tier_at = |age: u64| {
-        job_order::service_tier(
+        job_order::scheduling_tier(
             &controller.config,
             job,
             job.spec.as_ref().unwrap(),
@@ -453,10 +453,10 @@
         )
     };
     assert!(!job.placements.is_empty());
-    assert_eq!(tier_at(40), ServiceTier::OnTime);
-    assert_eq!(tier_at(61), ServiceTier::LateForFirst);
-    assert_eq!(tier_at(139), ServiceTier::LateForFirst);
-    assert_eq!(tier_at(140), ServiceTier::First);
+    assert_eq!(tier_at(40), SchedulingTier::OnTime);
+    assert_eq!(tier_at(61), SchedulingTier::MissesFirstTarget);
+    assert_eq!(tier_at(139), SchedulingTier::MissesFirstTarget);
+    assert_eq!(tier_at(140), SchedulingTier::First);
 }
 
 /// Adds 15 machines and a job of which some tasks are placed at once.
