--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -1,52 +1,53 @@
-//! Checks a history against the invariants that hold whatever fails.
+//! Checks the history of a run against the invariants that must hold under every fault.
 
 use crate::history::{Entry, Event};
 use pointhook::protocol::workers::FencingToken;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Invariant that a history breaks.
+/// Kind of a violation: the invariant that the history violates.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum ViolationKind {
-    /// An accepted job was not reported as done in the end.
-    #[error("accepted and never done")]
+    /// An accepted job was not reported as done by the end of the history.
+    #[error("accepted job never reported as done")]
     Unfinished,
-    /// A job was reported as done and then as something else.
-    #[error("went back from done")]
+    /// A job was reported as done and later with another status.
+    #[error("job reported with another status after done")]
     WentBack,
     /// A job was reported as done before all its tasks had completed.
-    #[error("called done before all its tasks were")]
+    #[error("job reported as done before all its tasks completed")]
     DoneTooEarly,
-    /// A task was started while another machine had it.
-    #[error("started while on another machine")]
+    /// A task was started while an attempt of it was active on another machine.
+    #[error("task started while active on another machine")]
     RunsTwice,
     /// A task was completed more than once.
-    #[error("completed more than once")]
+    #[error("task completed more than once")]
     CompletedTwice,
     /// An attempt was started on a machine for which no claim of it is recorded.
-    #[error("started without a recorded claim")]
+    #[error("task started without a recorded claim")]
     StartedWithoutClaim,
-    /// A claim was recorded that was not conditional on its shard's current record.
-    #[error("claimed without its shard's record")]
+    /// A claim was committed by a transaction that was not conditional on the current record of the
+    /// shard whose quota it charges.
+    #[error("claim not conditional on the current shard record")]
     ClaimWithoutFence,
-    /// A decision was recorded under another fencing token than the shard's current one.
-    #[error("decided under an outdated token")]
+    /// A decision was recorded under a fencing token other than the shard's current one.
+    #[error("decision recorded under another fencing token than the current one")]
     OutdatedToken,
-    /// A change of owner did not raise the fencing token.
-    #[error("owned without a higher token")]
+    /// A shard record was written without a higher fencing token than the previous one.
+    #[error("shard owner recorded without a higher fencing token")]
     TokenNotRaised,
 }
 
-/// A broken invariant with the event that shows it.
+/// Violation of an invariant, with the event that shows it.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("{kind}: {event:?}")]
 pub struct Violation {
-    /// The invariant.
+    /// Invariant that is violated.
     pub kind: ViolationKind,
-    /// The event.
+    /// Event that violates it; for a job that is never done, the event that accepted it.
     pub event: Event,
 }
 
-/// All violations in a history, in the order in which they show.
+/// All violations in a history, in the order of their events. Jobs that were never done come last.
 pub fn check(history: &[Entry]) -> Vec<Violation> {
     let mut checker = Checker::default();
     for entry in history {
@@ -55,7 +56,7 @@
     checker.finish()
 }
 
-/// A job that a user was told is accepted.
+/// Job whose submission was acknowledged to a user.
 struct AcceptedJob<'a> {
     tasks: u32,
     event: &'a Event,
@@ -65,7 +66,7 @@
 struct Checker<'a> {
     accepted: BTreeMap<&'a str, AcceptedJob<'a>>,
     reported_done: HashSet<&'a str>,
-    /// Task, attempt and machine of each recorded claim.
+    /// Recorded claims as task, attempt and machine.
     claims: HashSet<(&'a str, u64, &'a str)>,
     completed_tasks: HashSet<&'a str>,
     completed_count_by_job: HashMap<&'a str, u32>,
--- a/crates/testkit/src/history.rs
+++ b/crates/testkit/src/history.rs
@@ -1,4 +1,5 @@
-//! Events of a run in their order, and a recorder that derives them from committed transactions.
+//! History of a run: its events in order, and a recorder that derives events from committed
+//! transactions.
 
 use pointhook::protocol::kv::{Condition, Transaction, Write};
 use pointhook::protocol::workers::FencingToken;
@@ -8,85 +9,87 @@
 use serde::de::DeserializeOwned;
 use std::collections::{HashMap, HashSet};
 
-/// Something that happened.
+/// Event in the history of a run.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Event {
-    /// A user was told that a job is accepted.
+    /// A controller acknowledged the submission of a job to a user.
     Accepted {
-        /// Job.
+        /// Id of the job.
         job: String,
-        /// Number of its tasks.
+        /// Number of tasks of the job.
         tasks: u32,
     },
-    /// A user was told the status of a job.
+    /// A controller reported the status of a job to a user.
     Answered {
-        /// Job.
+        /// Id of the job.
         job: String,
-        /// Status.
+        /// Status as sent on the wire, such as `pending` or `done`.
         status: String,
     },
-    /// A shard's owner was recorded.
+    /// A shard record with the shard's owner was written to the key-value store.
     Owned {
-        /// Shard.
+        /// Number of the shard.
         shard: u32,
-        /// Owner.
+        /// Name of the controller that owns the shard.
         owner: String,
-        /// Fencing token of the owner.
+        /// Fencing token under which it owns the shard.
         fencing_token: FencingToken,
     },
-    /// A change of jobs was recorded that is conditional on the ownership of a shard.
+    /// A transaction was committed that changes jobs and is conditional on a shard's current
+    /// record.
     Decided {
-        /// Shard.
+        /// Number of the shard.
         shard: u32,
-        /// Fencing token of the shard at that time.
+        /// Fencing token in the shard record at that time.
         fencing_token: FencingToken,
     },
-    /// A claim of a task was recorded.
+    /// A new placement of a task on a machine was written to the job's record.
     Claimed {
-        /// Task.
+        /// Task as `job/index`.
         task: String,
-        /// Attempt.
+        /// Attempt number, unique within the job.
         attempt: u64,
-        /// Machine.
+        /// Name of the claimed machine.
         machine: String,
-        /// The transaction was conditional on the record of the shard whose quota is charged.
+        /// Whether the transaction was conditional on the current record of the shard whose quota
+        /// is charged.
         fenced: bool,
     },
-    /// A worker started a task.
+    /// A worker started an attempt of a task.
     Started {
-        /// Task.
+        /// Task as `job/index`.
         task: String,
-        /// Attempt.
+        /// Attempt number, unique within the job.
         attempt: u64,
-        /// Machine.
+        /// Name of the worker's machine.
         machine: String,
-        /// Another machine that had the task at that time.
+        /// Another machine on which an attempt of the task was active at that time.
         also_on: Option<String>,
     },
     /// A worker completed a task.
     Completed {
-        /// Task.
+        /// Task as `job/index`.
         task: String,
-        /// Machine.
+        /// Name of the worker's machine.
         machine: String,
     },
 }
 
-/// An event with its time.
+/// Event of a history with its time.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Entry {
-    /// Milliseconds since the beginning of the run.
+    /// Time of the event, in milliseconds since the beginning of the run.
     pub at_ms: u64,
-    /// What happened.
+    /// Event that happened then.
     pub event: Event,
 }
 
-/// How many entries of a worker's own lists are in the history already.
+/// Number of starts and completions of a worker that the history already holds.
 #[derive(Clone, Copy, Default)]
 pub struct WorkerProgress {
-    /// Starts.
+    /// Number of entries of the worker's `started` list that are recorded.
     pub started: usize,
-    /// Completions.
+    /// Number of entries of the worker's `completed` list that are recorded.
     pub completed: usize,
 }
 
@@ -98,7 +101,7 @@
 /// Fencing tokens of the shards on whose current records a transaction is conditional.
 type Fences = HashMap<u32, FencingToken>;
 
-/// Records events, and derives events from committed transactions.
+/// Recorder of a history: it appends events and derives events from committed transactions.
 #[derive(Default)]
 pub struct Recorder {
     entries: Vec<Entry>,
@@ -108,34 +111,34 @@
 }
 
 impl Recorder {
-    /// All events so far.
+    /// All events recorded so far, in order.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// Records an event.
+    /// Appends an event to the history.
     pub fn record(&mut self, at_ms: u64, event: Event) {
         self.entries.push(Entry { at_ms, event });
     }
 
-    /// How much of a worker's own lists was recorded.
+    /// Number of starts and completions of a worker that are recorded; zero for an unknown machine.
     pub fn progress_of(&self, machine: &str) -> WorkerProgress {
         let progress = self.progress_by_machine.get(machine);
         progress.copied().unwrap_or_default()
     }
 
-    /// Notes how much of a worker's own lists was recorded.
+    /// Stores the number of starts and completions of a worker that are recorded.
     pub fn set_progress(&mut self, machine: &str, progress: WorkerProgress) {
         self.progress_by_machine
             .insert(machine.to_string(), progress);
     }
 
-    /// Owner and fencing token of a shard, as recorded.
+    /// Last committed record of a shard, with its owner and fencing token; `None` before the first.
     pub fn owner(&self, shard: u32) -> Option<&ShardRecord> {
         self.shards.get(&shard).map(|recorded| &recorded.record)
     }
 
-    /// Records what a committed transaction decided.
+    /// Derives the events of a committed transaction and records them.
     pub fn record_commit(&mut self, transaction: &Transaction, revision: u64, at_ms: u64) {
         let fences = self.fences(transaction);
         let mut changes_jobs = false;
@@ -210,13 +213,13 @@
     }
 }
 
-/// The shard whose record is stored under a key.
+/// Number of the shard whose record is stored under a key; `None` for keys of other records.
 fn shard_of_key(key: &str) -> Option<u32> {
     key.strip_prefix(ROOT)?.strip_prefix("shard/")?.parse().ok()
 }
 
 fn decode<T: DeserializeOwned>(value: &Value) -> Option<T> {
-    // By way of bytes: `rmpv` cannot deserialize unit variants directly.
+    // Encodes the value and decodes it again: `rmpv` can't deserialize unit variants directly.
     let bytes = rmp_serde::to_vec(value).ok()?;
     rmp_serde::from_slice(&bytes).ok()
 }
