--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -1,22 +1,22 @@
-//! A fake cloud: machine types, idempotent provisioning requests and a machine list.
+//! Fake cloud provider: machine types, idempotent provisioning requests and a machine list.
 
 use pointhook::protocol::cloud::{
     CloudMachineType, ListedMachine, MachineListPage, MachineTypeCatalog, ProvisioningRequest,
 };
 use std::collections::BTreeMap;
 
-/// Machines that a cloud has unless a test says otherwise.
+/// Capacity of a fake cloud for which a test sets no other, in machines.
 const DEFAULT_CAPACITY: u32 = 8;
 
-/// A cloud that provisions every machine asked for, up to its capacity.
+/// In-memory cloud that provisions all requested machines at once, up to its capacity.
 pub struct FakeCloud {
-    /// Machine types on offer.
+    /// Catalog of machine types that can be requested.
     pub machine_types: MachineTypeCatalog,
-    /// Most machines that can exist at once.
+    /// Maximum number of machines that exist at the same time.
     pub capacity: u32,
     machines: BTreeMap<String, ProvisionedMachine>,
-    /// Machine names by the request that provisioned them, so that a repeated request gets the
-    /// same machines.
+    /// Names of provisioned machines by request id, so that a repeated request returns the same
+    /// machines.
     provisioned_by_request: BTreeMap<String, Vec<String>>,
     next_machine_number: u32,
 }
@@ -57,8 +57,9 @@
 }
 
 impl FakeCloud {
-    /// Names of the machines provisioned for a request, or `None` (status 503) if no capacity is
-    /// left. A request that is repeated under the same id gets the same machines.
+    /// Provisions machines for a request and returns their names, or `None` (status 503) if no
+    /// capacity is left. Fewer machines than requested are provisioned if the capacity is short. A
+    /// request that is repeated under the same id returns the same machines.
     pub fn provision(&mut self, request: &ProvisioningRequest, now_ms: u64) -> Option<Vec<String>> {
         if let Some(names) = self.provisioned_by_request.get(&request.request_id) {
             return Some(names.clone());
@@ -103,7 +104,7 @@
         }
     }
 
-    /// All machines that exist.
+    /// Lists all machines that exist, in a single page, with their ages.
     pub fn list_machines(&self, now_ms: u64) -> MachineListPage {
         let listed = self.machines.values().map(|machine| ListedMachine {
             age_s: (now_ms - machine.provisioned_at_ms) as f64 / 1000.0,
--- a/crates/testkit/src/jobs.rs
+++ b/crates/testkit/src/jobs.rs
@@ -1,8 +1,8 @@
-//! Job specifications that tests and simulated users submit.
+//! Job specifications submitted by tests and simulated users.
 
 use pointhook::protocol::users::{JobKind, JobSpec, Priority};
 
-/// A small array job; callers change the fields that matter to them.
+/// Specification of a small array job; callers override the fields that matter to them.
 pub fn job(id: &str, tasks: u32) -> JobSpec {
     JobSpec {
         id: id.into(),
--- a/crates/testkit/src/kv_store.rs
+++ b/crates/testkit/src/kv_store.rs
@@ -1,5 +1,5 @@
-//! A fake key-value store: versioned keys, compare-and-swap transactions, leases, watches and
-//! limits, with faults that a test can switch on.
+//! Fake key-value store: versioned keys, compare-and-swap transactions, leases, watches and limits,
+//! with faults that a test can enable.
 
 use pointhook::protocol::kv::{
     Changes, Committed, Condition, Entry, Event, Page, Transaction, Write,
@@ -7,7 +7,7 @@
 use rmpv::Value;
 use std::collections::BTreeMap;
 
-/// Status of a request that got no answer at all.
+/// Status of a request whose response was lost.
 pub const NO_RESPONSE: u16 = 0;
 const OK: u16 = 200;
 const BAD_REQUEST: u16 = 400;
@@ -17,17 +17,17 @@
 const UNAVAILABLE: u16 = 503;
 
 const MAX_KEY_LENGTH: usize = 200;
-/// A transaction may have this many conditions for each write that it may have.
+/// Maximum number of conditions in a transaction, as a multiple of the maximum number of writes.
 const CONDITIONS_PER_WRITE: usize = 4;
-/// A write limit from here on is not enforced.
+/// Write limit from which on the limit is not enforced.
 const UNLIMITED_WRITES_PER_S: f64 = 1e9;
 
-/// Status and body of an answer.
+/// Response of the key-value store: status and body.
 #[derive(Clone, Debug)]
 pub struct KvResponse<T> {
-    /// HTTP status; [`NO_RESPONSE`] if the answer was lost.
+    /// HTTP status; [`NO_RESPONSE`] if the response was lost.
     pub status: u16,
-    /// Body, if the answer has one.
+    /// Body of the response; `None` if it has none.
     pub body: Option<T>,
 }
 
@@ -60,7 +60,7 @@
     transaction: Transaction,
 }
 
-/// Token bucket for writes.
+/// Token bucket that limits writes; it holds at most the writes of one second.
 #[derive(Default)]
 struct WriteBudget {
     refilled_at_ms: u64,
@@ -68,7 +68,7 @@
 }
 
 impl WriteBudget {
-    /// Takes the writes out of the bucket; false if it holds too few.
+    /// Refills the bucket and takes `writes` tokens out of it; false if it holds too few.
     fn try_spend(&mut self, writes: f64, limit_per_s: f64, now_ms: u64) -> bool {
         let elapsed_s = (now_ms - self.refilled_at_ms) as f64 / 1000.0;
         let available = (self.available + elapsed_s * limit_per_s).min(limit_per_s);
@@ -82,30 +82,31 @@
     }
 }
 
-/// A key-value store in memory.
+/// In-memory key-value store; its public fields set limits and faults.
 pub struct FakeKvStore {
-    /// Revision of the last change.
+    /// Revision of the last change; 0 before the first.
     pub revision: u64,
     keys: BTreeMap<String, StoredValue>,
     change_log: Vec<Event>,
-    /// Version of the newest change that is no longer in the log.
+    /// Version of the newest change that was removed from the log; 0 if none was.
     compacted_through: u64,
     leases: BTreeMap<u64, GrantedLease>,
     next_lease: u64,
-    /// Most writes in a transaction.
+    /// Maximum number of writes in a transaction.
     pub max_txn_ops: usize,
-    /// Largest size of a value.
+    /// Maximum size of a value, in bytes of its printed form.
     pub max_value_bytes: usize,
-    /// Changes that are kept for watches.
+    /// Maximum number of changes that are kept for watches.
     pub max_logged_changes: usize,
-    /// Writes that are accepted in a second.
+    /// Maximum number of writes per second; not enforced from 1e9 on.
     pub max_writes_per_s: f64,
     write_budget: WriteBudget,
-    /// Fault: all requests are refused.
+    /// Fault: transactions and watches are refused with status 503.
     pub unavailable: bool,
-    /// Fault: transactions are executed, but their answers are lost.
+    /// Fault: transactions are executed, but their responses are lost.
     pub drops_responses: bool,
-    /// Fault: transactions get no answer and are executed this much later, after newer ones.
+    /// Fault: transactions get no response and are executed after this delay, possibly after newer
+    /// ones.
     pub execution_delay_ms: Option<u64>,
     delayed_transactions: Vec<DelayedTransaction>,
 }
@@ -133,7 +134,7 @@
 }
 
 impl FakeKvStore {
-    /// A store that refuses all requests.
+    /// An empty store whose fault [`FakeKvStore::unavailable`] is enabled.
     pub fn unreachable() -> FakeKvStore {
         FakeKvStore {
             unavailable: true,
@@ -146,13 +147,13 @@
         self.keys.get(key).map_or(0, |stored| stored.version)
     }
 
-    /// A key with its value and version.
+    /// A key with its value and version; `None` if it does not exist.
     pub fn entry(&self, key: &str) -> Option<Entry> {
         let stored = self.keys.get(key)?;
         Some(entry_of(key, stored))
     }
 
-    /// Answers `POST /commit`.
+    /// Handles `POST /commit`: executes a transaction, subject to the enabled faults.
     pub fn commit(&mut self, transaction: &Transaction, now_ms: u64) -> KvResponse<Committed> {
         if self.unavailable {
             return KvResponse::without_body(UNAVAILABLE);
@@ -171,7 +172,7 @@
         response
     }
 
-    /// Executes the delayed transactions that are due.
+    /// Executes the delayed transactions whose delay has passed.
     pub fn execute_delayed(&mut self, now_ms: u64) {
         let (due, later) = std::mem::take(&mut self.delayed_transactions)
             .into_iter()
@@ -240,7 +241,7 @@
             .try_spend(writes, self.max_writes_per_s, now_ms)
     }
 
-    /// Keys whose version is not the one that a condition asks for.
+    /// Keys whose current version differs from the one that a condition requires.
     fn failed_conditions(&self, transaction: &Transaction) -> Vec<String> {
         let fails = |condition: &&Condition| self.version(&condition.key) != condition.version;
         let failed = transaction.conditions.iter().filter(fails);
@@ -282,7 +283,8 @@
         }
     }
 
-    /// Answers `GET /watch` with the changes after a version, without waiting for any.
+    /// Handles `GET /watch`: returns the changes after version `from` without waiting, or status
+    /// 410 if some of them are no longer in the log.
     pub fn watch(&self, prefix: &str, from: u64) -> KvResponse<Changes> {
         if self.unavailable {
             return KvResponse::without_body(UNAVAILABLE);
@@ -299,13 +301,13 @@
         KvResponse::with_body(OK, changes)
     }
 
-    /// Answers `GET /keys` with at most `limit` keys after `start_after`.
+    /// Handles `GET /keys`: returns at most `limit` keys after `start_after`, in key order.
     pub fn read_page(&self, prefix: &str, start_after: &str, limit: usize) -> Page {
         let found = self
             .keys
             .iter()
             .filter(|(key, _)| key.starts_with(prefix) && key.as_str() > start_after);
-        // One more than asked for tells whether another page follows.
+        // One entry more than the limit is read to find out whether another page follows.
         let mut entries: Vec<Entry> = found
             .take(limit + 1)
             .map(|(key, stored)| entry_of(key, stored))
@@ -319,7 +321,7 @@
         }
     }
 
-    /// Grants a lease; its id.
+    /// Grants a lease and returns its id.
     pub fn grant_lease(&mut self, ttl_ms: u64, now_ms: u64) -> u64 {
         let id = self.next_lease;
         self.next_lease += 1;
@@ -331,7 +333,7 @@
         id
     }
 
-    /// Renews a lease; false if it has expired.
+    /// Renews a lease for its full time to live; false if it has expired and was revoked.
     pub fn renew_lease(&mut self, id: u64, now_ms: u64) -> bool {
         let Some(lease) = self.leases.get_mut(&id) else {
             return false;
@@ -340,7 +342,7 @@
         true
     }
 
-    /// Revokes the leases whose time is over.
+    /// Revokes the leases that have expired.
     pub fn expire_leases(&mut self, now_ms: u64) {
         let is_expired = |lease: &GrantedLease| lease.expires_at_ms < now_ms;
         let expired = self.leases.iter().filter(|(_, lease)| is_expired(lease));
@@ -350,7 +352,7 @@
         }
     }
 
-    /// Ends a lease and deletes the keys attached to it.
+    /// Revokes a lease and deletes the keys attached to it.
     pub fn revoke_lease(&mut self, id: u64) {
         self.leases.remove(&id);
         let attached = self.keys.iter().filter(|(_, k)| k.lease == Some(id));
@@ -370,7 +372,7 @@
     }
 }
 
-/// The key that an event sets or removes.
+/// Key that an event sets or removes.
 fn key_of(event: &Event) -> &str {
     let key = event.set.as_deref().or(event.remove.as_deref());
     key.unwrap_or_default()
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,11 +1,11 @@
-//! A fake worker: tasks, fencing token, agent epoch and lease.
+//! Fake worker: its tasks, fencing token, agent epoch and lease.
 
 use pointhook::protocol::workers::{
     AgentEpoch, Command, DirectCommands, ExitReason, FencingToken, Heartbeat, HeartbeatResponse,
     TaskState, TaskStatus,
 };
 
-/// Answers to heartbeats older than this are dropped.
+/// Age of a heartbeat above which its response is dropped.
 const RESPONSE_TIMEOUT_MS: u64 = 4000;
 const ACCEPTED: u16 = 200;
 const CONFLICT: u16 = 409;
@@ -15,7 +15,7 @@
     attempt: u64,
     state: TaskState,
     exit_reason: Option<ExitReason>,
-    /// End of the present state.
+    /// Time at which the image pull or the run ends.
     state_ends_at: u64,
 }
 
@@ -42,41 +42,41 @@
     }
 }
 
-/// The worker of one machine.
+/// Simulated worker of one machine; the caller passes the time in milliseconds.
 pub struct FakeWorker {
-    /// Name of its machine.
+    /// Name of the worker's machine.
     pub name: String,
-    /// Type of its machine.
+    /// Type of the worker's machine.
     pub machine_type: String,
-    /// Zone of its machine.
+    /// Zone of the worker's machine.
     pub zone: String,
-    /// Its machine is a spot machine.
+    /// Whether the worker's machine is a spot machine.
     pub spot: bool,
-    /// Address for direct commands.
+    /// Address on which the worker receives direct commands.
     pub addr: String,
-    /// Agent epoch; a new one begins when the lease expires.
+    /// Agent epoch; it increases by one when the lease expires.
     pub agent_epoch: AgentEpoch,
     heartbeat_sequence: u64,
-    /// Highest fencing token that it has seen.
+    /// Highest fencing token that the worker has accepted.
     pub fencing_token: FencingToken,
     tasks: Vec<Task>,
-    /// Duration of its lease.
+    /// Duration of the worker's lease.
     pub lease_ms: u64,
     lease_renewed_at: u64,
     /// Time that a task takes to pull its image.
     pub image_pull_ms: u64,
     /// Time that a task runs.
     pub run_ms: u64,
-    /// Every start as task and attempt, in order.
+    /// All tasks that the worker has started, with their attempt numbers, in order.
     pub started: Vec<(String, u64)>,
-    /// Every task that completed, in order.
+    /// All tasks that completed on the worker, in order.
     pub completed: Vec<String>,
-    /// Fault: tasks fail instead of completing.
+    /// Fault: tasks exit with an error instead of completing.
     pub fails_tasks: bool,
 }
 
 impl FakeWorker {
-    /// A worker without tasks, whose lease begins now.
+    /// Creates a worker without tasks, whose lease begins at `now`.
     pub fn new(name: &str, zone: &str, now: u64) -> FakeWorker {
         FakeWorker {
             name: name.into(),
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Ends all tasks and begins a new agent epoch if the lease has expired. A machine that hangs
-    /// resumes within its lease or loses its tasks.
+    /// Drops all tasks and begins a new agent epoch if the lease has expired. A machine that hangs
+    /// therefore keeps its tasks only if it resumes within its lease.
     pub fn expire_lease(&mut self, now: u64) {
         if now > self.lease_renewed_at + self.lease_ms {
             self.tasks.clear();
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the tasks to the time `now`, after dropping them if the lease has expired.
     pub fn advance(&mut self, now: u64) {
         self.expire_lease(now);
         for task in &mut self.tasks {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Its next heartbeat.
+    /// Advances the tasks and returns the next heartbeat.
     pub fn heartbeat(&mut self, now: u64) -> Heartbeat {
         self.advance(now);
         self.heartbeat_sequence += 1;
@@ -153,8 +153,9 @@
         }
     }
 
-    /// Takes the answer to a heartbeat that was sent at `sent` in `agent_epoch`; false if it had
-    /// to be dropped.
+    /// Receives the response to a heartbeat that was sent at `sent` in `agent_epoch`, renews the
+    /// lease from that time and executes the commands. Returns false if the response is stale and
+    /// was dropped: its fencing token is lower, the epoch has changed or the heartbeat is too old.
     pub fn receive_response(
         &mut self,
         response: &HeartbeatResponse,
@@ -175,7 +176,8 @@
         true
     }
 
-    /// Takes direct commands; the status that answers them.
+    /// Receives direct commands and returns the HTTP status of the response: 409 if their fencing
+    /// token is lower or their agent epoch is another, else 200 after executing them.
     pub fn receive_commands(&mut self, direct: &DirectCommands, now: u64) -> u16 {
         self.advance(now);
         if direct.fencing_token < self.fencing_token || direct.agent_epoch != self.agent_epoch {
@@ -186,7 +188,8 @@
         ACCEPTED
     }
 
-    /// Its tasks have waited too long for the others of their gang.
+    /// Ends all tasks with the reason `GangTimeout`: the wait for the other tasks of their gang has
+    /// timed out.
     pub fn time_out_gang_wait(&mut self) {
         for task in &mut self.tasks {
             task.exit(ExitReason::GangTimeout);
@@ -230,30 +233,30 @@
             .retain(|t| !t.is_attempt(name, attempt) || t.is_active());
     }
 
-    /// Tasks that have their image and have not exited.
+    /// Names of the tasks that have pulled their image and have not exited.
     pub fn running_tasks(&self) -> Vec<&str> {
         let running = self.tasks.iter().filter(|t| t.is_running());
         running.map(|t| t.name.as_str()).collect()
     }
 
-    /// How many tasks have not exited: those take up capacity of the machine.
+    /// Number of tasks that have not exited; these use capacity of the machine.
     pub fn active_task_count(&self) -> usize {
         self.tasks.iter().filter(|t| t.is_active()).count()
     }
 
-    /// How many tasks of a job have not exited.
+    /// Number of tasks of a job that have not exited.
     pub fn active_task_count_of(&self, job: &str) -> usize {
         let of_job = |t: &&Task| t.is_active() && t.belongs_to(job);
         self.tasks.iter().filter(of_job).count()
     }
 
-    /// True if its heartbeats show the completion of a task of a job.
+    /// Whether the worker's heartbeats report a completed task of a job.
     pub fn reports_completion_of(&self, job: &str) -> bool {
         let completed = |t: &Task| t.exit_reason == Some(ExitReason::Done);
         self.tasks.iter().any(|t| completed(t) && t.belongs_to(job))
     }
 
-    /// True if the task is here and has not exited.
+    /// Whether the worker has an attempt of the task that has not exited.
     pub fn has_task(&self, task: &str) -> bool {
         let is_active = |t: &Task| t.name == task && t.is_active();
         self.tasks.iter().any(is_active)
