--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,14 +1,14 @@
-//! A whole deployment on one machine, to inject faults into.
+//! A complete deployment on one machine for fault injection.
 //!
-//! The kit holds simple but working implementations of everything that surrounds a controller (the
-//! key-value store, the cloud and the workers), controllers as processes that can be paused and
-//! killed, a history of what happened, and a checker of that history.
+//! The test kit provides simple but working implementations of the services that a controller
+//! depends on (the key-value store, the cloud and the workers), controller processes that can be
+//! paused and killed, a history of each run, and a checker of that history.
 //!
 //! - [`kv_store`], [`cloud`] and [`worker`] are pure state machines: the caller passes the time, so
-//!   that tests drive them with a simulated clock.
-//! - [`network`] puts the same state machines behind sockets on loopback, for real controllers.
+//!   that tests can use a simulated clock.
+//! - [`network`] serves the same state machines over HTTP on loopback, for real controllers.
 //! - [`process`] starts, pauses and kills controllers.
-//! - [`history`] records events in order, [`checker`] looks for violations in them.
+//! - [`history`] records events in order, and [`checker`] checks them for violations of invariants.
 //! - [`failover_measurement`] interrupts shard owners under load and measures the failover times.
 
 pub mod checker;
--- a/crates/testkit/src/network/cloud_service.rs
+++ b/crates/testkit/src/network/cloud_service.rs
@@ -1,4 +1,4 @@
-//! HTTP interface of the cloud; provisioned machines start their worker.
+//! HTTP interface of the fake cloud; each provisioned machine starts its worker.
 
 use super::{query_field, worker_loop, Executor, LoopbackCluster, SharedWorker};
 use crate::worker::FakeWorker;
@@ -11,7 +11,7 @@
 
 const DEFAULT_PAGE_LIMIT: usize = 500;
 
-/// Answers a request to the cloud.
+/// Handles an HTTP request to the cloud.
 pub(super) async fn handle(
     cluster: Rc<LoopbackCluster>,
     executor: Executor,
--- a/crates/testkit/src/network/kv_service.rs
+++ b/crates/testkit/src/network/kv_service.rs
@@ -1,4 +1,4 @@
-//! HTTP interface of the key-value store.
+//! HTTP interface of the fake key-value store.
 
 use super::{query_field, LoopbackCluster};
 use crate::kv_store::KvResponse;
@@ -13,7 +13,7 @@
 const MAX_WATCH_WAIT_MS: u64 = 60_000;
 const WATCH_POLL_INTERVAL_MS: u64 = 10;
 
-/// Answers a request to the key-value store.
+/// Handles an HTTP request to the key-value store, after revoking expired leases.
 pub(super) async fn handle(cluster: Rc<LoopbackCluster>, request: Incoming) -> Answer {
     let path = request.path.clone();
     let path: Vec<&str> = path.trim_start_matches('/').split('/').collect();
@@ -82,7 +82,8 @@
     Answer::of(200, &store.read_page(prefix, start_after, limit))
 }
 
-/// Answers as soon as there are changes, or with none when the wait is over.
+/// Handles a long poll: responds as soon as there are changes, or without changes after the
+/// requested wait, which is at most `MAX_WATCH_WAIT_MS`.
 async fn watch(cluster: &LoopbackCluster, query: &str) -> Answer {
     let prefix = query_field(query, "prefix");
     let from = query_field(query, "from").parse().unwrap_or(0);
--- a/crates/testkit/src/network/mod.rs
+++ b/crates/testkit/src/network/mod.rs
@@ -1,5 +1,5 @@
-//! The fake key-value store, cloud and workers behind sockets on loopback, and a record of what
-//! happens among them.
+//! Serves the fake key-value store, cloud and workers over HTTP on loopback, and records the
+//! history of the run.
 
 mod cloud_service;
 mod kv_service;
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Connections that the key-value store and the cloud accept.
+/// Maximum number of connections to the key-value store, and to the cloud.
 const MAX_CONNECTIONS: usize = 1000;
 
 type Executor = Rc<LocalExecutor<'static>>;
@@ -28,49 +28,49 @@
 /// Name and address of a controller.
 #[derive(Clone, Debug)]
 pub struct ControllerEndpoint {
-    /// Name.
+    /// Name of the controller.
     pub name: String,
-    /// Address for users and workers.
+    /// Address on which the controller listens for users and workers.
     pub addr: SocketAddr,
 }
 
-/// How all workers behave.
+/// Configuration that all workers share.
 pub struct WorkerConfig {
-    /// Controllers, in the order in which workers try them.
+    /// Controllers, in the order in which workers connect to them.
     pub controllers: Vec<ControllerEndpoint>,
-    /// Time between heartbeats.
+    /// Average time between a worker's heartbeats.
     pub heartbeat_interval_ms: u64,
     /// Time that a task takes to pull its image.
     pub image_pull_ms: u64,
     /// Time that a task runs.
     pub run_ms: u64,
-    /// The workers' lease.
+    /// Duration of a worker's lease.
     pub lease_ms: u64,
-    /// Print each machine and each start.
+    /// Whether to print each started and deleted machine and each started task.
     pub verbose: bool,
 }
 
-/// Everything around the controllers: key-value store, cloud and workers.
+/// Services that controllers depend on (key-value store, cloud and workers) on loopback.
 pub struct LoopbackCluster {
-    /// Key-value store.
+    /// State of the key-value store.
     pub kv_store: RefCell<FakeKvStore>,
-    /// Cloud.
+    /// State of the cloud.
     pub cloud: RefCell<FakeCloud>,
     /// Workers of provisioned machines, by machine name.
     pub workers: RefCell<BTreeMap<String, SharedWorker>>,
-    /// How the workers behave.
+    /// Configuration of the workers.
     pub worker_config: WorkerConfig,
-    /// What has happened.
+    /// Recorder of the run's history.
     pub recorder: RefCell<Recorder>,
-    /// Heartbeats that were answered with 200.
+    /// Number of heartbeats that controllers acknowledged with status 200.
     pub answered_heartbeats: Cell<u64>,
-    /// Tasks that were started.
+    /// Number of task starts, repeated attempts included.
     pub started_tasks: Cell<u64>,
     began: Instant,
 }
 
 impl LoopbackCluster {
-    /// A cluster without machines and with an empty store.
+    /// Creates a cluster without machines and with an empty key-value store.
     pub fn new(worker_config: WorkerConfig) -> LoopbackCluster {
         LoopbackCluster {
             kv_store: RefCell::default(),
@@ -84,13 +84,13 @@
         }
     }
 
-    /// Milliseconds since the beginning.
+    /// Milliseconds since the cluster was created.
     pub fn now(&self) -> u64 {
         self.began.elapsed().as_millis() as u64
     }
 }
 
-/// Serves the key-value store and the cloud on these listeners until one of them fails.
+/// Serves the key-value store and the cloud on their listeners, until serving the cloud fails.
 pub async fn run(
     cluster: Rc<LoopbackCluster>,
     executor: Executor,
@@ -112,7 +112,7 @@
     .await;
 }
 
-/// Value of a field of a query string; empty if it is missing.
+/// Value of a field of a query string; empty if the field is missing.
 fn query_field<'a>(query: &'a str, name: &str) -> &'a str {
     query
         .split('&')
--- a/crates/testkit/src/network/worker_loop.rs
+++ b/crates/testkit/src/network/worker_loop.rs
@@ -1,4 +1,4 @@
-//! A worker's loop: it serves direct commands and sends heartbeats until its machine is deleted.
+//! Loop of a worker: serves direct commands and sends heartbeats until the machine is deleted.
 
 use super::{Executor, LoopbackCluster, SharedWorker};
 use crate::history::{Event, WorkerProgress};
@@ -14,22 +14,22 @@
 
 const MAX_COMMAND_CONNECTIONS: usize = 16;
 const HEARTBEAT_TIMEOUT_MS: u64 = 4000;
-/// Wait before a heartbeat goes to the owner that another controller named.
+/// Delay before a heartbeat is sent to the owner named in a redirect.
 const REDIRECT_DELAY_MS: u64 = 50;
-/// Wait before a heartbeat goes to the next controller in the list.
+/// Delay before a heartbeat is sent to the next controller in the list.
 const RETRY_DELAY_MS: u64 = 1000;
 
-/// What follows from the answer to a heartbeat.
+/// Destination of the next heartbeat, as the response to the last one determines it.
 enum NextHeartbeat {
-    /// The same controller gets the next one after the usual interval.
+    /// The same controller, after the heartbeat interval with jitter.
     SameController,
-    /// Another controller is the owner.
+    /// The owner of the shard, by its index in the list of controllers.
     RedirectedTo(usize),
-    /// The controller did not answer, or knows no owner: the next one in the list is tried.
+    /// The next controller in the list, as the last one failed to respond or named no known owner.
     NextController,
 }
 
-/// Runs the worker.
+/// Runs a worker until its machine is deleted.
 pub(super) async fn run(cluster: Rc<LoopbackCluster>, executor: Executor, worker: SharedWorker) {
     let loopback: SocketAddr = ([127, 0, 0, 1], 0).into();
     let Ok(listener) = listen(loopback) else {
@@ -120,7 +120,7 @@
     }
 }
 
-/// Where the answer of a controller that is not the owner sends the worker.
+/// Destination of the next heartbeat after status 421 from a controller that is not the owner.
 fn redirect(cluster: &LoopbackCluster, body: &[u8]) -> NextHeartbeat {
     let answer = rmp_serde::from_slice::<NotOwner>(body).ok();
     let owner = answer.and_then(|answer| answer.owner);
@@ -132,7 +132,7 @@
     }
 }
 
-/// Records what a worker has started and completed since this was last called.
+/// Records the tasks that a worker has started and completed since the last call for it.
 fn record_progress(cluster: &LoopbackCluster, worker: &RefCell<FakeWorker>) {
     let worker = worker.borrow();
     let now = cluster.now();
@@ -168,7 +168,7 @@
     recorder.set_progress(&worker.name, progress);
 }
 
-/// Another machine that has the task and has not ended it.
+/// Another machine on which an attempt of the task is active.
 fn other_machine_with(cluster: &LoopbackCluster, machine: &str, task: &str) -> Option<String> {
     let workers = cluster.workers.borrow();
     let mut others = workers.iter().filter(|(name, _)| *name != machine);
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -1,4 +1,4 @@
-//! Controllers as processes on loopback, which can be killed, paused and started again.
+//! Controller processes on loopback that can be killed, paused and restarted.
 
 use crate::network::ControllerEndpoint;
 
@@ -7,51 +7,51 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Zones of the deployment; controllers are spread over them in turn.
+/// Zones of the deployment; controllers are assigned to them in turn.
 const ZONES: [&str; 2] = ["north", "south"];
 
-/// What all controllers of a deployment share.
+/// Program, addresses and settings that all controllers of a deployment share.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Program that controllers run.
+    /// Path of the controller program.
     pub program: PathBuf,
-    /// File of optional features, if any.
+    /// Path of the features file; without it, all optional features are off.
     pub features: Option<PathBuf>,
-    /// Directory for settings files and logs.
+    /// Directory for the controllers' settings files and logs.
     pub work_dir: PathBuf,
     /// Address of the key-value store.
     pub kv_addr: SocketAddr,
     /// Address of the cloud.
     pub cloud_addr: SocketAddr,
-    /// Command that wraps the program, such as a profiler; `{}` is the controller's name.
+    /// Command that runs the program, such as a profiler; `{}` stands for the controller's name.
     pub wrapper_command: Option<String>,
-    /// Workers' lease, seconds.
+    /// Duration of a worker's lease, in seconds.
     pub lease_s: f64,
-    /// Time between a worker's heartbeats, seconds.
+    /// Time between a worker's heartbeats, in seconds.
     pub heartbeat_interval_s: f64,
-    /// Requests that the key-value store serves in a second.
+    /// Request limit of the key-value store in the settings, in requests per second.
     pub kv_requests_per_s: f64,
-    /// Writes that the key-value store serves in a second.
+    /// Write limit of the key-value store in the settings, in writes per second.
     pub kv_writes_per_s: f64,
 }
 
 /// Name, zone and addresses of a controller.
 #[derive(Clone, Debug)]
 pub struct ControllerAddresses {
-    /// Name.
+    /// Name of the controller.
     pub name: String,
-    /// Zone.
+    /// Zone of the controller.
     pub zone: String,
-    /// Address for users and workers.
+    /// Address on which it listens for users and workers.
     pub bind: SocketAddr,
-    /// Address for the other controllers.
+    /// Address on which it listens for the other controllers.
     pub peers: SocketAddr,
 }
 
 impl ControllerAddresses {
-    /// Free addresses for some controllers, spread over the zones.
+    /// Allocates free loopback ports for the given number of controllers, spread over the zones.
     pub fn allocate(controllers: usize) -> std::io::Result<Vec<ControllerAddresses>> {
-        // All listeners stay open until all addresses are chosen, so that none is given twice.
+        // Every listener stays open until all ports are chosen, so that no port is chosen twice.
         let mut open_listeners = Vec::new();
         let mut allocated = Vec::new();
         for index in 0..controllers {
@@ -71,7 +71,7 @@
         Ok(allocated)
     }
 
-    /// Where workers reach the controller.
+    /// Name and address under which workers reach the controller.
     pub fn endpoint(&self) -> ControllerEndpoint {
         ControllerEndpoint {
             name: self.name.clone(),
@@ -80,7 +80,7 @@
     }
 }
 
-/// A controller's process; it is killed when this is dropped.
+/// Handle of a controller process, which is killed when the handle is dropped.
 pub struct ControllerProcess {
     addresses: ControllerAddresses,
     settings: PathBuf,
@@ -89,7 +89,7 @@
 }
 
 impl ControllerProcess {
-    /// Writes the settings of the controller at this index and starts it.
+    /// Writes the settings file of the controller at an index of `controllers` and starts it.
     pub fn start(
         deployment: &Deployment,
         controllers: &[ControllerAddresses],
@@ -113,12 +113,12 @@
         &self.addresses.name
     }
 
-    /// Address for users.
+    /// Address on which the controller listens for users.
     pub fn addr(&self) -> SocketAddr {
         self.addresses.bind
     }
 
-    /// Starts a process if none runs.
+    /// Starts the process unless it was started and not killed since; its log is appended to.
     pub fn restart(&mut self) -> std::io::Result<()> {
         if self.child.is_some() {
             return Ok(());
@@ -142,7 +142,7 @@
         Ok(())
     }
 
-    /// The program, below its wrapper if there is one.
+    /// Command that runs the program, through the wrapper command if one is set.
     fn program_command(&self) -> Command {
         let program = &self.deployment.program;
         let wrapper = self.deployment.wrapper_command.clone().unwrap_or_default();
@@ -156,7 +156,7 @@
         command
     }
 
-    /// Kills the process without any notice.
+    /// Kills the process with SIGKILL and waits for its end.
     pub fn kill(&mut self) -> std::io::Result<()> {
         if let Some(mut child) = self.child.take() {
             child.kill()?;
@@ -165,7 +165,8 @@
         Ok(())
     }
 
-    /// Process id of the program itself, below its wrapper if there is one.
+    /// Process id of the program itself, which is a child process of the wrapper if one is set;
+    /// `None` if no process was started.
     pub fn program_pid(&self) -> Option<u32> {
         let pid = self.child.as_ref()?.id();
         let children_file = format!("/proc/{pid}/task/{pid}/children");
@@ -175,7 +176,8 @@
         Some(program.unwrap_or(pid))
     }
 
-    /// Terminates the program and waits for its wrapper, which may write its results then.
+    /// Terminates the program with SIGTERM and waits for its wrapper, which may write its results
+    /// after the program has ended.
     pub fn terminate(&mut self) -> std::io::Result<()> {
         let program = self.program_pid();
         let Some(mut child) = self.child.take() else {
@@ -189,12 +191,12 @@
         Ok(())
     }
 
-    /// Pauses the process.
+    /// Pauses the process with SIGSTOP.
     pub fn pause(&self) -> std::io::Result<()> {
         self.signal(Signal::STOP)
     }
 
-    /// Resumes a paused process.
+    /// Resumes a paused process with SIGCONT.
     pub fn resume(&self) -> std::io::Result<()> {
         self.signal(Signal::CONT)
     }
@@ -210,12 +212,12 @@
 
 impl Drop for ControllerProcess {
     fn drop(&mut self) {
-        // A process that can't be killed any more has ended.
+        // The error is ignored: a process that can't be killed has already ended.
         let _ = self.kill();
     }
 }
 
-/// Settings file of one controller.
+/// Text of the settings file of the controller at an index.
 fn settings_text(
     deployment: &Deployment,
     controllers: &[ControllerAddresses],
@@ -269,7 +271,7 @@
     )
 }
 
-/// The other controllers, as the settings file names them.
+/// The `siblings` tables of a controller's settings file, one for each other controller.
 fn siblings_text(controllers: &[ControllerAddresses], own: &ControllerAddresses) -> String {
     let others = controllers.iter().filter(|other| other.name != own.name);
     let tables = others.map(|other| {
@@ -281,15 +283,15 @@
     tables.collect()
 }
 
-/// Creates a directory for one run.
+/// Creates a temporary directory for the files of one run.
 pub fn create_work_dir(name: &str) -> std::io::Result<PathBuf> {
     let path = std::env::temp_dir().join(format!("pointhook-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&path)?;
     Ok(path)
 }
 
-/// Removes the directory of a run.
+/// Removes the temporary directory of a run.
 pub fn remove_work_dir(path: &Path) {
-    // What can't be removed stays for the system to clean up.
+    // Files that can't be removed are left to the system's cleanup of temporary files.
     let _ = std::fs::remove_dir_all(path);
 }
