--- a/crates/testkit/src/failover_measurement/batch.rs
+++ b/crates/testkit/src/failover_measurement/batch.rs
@@ -1,4 +1,4 @@
-//! Simulated users: they submit jobs at a steady rate and ask for them until they are done.
+//! Simulated users that submit jobs at a steady rate and poll their status until they are done.
 
 use super::{poll_until, TIMEOUT_MS};
 use crate::history::Event;
@@ -14,28 +14,28 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Tasks of a job of the batch.
+/// Number of tasks of each job.
 const TASKS: u32 = 8;
-/// Time between two jobs of the batch.
+/// Time between the submissions of two jobs.
 const SUBMIT_INTERVAL_MS: u64 = 500;
 const SUBMIT_TIMEOUT_MS: u64 = 5000;
 const SUBMIT_RETRY_MS: u64 = 1000;
 const STATUS_TIMEOUT_MS: u64 = 2000;
 const STATUS_POLL_INTERVAL_MS: u64 = 100;
 
-/// A steady batch of jobs.
+/// Jobs that are submitted during a measurement.
 pub(super) struct Batch {
     cluster: Rc<LoopbackCluster>,
     controllers: Vec<SocketAddr>,
     rng: RefCell<fastrand::Rng>,
     submitted: Cell<u32>,
-    /// Submissions that are not accepted yet.
+    /// Number of jobs that are submitted and not accepted yet.
     pending: Cell<u32>,
     accepted: RefCell<Vec<String>>,
 }
 
 impl Batch {
-    /// A batch that is submitted to any of these controllers.
+    /// Creates a batch without jobs; each request goes to a random one of the controllers.
     pub(super) fn new(
         cluster: Rc<LoopbackCluster>,
         controllers: &[ControllerProcess],
@@ -56,7 +56,7 @@
         Client::new(self.controllers[index])
     }
 
-    /// Submits jobs until this is cancelled.
+    /// Submits a job every `SUBMIT_INTERVAL_MS`, until the async task is cancelled.
     pub(super) async fn submit_jobs(self: Rc<Self>, executor: Rc<LocalExecutor<'static>>) {
         loop {
             let number = self.submitted.get() + 1;
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Submits one job, repeatedly under the same id until it is accepted.
+    /// Submits one job; retries under the same id until it is accepted.
     async fn submit(self: Rc<Self>, number: u32) {
         let spec = job_of_batch(number);
         let body = rmp_serde::to_vec_named(&spec).unwrap_or_default();
@@ -88,8 +88,8 @@
         self.pending.set(self.pending.get() - 1);
     }
 
-    /// Waits until all jobs are reported as done, and asks for each once more; false if that takes
-    /// too long.
+    /// Waits until all jobs are reported as done, then queries each status once more, so that the
+    /// checker sees a status that changes after done. False on timeout.
     pub(super) async fn wait_until_done(&self) -> bool {
         let all_accepted = || (self.pending.get() == 0).then_some(());
         let accepted = poll_until(&self.cluster, TIMEOUT_MS, all_accepted).await;
@@ -131,7 +131,7 @@
     }
 }
 
-/// Jobs of the batch are bound to the zones in turn.
+/// Specification of the job with this number; jobs are bound to the two zones in turn.
 fn job_of_batch(number: u32) -> JobSpec {
     let zone = ["north", "south"][number as usize % 2];
     JobSpec {
--- a/crates/testkit/src/failover_measurement/interruption.rs
+++ b/crates/testkit/src/failover_measurement/interruption.rs
@@ -1,4 +1,5 @@
-//! One interruption of the owner of a busy shard, and the time until another controller decides.
+//! Interrupts the owner of a busy shard and measures the time until another controller decides for
+//! the shard.
 
 use super::{poll_until, Interruption, MeasurementError, TIMEOUT_MS};
 use crate::history::{Entry, Event};
@@ -7,25 +8,25 @@
 use pointhook::protocol::workers::FencingToken;
 use pointhook::transport::pause;
 
-/// A shard counts as busy if a decision for it was recorded within this time.
+/// Age of the last recorded decision up to which a shard counts as busy.
 const BUSY_WINDOW_MS: u64 = 1500;
-/// Time given to a controller that was started again, before the next interruption.
+/// Time for an interrupted controller to recover before the next interruption.
 const RECOVERY_MS: u64 = 1500;
-/// Each interruption comes after a random wait below this.
+/// Upper bound of the random delay before each interruption.
 const MAX_INITIAL_DELAY_MS: u64 = 1000;
-/// Newest events among which the first decision of a new owner is searched.
+/// Number of newest events that are searched for the first decision of a new owner.
 const SEARCHED_EVENTS: usize = 4096;
 
-/// The busy shard whose owner is interrupted.
+/// Busy shard whose owner is interrupted.
 struct Target {
     shard: u32,
     fencing_token: FencingToken,
-    /// Index of its owner among the controllers.
+    /// Index of the shard's owner among the controllers.
     owner: usize,
 }
 
-/// Interrupts the owner of a busy shard; the time to the first decision of the next owner, or
-/// `None` if the owner was paused and kept the shard.
+/// Interrupts the owner of a busy shard. Returns the milliseconds until the first decision of the
+/// next owner, or `None` if the owner was paused and kept the shard.
 pub(super) async fn interrupt(
     cluster: &LoopbackCluster,
     controllers: &mut [ControllerProcess],
@@ -103,7 +104,7 @@
     }
 }
 
-/// When a decision for the shard was first recorded under a higher fencing token.
+/// Time of the first recorded decision for the shard under a higher fencing token.
 fn first_decision_of_next_owner(cluster: &LoopbackCluster, target: &Target) -> Option<u64> {
     let recorder = cluster.recorder.borrow();
     let is_of_next_owner = |entry: &&Entry| match entry.event {
@@ -113,7 +114,7 @@
         } => shard == target.shard && fencing_token > target.fencing_token,
         _ => false,
     };
-    // This is called every few milliseconds: the newest events are enough.
+    // The newest events are enough, as this function is polled every few milliseconds.
     let mut newest_first = recorder.entries().iter().rev().take(SEARCHED_EVENTS);
     let first = newest_first.rfind(is_of_next_owner)?;
     Some(first.at_ms)
--- a/crates/testkit/src/failover_measurement/mod.rs
+++ b/crates/testkit/src/failover_measurement/mod.rs
@@ -1,5 +1,5 @@
-//! Measures failover times: a steady batch of jobs runs while the owner of a busy shard is killed
-//! or paused, again and again. The checker then looks at everything that happened.
+//! Measures failover times: simulated users submit jobs at a steady rate while the owner of a busy
+//! shard is killed or paused repeatedly. The checker then checks the history of the run.
 
 mod batch;
 mod interruption;
@@ -20,59 +20,60 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Time that a task runs.
+/// Run time of a task.
 const TASK_RUN_MS: u64 = 1200;
 /// Time that a task takes to pull its image.
 const IMAGE_PULL_MS: u64 = 100;
-/// Workers' lease.
+/// Duration of a worker's lease.
 const LEASE_MS: u64 = 10_000;
 /// Time between a worker's heartbeats.
 const HEARTBEAT_INTERVAL_MS: u64 = 1000;
-/// Longest wait for anything; what takes longer has failed.
+/// Timeout of each wait for a busy shard, a failover or accepted jobs; the wait for jobs to be done
+/// has twice this time.
 const TIMEOUT_MS: u64 = 60_000;
-/// Time between two looks at a condition that is waited for.
+/// Time between two checks of an awaited condition.
 const POLL_INTERVAL_MS: u64 = 20;
-/// Machines of the cloud.
+/// Capacity of the cloud, in machines.
 const MACHINES: u32 = 10;
-/// Precision of the histogram of failover times.
+/// Precision of the histogram of failover times, in decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// What is done to the controller that owns a busy shard.
+/// Interruption of the controller that owns a busy shard.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Interruption {
-    /// Its process is killed, and started again after the failover.
+    /// The controller process is killed, and restarted after the failover.
     Kill,
-    /// Its process is paused for this time.
+    /// The controller process is paused, and resumed after this time.
     Pause {
-        /// Milliseconds.
+        /// Duration of the pause, in milliseconds.
         ms: u64,
     },
 }
 
-/// What to measure.
+/// Options of a measurement.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Program that controllers run.
+    /// Path of the controller program.
     pub program: PathBuf,
-    /// File of optional features.
+    /// Path of the features file; without it, all optional features are off.
     pub features: Option<PathBuf>,
     /// Number of controllers.
     pub controllers: usize,
-    /// Interruptions, one after the other.
+    /// Interruptions, carried out one after the other.
     pub interruptions: Vec<Interruption>,
-    /// Seed of all random choices.
+    /// Seed of the random choices of interruptions and submissions.
     pub seed: u64,
 }
 
-/// Failover times, and all that happened meanwhile.
+/// Result of a measurement: failover times, history and violations.
 #[derive(Debug)]
 pub struct Measurement {
-    /// Time from each interruption to the first decision of the next owner, ms; `None` if the
-    /// interrupted controller kept its shard.
+    /// Time from each interruption to the first decision of the next owner, in milliseconds; `None`
+    /// if the interrupted controller kept its shard.
     pub failover_times_ms: Vec<Option<u64>>,
-    /// Everything that happened.
+    /// Recorded events of the run, in order.
     pub history: Vec<Entry>,
-    /// Invariants that were broken.
+    /// Violations of invariants in the history.
     pub violations: Vec<Violation>,
 }
 
@@ -89,7 +90,7 @@
         self.history.iter().filter(completed).count()
     }
 
-    /// The distribution of failover times.
+    /// Distribution of the failover times, in milliseconds.
     pub fn histogram(&self) -> Histogram<u64> {
         let histogram = Histogram::new_with_max(TIMEOUT_MS, SIGNIFICANT_DIGITS);
         let mut histogram = histogram.expect("these bounds are allowed");
@@ -100,18 +101,19 @@
     }
 }
 
-/// Why a measurement could not be finished.
+/// Error that ends a measurement early.
 #[derive(Debug, thiserror::Error)]
 pub enum MeasurementError {
-    /// A process, a file or a socket failed.
+    /// An operation on a process, a file or a socket failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// Something did not happen in time.
-    #[error("waited in vain for {0}")]
+    /// A wait timed out; the text names what was awaited.
+    #[error("timed out waiting for {0}")]
     Timeout(&'static str),
 }
 
-/// Starts a deployment, interrupts its controllers as asked for, and measures the failovers.
+/// Starts a deployment, interrupts the owners of busy shards as the options say and measures the
+/// failovers.
 pub fn measure_failover(options: &Options) -> Result<Measurement, MeasurementError> {
     let work_dir = create_work_dir(&format!("failover-{}", options.seed))?;
     let executor = Rc::new(LocalExecutor::new());
@@ -140,7 +142,7 @@
     let history = cluster.recorder.borrow().entries().to_vec();
     let violations = check(&history);
     if !finished && violations.is_empty() {
-        return Err(MeasurementError::Timeout("the batch to be done"));
+        return Err(MeasurementError::Timeout("all jobs to be done"));
     }
     Ok(Measurement {
         failover_times_ms,
@@ -149,7 +151,7 @@
     })
 }
 
-/// Serves the key-value store, the cloud and the workers, and starts the controllers.
+/// Starts the services (key-value store, cloud and workers) and the controllers.
 fn start_deployment(
     options: &Options,
     work_dir: &Path,
@@ -192,7 +194,7 @@
     Ok((cluster, controllers?))
 }
 
-/// Waits until a condition holds; `None` if that takes longer than the timeout.
+/// Polls a condition until it returns a value; `None` on timeout.
 async fn poll_until<T>(
     cluster: &LoopbackCluster,
     timeout_ms: u64,
--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -1,31 +1,32 @@
-//! Measures failovers on loopback and prints their distribution: see docs/standby.md,
-//! "Measurement".
+//! Command `measure-failover`: measures failover times on loopback and prints their distribution.
+//! docs/standby.md, "Measurement", has its use and results.
 
 use clap::Parser;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use testkit::failover_measurement::{measure_failover, Interruption, Measurement, Options};
 
-/// Kills or pauses the owner of a busy shard while a batch runs, and checks what happened.
+/// Kills or pauses the owner of a busy shard while jobs run, measures the failover times and checks
+/// the history for violations.
 #[derive(Parser)]
 #[command(name = "measure-failover")]
 struct Args {
-    /// Program that controllers run.
+    /// Path of the controller program.
     #[arg(long, default_value = "target/release/pointhook")]
     program: PathBuf,
-    /// File of optional features; without it, all are off.
+    /// Path of the features file; without it, all optional features are off.
     #[arg(long)]
     features: Option<PathBuf>,
     /// Number of controllers.
     #[arg(long, default_value_t = 3)]
     controllers: usize,
-    /// Number of interruptions.
+    /// Number of interruptions, one after the other.
     #[arg(long, default_value_t = 10)]
     times: usize,
-    /// Pause for so many milliseconds instead of a kill.
+    /// Pause the owner for this many milliseconds instead of killing it.
     #[arg(long)]
     pause_ms: Option<u64>,
-    /// Seed of all random choices.
+    /// Seed of the random choices of interruptions and submissions.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
@@ -68,13 +69,13 @@
     let interruptions = &measurement.failover_times_ms;
     let without_failover = interruptions.iter().filter(|time| time.is_none()).count();
     println!(
-        "{} failovers, {without_failover} interruptions without one; median {} ms, p99 {} ms, longest {} ms",
+        "{} failovers, {without_failover} interruptions without failover; median {} ms, p99 {} ms, maximum {} ms",
         times.len(),
         times.value_at_quantile(0.5),
         times.value_at_quantile(0.99),
         times.max()
     );
-    println!("all, ms: {interruptions:?}");
+    println!("failover time of each interruption, ms: {interruptions:?}");
     println!(
         "{} jobs accepted, {} tasks completed, {} violations",
         measurement.jobs(),
