--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -9,16 +9,16 @@
 pub enum ViolationKind {
     /// An accepted job was not reported as done by the end of the history.
     #[error("accepted job never reported as done")]
-    Unfinished,
+    NeverDone,
     /// A job was reported as done and later with another status.
     #[error("job reported with another status after done")]
-    WentBack,
+    RevertedFromDone,
     /// A job was reported as done before all its tasks had completed.
     #[error("job reported as done before all its tasks completed")]
     DoneTooEarly,
     /// A task was started while an attempt of it was active on another machine.
     #[error("task started while active on another machine")]
-    RunsTwice,
+    ConcurrentAttempts,
     /// A task was completed more than once.
     #[error("task completed more than once")]
     CompletedTwice,
@@ -28,7 +28,7 @@
     /// A claim was committed by a transaction that was not conditional on the current record of the
     /// shard whose quota it charges.
     #[error("claim not conditional on the current shard record")]
-    ClaimWithoutFence,
+    UnfencedClaim,
     /// A decision was recorded under a fencing token other than the shard's current one.
     #[error("decision recorded under another fencing token than the current one")]
     OutdatedToken,
@@ -77,12 +77,12 @@
 impl<'a> Checker<'a> {
     fn apply(&mut self, event: &'a Event) {
         match event {
-            Event::Accepted { job, tasks } => {
+            Event::JobAccepted { job, tasks } => {
                 let tasks = *tasks;
                 self.accepted.insert(job, AcceptedJob { tasks, event });
             }
-            Event::Answered { job, status } => self.job_answered(job, status, event),
-            Event::Owned {
+            Event::JobStatusReported { job, status } => self.check_job_status(job, status, event),
+            Event::ShardOwnerRecorded {
                 shard,
                 fencing_token,
                 ..
@@ -91,40 +91,44 @@
                 let raised = previous < Some(*fencing_token);
                 self.require(raised, ViolationKind::TokenNotRaised, event);
             }
-            Event::Decided {
+            Event::DecisionRecorded {
                 shard,
                 fencing_token,
             } => {
                 let is_current = self.fencing_token_by_shard.get(shard) == Some(fencing_token);
                 self.require(is_current, ViolationKind::OutdatedToken, event);
             }
-            Event::Claimed {
+            Event::TaskClaimed {
                 task,
                 attempt,
                 machine,
                 fenced,
             } => {
                 self.claims.insert((task, *attempt, machine));
-                self.require(*fenced, ViolationKind::ClaimWithoutFence, event);
+                self.require(*fenced, ViolationKind::UnfencedClaim, event);
             }
-            Event::Started {
+            Event::TaskStarted {
                 task,
                 attempt,
                 machine,
-                also_on,
+                other_machine,
             } => {
                 let claimed = self.claims.contains(&(task.as_str(), *attempt, machine));
                 self.require(claimed, ViolationKind::StartedWithoutClaim, event);
-                self.require(also_on.is_none(), ViolationKind::RunsTwice, event);
+                self.require(
+                    other_machine.is_none(),
+                    ViolationKind::ConcurrentAttempts,
+                    event,
+                );
             }
-            Event::Completed { task, .. } => self.task_completed(task, event),
+            Event::TaskCompleted { task, .. } => self.check_task_completion(task, event),
         }
     }
 
-    fn job_answered(&mut self, job: &'a str, status: &str, event: &'a Event) {
+    fn check_job_status(&mut self, job: &'a str, status: &str, event: &'a Event) {
         if status != "done" {
             let was_done = self.reported_done.contains(job);
-            self.require(!was_done, ViolationKind::WentBack, event);
+            self.require(!was_done, ViolationKind::RevertedFromDone, event);
             return;
         }
         let first_time = self.reported_done.insert(job);
@@ -134,7 +138,7 @@
         self.require(!too_early, ViolationKind::DoneTooEarly, event);
     }
 
-    fn task_completed(&mut self, task: &'a str, event: &'a Event) {
+    fn check_task_completion(&mut self, task: &'a str, event: &'a Event) {
         let first_time = self.completed_tasks.insert(task);
         self.require(first_time, ViolationKind::CompletedTwice, event);
         let job = task.split('/').next().unwrap_or_default();
@@ -151,7 +155,7 @@
     fn finish(mut self) -> Vec<Violation> {
         for (job, accepted) in std::mem::take(&mut self.accepted) {
             let done = self.reported_done.contains(job);
-            self.require(done, ViolationKind::Unfinished, accepted.event);
+            self.require(done, ViolationKind::NeverDone, accepted.event);
         }
         self.violations
     }
--- a/crates/testkit/src/failover_measurement/batch.rs
+++ b/crates/testkit/src/failover_measurement/batch.rs
@@ -80,7 +80,7 @@
             }
             pause(SUBMIT_RETRY_MS).await;
         }
-        self.record(Event::Accepted {
+        self.record(Event::JobAccepted {
             job: spec.id.clone(),
             tasks: spec.tasks,
         });
@@ -118,7 +118,7 @@
         let answer = client.call(Method::Get, &path, Vec::new(), STATUS_TIMEOUT_MS);
         let answer = answer.await.ok().filter(|answer| answer.status == 200)?;
         let status: JobStatus = rmp_serde::from_slice(&answer.body).ok()?;
-        self.record(Event::Answered {
+        self.record(Event::JobStatusReported {
             job: job.to_string(),
             status: status.status.clone(),
         });
--- a/crates/testkit/src/failover_measurement/interruption.rs
+++ b/crates/testkit/src/failover_measurement/interruption.rs
@@ -99,7 +99,7 @@
 
 fn decided_shard(entry: &Entry) -> Option<u32> {
     match entry.event {
-        Event::Decided { shard, .. } => Some(shard),
+        Event::DecisionRecorded { shard, .. } => Some(shard),
         _ => None,
     }
 }
@@ -108,7 +108,7 @@
 fn first_decision_of_next_owner(cluster: &LoopbackCluster, target: &Target) -> Option<u64> {
     let recorder = cluster.recorder.borrow();
     let is_of_next_owner = |entry: &&Entry| match entry.event {
-        Event::Decided {
+        Event::DecisionRecorded {
             shard,
             fencing_token,
         } => shard == target.shard && fencing_token > target.fencing_token,
--- a/crates/testkit/src/failover_measurement/mod.rs
+++ b/crates/testkit/src/failover_measurement/mod.rs
@@ -80,13 +80,13 @@
 impl Measurement {
     /// Number of jobs that were accepted.
     pub fn jobs(&self) -> usize {
-        let accepted = |e: &&Entry| matches!(e.event, Event::Accepted { .. });
+        let accepted = |e: &&Entry| matches!(e.event, Event::JobAccepted { .. });
         self.history.iter().filter(accepted).count()
     }
 
     /// Number of tasks that were completed, repetitions included.
     pub fn completions(&self) -> usize {
-        let completed = |e: &&Entry| matches!(e.event, Event::Completed { .. });
+        let completed = |e: &&Entry| matches!(e.event, Event::TaskCompleted { .. });
         self.history.iter().filter(completed).count()
     }
 
--- a/crates/testkit/src/history.rs
+++ b/crates/testkit/src/history.rs
@@ -13,21 +13,21 @@
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Event {
     /// A controller acknowledged the submission of a job to a user.
-    Accepted {
+    JobAccepted {
         /// Id of the job.
         job: String,
         /// Number of tasks of the job.
         tasks: u32,
     },
     /// A controller reported the status of a job to a user.
-    Answered {
+    JobStatusReported {
         /// Id of the job.
         job: String,
         /// Status as sent on the wire, such as `pending` or `done`.
         status: String,
     },
     /// A shard record with the shard's owner was written to the key-value store.
-    Owned {
+    ShardOwnerRecorded {
         /// Number of the shard.
         shard: u32,
         /// Name of the controller that owns the shard.
@@ -37,14 +37,14 @@
     },
     /// A transaction was committed that changes jobs and is conditional on a shard's current
     /// record.
-    Decided {
+    DecisionRecorded {
         /// Number of the shard.
         shard: u32,
         /// Fencing token in the shard record at that time.
         fencing_token: FencingToken,
     },
     /// A new placement of a task on a machine was written to the job's record.
-    Claimed {
+    TaskClaimed {
         /// Task as `job/index`.
         task: String,
         /// Attempt number, unique within the job.
@@ -56,7 +56,7 @@
         fenced: bool,
     },
     /// A worker started an attempt of a task.
-    Started {
+    TaskStarted {
         /// Task as `job/index`.
         task: String,
         /// Attempt number, unique within the job.
@@ -64,10 +64,10 @@
         /// Name of the worker's machine.
         machine: String,
         /// Another machine on which an attempt of the task was active at that time.
-        also_on: Option<String>,
+        other_machine: Option<String>,
     },
     /// A worker completed a task.
-    Completed {
+    TaskCompleted {
         /// Task as `job/index`.
         task: String,
         /// Name of the worker's machine.
@@ -99,7 +99,7 @@
 }
 
 /// Fencing tokens of the shards on whose current records a transaction is conditional.
-type Fences = HashMap<u32, FencingToken>;
+type FencingTokens = HashMap<u32, FencingToken>;
 
 /// Recorder of a history: it appends events and derives events from committed transactions.
 #[derive(Default)]
@@ -140,7 +140,7 @@
 
     /// Derives the events of a committed transaction and records them.
     pub fn record_commit(&mut self, transaction: &Transaction, revision: u64, at_ms: u64) {
-        let fences = self.fences(transaction);
+        let fencing_tokens = self.current_fencing_tokens(transaction);
         let mut changes_jobs = false;
         for write in &transaction.writes {
             let Write::Set { set: key, v, .. } = write else {
@@ -150,7 +150,7 @@
             match record_key {
                 Some(("job", job)) => {
                     changes_jobs = true;
-                    self.record_job_write(job, v, &fences, at_ms);
+                    self.record_job_write(job, v, &fencing_tokens, at_ms);
                 }
                 Some(("shard", shard)) => self.record_shard_write(shard, v, revision, at_ms),
                 _ => {}
@@ -159,8 +159,8 @@
         if !changes_jobs {
             return;
         }
-        for (shard, fencing_token) in fences {
-            let event = Event::Decided {
+        for (shard, fencing_token) in fencing_tokens {
+            let event = Event::DecisionRecorded {
                 shard,
                 fencing_token,
             };
@@ -168,7 +168,7 @@
         }
     }
 
-    fn fences(&self, transaction: &Transaction) -> Fences {
+    fn current_fencing_tokens(&self, transaction: &Transaction) -> FencingTokens {
         let fence = |condition: &Condition| {
             let shard: u32 = shard_of_key(&condition.key)?;
             let current = self.shards.get(&shard)?;
@@ -182,7 +182,7 @@
         let (Ok(shard), Some(record)) = (shard.parse(), decode::<ShardRecord>(value)) else {
             return;
         };
-        let event = Event::Owned {
+        let event = Event::ShardOwnerRecorded {
             shard,
             owner: record.owner.clone(),
             fencing_token: record.fencing_token,
@@ -192,7 +192,13 @@
         self.record(at_ms, event);
     }
 
-    fn record_job_write(&mut self, job: &str, value: &Value, fences: &Fences, at_ms: u64) {
+    fn record_job_write(
+        &mut self,
+        job: &str,
+        value: &Value,
+        fencing_tokens: &FencingTokens,
+        at_ms: u64,
+    ) {
         let Some(record) = decode::<JobRecord>(value) else {
             return;
         };
@@ -202,11 +208,11 @@
             .insert(job.to_string(), placements.clone());
         let previous = previous.unwrap_or_default();
         for placement in placements.difference(&previous) {
-            let event = Event::Claimed {
+            let event = Event::TaskClaimed {
                 task: format!("{job}/{}", placement.task),
                 attempt: placement.attempt,
                 machine: placement.machine.clone(),
-                fenced: fences.contains_key(&placement.charged_shard.0),
+                fenced: fencing_tokens.contains_key(&placement.charged_shard.0),
             };
             self.entries.push(Entry { at_ms, event });
         }
--- a/crates/testkit/src/network/worker_loop.rs
+++ b/crates/testkit/src/network/worker_loop.rs
@@ -146,16 +146,16 @@
             );
         }
         cluster.started_tasks.set(cluster.started_tasks.get() + 1);
-        let event = Event::Started {
+        let event = Event::TaskStarted {
             task: task.clone(),
             attempt: *attempt,
             machine: worker.name.clone(),
-            also_on: other_machine_with(cluster, &worker.name, task),
+            other_machine: other_machine_with(cluster, &worker.name, task),
         };
         recorder.record(now, event);
     }
     for task in worker.completed.iter().skip(recorded.completed) {
-        let event = Event::Completed {
+        let event = Event::TaskCompleted {
             task: task.clone(),
             machine: worker.name.clone(),
         };
--- a/crates/testkit/tests/checker.rs
+++ b/crates/testkit/tests/checker.rs
@@ -10,21 +10,21 @@
 use testkit::history::{Entry, Event, Recorder};
 
 fn accepted(job: &str, tasks: u32) -> Event {
-    Event::Accepted {
+    Event::JobAccepted {
         job: job.into(),
         tasks,
     }
 }
 
 fn answered(job: &str, status: &str) -> Event {
-    Event::Answered {
+    Event::JobStatusReported {
         job: job.into(),
         status: status.into(),
     }
 }
 
 fn owned(fencing_token: u64) -> Event {
-    Event::Owned {
+    Event::ShardOwnerRecorded {
         shard: 0,
         owner: "n0".into(),
         fencing_token: FencingToken(fencing_token),
@@ -32,14 +32,14 @@
 }
 
 fn decided(fencing_token: u64) -> Event {
-    Event::Decided {
+    Event::DecisionRecorded {
         shard: 0,
         fencing_token: FencingToken(fencing_token),
     }
 }
 
 fn claimed(task: &str, attempt: u64, machine: &str) -> Event {
-    Event::Claimed {
+    Event::TaskClaimed {
         task: task.into(),
         attempt,
         machine: machine.into(),
@@ -48,16 +48,16 @@
 }
 
 fn started(task: &str, attempt: u64, machine: &str) -> Event {
-    Event::Started {
+    Event::TaskStarted {
         task: task.into(),
         attempt,
         machine: machine.into(),
-        also_on: None,
+        other_machine: None,
     }
 }
 
 fn completed(task: &str) -> Event {
-    Event::Completed {
+    Event::TaskCompleted {
         task: task.into(),
         machine: "m1".into(),
     }
@@ -105,18 +105,21 @@
 
 #[test]
 fn each_planted_fault_is_found() {
-    assert_eq!(with(|e| e.truncate(14)), [ViolationKind::Unfinished]);
+    assert_eq!(with(|e| e.truncate(14)), [ViolationKind::NeverDone]);
     let back = answered("job-1", "pending");
-    assert_eq!(with(|e| e.push(back)), [ViolationKind::WentBack]);
+    assert_eq!(with(|e| e.push(back)), [ViolationKind::RevertedFromDone]);
     let early = answered("job-1", "done");
     assert_eq!(with(|e| e[12] = early), [ViolationKind::DoneTooEarly]);
-    let elsewhere = Event::Started {
+    let elsewhere = Event::TaskStarted {
         task: "job-1/1".into(),
         attempt: 3,
         machine: "m2".into(),
-        also_on: Some("m1".into()),
+        other_machine: Some("m1".into()),
     };
-    assert_eq!(with(|e| e[10] = elsewhere), [ViolationKind::RunsTwice]);
+    assert_eq!(
+        with(|e| e[10] = elsewhere),
+        [ViolationKind::ConcurrentAttempts]
+    );
     let again = completed("job-1/1");
     assert_eq!(with(|e| e.push(again)), [ViolationKind::CompletedTwice]);
     for unclaimed in [
@@ -127,16 +130,13 @@
         let found = with(|e| e.push(unclaimed));
         assert_eq!(found, [ViolationKind::StartedWithoutClaim]);
     }
-    let unfenced = Event::Claimed {
+    let unfenced = Event::TaskClaimed {
         task: "job-1/1".into(),
         attempt: 3,
         machine: "m2".into(),
         fenced: false,
     };
-    assert_eq!(
-        with(|e| e[9] = unfenced),
-        [ViolationKind::ClaimWithoutFence]
-    );
+    assert_eq!(with(|e| e[9] = unfenced), [ViolationKind::UnfencedClaim]);
     assert_eq!(with(|e| e.push(decided(1))), [ViolationKind::OutdatedToken]);
     assert_eq!(with(|e| e.push(decided(3))), [ViolationKind::OutdatedToken]);
     assert_eq!(with(|e| e.push(owned(2))), [ViolationKind::TokenNotRaised]);
@@ -184,7 +184,7 @@
         let claims = recorder.entries().iter().rev();
         let last = claims
             .filter_map(|e| match &e.event {
-                Event::Claimed {
+                Event::TaskClaimed {
                     attempt, fenced, ..
                 } => Some((*attempt, *fenced)),
                 _ => None,
@@ -192,7 +192,7 @@
             .next();
         assert_eq!(last, Some((attempt, fenced)));
     }
-    let decided = Event::Decided {
+    let decided = Event::DecisionRecorded {
         shard: 0,
         fencing_token: FencingToken(7),
     };
