--- a/crates/testkit/src/failover_measurement/batch.rs
+++ b/crates/testkit/src/failover_measurement/batch.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 
 /// Number of tasks of each job.
-const TASKS: u32 = 8;
+const TASKS_PER_JOB: u32 = 8;
 /// Time between the submissions of two jobs.
 const SUBMIT_INTERVAL_MS: u64 = 500;
 const SUBMIT_TIMEOUT_MS: u64 = 5000;
@@ -51,7 +51,7 @@
         }
     }
 
-    fn client_of_any_controller(&self) -> Client {
+    fn client_of_random_controller(&self) -> Client {
         let index = self.rng.borrow_mut().usize(..self.controllers.len());
         Client::new(self.controllers[index])
     }
@@ -69,10 +69,10 @@
 
     /// Submits one job; retries under the same id until it is accepted.
     async fn submit(self: Rc<Self>, number: u32) {
-        let spec = job_of_batch(number);
+        let spec = job_spec(number);
         let body = rmp_serde::to_vec_named(&spec).unwrap_or_default();
         loop {
-            let client = self.client_of_any_controller();
+            let client = self.client_of_random_controller();
             let answer = client.call(Method::Post, "/v1/jobs", body.clone(), SUBMIT_TIMEOUT_MS);
             let answer = answer.await;
             if answer.is_ok_and(|answer| matches!(answer.status, 200 | 201)) {
@@ -97,10 +97,10 @@
             return false;
         }
         let jobs = self.accepted.borrow().clone();
-        let deadline = self.cluster.now() + 2 * TIMEOUT_MS;
+        let deadline = self.cluster.now_ms() + 2 * TIMEOUT_MS;
         for job in &jobs {
             while self.query_status(job).await.as_deref() != Some("done") {
-                if self.cluster.now() > deadline {
+                if self.cluster.now_ms() > deadline {
                     return false;
                 }
                 pause(STATUS_POLL_INTERVAL_MS).await;
@@ -114,7 +114,7 @@
 
     async fn query_status(&self, job: &str) -> Option<String> {
         let path = format!("/v1/jobs/{job}");
-        let client = self.client_of_any_controller();
+        let client = self.client_of_random_controller();
         let answer = client.call(Method::Get, &path, Vec::new(), STATUS_TIMEOUT_MS);
         let answer = answer.await.ok().filter(|answer| answer.status == 200)?;
         let status: JobStatus = rmp_serde::from_slice(&answer.body).ok()?;
@@ -127,15 +127,15 @@
 
     fn record(&self, event: Event) {
         let mut recorder = self.cluster.recorder.borrow_mut();
-        recorder.record(self.cluster.now(), event);
+        recorder.record(self.cluster.now_ms(), event);
     }
 }
 
 /// Specification of the job with this number; jobs are bound to the two zones in turn.
-fn job_of_batch(number: u32) -> JobSpec {
+fn job_spec(number: u32) -> JobSpec {
     let zone = ["north", "south"][number as usize % 2];
     JobSpec {
         zone: Some(zone.into()),
-        ..job(&format!("job-{number:06}"), TASKS)
+        ..job(&format!("job-{number:06}"), TASKS_PER_JOB)
     }
 }
--- a/crates/testkit/src/failover_measurement/interruption.rs
+++ b/crates/testkit/src/failover_measurement/interruption.rs
@@ -15,7 +15,7 @@
 /// Upper bound of the random delay before each interruption.
 const MAX_INITIAL_DELAY_MS: u64 = 1000;
 /// Number of newest events that are searched for the first decision of a new owner.
-const SEARCHED_EVENTS: usize = 4096;
+const MAX_SEARCHED_EVENTS: usize = 4096;
 
 /// Busy shard whose owner is interrupted.
 struct Target {
@@ -39,25 +39,25 @@
     let target = target.ok_or(MeasurementError::Timeout("a busy shard"))?;
     let owner = &mut controllers[target.owner];
     let failover_time = match interruption {
-        Interruption::Kill => Some(kill(cluster, owner, &target).await?),
+        Interruption::Kill => Some(kill_owner(cluster, owner, &target).await?),
         Interruption::Pause { ms } => pause_owner(cluster, owner, &target, ms).await?,
     };
     pause(RECOVERY_MS).await;
     Ok(failover_time)
 }
 
-async fn kill(
+async fn kill_owner(
     cluster: &LoopbackCluster,
     owner: &mut ControllerProcess,
     target: &Target,
 ) -> Result<u64, MeasurementError> {
-    let began = cluster.now();
+    let interrupted_at_ms = cluster.now_ms();
     owner.kill()?;
     let decided = || first_decision_of_next_owner(cluster, target);
-    let decided_at = poll_until(cluster, TIMEOUT_MS, decided).await;
-    let decided_at = decided_at.ok_or(MeasurementError::Timeout("a failover"))?;
+    let decided_at_ms = poll_until(cluster, TIMEOUT_MS, decided).await;
+    let decided_at_ms = decided_at_ms.ok_or(MeasurementError::Timeout("a failover"))?;
     owner.restart()?;
-    Ok(decided_at - began)
+    Ok(decided_at_ms - interrupted_at_ms)
 }
 
 async fn pause_owner(
@@ -66,13 +66,13 @@
     target: &Target,
     pause_ms: u64,
 ) -> Result<Option<u64>, MeasurementError> {
-    let began = cluster.now();
+    let interrupted_at_ms = cluster.now_ms();
     owner.pause()?;
     let decided = || first_decision_of_next_owner(cluster, target);
-    let decided_at = poll_until(cluster, pause_ms, decided).await;
-    pause(pause_ms.saturating_sub(cluster.now() - began)).await;
+    let decided_at_ms = poll_until(cluster, pause_ms, decided).await;
+    pause(pause_ms.saturating_sub(cluster.now_ms() - interrupted_at_ms)).await;
     owner.resume()?;
-    Ok(decided_at.map(|at| at - began))
+    Ok(decided_at_ms.map(|at| at - interrupted_at_ms))
 }
 
 fn choose_busy_shard(
@@ -81,7 +81,7 @@
     rng: &mut fastrand::Rng,
 ) -> Option<Target> {
     let recorder = cluster.recorder.borrow();
-    let since = cluster.now().saturating_sub(BUSY_WINDOW_MS);
+    let since = cluster.now_ms().saturating_sub(BUSY_WINDOW_MS);
     let newest_first = recorder.entries().iter().rev();
     let recent = newest_first.take_while(|entry| entry.at_ms >= since);
     let mut busy: Vec<u32> = recent.filter_map(decided_shard).collect();
@@ -115,7 +115,7 @@
         _ => false,
     };
     // The newest events are enough, as this function is polled every few milliseconds.
-    let mut newest_first = recorder.entries().iter().rev().take(SEARCHED_EVENTS);
+    let mut newest_first = recorder.entries().iter().rev().take(MAX_SEARCHED_EVENTS);
     let first = newest_first.rfind(is_of_next_owner)?;
     Some(first.at_ms)
 }
--- a/crates/testkit/src/failover_measurement/mod.rs
+++ b/crates/testkit/src/failover_measurement/mod.rs
@@ -200,8 +200,8 @@
     timeout_ms: u64,
     mut condition: impl FnMut() -> Option<T>,
 ) -> Option<T> {
-    let deadline = cluster.now() + timeout_ms;
-    while cluster.now() < deadline {
+    let deadline = cluster.now_ms() + timeout_ms;
+    while cluster.now_ms() < deadline {
         if let Some(found) = condition() {
             return Some(found);
         }
--- a/crates/testkit/src/kv_store.rs
+++ b/crates/testkit/src/kv_store.rs
@@ -91,7 +91,7 @@
     /// Version of the newest change that was removed from the log; 0 if none was.
     compacted_through: u64,
     leases: BTreeMap<u64, GrantedLease>,
-    next_lease: u64,
+    next_lease_id: u64,
     /// Maximum number of writes in a transaction.
     pub max_txn_ops: usize,
     /// Maximum size of a value, in bytes of its printed form.
@@ -119,7 +119,7 @@
             change_log: Vec::new(),
             compacted_through: 0,
             leases: BTreeMap::new(),
-            next_lease: 1,
+            next_lease_id: 1,
             max_txn_ops: 12,
             max_value_bytes: 8192,
             max_logged_changes: 10_000,
@@ -323,8 +323,8 @@
 
     /// Grants a lease and returns its id.
     pub fn grant_lease(&mut self, ttl_ms: u64, now_ms: u64) -> u64 {
-        let id = self.next_lease;
-        self.next_lease += 1;
+        let id = self.next_lease_id;
+        self.next_lease_id += 1;
         let lease = GrantedLease {
             ttl_ms,
             expires_at_ms: now_ms + ttl_ms,
--- a/crates/testkit/src/network/cloud_service.rs
+++ b/crates/testkit/src/network/cloud_service.rs
@@ -27,7 +27,7 @@
 }
 
 fn list_machines(cluster: &LoopbackCluster, query: &str) -> Answer {
-    let mut page = cluster.cloud.borrow().list_machines(cluster.now());
+    let mut page = cluster.cloud.borrow().list_machines(cluster.now_ms());
     let start_after = query_field(query, "from");
     let limit = query_field(query, "most")
         .parse()
@@ -44,8 +44,8 @@
     let Ok(request) = rmp_serde::from_slice::<ProvisioningRequest>(&body) else {
         return Answer::bare(400);
     };
-    let now = cluster.now();
-    let Some(machines) = cluster.cloud.borrow_mut().provision(&request, now) else {
+    let now_ms = cluster.now_ms();
+    let Some(machines) = cluster.cloud.borrow_mut().provision(&request, now_ms) else {
         return Answer::bare(503);
     };
     for name in &machines {
@@ -67,7 +67,7 @@
     if config.verbose {
         println!("machine started: machine={name} zone={}", request.zone);
     }
-    let mut worker = FakeWorker::new(name, &request.zone, cluster.now());
+    let mut worker = FakeWorker::new(name, &request.zone, cluster.now_ms());
     worker.spot = request.spot;
     worker.image_pull_ms = config.image_pull_ms;
     worker.run_ms = config.run_ms;
--- a/crates/testkit/src/network/kv_service.rs
+++ b/crates/testkit/src/network/kv_service.rs
@@ -17,7 +17,10 @@
 pub(super) async fn handle(cluster: Rc<LoopbackCluster>, request: Incoming) -> Answer {
     let path = request.path.clone();
     let path: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-    cluster.kv_store.borrow_mut().expire_leases(cluster.now());
+    cluster
+        .kv_store
+        .borrow_mut()
+        .expire_leases(cluster.now_ms());
     match (request.method, path.as_slice()) {
         (Method::Post, ["commit"]) => commit(&cluster, request),
         (Method::Post, ["grants"]) => grant_lease(&cluster, request),
@@ -33,9 +36,9 @@
     let Ok(transaction) = rmp_serde::from_slice::<Transaction>(&body) else {
         return Answer::bare(400);
     };
-    let now = cluster.now();
-    let response = cluster.kv_store.borrow_mut().commit(&transaction, now);
-    record_commit(cluster, &transaction, &response, now);
+    let now_ms = cluster.now_ms();
+    let response = cluster.kv_store.borrow_mut().commit(&transaction, now_ms);
+    record_commit(cluster, &transaction, &response, now_ms);
     match response.body {
         Some(body) => Answer::of(response.status, &body),
         None => Answer::bare(response.status),
@@ -46,11 +49,11 @@
     cluster: &LoopbackCluster,
     transaction: &Transaction,
     response: &KvResponse<Committed>,
-    now: u64,
+    now_ms: u64,
 ) {
     if let (200, Some(committed)) = (response.status, &response.body) {
         let mut recorder = cluster.recorder.borrow_mut();
-        recorder.record_commit(transaction, committed.revision, now);
+        recorder.record_commit(transaction, committed.revision, now_ms);
     }
 }
 
@@ -60,7 +63,7 @@
         return Answer::bare(400);
     };
     let mut store = cluster.kv_store.borrow_mut();
-    let lease = store.grant_lease(requested.ttl_ms, cluster.now());
+    let lease = store.grant_lease(requested.ttl_ms, cluster.now_ms());
     Answer::of(200, &Lease { lease })
 }
 
@@ -68,7 +71,7 @@
     let mut store = cluster.kv_store.borrow_mut();
     let renewed = id
         .parse()
-        .is_ok_and(|id| store.renew_lease(id, cluster.now()));
+        .is_ok_and(|id| store.renew_lease(id, cluster.now_ms()));
     Answer::bare(if renewed { 200 } else { 404 })
 }
 
@@ -88,13 +91,13 @@
     let prefix = query_field(query, "prefix");
     let from = query_field(query, "from").parse().unwrap_or(0);
     let wait_ms = query_field(query, "wait_ms").parse::<u64>().unwrap_or(0);
-    let deadline = cluster.now() + wait_ms.min(MAX_WATCH_WAIT_MS);
+    let deadline = cluster.now_ms() + wait_ms.min(MAX_WATCH_WAIT_MS);
     loop {
         let response = cluster.kv_store.borrow().watch(prefix, from);
         let Some(changes) = response.body else {
             return Answer::bare(response.status);
         };
-        if !changes.events.is_empty() || cluster.now() >= deadline {
+        if !changes.events.is_empty() || cluster.now_ms() >= deadline {
             return Answer::of(response.status, &changes);
         }
         pause(WATCH_POLL_INTERVAL_MS).await;
--- a/crates/testkit/src/network/mod.rs
+++ b/crates/testkit/src/network/mod.rs
@@ -66,7 +66,7 @@
     pub answered_heartbeats: Cell<u64>,
     /// Number of task starts, repeated attempts included.
     pub started_tasks: Cell<u64>,
-    began: Instant,
+    created_at: Instant,
 }
 
 impl LoopbackCluster {
@@ -80,13 +80,13 @@
             recorder: RefCell::default(),
             answered_heartbeats: Cell::new(0),
             started_tasks: Cell::new(0),
-            began: Instant::now(),
+            created_at: Instant::now(),
         }
     }
 
     /// Milliseconds since the cluster was created.
-    pub fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+    pub fn now_ms(&self) -> u64 {
+        self.created_at.elapsed().as_millis() as u64
     }
 }
 
--- a/crates/testkit/src/network/worker_loop.rs
+++ b/crates/testkit/src/network/worker_loop.rs
@@ -55,17 +55,17 @@
     worker: SharedWorker,
     request: Incoming,
 ) -> Answer {
-    let now = cluster.now();
+    let now_ms = cluster.now_ms();
     let mut status = 200;
     if request.path == "/commands" {
         let body = request.body.unwrap_or_default();
         let Ok(commands) = rmp_serde::from_slice::<DirectCommands>(&body) else {
             return Answer::bare(400);
         };
-        status = worker.borrow_mut().receive_commands(&commands, now);
+        status = worker.borrow_mut().receive_commands(&commands, now_ms);
         record_progress(&cluster, &worker);
     }
-    Answer::of(status, &worker.borrow_mut().heartbeat(now))
+    Answer::of(status, &worker.borrow_mut().heartbeat(now_ms))
 }
 
 async fn send_heartbeats(cluster: &LoopbackCluster, worker: &RefCell<FakeWorker>) {
@@ -75,10 +75,10 @@
     let mut client = Client::new(controllers[current].addr);
     let name = worker.borrow().name.clone();
     while cluster.workers.borrow().contains_key(&name) {
-        let sent = cluster.now();
-        let heartbeat = worker.borrow_mut().heartbeat(sent);
+        let sent_at_ms = cluster.now_ms();
+        let heartbeat = worker.borrow_mut().heartbeat(sent_at_ms);
         record_progress(cluster, worker);
-        let next = send_heartbeat(cluster, worker, &client, &heartbeat, sent).await;
+        let next = send_heartbeat(cluster, worker, &client, &heartbeat, sent_at_ms).await;
         record_progress(cluster, worker);
         let (controller, delay_ms) = match next {
             NextHeartbeat::SameController => {
@@ -100,7 +100,7 @@
     worker: &RefCell<FakeWorker>,
     client: &Client,
     heartbeat: &Heartbeat,
-    sent: u64,
+    sent_at_ms: u64,
 ) -> NextHeartbeat {
     let body = rmp_serde::to_vec_named(heartbeat).unwrap_or_default();
     let answer = client.call(Method::Post, "/v1/report", body, HEARTBEAT_TIMEOUT_MS);
@@ -109,9 +109,9 @@
             if let Ok(response) = rmp_serde::from_slice::<HeartbeatResponse>(&answer.body) {
                 let answered = &cluster.answered_heartbeats;
                 answered.set(answered.get() + 1);
-                let now = cluster.now();
+                let now_ms = cluster.now_ms();
                 let mut worker = worker.borrow_mut();
-                worker.receive_response(&response, heartbeat.agent_epoch, sent, now);
+                worker.receive_response(&response, heartbeat.agent_epoch, sent_at_ms, now_ms);
             }
             NextHeartbeat::SameController
         }
@@ -135,7 +135,7 @@
 /// Records the tasks that a worker has started and completed since the last call for it.
 fn record_progress(cluster: &LoopbackCluster, worker: &RefCell<FakeWorker>) {
     let worker = worker.borrow();
-    let now = cluster.now();
+    let now_ms = cluster.now_ms();
     let mut recorder = cluster.recorder.borrow_mut();
     let recorded = recorder.progress_of(&worker.name);
     for (task, attempt) in worker.started.iter().skip(recorded.started) {
@@ -150,16 +150,16 @@
             task: task.clone(),
             attempt: *attempt,
             machine: worker.name.clone(),
-            other_machine: other_machine_with(cluster, &worker.name, task),
+            other_machine: other_machine_running(cluster, &worker.name, task),
         };
-        recorder.record(now, event);
+        recorder.record(now_ms, event);
     }
     for task in worker.completed.iter().skip(recorded.completed) {
         let event = Event::TaskCompleted {
             task: task.clone(),
             machine: worker.name.clone(),
         };
-        recorder.record(now, event);
+        recorder.record(now_ms, event);
     }
     let progress = WorkerProgress {
         started: worker.started.len(),
@@ -169,7 +169,7 @@
 }
 
 /// Another machine on which an attempt of the task is active.
-fn other_machine_with(cluster: &LoopbackCluster, machine: &str, task: &str) -> Option<String> {
+fn other_machine_running(cluster: &LoopbackCluster, machine: &str, task: &str) -> Option<String> {
     let workers = cluster.workers.borrow();
     let mut others = workers.iter().filter(|(name, _)| *name != machine);
     let found = others.find(|(_, other)| {
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -43,9 +43,9 @@
     /// Zone of the controller.
     pub zone: String,
     /// Address on which it listens for users and workers.
-    pub bind: SocketAddr,
+    pub client_addr: SocketAddr,
     /// Address on which it listens for the other controllers.
-    pub peers: SocketAddr,
+    pub peer_addr: SocketAddr,
 }
 
 impl ControllerAddresses {
@@ -64,8 +64,8 @@
             allocated.push(ControllerAddresses {
                 name: format!("n{index}"),
                 zone: ZONES[index % ZONES.len()].to_string(),
-                bind: free_addr()?,
-                peers: free_addr()?,
+                client_addr: free_addr()?,
+                peer_addr: free_addr()?,
             });
         }
         Ok(allocated)
@@ -75,7 +75,7 @@
     pub fn endpoint(&self) -> ControllerEndpoint {
         ControllerEndpoint {
             name: self.name.clone(),
-            addr: self.bind,
+            addr: self.client_addr,
         }
     }
 }
@@ -115,7 +115,7 @@
 
     /// Address on which the controller listens for users.
     pub fn addr(&self) -> SocketAddr {
-        self.addresses.bind
+        self.addresses.client_addr
     }
 
     /// Starts the process unless it was started and not killed since; its log is appended to.
@@ -259,8 +259,8 @@
 "#,
         own.name,
         own.zone,
-        own.bind,
-        own.peers,
+        own.client_addr,
+        own.peer_addr,
         deployment.cloud_addr,
         deployment.kv_addr,
         controllers.len(),
@@ -277,7 +277,7 @@
     let tables = others.map(|other| {
         format!(
             "[[siblings]]\nnode = \"{}\"\ndomain = \"{}\"\naddr = \"{}\"\n",
-            other.name, other.zone, other.peers
+            other.name, other.zone, other.peer_addr
         )
     });
     tables.collect()
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -16,7 +16,7 @@
     state: TaskState,
     exit_reason: Option<ExitReason>,
     /// Time at which the image pull or the run ends.
-    state_ends_at: u64,
+    state_ends_at_ms: u64,
 }
 
 impl Task {
@@ -62,7 +62,7 @@
     tasks: Vec<Task>,
     /// Duration of the worker's lease.
     pub lease_ms: u64,
-    lease_renewed_at: u64,
+    lease_renewed_at_ms: u64,
     /// Time that a task takes to pull its image.
     pub image_pull_ms: u64,
     /// Time that a task runs.
@@ -76,8 +76,8 @@
 }
 
 impl FakeWorker {
-    /// Creates a worker without tasks, whose lease begins at `now`.
-    pub fn new(name: &str, zone: &str, now: u64) -> FakeWorker {
+    /// Creates a worker without tasks, whose lease begins at `now_ms`.
+    pub fn new(name: &str, zone: &str, now_ms: u64) -> FakeWorker {
         FakeWorker {
             name: name.into(),
             machine_type: "oven".into(),
@@ -89,7 +89,7 @@
             fencing_token: FencingToken(0),
             tasks: Vec::new(),
             lease_ms: 10_000,
-            lease_renewed_at: now,
+            lease_renewed_at_ms: now_ms,
             image_pull_ms: 1000,
             run_ms: 5000,
             started: Vec::new(),
@@ -100,23 +100,23 @@
 
     /// Drops all tasks and begins a new agent epoch if the lease has expired. A machine that hangs
     /// therefore keeps its tasks only if it resumes within its lease.
-    pub fn expire_lease(&mut self, now: u64) {
-        if now > self.lease_renewed_at + self.lease_ms {
+    pub fn expire_lease(&mut self, now_ms: u64) {
+        if now_ms > self.lease_renewed_at_ms + self.lease_ms {
             self.tasks.clear();
             self.agent_epoch.0 += 1;
-            self.lease_renewed_at = now;
+            self.lease_renewed_at_ms = now_ms;
         }
     }
 
-    /// Advances the tasks to the time `now`, after dropping them if the lease has expired.
-    pub fn advance(&mut self, now: u64) {
-        self.expire_lease(now);
+    /// Advances the tasks to the time `now_ms`, after dropping them if the lease has expired.
+    pub fn advance(&mut self, now_ms: u64) {
+        self.expire_lease(now_ms);
         for task in &mut self.tasks {
-            if task.state == TaskState::PullingImage && now >= task.state_ends_at {
+            if task.state == TaskState::PullingImage && now_ms >= task.state_ends_at_ms {
                 task.state = TaskState::Running;
-                task.state_ends_at += self.run_ms;
+                task.state_ends_at_ms += self.run_ms;
             }
-            if task.state != TaskState::Running || now < task.state_ends_at {
+            if task.state != TaskState::Running || now_ms < task.state_ends_at_ms {
                 continue;
             }
             if self.fails_tasks {
@@ -129,8 +129,8 @@
     }
 
     /// Advances the tasks and returns the next heartbeat.
-    pub fn heartbeat(&mut self, now: u64) -> Heartbeat {
-        self.advance(now);
+    pub fn heartbeat(&mut self, now_ms: u64) -> Heartbeat {
+        self.advance(now_ms);
         self.heartbeat_sequence += 1;
         let tasks = self.tasks.iter().map(|task| TaskStatus {
             task: task.name.clone(),
@@ -153,38 +153,39 @@
         }
     }
 
-    /// Receives the response to a heartbeat that was sent at `sent` in `agent_epoch`, renews the
-    /// lease from that time and executes the commands. Returns false if the response is stale and
-    /// was dropped: its fencing token is lower, the epoch has changed or the heartbeat is too old.
+    /// Receives the response to a heartbeat that was sent at `sent_at_ms` in `agent_epoch`, renews
+    /// the lease from that time and executes the commands. Returns false if the response is stale
+    /// and was dropped: its fencing token is lower, the epoch has changed or the heartbeat is too
+    /// old.
     pub fn receive_response(
         &mut self,
         response: &HeartbeatResponse,
         agent_epoch: AgentEpoch,
-        sent: u64,
-        now: u64,
+        sent_at_ms: u64,
+        now_ms: u64,
     ) -> bool {
-        self.advance(now);
+        self.advance(now_ms);
         let is_stale = response.fencing_token < self.fencing_token
             || agent_epoch != self.agent_epoch
-            || now > sent + RESPONSE_TIMEOUT_MS;
+            || now_ms > sent_at_ms + RESPONSE_TIMEOUT_MS;
         if is_stale {
             return false;
         }
         self.fencing_token = response.fencing_token;
-        self.lease_renewed_at = sent;
-        self.execute(&response.commands, now);
+        self.lease_renewed_at_ms = sent_at_ms;
+        self.execute(&response.commands, now_ms);
         true
     }
 
     /// Receives direct commands and returns the HTTP status of the response: 409 if their fencing
     /// token is lower or their agent epoch is another, else 200 after executing them.
-    pub fn receive_commands(&mut self, direct: &DirectCommands, now: u64) -> u16 {
-        self.advance(now);
+    pub fn receive_commands(&mut self, direct: &DirectCommands, now_ms: u64) -> u16 {
+        self.advance(now_ms);
         if direct.fencing_token < self.fencing_token || direct.agent_epoch != self.agent_epoch {
             return CONFLICT;
         }
         self.fencing_token = direct.fencing_token;
-        self.execute(&direct.commands, now);
+        self.execute(&direct.commands, now_ms);
         ACCEPTED
     }
 
@@ -196,17 +197,17 @@
         }
     }
 
-    fn execute(&mut self, commands: &[Command], now: u64) {
+    fn execute(&mut self, commands: &[Command], now_ms: u64) {
         for command in commands {
             match command {
-                Command::Start { task, attempt } => self.start_task(task, *attempt, now),
+                Command::Start { task, attempt } => self.start_task(task, *attempt, now_ms),
                 Command::Stop { task, attempt, .. } => self.stop_task(task, *attempt),
-                Command::AcknowledgeExit { task, attempt } => self.forget_exit(task, *attempt),
+                Command::AcknowledgeExit { task, attempt } => self.acknowledge_exit(task, *attempt),
             }
         }
     }
 
-    fn start_task(&mut self, name: &str, attempt: u64, now: u64) {
+    fn start_task(&mut self, name: &str, attempt: u64, now_ms: u64) {
         if self.tasks.iter().any(|t| t.is_attempt(name, attempt)) {
             return;
         }
@@ -216,7 +217,7 @@
             attempt,
             state: TaskState::PullingImage,
             exit_reason: None,
-            state_ends_at: now + self.image_pull_ms,
+            state_ends_at_ms: now_ms + self.image_pull_ms,
         });
     }
 
@@ -228,7 +229,7 @@
         }
     }
 
-    fn forget_exit(&mut self, name: &str, attempt: u64) {
+    fn acknowledge_exit(&mut self, name: &str, attempt: u64) {
         self.tasks
             .retain(|t| !t.is_attempt(name, attempt) || t.is_active());
     }
