--- a/crates/testkit/tests/checker.rs
+++ b/crates/testkit/tests/checker.rs
@@ -1,4 +1,5 @@
-//! The checker finds each fault that is planted into a good history.
+//! The checker reports each violation that is injected into a valid history, and the recorder
+//! derives claims and decisions from transactions.
 
 use pointhook::coordination::kv::set;
 use pointhook::protocol::kv::{Condition, Transaction};
@@ -63,8 +64,8 @@
     }
 }
 
-/// A job of two tasks, one of which is started again after a failover.
-fn good() -> Vec<Event> {
+/// Valid history of a job of two tasks, one of which is started again after a failover.
+fn valid_history() -> Vec<Event> {
     vec![
         owned(1),
         accepted("job-1", 2),
@@ -85,49 +86,61 @@
     ]
 }
 
-fn kinds(events: Vec<Event>) -> Vec<ViolationKind> {
+fn violation_kinds(events: Vec<Event>) -> Vec<ViolationKind> {
     let entry = |(at_ms, event)| Entry { at_ms, event };
     let history: Vec<Entry> = (0..).zip(events).map(entry).collect();
     check(&history).into_iter().map(|v| v.kind).collect()
 }
 
-/// The good history with one event changed, left out or put in.
-fn with(change: impl FnOnce(&mut Vec<Event>)) -> Vec<ViolationKind> {
-    let mut events = good();
+/// Kinds of violations in the valid history after a change of its events.
+fn kinds_after(change: impl FnOnce(&mut Vec<Event>)) -> Vec<ViolationKind> {
+    let mut events = valid_history();
     change(&mut events);
-    kinds(events)
+    violation_kinds(events)
 }
 
 #[test]
 fn a_valid_history_has_no_violations() {
-    assert_eq!(kinds(good()), []);
+    assert_eq!(violation_kinds(valid_history()), []);
 }
 
 #[test]
-fn each_planted_fault_is_found() {
-    assert_eq!(with(|e| e.truncate(14)), [ViolationKind::NeverDone]);
-    let back = answered("job-1", "pending");
-    assert_eq!(with(|e| e.push(back)), [ViolationKind::RevertedFromDone]);
-    let early = answered("job-1", "done");
-    assert_eq!(with(|e| e[12] = early), [ViolationKind::DoneTooEarly]);
-    let elsewhere = Event::TaskStarted {
+fn each_injected_violation_is_reported() {
+    assert_eq!(
+        kinds_after(|events| events.truncate(14)),
+        [ViolationKind::NeverDone]
+    );
+    let reverted = answered("job-1", "pending");
+    assert_eq!(
+        kinds_after(|events| events.push(reverted)),
+        [ViolationKind::RevertedFromDone]
+    );
+    let done_too_early = answered("job-1", "done");
+    assert_eq!(
+        kinds_after(|events| events[12] = done_too_early),
+        [ViolationKind::DoneTooEarly]
+    );
+    let active_elsewhere = Event::TaskStarted {
         task: "job-1/1".into(),
         attempt: 3,
         machine: "m2".into(),
         other_machine: Some("m1".into()),
     };
     assert_eq!(
-        with(|e| e[10] = elsewhere),
+        kinds_after(|events| events[10] = active_elsewhere),
         [ViolationKind::ConcurrentAttempts]
     );
-    let again = completed("job-1/1");
-    assert_eq!(with(|e| e.push(again)), [ViolationKind::CompletedTwice]);
+    let completed_again = completed("job-1/1");
+    assert_eq!(
+        kinds_after(|events| events.push(completed_again)),
+        [ViolationKind::CompletedTwice]
+    );
     for unclaimed in [
         started("job-1/1", 4, "m2"),
         started("job-1/1", 3, "m1"),
         started("job-1/0", 3, "m2"),
     ] {
-        let found = with(|e| e.push(unclaimed));
+        let found = kinds_after(|events| events.push(unclaimed));
         assert_eq!(found, [ViolationKind::StartedWithoutClaim]);
     }
     let unfenced = Event::TaskClaimed {
@@ -136,17 +149,29 @@
         machine: "m2".into(),
         fenced: false,
     };
-    assert_eq!(with(|e| e[9] = unfenced), [ViolationKind::UnfencedClaim]);
-    assert_eq!(with(|e| e.push(decided(1))), [ViolationKind::OutdatedToken]);
-    assert_eq!(with(|e| e.push(decided(3))), [ViolationKind::OutdatedToken]);
-    assert_eq!(with(|e| e.push(owned(2))), [ViolationKind::TokenNotRaised]);
+    assert_eq!(
+        kinds_after(|events| events[9] = unfenced),
+        [ViolationKind::UnfencedClaim]
+    );
+    assert_eq!(
+        kinds_after(|events| events.push(decided(1))),
+        [ViolationKind::OutdatedToken]
+    );
+    assert_eq!(
+        kinds_after(|events| events.push(decided(3))),
+        [ViolationKind::OutdatedToken]
+    );
+    assert_eq!(
+        kinds_after(|events| events.push(owned(2))),
+        [ViolationKind::TokenNotRaised]
+    );
 }
 
 fn shard_key() -> String {
     format!("{ROOT}shard/0")
 }
 
-fn written<T: serde::Serialize>(key: String, value: &T) -> Transaction {
+fn transaction_setting<T: serde::Serialize>(key: String, value: &T) -> Transaction {
     Transaction {
         conditions: Vec::new(),
         writes: set(key, value, None).into_iter().collect(),
@@ -154,15 +179,15 @@
 }
 
 #[test]
-fn the_recorder_tells_claims_that_rest_on_the_shards_record_from_others() {
+fn only_claims_conditional_on_the_current_shard_record_are_recorded_as_fenced() {
     let mut recorder = Recorder::default();
     let shard = ShardRecord {
         owner: "n0".into(),
         incarnation: Incarnation(1),
         fencing_token: FencingToken(7),
     };
-    recorder.record_commit(&written(shard_key(), &shard), 5, 0);
-    let record = |attempt: u64| {
+    recorder.record_commit(&transaction_setting(shard_key(), &shard), 5, 0);
+    let claim_of = |attempt: u64| {
         let record = JobRecord {
             spec: None,
             state: pointhook::state::job::JobState::Open,
@@ -172,10 +197,10 @@
             next_attempt: attempt + 1,
             finished_at: 0,
         };
-        written(format!("{ROOT}job/job-1"), &record)
+        transaction_setting(format!("{ROOT}job/job-1"), &record)
     };
     for (attempt, version, fenced) in [(1, Some(5), true), (2, Some(4), false), (3, None, false)] {
-        let mut claim = record(attempt);
+        let mut claim = claim_of(attempt);
         let key = shard_key();
         claim
             .conditions
