--- a/crates/testkit/src/main.rs
+++ b/crates/testkit/src/main.rs
@@ -1,5 +1,5 @@
 //! Command `measure-failover`: measures failover times on loopback and prints their distribution.
-//! docs/standby.md, "Measurement", has its use and results.
+//! See docs/standby.md, "Measurement".
 
 use clap::Parser;
 use std::path::PathBuf;
--- a/examples/load.rs
+++ b/examples/load.rs
@@ -1,10 +1,11 @@
-//! A steady load on real controllers on loopback, and what it costs each of them: see
-//! docs/operations.md, "Where processor time goes".
+//! Puts a steady load on real controllers on loopback and measures the resources that each of them
+//! uses: see docs/operations.md, "Where processor time goes".
 //!
 //!     cargo build --release && cargo run --release --example load -- --machines 470 --controllers 3
 //!
-//! The controllers are started by this program and ended by it. Costs are read from the
-//! system's own counters, so a profiler may run beside them (`--wrapper "perf record -o {}.data"`).
+//! The program starts the controllers and terminates them at the end. It reads their resource usage
+//! from the counters of the operating system, so that a profiler can run at the same time
+//! (`--wrapper "perf record -o {}.data"`).
 
 use async_executor::LocalExecutor;
 use clap::Parser;
@@ -22,28 +23,29 @@
 const KV_PORT: u16 = 7483;
 const LEASE_MS: u64 = 30_000;
 const IMAGE_PULL_MS: u64 = 10_000;
-/// Time until the listeners are served.
+/// Delay before the first submission, in which the services begin to serve their listeners.
 const START_UP_MS: u64 = 1000;
 const SUBMIT_TIMEOUT_MS: u64 = 5000;
 const SUBMIT_RETRY_MS: u64 = 1000;
 const STATUS_TIMEOUT_MS: u64 = 2000;
 const STATUS_POLL_INTERVAL_MS: u64 = 5000;
-/// A job that is not done after this many polls is cancelled: services never end by themselves.
+/// Number of status polls after which a job that is not done is cancelled: services never end by
+/// themselves.
 const MAX_STATUS_POLLS: u32 = 60;
-/// Machines that the jobs of one submission keep busy on average: a task takes half of a machine,
-/// and a job has about eight tasks.
+/// Machines that one job keeps busy on average: a task takes about half a machine, and a job has
+/// about eight tasks.
 const MACHINES_PER_JOB: f64 = 6.5;
 
-/// Puts a steady load on controllers and prints what it costs them.
+/// Puts a steady load on controllers and prints their resource usage.
 #[derive(Parser)]
 struct Args {
     /// Number of controllers.
     #[arg(long, alias = "nodes", default_value_t = 3)]
     controllers: usize,
-    /// Machines that the cloud has.
+    /// Capacity of the cloud, in machines.
     #[arg(long, default_value_t = 470)]
     machines: u32,
-    /// Seconds to measure, after as many to warm up.
+    /// Duration of the measurement in seconds; the warm-up before it takes as long.
     #[arg(long, default_value_t = 40)]
     seconds: u64,
     /// Seconds between a worker's heartbeats.
@@ -52,13 +54,13 @@
     /// Seconds that a task runs.
     #[arg(long, default_value_t = 100)]
     run_s: u64,
-    /// Program that controllers run.
+    /// Path of the controller program.
     #[arg(long, default_value = "target/release/pointhook")]
     program: PathBuf,
-    /// File of optional features.
+    /// Path of the features file; without it, all optional features are off.
     #[arg(long)]
     features: Option<PathBuf>,
-    /// Command that wraps the program, such as a profiler; `{}` is the controller's name.
+    /// Command that runs the program, such as a profiler; `{}` stands for the controller's name.
     #[arg(long, alias = "under")]
     wrapper: Option<String>,
 }
@@ -118,7 +120,7 @@
     })
 }
 
-/// Warms up, and prints the load and its costs per second after that.
+/// Warms up, measures, and prints the load and each controller's resource usage per second.
 async fn measure(
     args: &Args,
     cluster: &Rc<LoopbackCluster>,
@@ -137,7 +139,7 @@
     pause(args.seconds * 1000).await;
     let seconds = args.seconds as f64;
     println!(
-        "{} machines, {:.1} heartbeats and {:.1} starts a second, key-value store at revision {}",
+        "{} machines, {:.1} heartbeats and {:.1} task starts per second, key-value store at revision {}",
         cluster.workers.borrow().len(),
         (cluster.answered_heartbeats.get() - heartbeats_before) as f64 / seconds,
         (cluster.started_tasks.get() - starts_before) as f64 / seconds,
@@ -146,7 +148,7 @@
     for (index, pid) in pids.iter().enumerate() {
         let (before, after) = (before[index], ProcessUsage::read(*pid));
         println!(
-            "n{index}: {:.2} ms user and {:.2} ms kernel time a second, {:.0} context switches a second, {:.1} MB at most",
+            "n{index}: {:.2} ms user and {:.2} ms kernel time per second, {:.0} context switches per second, {:.1} MB peak memory",
             (after.user_ms - before.user_ms) / seconds,
             (after.kernel_ms - before.kernel_ms) / seconds,
             (after.context_switches - before.context_switches) as f64 / seconds,
@@ -155,13 +157,13 @@
     }
 }
 
-/// Time between two submissions that keeps all machines busy.
+/// Time between two submissions at which the jobs keep all machines busy.
 fn submit_interval_ms(args: &Args) -> u64 {
     let run_ms = args.run_s as f64 * 1000.0;
     (run_ms * MACHINES_PER_JOB / f64::from(args.machines)) as u64
 }
 
-/// What a process has used, by the system's counters.
+/// Resource usage of a process since its start, from the counters of the operating system.
 #[derive(Clone, Copy, Default)]
 struct ProcessUsage {
     user_ms: f64,
@@ -171,18 +173,19 @@
 }
 
 impl ProcessUsage {
-    /// Position of the user and kernel times in `/proc/PID/stat`, after the program's name.
+    /// Index of the user time among the fields of `/proc/PID/stat` after the program's name.
     const USER_TIME_FIELD: usize = 11;
+    /// Index of the kernel time among the same fields.
     const KERNEL_TIME_FIELD: usize = 12;
     const CLOCK_TICK_MS: f64 = 10.0;
 
-    /// Reads the counters; what can't be read is zero.
+    /// Reads the counters of a process; counters that can't be read are zero.
     fn read(pid: u32) -> ProcessUsage {
         let mut usage = ProcessUsage::default();
         usage.read_times(pid);
-        let tasks = std::fs::read_dir(format!("/proc/{pid}/task"));
-        for task in tasks.into_iter().flatten().flatten() {
-            let status = std::fs::read_to_string(task.path().join("status")).unwrap_or_default();
+        let threads = std::fs::read_dir(format!("/proc/{pid}/task"));
+        for thread in threads.into_iter().flatten().flatten() {
+            let status = std::fs::read_to_string(thread.path().join("status")).unwrap_or_default();
             usage.context_switches += status_field(&status, "voluntary_ctxt_switches:");
             let peak_memory_kb = status_field(&status, "VmHWM:");
             usage.peak_memory_kb = usage.peak_memory_kb.max(peak_memory_kb);
@@ -205,7 +208,7 @@
     }
 }
 
-/// A number in `/proc/PID/status`; zero if it is missing.
+/// Number in a field of a `/proc` status file; zero if the field is missing.
 fn status_field(status: &str, name: &str) -> u64 {
     let rest = status.lines().find_map(|line| line.strip_prefix(name));
     let number = rest.and_then(|rest| rest.split_whitespace().next());
@@ -226,7 +229,8 @@
     }
 }
 
-/// One user: submits a job, polls it until it is done, and cancels it if that takes too long.
+/// Simulates one user: submits a job, polls its status until it is done, and cancels it after
+/// `MAX_STATUS_POLLS` polls.
 async fn run_job(controller: SocketAddr, number: u64) {
     let client = Client::new(controller);
     let spec = job(number);
@@ -250,7 +254,7 @@
     }
     let path = format!("{path}/withdraw");
     let cancelled = client.call(Method::Post, &path, Vec::new(), SUBMIT_TIMEOUT_MS);
-    // Without an answer the job goes on; that costs machines and nothing else.
+    // An error is ignored: the job then runs on, which only keeps machines busy.
     let _ = cancelled.await;
 }
 
@@ -263,7 +267,8 @@
     status.is_some_and(|status| status.status == "done")
 }
 
-/// Jobs of all kinds in the proportions of a busy deployment; a task takes about half a machine.
+/// Specification of the job with this number. The kinds of jobs are in the proportions of a busy
+/// deployment; a task takes about half a machine.
 fn job(number: u64) -> JobSpec {
     let (kind, tasks, priority, size) = match number % 16 {
         0 => (JobKind::Service, 6, Priority::Production, 1.0),
--- a/examples/local_cluster.rs
+++ b/examples/local_cluster.rs
@@ -1,4 +1,4 @@
-//! The key-value store, the cloud and its workers on loopback, so that a controller can be tried by
+//! Runs the key-value store, the cloud and its workers on loopback, to try out a controller by
 //! hand: see README, "Try it".
 
 use async_executor::LocalExecutor;
@@ -28,7 +28,9 @@
     }));
     let kv_listener = listen(parse(KV_ADDR)?)?;
     let cloud_listener = listen(parse(CLOUD_ADDR)?)?;
-    println!("key-value store on {KV_ADDR}, cloud on {CLOUD_ADDR}, workers call {CONTROLLER_ADDR}");
+    println!(
+        "key-value store on {KV_ADDR}, cloud on {CLOUD_ADDR}, workers connect to {CONTROLLER_ADDR}"
+    );
     let services = network::run(cluster, executor.clone(), kv_listener, cloud_listener);
     async_io::block_on(executor.run(services));
     Ok(())
