--- a/src/coordination/replication/status.rs
+++ b/src/coordination/replication/status.rs
@@ -1,11 +1,11 @@
-//! How far all shards and their standbys are, for operators.
+//! Status of all shards and of the replication to their standbys, for operators.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::failover;
 use crate::protocol::peers::ShardStatus;
 use crate::state::names::{Index, ShardIndex};
 
-/// The status of all shards, as this controller sees them.
+/// The status of all shards in the view of this controller.
 pub fn shard_statuses(controller: &Controller) -> Vec<ShardStatus> {
     failover::observe_shards(controller);
     let shards = controller.cluster.borrow().shards.len();
@@ -19,8 +19,8 @@
     let replication = controller.replication.borrow();
     let record = &cluster.shards[shard.at()].record;
     let failover_state = controller.failovers.borrow().state(shard.into());
-    let stream = replication.published.get(&shard);
-    let follower = replication.followed.get(&shard);
+    let stream = replication.outgoing.get(&shard);
+    let follower = replication.followers.get(&shard);
     let complete = follower.filter(|follower| follower.replica_state().is_some());
     ShardStatus {
         shard: shard.0,
