--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -1,52 +1,53 @@
-//! Checks a history against the invariants that hold whatever fails.
+//! Checks the history of a run against the invariants that must hold under every fault.
 
 use crate::history::{Entry, Event};
 use pointhook::protocol::workers::FencingToken;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Invariant that a history breaks.
+/// Kind of a violation: the invariant that the history violates.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum ViolationKind {
-    /// An accepted job was not reported as done in the end.
-    #[error("accepted and never done")]
-    Unfinished,
-    /// A job was reported as done and then as something else.
-    #[error("went back from done")]
-    WentBack,
+    /// An accepted job was not reported as done by the end of the history.
+    #[error("accepted job never reported as done")]
+    NeverDone,
+    /// A job was reported as done and later with another status.
+    #[error("job reported with another status after done")]
+    RevertedFromDone,
     /// A job was reported as done before all its tasks had completed.
-    #[error("called done before all its tasks were")]
+    #[error("job reported as done before all its tasks completed")]
     DoneTooEarly,
-    /// A task was started while another machine had it.
-    #[error("started while on another machine")]
-    RunsTwice,
+    /// A task was started while an attempt of it was active on another machine.
+    #[error("task started while active on another machine")]
+    ConcurrentAttempts,
     /// A task was completed more than once.
-    #[error("completed more than once")]
+    #[error("task completed more than once")]
     CompletedTwice,
     /// An attempt was started on a machine for which no claim of it is recorded.
-    #[error("started without a recorded claim")]
+    #[error("task started without a recorded claim")]
     StartedWithoutClaim,
-    /// A claim was recorded that was not conditional on its shard's current record.
-    #[error("claimed without its shard's record")]
-    ClaimWithoutFence,
-    /// A decision was recorded under another fencing token than the shard's current one.
-    #[error("decided under an outdated token")]
+    /// A claim was committed by a transaction that was not conditional on the current record of the
+    /// shard whose quota it charges.
+    #[error("claim not conditional on the current shard record")]
+    UnfencedClaim,
+    /// A decision was recorded under a fencing token other than the shard's current one.
+    #[error("decision recorded under another fencing token than the current one")]
     OutdatedToken,
-    /// A change of owner did not raise the fencing token.
-    #[error("owned without a higher token")]
+    /// A shard record was written without a higher fencing token than the previous one.
+    #[error("shard owner recorded without a higher fencing token")]
     TokenNotRaised,
 }
 
-/// A broken invariant with the event that shows it.
+/// Violation of an invariant, with the event that shows it.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 #[error("{kind}: {event:?}")]
 pub struct Violation {
-    /// The invariant.
+    /// Invariant that is violated.
     pub kind: ViolationKind,
-    /// The event.
+    /// Event that violates it; for a job that is never done, the event that accepted it.
     pub event: Event,
 }
 
-/// All violations in a history, in the order in which they show.
+/// All violations in a history, in the order of their events. Jobs that were never done come last.
 pub fn check(history: &[Entry]) -> Vec<Violation> {
     let mut checker = Checker::default();
     for entry in history {
@@ -55,7 +56,7 @@
     checker.finish()
 }
 
-/// A job that a user was told is accepted.
+/// Job whose submission was acknowledged to a user.
 struct AcceptedJob<'a> {
     tasks: u32,
     event: &'a Event,
@@ -65,7 +66,7 @@
 struct Checker<'a> {
     accepted: BTreeMap<&'a str, AcceptedJob<'a>>,
     reported_done: HashSet<&'a str>,
-    /// Task, attempt and machine of each recorded claim.
+    /// Recorded claims as task, attempt and machine.
     claims: HashSet<(&'a str, u64, &'a str)>,
     completed_tasks: HashSet<&'a str>,
     completed_count_by_job: HashMap<&'a str, u32>,
@@ -76,12 +77,12 @@
 impl<'a> Checker<'a> {
     fn apply(&mut self, event: &'a Event) {
         match event {
-            Event::Accepted { job, tasks } => {
+            Event::JobAccepted { job, tasks } => {
                 let tasks = *tasks;
                 self.accepted.insert(job, AcceptedJob { tasks, event });
             }
-            Event::Answered { job, status } => self.job_answered(job, status, event),
-            Event::Owned {
+            Event::JobStatusReported { job, status } => self.check_job_status(job, status, event),
+            Event::ShardOwnerRecorded {
                 shard,
                 fencing_token,
                 ..
@@ -90,40 +91,44 @@
                 let raised = previous < Some(*fencing_token);
                 self.require(raised, ViolationKind::TokenNotRaised, event);
             }
-            Event::Decided {
+            Event::DecisionRecorded {
                 shard,
                 fencing_token,
             } => {
                 let is_current = self.fencing_token_by_shard.get(shard) == Some(fencing_token);
                 self.require(is_current, ViolationKind::OutdatedToken, event);
             }
-            Event::Claimed {
+            Event::TaskClaimed {
                 task,
                 attempt,
                 machine,
                 fenced,
             } => {
                 self.claims.insert((task, *attempt, machine));
-                self.require(*fenced, ViolationKind::ClaimWithoutFence, event);
+                self.require(*fenced, ViolationKind::UnfencedClaim, event);
             }
-            Event::Started {
+            Event::TaskStarted {
                 task,
                 attempt,
                 machine,
-                also_on,
+                other_machine,
             } => {
                 let claimed = self.claims.contains(&(task.as_str(), *attempt, machine));
                 self.require(claimed, ViolationKind::StartedWithoutClaim, event);
-                self.require(also_on.is_none(), ViolationKind::RunsTwice, event);
+                self.require(
+                    other_machine.is_none(),
+                    ViolationKind::ConcurrentAttempts,
+                    event,
+                );
             }
-            Event::Completed { task, .. } => self.task_completed(task, event),
+            Event::TaskCompleted { task, .. } => self.check_task_completion(task, event),
         }
     }
 
-    fn job_answered(&mut self, job: &'a str, status: &str, event: &'a Event) {
+    fn check_job_status(&mut self, job: &'a str, status: &str, event: &'a Event) {
         if status != "done" {
             let was_done = self.reported_done.contains(job);
-            self.require(!was_done, ViolationKind::WentBack, event);
+            self.require(!was_done, ViolationKind::RevertedFromDone, event);
             return;
         }
         let first_time = self.reported_done.insert(job);
@@ -133,7 +138,7 @@
         self.require(!too_early, ViolationKind::DoneTooEarly, event);
     }
 
-    fn task_completed(&mut self, task: &'a str, event: &'a Event) {
+    fn check_task_completion(&mut self, task: &'a str, event: &'a Event) {
         let first_time = self.completed_tasks.insert(task);
         self.require(first_time, ViolationKind::CompletedTwice, event);
         let job = task.split('/').next().unwrap_or_default();
@@ -150,7 +155,7 @@
     fn finish(mut self) -> Vec<Violation> {
         for (job, accepted) in std::mem::take(&mut self.accepted) {
             let done = self.reported_done.contains(job);
-            self.require(done, ViolationKind::Unfinished, accepted.event);
+            self.require(done, ViolationKind::NeverDone, accepted.event);
         }
         self.violations
     }
--- a/crates/testkit/src/network/worker_loop.rs
+++ b/crates/testkit/src/network/worker_loop.rs
@@ -1,4 +1,4 @@
-//! A worker's loop: it serves direct commands and sends heartbeats until its machine is deleted.
+//! Loop of a worker: serves direct commands and sends heartbeats until the machine is deleted.
 
 use super::{Executor, LoopbackCluster, SharedWorker};
 use crate::history::{Event, WorkerProgress};
@@ -14,22 +14,22 @@
 
 const MAX_COMMAND_CONNECTIONS: usize = 16;
 const HEARTBEAT_TIMEOUT_MS: u64 = 4000;
-/// Wait before a heartbeat goes to the owner that another controller named.
+/// Delay before a heartbeat is sent to the owner named in a redirect.
 const REDIRECT_DELAY_MS: u64 = 50;
-/// Wait before a heartbeat goes to the next controller in the list.
+/// Delay before a heartbeat is sent to the next controller in the list.
 const RETRY_DELAY_MS: u64 = 1000;
 
-/// What follows from the answer to a heartbeat.
+/// Destination of the next heartbeat, as the response to the last one determines it.
 enum NextHeartbeat {
-    /// The same controller gets the next one after the usual interval.
+    /// The same controller, after the heartbeat interval with jitter.
     SameController,
-    /// Another controller is the owner.
+    /// The owner of the shard, by its index in the list of controllers.
     RedirectedTo(usize),
-    /// The controller did not answer, or knows no owner: the next one in the list is tried.
+    /// The next controller in the list, as the last one failed to respond or named no known owner.
     NextController,
 }
 
-/// Runs the worker.
+/// Runs a worker until its machine is deleted.
 pub(super) async fn run(cluster: Rc<LoopbackCluster>, executor: Executor, worker: SharedWorker) {
     let loopback: SocketAddr = ([127, 0, 0, 1], 0).into();
     let Ok(listener) = listen(loopback) else {
@@ -55,17 +55,17 @@
     worker: SharedWorker,
     request: Incoming,
 ) -> Answer {
-    let now = cluster.now();
+    let now_ms = cluster.now_ms();
     let mut status = 200;
     if request.path == "/commands" {
         let body = request.body.unwrap_or_default();
         let Ok(commands) = rmp_serde::from_slice::<DirectCommands>(&body) else {
             return Answer::bare(400);
         };
-        status = worker.borrow_mut().receive_commands(&commands, now);
+        status = worker.borrow_mut().receive_commands(&commands, now_ms);
         record_progress(&cluster, &worker);
     }
-    Answer::of(status, &worker.borrow_mut().heartbeat(now))
+    Answer::of(status, &worker.borrow_mut().heartbeat(now_ms))
 }
 
 async fn send_heartbeats(cluster: &LoopbackCluster, worker: &RefCell<FakeWorker>) {
@@ -75,10 +75,10 @@
     let mut client = Client::new(controllers[current].addr);
     let name = worker.borrow().name.clone();
     while cluster.workers.borrow().contains_key(&name) {
-        let sent = cluster.now();
-        let heartbeat = worker.borrow_mut().heartbeat(sent);
+        let sent_at_ms = cluster.now_ms();
+        let heartbeat = worker.borrow_mut().heartbeat(sent_at_ms);
         record_progress(cluster, worker);
-        let next = send_heartbeat(cluster, worker, &client, &heartbeat, sent).await;
+        let next = send_heartbeat(cluster, worker, &client, &heartbeat, sent_at_ms).await;
         record_progress(cluster, worker);
         let (controller, delay_ms) = match next {
             NextHeartbeat::SameController => {
@@ -100,7 +100,7 @@
     worker: &RefCell<FakeWorker>,
     client: &Client,
     heartbeat: &Heartbeat,
-    sent: u64,
+    sent_at_ms: u64,
 ) -> NextHeartbeat {
     let body = rmp_serde::to_vec_named(heartbeat).unwrap_or_default();
     let answer = client.call(Method::Post, "/v1/report", body, HEARTBEAT_TIMEOUT_MS);
@@ -109,9 +109,9 @@
             if let Ok(response) = rmp_serde::from_slice::<HeartbeatResponse>(&answer.body) {
                 let answered = &cluster.answered_heartbeats;
                 answered.set(answered.get() + 1);
-                let now = cluster.now();
+                let now_ms = cluster.now_ms();
                 let mut worker = worker.borrow_mut();
-                worker.receive_response(&response, heartbeat.agent_epoch, sent, now);
+                worker.receive_response(&response, heartbeat.agent_epoch, sent_at_ms, now_ms);
             }
             NextHeartbeat::SameController
         }
@@ -120,7 +120,7 @@
     }
 }
 
-/// Where the answer of a controller that is not the owner sends the worker.
+/// Destination of the next heartbeat after status 421 from a controller that is not the owner.
 fn redirect(cluster: &LoopbackCluster, body: &[u8]) -> NextHeartbeat {
     let answer = rmp_serde::from_slice::<NotOwner>(body).ok();
     let owner = answer.and_then(|answer| answer.owner);
@@ -132,10 +132,10 @@
     }
 }
 
-/// Records what a worker has started and completed since this was last called.
+/// Records the tasks that a worker has started and completed since the last call for it.
 fn record_progress(cluster: &LoopbackCluster, worker: &RefCell<FakeWorker>) {
     let worker = worker.borrow();
-    let now = cluster.now();
+    let now_ms = cluster.now_ms();
     let mut recorder = cluster.recorder.borrow_mut();
     let recorded = recorder.progress_of(&worker.name);
     for (task, attempt) in worker.started.iter().skip(recorded.started) {
@@ -146,20 +146,20 @@
             );
         }
         cluster.started_tasks.set(cluster.started_tasks.get() + 1);
-        let event = Event::Started {
+        let event = Event::TaskStarted {
             task: task.clone(),
             attempt: *attempt,
             machine: worker.name.clone(),
-            also_on: other_machine_with(cluster, &worker.name, task),
+            other_machine: other_machine_running(cluster, &worker.name, task),
         };
-        recorder.record(now, event);
+        recorder.record(now_ms, event);
     }
     for task in worker.completed.iter().skip(recorded.completed) {
-        let event = Event::Completed {
+        let event = Event::TaskCompleted {
             task: task.clone(),
             machine: worker.name.clone(),
         };
-        recorder.record(now, event);
+        recorder.record(now_ms, event);
     }
     let progress = WorkerProgress {
         started: worker.started.len(),
@@ -168,8 +168,8 @@
     recorder.set_progress(&worker.name, progress);
 }
 
-/// Another machine that has the task and has not ended it.
-fn other_machine_with(cluster: &LoopbackCluster, machine: &str, task: &str) -> Option<String> {
+/// Another machine on which an attempt of the task is active.
+fn other_machine_running(cluster: &LoopbackCluster, machine: &str, task: &str) -> Option<String> {
     let workers = cluster.workers.borrow();
     let mut others = workers.iter().filter(|(name, _)| *name != machine);
     let found = others.find(|(_, other)| {
