--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -25,7 +25,7 @@
 use crate::coordination::controller::Controller;
 use crate::coordination::failover;
 use crate::coordination::kv::client::CommitOutcome;
-use crate::coordination::kv::fresh_reads::REFRESH_MS;
+use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::coordination::kv::transactions::set;
 use crate::protocol::cloud::MachineTypeCatalog;
 use crate::protocol::kv::{Condition, Transaction};
@@ -171,7 +171,7 @@
     if let CommitOutcome::Committed(revision) = controller.kv.commit(&txn).await {
         controller.cluster.borrow_mut().machine_types_version = revision;
     } else {
-        controller.refresh(REFRESH_MS).await;
+        controller.refresh(REFRESH_TIMEOUT_MS).await;
     }
 }
 
--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -14,7 +14,7 @@
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
-use crate::coordination::kv::fresh_reads::REFRESH_MS;
+use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::coordination::kv::transactions::set;
 use crate::protocol::cloud::{MachineNames, ProvisioningRequest};
 use crate::protocol::kv::{Condition, Transaction, Write};
@@ -278,7 +278,7 @@
         all_committed &= matches!(outcome, CommitOutcome::Committed(_));
     }
     // The next step of the round reads the records from the cluster state.
-    controller.refresh(REFRESH_MS).await && all_committed
+    controller.refresh(REFRESH_TIMEOUT_MS).await && all_committed
 }
 
 /// Record updates as a transaction that fails if the autoscaler's shard has a new owner.
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -9,7 +9,7 @@
 use super::scale_in_plan::{ScaleInPlanner, ScaleInReason};
 use super::state::{AutoscalerState, CLOUD_TIMEOUT_MS};
 use crate::coordination::controller::Controller;
-use crate::coordination::kv::fresh_reads::REFRESH_MS;
+use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::coordination::peer_messages::machine_changes;
 use crate::protocol::cloud::MachineNames;
 use crate::protocol::peers::{PeerRequest, PeerResponse};
@@ -83,7 +83,7 @@
 /// it, a former owner that was disconnected from the store would go on deleting machines that other
 /// controllers use by now.
 async fn confirm_ownership(controller: &Controller) -> bool {
-    if !controller.refresh(REFRESH_MS).await {
+    if !controller.refresh(REFRESH_TIMEOUT_MS).await {
         return false;
     }
     let cluster = controller.cluster.borrow();
--- a/src/coordination/cancellations/exchange.rs
+++ b/src/coordination/cancellations/exchange.rs
@@ -24,7 +24,7 @@
 ///
 /// Called as soon as a cancellation is confirmed, and by each round of the background task. An
 /// exchange that failed is retried by the next round, as long as tasks of the job may remain.
-pub fn broadcast(controller: &Rc<Controller>) {
+pub fn exchange_with_peers(controller: &Rc<Controller>) {
     for (peer_index, peer) in controller.peers.iter().enumerate() {
         if peer.begin_cancellation_exchange(controller.now()) {
             let exchanges = exchange_until_done(controller.clone(), peer_index);
@@ -61,7 +61,7 @@
             return false;
         }
     };
-    peer.record_cancellation_answer();
+    peer.record_cancellation_response();
     let new_jobs = apply_peer_response(
         &mut controller.cluster.borrow_mut(),
         peer_index,
@@ -69,7 +69,7 @@
         controller.now(),
         &response,
     );
-    announce_new_cancellations(controller, &new_jobs);
+    handle_new_cancellations(controller, &new_jobs);
     true
 }
 
@@ -77,14 +77,14 @@
 /// controller.
 pub fn handle_cancelled_jobs(controller: &Rc<Controller>, jobs: &[String]) -> PeerResponse {
     let new_jobs = record_cancellations(&mut controller.cluster.borrow_mut(), jobs);
-    announce_new_cancellations(controller, &new_jobs);
+    handle_new_cancellations(controller, &new_jobs);
     let now = controller.now();
     attestation_response(&controller.cluster.borrow(), now, now.0)
 }
 
 /// Logs the jobs whose cancellation was not known before, and wakes the planner to stop their
 /// tasks.
-fn announce_new_cancellations(controller: &Controller, new_jobs: &[&String]) {
+fn handle_new_cancellations(controller: &Controller, new_jobs: &[&String]) {
     for id in new_jobs {
         log::info!("job cancelled by a peer's message: job={id}");
     }
--- a/src/coordination/cancellations/mod.rs
+++ b/src/coordination/cancellations/mod.rs
@@ -11,7 +11,7 @@
 //! - An owner renews the leases of machines with tasks only while it knows all recent cancellations
 //!   ([`crate::coordination::scheduler::config::SchedulerConfig::may_renew`]).
 //!
-//! `cli` starts [`run`]; `job_api` calls [`broadcast`] when a cancellation is confirmed, and the
+//! `cli` starts [`run`]; `job_api` calls [`exchange_with_peers`] when a cancellation is confirmed, and the
 //! handler of peers' requests calls [`handle_cancelled_jobs`].
 //!
 //! Invariant: a cancelled job stays cancelled. So a controller may accept this information from any
@@ -22,7 +22,7 @@
 mod exchange;
 
 pub use exchange::{
-    apply_peer_response, attestation_response, broadcast, cancelled_jobs_to_send,
+    apply_peer_response, attestation_response, cancelled_jobs_to_send, exchange_with_peers,
     handle_cancelled_jobs, record_cancellations,
 };
 
@@ -39,7 +39,7 @@
     let mut sweeper = CancelledTaskSweeper::default();
     loop {
         controller.tick(CANCELLATION_INTERVAL_MS, None).await;
-        broadcast(&controller);
+        exchange_with_peers(&controller);
         direct_stops::stop_due_tasks(&controller, &mut sweeper);
     }
 }
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -107,7 +107,7 @@
 
 /// Times in which the jobs of each class are expected to finish, ms, in ascending order. Keyed by
 /// class, from the objectives of kind `finished`.
-pub fn finish_times(objectives: &[Objective]) -> HashMap<String, Vec<u64>> {
+pub fn completion_targets(objectives: &[Objective]) -> HashMap<String, Vec<u64>> {
     let mut times_by_class: HashMap<String, Vec<u64>> = HashMap::new();
     for objective in objectives.iter().filter(|o| o.kind == "finished") {
         if let (Some(class), Some(within_s)) = (&objective.class, objective.within_s) {
@@ -143,7 +143,7 @@
             + LEASE_EXPIRY_MARGIN_MS,
         max_watermark_age_ms: workers.renew_ms(),
         cancel_ms: millis_from_seconds(workers.cancel_s),
-        completion_targets: finish_times(&shared.objectives),
+        completion_targets: completion_targets(&shared.objectives),
         limits_now: shared.kv.limits(),
         limits_next: next.map_or(Limits::UNLIMITED, |next| next.limits()),
         limits_observed: Cell::new(Limits::UNLIMITED),
--- a/src/coordination/controller/peers.rs
+++ b/src/coordination/controller/peers.rs
@@ -141,7 +141,7 @@
     }
 
     /// Records that the peer answered an exchange of cancellations. Resets the retry delay.
-    pub fn record_cancellation_answer(&self) {
+    pub fn record_cancellation_response(&self) {
         self.cancellation_retry.set(RetryDelay::default());
     }
 
--- a/src/coordination/job_api/cancellation.rs
+++ b/src/coordination/job_api/cancellation.rs
@@ -1,11 +1,11 @@
 //! Handler of users' requests to cancel a job.
 
 use super::answers::{self, status};
-use super::attempts::{prepare_retry, COMMIT_TIME_LIMIT_MS};
+use super::retries::{prepare_retry, COMMIT_TIME_LIMIT_MS};
 use crate::coordination::cancellations;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
-use crate::coordination::kv::fresh_reads::REFRESH_MS;
+use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::coordination::kv::transactions::commit_draft;
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::protocol::users::valid_id;
@@ -32,7 +32,7 @@
             return Answer::bare(status::NOT_FOUND);
         } else {
             // Another controller may have accepted the job since the last read.
-            newest_read = controller.refresh(REFRESH_MS).await;
+            newest_read = controller.refresh(REFRESH_TIMEOUT_MS).await;
             if !newest_read {
                 break;
             }
@@ -61,7 +61,7 @@
     match commit_draft(controller, draft).await {
         CommitOutcome::Committed(revision) => {
             log::info!("job cancelled: job={id} revision={revision}");
-            cancellations::broadcast(controller);
+            cancellations::exchange_with_peers(controller);
             controller.scheduling.notify();
             true
         }
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -2,19 +2,19 @@
 //!
 //! `cli` passes every request to [`handle`], which resolves its `Route`, calls the handler and
 //! measures its duration. Users' requests are handled by `submission`, `cancellation` and
-//! `job_status`; `answers` builds their responses, and `attempts` limits their retries.
+//! `job_status`; `answers` builds their responses, and `retries` limits their retries.
 //!
 //! Invariant: a state that is not final is returned only after a fresh read of the key-value store,
 //! so that a user who asks another controller never sees a job in an earlier state than before.
 
 mod answers;
-mod attempts;
 mod cancellation;
+mod retries;
 mod submission;
 
 use crate::coordination::controller::Controller;
 use crate::coordination::heartbeats;
-use crate::coordination::kv::fresh_reads::REFRESH_MS;
+use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::protocol::users::valid_id;
 use crate::transport::http::{Answer, Incoming};
 use answers::status;
@@ -104,7 +104,7 @@
     if let Some(answer) = answers::final_state(controller, id) {
         return answer;
     }
-    if !controller.refresh(REFRESH_MS).await {
+    if !controller.refresh(REFRESH_TIMEOUT_MS).await {
         return answers::retry_later();
     }
     answers::current_state(controller, id).unwrap_or(Answer::bare(status::NOT_FOUND))
--- a/src/coordination/job_api/attempts.rs
+++ b/src/coordination/job_api/retries.rs
@@ -2,7 +2,7 @@
 
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
-use crate::coordination::kv::fresh_reads::REFRESH_MS;
+use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::transport::http::jittered;
 use crate::transport::pause;
 
@@ -23,7 +23,7 @@
     match outcome {
         // The newest records show what caused the conflict, or whether the transaction was applied.
         CommitOutcome::Conflict(_) | CommitOutcome::Unknown => {
-            controller.refresh(REFRESH_MS).await;
+            controller.refresh(REFRESH_TIMEOUT_MS).await;
             true
         }
         CommitOutcome::REFUSED_BY_RATE_LIMIT => {
--- a/src/coordination/job_api/submission.rs
+++ b/src/coordination/job_api/submission.rs
@@ -8,11 +8,11 @@
 //!   accepted it.
 
 use super::answers::{self, status};
-use super::attempts::{is_known, prepare_retry, COMMIT_TIME_LIMIT_MS};
+use super::retries::{is_known, prepare_retry, COMMIT_TIME_LIMIT_MS};
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
-use crate::coordination::kv::fresh_reads::REFRESH_MS;
+use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::coordination::kv::transactions::set;
 use crate::coordination::scheduler::queues;
 use crate::protocol::kv::{Condition, Transaction};
@@ -88,7 +88,7 @@
 /// Decides about a job that can't run: it is impossible, unless another controller has accepted it
 /// before.
 async fn admit_if_accepted_elsewhere(controller: &Controller, id: &str) -> Admission {
-    if !controller.refresh(REFRESH_MS).await {
+    if !controller.refresh(REFRESH_TIMEOUT_MS).await {
         Admission::Undecided
     } else if is_known(controller, id) {
         Admission::Admitted
@@ -109,7 +109,7 @@
         return Admission::Impossible;
     }
     let known_before_read = find_dependencies(controller, dependencies) == Dependencies::Known;
-    if !known_before_read && !controller.refresh(REFRESH_MS).await {
+    if !known_before_read && !controller.refresh(REFRESH_TIMEOUT_MS).await {
         return Admission::Undecided;
     }
     match find_dependencies(controller, dependencies) {
@@ -137,7 +137,7 @@
     if let Some(revision) = commit_submission(controller, &id, &record).await {
         return accept(controller, &id, revision, &record);
     }
-    if is_known(controller, &id) && controller.refresh(REFRESH_MS).await {
+    if is_known(controller, &id) && controller.refresh(REFRESH_TIMEOUT_MS).await {
         if let Some(answer) = answers::current_state(controller, &id) {
             return answer;
         }
--- a/src/coordination/kv/client.rs
+++ b/src/coordination/kv/client.rs
@@ -55,9 +55,9 @@
     /// The transaction was not sent, because no connection could be opened.
     const NOT_SENT: CommitOutcome = CommitOutcome::Refused(0);
 
-    fn of_answer(answer: &ClientResponse) -> CommitOutcome {
-        let body = rmp_serde::from_slice::<CommitResponse>(&answer.body);
-        match (answer.status, body) {
+    fn of_response(response: &ClientResponse) -> CommitOutcome {
+        let body = rmp_serde::from_slice::<CommitResponse>(&response.body);
+        match (response.status, body) {
             (status::OK, Ok(committed)) => CommitOutcome::Committed(committed.revision),
             (status::CONFLICT, Ok(committed)) => CommitOutcome::Conflict(committed.failed),
             (
@@ -97,10 +97,10 @@
             .is_some_and(|last| now.since(last) < REACHABLE_WINDOW_MS)
     }
 
-    fn record_answer(&self, answer: &Result<ClientResponse, TransportError>) {
-        if answer
+    fn record_response(&self, response: &Result<ClientResponse, TransportError>) {
+        if response
             .as_ref()
-            .is_ok_and(|answer| answer.status != status::UNAVAILABLE)
+            .is_ok_and(|response| response.status != status::UNAVAILABLE)
         {
             self.last_available.set(Some(self.clock.now()));
         }
@@ -113,29 +113,29 @@
         path: &str,
         body: Vec<u8>,
     ) -> Result<ClientResponse, TransportError> {
-        let answer = self.calls.call(method, path, body, CALL_TIMEOUT_MS).await;
-        self.record_answer(&answer);
-        if answer.is_err() {
+        let response = self.calls.call(method, path, body, CALL_TIMEOUT_MS).await;
+        self.record_response(&response);
+        if response.is_err() {
             // Connections from before a network partition would hang until the timeout; new ones
             // fail immediately.
             self.calls.reset();
         }
-        answer
+        response
     }
 
-    /// Sends a long poll, which the store answers after `wait_ms` at the latest.
+    /// Sends a long poll, to which the store responds within `wait_ms`.
     pub(super) async fn call_watch(
         &self,
         path: &str,
         wait_ms: u64,
     ) -> Result<ClientResponse, TransportError> {
         let timeout_ms = wait_ms + WATCH_TIMEOUT_MARGIN_MS;
-        let answer = self
+        let response = self
             .watches
             .call(Method::Get, path, Vec::new(), timeout_ms)
             .await;
-        self.record_answer(&answer);
-        answer
+        self.record_response(&response);
+        response
     }
 
     /// Closes the connections for long polls; to be called after one has failed.
@@ -149,7 +149,7 @@
             return CommitOutcome::REFUSED_AS_INVALID;
         };
         match self.call(Method::Post, "/commit", body).await {
-            Ok(answer) => CommitOutcome::of_answer(&answer),
+            Ok(response) => CommitOutcome::of_response(&response),
             Err(TransportError::Connect { .. }) => CommitOutcome::NOT_SENT,
             Err(_) => CommitOutcome::Unknown,
         }
@@ -161,15 +161,15 @@
     /// reports otherwise.
     pub async fn renew_lease(&self, lease: u64) -> bool {
         let path = format!("/grants/{lease}/touch");
-        let answer = self.call(Method::Post, &path, Vec::new()).await;
-        !answer.is_ok_and(|answer| answer.status == status::NOT_FOUND)
+        let response = self.call(Method::Post, &path, Vec::new()).await;
+        !response.is_ok_and(|response| response.status == status::NOT_FOUND)
     }
 
     /// Requests a new lease; `None` if the store grants none.
     pub async fn grant_lease(&self, ttl_ms: u64) -> Option<u64> {
         let body = rmp_serde::to_vec_named(&LeaseRequest { ttl_ms }).ok()?;
-        let answer = self.call(Method::Post, "/grants", body).await.ok()?;
-        let granted = rmp_serde::from_slice::<Lease>(&answer.body).ok()?;
+        let response = self.call(Method::Post, "/grants", body).await.ok()?;
+        let granted = rmp_serde::from_slice::<Lease>(&response.body).ok()?;
         Some(granted.lease)
     }
 }
--- a/src/coordination/kv/fresh_reads.rs
+++ b/src/coordination/kv/fresh_reads.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 
 /// Time limit that callers pass to [`Controller::refresh`].
-pub const REFRESH_MS: u64 = 1500;
+pub const REFRESH_TIMEOUT_MS: u64 = 1500;
 /// Share of the store's request rate limit that fresh reads of all controllers together may use.
 const REQUEST_LIMIT_SHARE: f64 = 0.3;
 /// Longest wait for a caller before the background task checks again.
--- a/src/coordination/kv/watch.rs
+++ b/src/coordination/kv/watch.rs
@@ -14,7 +14,7 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// Longest time that the store waits for a change before it answers a watch.
+/// Longest time that the store waits for a change before it responds to a watch.
 const WATCH_WAIT_MS: u64 = 5000;
 /// Delay after a failed watch or read, before jitter.
 const RETRY_DELAY_MS: u64 = 300;
@@ -66,12 +66,12 @@
     }
     let began = controller.now();
     let from = controller.cluster.borrow().revision;
-    let Ok(answer) = call_watch(controller, from, wait_ms).await else {
+    let Ok(response) = call_watch(controller, from, wait_ms).await else {
         controller.kv.reset_watches();
         return false;
     };
-    match answer.status {
-        CHANGES => apply_changes(controller, from, began, &answer),
+    match response.status {
+        CHANGES => apply_changes(controller, from, began, &response),
         COMPACTED => {
             log::warn!("watch revision compacted, reading all records: revision={from}");
             read_all_records(controller).await
@@ -99,9 +99,9 @@
     controller: &Controller,
     from: u64,
     began: MonotonicMillis,
-    answer: &ClientResponse,
+    response: &ClientResponse,
 ) -> bool {
-    let Ok(changes) = rmp_serde::from_slice::<Changes>(&answer.body) else {
+    let Ok(changes) = rmp_serde::from_slice::<Changes>(&response.body) else {
         log::warn!("malformed watch response: revision={from}");
         return false;
     };
@@ -127,12 +127,12 @@
     matches!(kind, Some(("node" | "shard", _)))
 }
 
-/// Number of changes that the cached state lacks; `None` if the store does not answer.
+/// Number of changes that the cached state lacks; `None` if the store does not respond.
 async fn missed_changes(controller: &Controller) -> Option<u64> {
     // This key never exists, so the response has only the store's current revision.
     let path = format!("/keys/{ROOT}none");
-    let answer = controller.kv.call(Method::Get, &path, Vec::new()).await;
-    let newest = rmp_serde::from_slice::<CommitResponse>(&answer.ok()?.body).ok()?;
+    let response = controller.kv.call(Method::Get, &path, Vec::new()).await;
+    let newest = rmp_serde::from_slice::<CommitResponse>(&response.ok()?.body).ok()?;
     let revision = controller.cluster.borrow().revision;
     Some(newest.revision.saturating_sub(revision))
 }
@@ -178,6 +178,6 @@
 async fn read_page(controller: &Controller, after: Option<&str>) -> Option<Page> {
     let from = after.map_or(String::new(), |key| format!("&from={key}"));
     let path = format!("/keys?prefix={ROOT}&most={RECORDS_PER_PAGE}{from}");
-    let answer = controller.kv.call(Method::Get, &path, Vec::new()).await;
-    rmp_serde::from_slice(&answer.ok()?.body).ok()
+    let response = controller.kv.call(Method::Get, &path, Vec::new()).await;
+    rmp_serde::from_slice(&response.ok()?.body).ok()
 }
--- a/src/coordination/membership/lease.rs
+++ b/src/coordination/membership/lease.rs
@@ -4,7 +4,7 @@
 use super::transfer::{controller_key, controller_unchanged};
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
-use crate::coordination::kv::fresh_reads::REFRESH_MS;
+use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::coordination::kv::transactions::set;
 use crate::protocol::kv::Transaction;
 use crate::state::cluster_state::{ClusterState, ControllerRecord};
@@ -62,7 +62,7 @@
     let transaction = registration(controller, lease)?;
     match controller.kv.commit(&transaction).await {
         CommitOutcome::Committed(_) | CommitOutcome::Conflict(_) => {
-            controller.refresh(REFRESH_MS).await;
+            controller.refresh(REFRESH_TIMEOUT_MS).await;
             Some(lease)
         }
         CommitOutcome::REFUSED_AS_INVALID => None,
--- a/src/coordination/membership/record_format.rs
+++ b/src/coordination/membership/record_format.rs
@@ -3,7 +3,7 @@
 use super::transfer::controller_unchanged;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
-use crate::coordination::kv::fresh_reads::REFRESH_MS;
+use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::coordination::kv::transactions::set;
 use crate::protocol::kv::{Condition, Transaction};
 use crate::state::cluster_state::{ClusterState, ROOT};
@@ -51,5 +51,5 @@
     if let CommitOutcome::Committed(revision) = controller.kv.commit(&transaction).await {
         log::info!("record format changed: record_format={RECORD_FORMAT_V2} revision={revision}");
     }
-    controller.refresh(REFRESH_MS).await;
+    controller.refresh(REFRESH_TIMEOUT_MS).await;
 }
--- a/src/coordination/membership/transfer.rs
+++ b/src/coordination/membership/transfer.rs
@@ -4,7 +4,7 @@
 use crate::coordination::controller::Controller;
 use crate::coordination::failover;
 use crate::coordination::kv::client::CommitOutcome;
-use crate::coordination::kv::fresh_reads::REFRESH_MS;
+use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::coordination::kv::transactions::set;
 use crate::protocol::kv::{Condition, Transaction};
 use crate::state::cluster_state::{ClusterState, ShardRecord, ROOT};
@@ -79,7 +79,7 @@
             }
             CommitOutcome::Conflict(_) => {
                 failover::apply_fence_event(controller, planned.shard, Failovers::fence_refused);
-                controller.refresh(REFRESH_MS).await;
+                controller.refresh(REFRESH_TIMEOUT_MS).await;
                 return false;
             }
             CommitOutcome::Refused(_) => {
--- a/tests/controller_components.rs
+++ b/tests/controller_components.rs
@@ -37,11 +37,11 @@
     assert_eq!(waits, [1000, 2000, 4000, 8000, 8000]);
     assert_eq!(wait_after_failure(&peer, at, false), 0, "unreachable peer");
     wait_after_failure(&peer, at, true);
-    peer.record_cancellation_answer();
+    peer.record_cancellation_response();
     assert_eq!(
         wait_after_failure(&peer, at, true),
         1000,
-        "an answer resets the delay"
+        "a response resets the delay"
     );
 }
 
--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -23,7 +23,7 @@
 use pointhook::coordination::autoscaler::{
     split_into_requests, supply, PoolRequest, ScaleOutPlanner,
 };
-use pointhook::coordination::controller::finish_times;
+use pointhook::coordination::controller::completion_targets;
 use pointhook::coordination::scheduler::draft::DraftTransaction;
 use pointhook::coordination::scheduler::{binding, gang_reservations, job_order};
 use pointhook::protocol::cloud::{ListedMachine, ProvisioningRequest};
@@ -126,7 +126,7 @@
         within_s: Some(60.0),
     };
     for controller in cluster.controllers.iter_mut().flatten() {
-        controller.config.completion_targets = finish_times(std::slice::from_ref(&objective));
+        controller.config.completion_targets = completion_targets(std::slice::from_ref(&objective));
     }
     for step in 0..150 {
         if rng.u8(..3) == 0 {
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use pointhook::coordination::controller::finish_times;
+use pointhook::coordination::controller::completion_targets;
 use pointhook::coordination::heartbeats;
 use pointhook::coordination::peer_messages::status_updates;
 use pointhook::coordination::reconciliation;
@@ -407,7 +407,7 @@
         class: Some("bake".into()),
         within_s: Some(within_s),
     });
-    controller.config.completion_targets = finish_times(&objectives);
+    controller.config.completion_targets = completion_targets(&objectives);
     assert_eq!(
         controller.config.completion_targets["bake"],
         [150_000, 250_000, 350_000]
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn the_standby_alone_takes_a_shard_by_the_preference_of_zones() {
+fn only_the_standby_chosen_by_the_zone_preference_takes_the_shard() {
     for (standby, name) in [(Standby::SameZone, "n2"), (Standby::OtherZone, "s1")] {
         let (mut store, mut controllers, view) = three_controllers(standby);
         lose_owner_n1(&mut store, &mut controllers);
@@ -358,7 +358,7 @@
 }
 
 #[test]
-fn roles_add_one_stored_field_which_versions_without_them_ignore() {
+fn the_standby_version_is_stored_only_if_the_feature_is_enabled() {
     for (standby, stored) in [(Standby::Off, false), (Standby::SameZone, true)] {
         let mut store = FakeKvStore::default();
         SimulatedController::start_as("n1", 7, standby, &mut store, 0);
@@ -538,7 +538,7 @@
 }
 
 /// Checks that the queue and the reservation are restored from what the follower received.
-fn restores_queue_and_reservation(fixture: &mut ExpiredOwner, follower: &Follower) {
+fn assert_restores_queue_and_reservation(fixture: &mut ExpiredOwner, follower: &Follower) {
     let m1 = fixture.standby.machine("m1");
     let replica = follower.replica_state().expect("a complete state");
     let restored = failover::restore_replica(
@@ -561,7 +561,7 @@
 }
 
 /// Checks that unchanged machines are not streamed again, and that a deletion is streamed.
-fn streams_a_deletion_only(fixture: &mut ExpiredOwner, publisher: &mut Publisher) {
+fn assert_streams_only_a_deletion(fixture: &mut ExpiredOwner, publisher: &mut Publisher) {
     replication::publish_changes(
         &fixture.owner.cluster,
         NORTH,
@@ -597,8 +597,8 @@
         .push_back(QueuedTask::new(queued, 9, MonotonicMillis(800)));
     let follower = stream(&fixture.owner, &mut publisher, &mut follower, 800);
     cancel_one_and_queue_one_with_the_standby(&mut fixture);
-    restores_queue_and_reservation(&mut fixture, &follower);
-    streams_a_deletion_only(&mut fixture, &mut publisher);
+    assert_restores_queue_and_reservation(&mut fixture, &follower);
+    assert_streams_only_a_deletion(&mut fixture, &mut publisher);
 }
 
 #[test]
