--- a/src/coordination/cancellations/direct_stops.rs
+++ b/src/coordination/cancellations/direct_stops.rs
@@ -1,10 +1,10 @@
 //! Direct stops: every controller may stop tasks of cancelled jobs that keep running for too long.
 //!
 //! Normally the owner of a machine stops such a task in its next heartbeat response. That fails if
-//! the owner does not know of the cancellation, or if its responses don't arrive. So every
-//! controller that knows of the cancellation asks the worker for its status and stops the remaining
-//! tasks. The stop carries the fencing token and agent epoch from the worker's own status, so it
-//! does not change which controller the worker obeys.
+//! the owner has not learned of the cancellation, or if its responses don't arrive. So every
+//! controller that has learned of the cancellation queries the worker's status and stops the
+//! remaining tasks. The stop carries the fencing token and agent epoch from the worker's own
+//! status, so it does not change whose commands the worker accepts.
 //!
 //! Each round of the background task calls `stop_due_tasks`.
 
@@ -19,11 +19,12 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Controllers other than the owner stop a cancelled task after `cancel_ms` divided by this.
+/// A placement of a cancelled job is due for a direct stop once this controller has known of it for
+/// `cancel_ms` divided by this.
 const DIRECT_STOP_DIVISOR: u64 = 4;
-/// Minimum time between two requests to stop tasks on the same machine.
+/// Minimum time between two attempts to stop tasks on the same machine.
 const RETRY_INTERVAL_MS: u64 = 3000;
-/// Maximum number of machines per round.
+/// Maximum number of machines on which one round stops tasks.
 const MACHINES_PER_ROUND: usize = 32;
 
 /// Tasks of cancelled jobs on one machine, to be stopped by direct commands.
@@ -31,20 +32,20 @@
 pub struct CancelledTasks {
     /// Address of the machine's worker.
     pub addr: String,
-    /// The tasks, as workers name them, with their attempts.
+    /// Names (`{job}/{task}`) and attempt numbers of the tasks.
     pub tasks: Vec<(String, u64)>,
 }
 
-/// Tracks since when each placement of a cancelled job is known, and when each machine was last
-/// asked to stop tasks.
+/// Tracks since when each placement of a cancelled job has been known, and when each machine was
+/// last returned as due.
 #[derive(Default)]
 pub struct CancelledTaskSweeper {
     first_seen: HashMap<TaskAttempt, MonotonicMillis>,
     last_tried: HashMap<MachineIndex, MonotonicMillis>,
 }
 
-/// An attempt that is due to be stopped. Orders by the time at which it was first seen, oldest
-/// first.
+/// An attempt that is due to be stopped. Values are ordered by the time at which the attempt was
+/// first seen, oldest first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DueAttempt {
     first_seen: MonotonicMillis,
@@ -73,7 +74,7 @@
     /// machines count as tried, and are not returned again for 3 seconds (`RETRY_INTERVAL_MS`).
     ///
     /// A stop that arrives before the start of its task has no effect, so stops are repeated until
-    /// the placement is removed. Only the owner can prove that it may be.
+    /// the placement is removed. Only the owner can prove that the attempt has ended.
     pub fn due(
         &mut self,
         cluster: &ClusterState,
@@ -171,8 +172,8 @@
     (!addr.is_empty()).then_some(addr)
 }
 
-/// Stop commands for those of these tasks that a worker's status shows as not exited; `None` if
-/// there are none.
+/// Stop commands for those of `tasks` that a worker's status shows as not exited; `None` if there
+/// are none.
 pub fn stop_commands(status: &Heartbeat, tasks: &[(String, u64)]) -> Option<DirectCommands> {
     let is_shown = |(task, attempt): &&(String, u64)| {
         let mut not_exited = status.tasks.iter().filter(|t| t.state != TaskState::Exited);
@@ -191,7 +192,7 @@
     })
 }
 
-/// Fetches a worker's status, and stops those of these tasks that have not exited.
+/// Fetches a worker's status, and stops those of the cancelled tasks that have not exited.
 async fn stop_directly(controller: Rc<Controller>, cancelled: CancelledTasks) {
     let Some(worker) = direct_commands::fetch_status(&cancelled.addr).await else {
         return;
--- a/src/coordination/cancellations/exchange.rs
+++ b/src/coordination/cancellations/exchange.rs
@@ -15,7 +15,7 @@
 use crate::transport::TransportError;
 use std::rc::Rc;
 
-/// Time that a peer has to respond.
+/// Timeout of a peer's response.
 const RESPONSE_TIMEOUT_MS: u64 = 900;
 /// Value of `watermark_age_ms` in the response of a controller that has no watermark.
 const NO_WATERMARK: u32 = u32::MAX;
@@ -33,7 +33,7 @@
     }
 }
 
-/// Repeats the exchange with one peer until nothing new is left to send, or until it does not
+/// Repeats the exchange with one peer until nothing new is left to send, or until the peer does not
 /// respond.
 async fn exchange_until_done(controller: Rc<Controller>, peer_index: usize) {
     let peer = &controller.peers[peer_index];
@@ -41,7 +41,7 @@
     peer.end_cancellation_exchange();
 }
 
-/// One exchange with a peer; false if it did not respond.
+/// One exchange with a peer; false if the peer did not respond.
 async fn exchange(controller: &Rc<Controller>, peer_index: usize) -> bool {
     let peer = &controller.peers[peer_index];
     // The response proves what the peer knew when the request was sent. It may be delayed in
--- a/src/coordination/cancellations/mod.rs
+++ b/src/coordination/cancellations/mod.rs
@@ -6,17 +6,17 @@
 //!
 //! - Controllers that can't read the record learn of the cancellation from their peers
 //!   (`exchange`).
-//! - Every controller that knows of it stops tasks that remain after a while by direct commands to
-//!   the workers ([`direct_stops`]).
-//! - An owner renews the leases of machines with tasks only while it knows all recent cancellations
-//!   ([`crate::coordination::scheduler::config::SchedulerConfig::may_renew`]).
+//! - Every controller that has learned of the cancellation stops tasks that remain after a delay,
+//!   by direct commands to the workers ([`direct_stops`]).
+//! - An owner renews the leases of machines with tasks only while its cancellation watermark is
+//!   recent ([`crate::coordination::scheduler::config::SchedulerConfig::may_renew`]).
 //!
 //! `cli` starts [`run`]; `job_api` calls [`exchange_with_peers`] when a cancellation is confirmed, and the
 //! handler of peers' requests calls [`handle_cancelled_jobs`].
 //!
-//! Invariant: a cancelled job stays cancelled. So a controller may accept this information from any
-//! peer, and any controller may stop the job's tasks. But a placement is removed only on evidence
-//! of the machine's owner.
+//! Invariant: a cancelled job stays cancelled. So a controller may learn of a cancellation from any
+//! peer, and any controller may stop the job's tasks. But a placement is removed only on proof
+//! obtained by the machine's owner or on the deletion of the machine.
 
 pub mod direct_stops;
 mod exchange;
--- a/src/coordination/controller/availability.rs
+++ b/src/coordination/controller/availability.rs
@@ -11,7 +11,7 @@
     Cloud,
 }
 
-/// Availability of each service when it was last called; at first both count as unavailable.
+/// Availability of each service as last recorded; initially both count as unavailable.
 #[derive(Default)]
 pub struct AvailabilityLog {
     kv: Cell<bool>,
--- a/src/coordination/controller/clock.rs
+++ b/src/coordination/controller/clock.rs
@@ -1,9 +1,10 @@
 //! The clocks of this process, and the detection of process pauses.
 //!
 //! [`Clock`] holds the start of the process and the end of its last pause. Background tasks wait
-//! with [`Clock::sleep`] and [`Clock::tick`], which detect a pause of the process (a suspended
-//! machine, a long stop) by a wait that ends much later than due. Invariant: the time of a pause,
-//! in which this process could not receive heartbeats, doesn't count as silence of any machine.
+//! with [`Clock::sleep`] and [`Clock::tick`], which detect a pause of the process (its machine was
+//! suspended, or the process was stopped) by a wait that ends much later than requested. Invariant:
+//! the time of a pause, in which this process could not receive heartbeats, doesn't count as
+//! silence of any machine.
 
 use super::notifier::Notifier;
 use crate::state::units::MonotonicMillis;
@@ -88,7 +89,8 @@
     /// detects a pause of the process.
     ///
     /// Each wake-up of the process has a cost, even if there is little to do. Tasks with the same
-    /// interval therefore wake up together, and a notification wakes one that should run earlier.
+    /// interval therefore wake up together, and a notification wakes a task that should run
+    /// earlier.
     pub async fn tick(&self, ms: u64, notifier: Option<&Notifier>) {
         let before = self.now();
         match notifier {
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! [`Controller`] consists of components that own their state: [`clock`] the time and the pauses of
 //! the process, [`peers`] the other controllers, [`worker_reachability`] and [`worker_connections`]
-//! the connectivity with workers, [`availability`] and [`warnings`] what has been logged. All tasks
-//! run on one thread. Invariant: no borrow of a `RefCell` of the controller is held across an
-//! `await`, so no task finds one borrowed when it is resumed.
+//! the connectivity with workers, [`availability`] and [`warnings`] the state that limits repeated
+//! log lines. All tasks run on one thread. Invariant: no borrow of a `RefCell` of the controller is
+//! held across an `await`, so a task that resumes never finds a `RefCell` already borrowed.
 
 pub mod availability;
 pub mod clock;
@@ -96,7 +96,7 @@
     pub owned_since: RefCell<HashMap<ShardIndex, MonotonicMillis>>,
     /// Slots for direct connections to workers.
     pub worker_connections: WorkerConnections,
-    /// Times of the polls of all tasks.
+    /// Poll durations of the background tasks and request handlers.
     pub metrics: Metrics,
     /// Executor of the background tasks.
     pub executor: Rc<LocalExecutor<'static>>,
@@ -105,8 +105,8 @@
     warnings: RateLimitedWarnings,
 }
 
-/// Times in which the jobs of each class are expected to finish, ms, in ascending order. Keyed by
-/// class, from the objectives of kind `finished`.
+/// Completion targets of each class: the durations, in milliseconds and in ascending order, that
+/// the objectives of kind `finished` set for its jobs.
 pub fn completion_targets(objectives: &[Objective]) -> HashMap<String, Vec<u64>> {
     let mut times_by_class: HashMap<String, Vec<u64>> = HashMap::new();
     for objective in objectives.iter().filter(|o| o.kind == "finished") {
@@ -232,8 +232,8 @@
         observing_since(owned_since, self.resumed_at())
     }
 
-    /// True if this controller can accept requests: it has read the records, and it reaches the
-    /// key-value store or no controller does.
+    /// True if this controller can accept requests: it has read the records, and either it reaches
+    /// the key-value store or the outage of the store affects the whole cluster.
     pub fn healthy(&self) -> bool {
         let loaded = self.cluster.borrow().loaded;
         loaded && (self.kv.is_reachable() || self.in_cluster_wide_outage())
@@ -289,8 +289,8 @@
     fn expects_worker_contact(&self, now: MonotonicMillis) -> bool {
         let cluster = self.cluster.borrow();
         let owned = self.config.owned(&cluster);
-        // Machines of this controller's shards appear silent when it is unreachable, so any that
-        // has ever sent a heartbeat counts.
+        // Machines of this controller's shards appear silent when it is unreachable, so each of
+        // them that has ever sent a heartbeat counts.
         let should_be_in_contact = |machine: &Machine| {
             machine.is_schedulable(now, self.config.unresponsive_ms)
                 || owned[machine.shard.at()] && machine.heartbeat.last_seen.is_some()
--- a/src/coordination/controller/notifier.rs
+++ b/src/coordination/controller/notifier.rs
@@ -1,4 +1,5 @@
-//! Wakes up a background task before its next tick, and lets others wait for the task's next round.
+//! Wakes up a background task before its next tick, and lets callers wait for the task's next
+//! round.
 
 use crate::transport::{within, within_tick};
 use async_channel::{Receiver, Sender};
--- a/src/coordination/controller/peers.rs
+++ b/src/coordination/controller/peers.rs
@@ -1,6 +1,6 @@
 //! The other controllers: connections to them, and the contents of their last status updates.
 //!
-//! [`Peer`] holds the state of one of them. `peer_messages` records its status updates,
+//! [`Peer`] holds the state of one peer. `peer_messages` records its status updates,
 //! `cancellations` runs at most one exchange of cancellations with it at a time, and health checks
 //! call [`is_cluster_wide_outage`]. This state is advisory: no decision depends on it for safety.
 
@@ -14,7 +14,7 @@
 /// Initial delay before cancellations are sent again to a peer that closed the connection. The
 /// delay doubles with each failure.
 const INITIAL_RETRY_DELAY_MS: u64 = 1000;
-/// Maximum of that delay.
+/// Maximum delay before cancellations are sent again to a peer that closed the connection.
 const MAX_RETRY_DELAY_MS: u64 = 8000;
 
 /// Another controller.
@@ -23,7 +23,7 @@
     pub name: String,
     /// Connection for status updates and other requests.
     pub client: PeerClient,
-    /// Connection for cancellations, so that they never wait for other frames.
+    /// Connection for cancellations only, so that no cancellation waits for other frames.
     pub cancellations_client: PeerClient,
     /// Connection for the streams of shards whose standby the peer is.
     pub replication_client: PeerClient,
@@ -113,8 +113,10 @@
         }
     }
 
-    /// True if an exchange of cancellations with the peer should begin now. If one is running, it
-    /// will continue with the new cancellations instead.
+    /// Requests an exchange of cancellations with the peer; true if the caller should begin it now.
+    ///
+    /// During the retry delay the request is ignored. While an exchange is running, another one
+    /// follows it, with the new cancellations.
     pub fn begin_cancellation_exchange(&self, now: MonotonicMillis) -> bool {
         if now < self.cancellation_retry.get().not_before {
             return false;
@@ -128,8 +130,8 @@
         idle
     }
 
-    /// True if new cancellations have arrived since the exchange that has just ended began, so that
-    /// another one is needed.
+    /// True if another exchange was requested while the one that has just ended was running, so
+    /// that the caller should begin the next one.
     pub fn continue_cancellation_exchange(&self) -> bool {
         let before = self.cancellation_exchange.replace(ExchangeState::Running);
         before == ExchangeState::RunningWithMorePending
@@ -140,16 +142,16 @@
         self.cancellation_exchange.set(ExchangeState::Idle);
     }
 
-    /// Records that the peer answered an exchange of cancellations. Resets the retry delay.
+    /// Records that the peer responded to an exchange of cancellations. Resets the retry delay.
     pub fn record_cancellation_response(&self) {
         self.cancellation_retry.set(RetryDelay::default());
     }
 
     /// Records that an exchange of cancellations failed.
     ///
-    /// A peer that closes the connection may run a version that doesn't know the request and logs a
-    /// warning for each, so it is retried with an increasing delay. Other failures are retried
-    /// without delay.
+    /// A peer that closes the connection may run a version that doesn't support the request and
+    /// logs a warning for each, so the exchange is retried with an increasing delay. After other
+    /// failures, the next round of the background task retries it.
     pub fn record_cancellation_failure(&self, now: MonotonicMillis, connection_closed: bool) {
         let wait_ms = if connection_closed {
             let doubled = self.cancellation_retry.get().wait_ms * 2;
@@ -164,7 +166,7 @@
     }
 }
 
-/// A controller's knowledge of a peer's state.
+/// The state of a peer as observed by this controller.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerObservation {
     /// Whether the peer's last status update is recent.
@@ -179,7 +181,7 @@
 ///
 /// In an outage of the store all controllers are equally affected, and reporting itself unhealthy
 /// would help no user. But a controller whose peers reach the store, or that has no contact with
-/// any peer, is itself partitioned: it could only refuse requests, so its users have to go to
+/// any peer, is itself partitioned. It could only refuse requests, so users should be directed to
 /// another controller.
 pub fn is_cluster_wide_outage(peers: &[PeerObservation]) -> bool {
     let kv_serves_others = peers
--- a/src/coordination/controller/worker_reachability.rs
+++ b/src/coordination/controller/worker_reachability.rs
@@ -2,13 +2,13 @@
 //!
 //! The handlers record heartbeats and responses of workers. `membership` checks the result, and
 //! moves shards away from a controller that no worker reaches. Otherwise such a controller would
-//! keep its key and its shards, and none of their machines would get an answer until their leases
-//! expire.
+//! keep its key and its shards, and the workers of its shards would get no response until their
+//! leases expire.
 
 use crate::state::units::MonotonicMillis;
 
-/// Time after the last update that found a controller unreachable until it counts as reachable
-/// again.
+/// Time for which a controller still counts as unreachable after the last update that found no
+/// recent contact.
 const RECOVERY_MS: u64 = 5000;
 /// Lower bound of the time without contact after which a controller counts as unreachable.
 const MIN_SILENCE_LIMIT_MS: u64 = 3000;
@@ -27,8 +27,9 @@
 }
 
 impl WorkerReachability {
-    /// A controller that is reachable, with a limit of a third of the workers' lease. The rest of
-    /// the lease is enough to move the shards and for the workers to find the new owner.
+    /// A controller that is reachable. Its silence limit is a third of the workers' lease, but at
+    /// least 3 s (`MIN_SILENCE_LIMIT_MS`). The rest of the lease is enough to move the shards and
+    /// for the workers to find the new owner.
     pub fn new(lease_ms: u64) -> WorkerReachability {
         WorkerReachability {
             last_contact: MonotonicMillis(0),
--- a/src/coordination/failover/bound.rs
+++ b/src/coordination/failover/bound.rs
@@ -9,22 +9,23 @@
 /// Time for a notification of the key-value store and the round of the background task that
 /// handles it.
 const DETECTION_MS: u64 = 500;
-/// Time for a transaction and its answer.
+/// Time for the transaction that raises the fencing token, its response included.
 const FENCE_MS: u64 = 1500;
-/// Time for a notification of the key-value store.
+/// Time for the notification of the key-value store that brings the new owner's view up to date.
 const CATCH_UP_MS: u64 = 500;
 /// Time until a reachable worker sends a heartbeat with the new fencing token: it receives the
 /// token by a direct command and sends a heartbeat half a second later.
 const FIRST_HEARTBEAT_MS: u64 = 2000;
-/// The same time if the lost controller hangs: a heartbeat sent to it times out after 4 s, the
-/// worker tries the next controller 1 s later, and is redirected from there within half a second.
+/// Time until a reachable worker sends a heartbeat with the new fencing token if the lost
+/// controller hangs: a heartbeat sent to it times out after 4 s, the worker tries the next
+/// controller 1 s later, and is redirected from there within half a second.
 const FIRST_HEARTBEAT_AFTER_HANG_MS: u64 = 5500;
 
 /// Lease of a controller's membership key, ms. The other controllers consider a controller dead
 /// once it has not renewed its key for this time.
 ///
-/// The lease is four tenths of the workers' lease, so that a new owner reaches the workers before
-/// their leases expire.
+/// The lease is four tenths of the workers' lease, but between 3 and 5 s, so that a new owner
+/// reaches the workers before their leases expire.
 pub fn membership_lease_ms(workers_lease_ms: u64) -> u64 {
     (workers_lease_ms * 4 / 10).clamp(3000, 5000)
 }
--- a/src/coordination/failover/observation.rs
+++ b/src/coordination/failover/observation.rs
@@ -11,7 +11,7 @@
 /// second.
 const SILENT_AFTER_MS: u64 = 2500;
 
-/// What this controller knows of a shard.
+/// The inputs from which this controller observes a shard.
 pub struct ShardView<'a> {
     /// Cached state of the cluster.
     pub cluster: &'a ClusterState,
@@ -21,7 +21,8 @@
     pub shard: ShardIndex,
     /// Whether this controller is the standby of the shard.
     pub is_standby: bool,
-    /// When the owner last sent a status update; `None` if it is no peer or has sent none.
+    /// When the owner last sent a status update; `None` if the owner is not a peer or has sent
+    /// none.
     pub owner_last_contact: Option<MonotonicMillis>,
     /// Current time.
     pub now: MonotonicMillis,
--- a/src/coordination/heartbeats/apply.rs
+++ b/src/coordination/heartbeats/apply.rs
@@ -24,18 +24,18 @@
         /// Duration of a worker's lease.
         lease_ms: u64,
     },
-    /// The response to direct commands. It proves that its tasks are present, but does not count as
-    /// a sign of life: the worker has not asked for a renewal of its lease.
+    /// The response to direct commands. The response proves that the listed tasks are present, but
+    /// does not count as a sign of life: the worker has not requested a renewal of its lease.
     CommandResponse,
 }
 
 /// What a heartbeat changed.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum HeartbeatChange {
-    /// Nothing: it is a duplicate, or a newer message arrived before it.
+    /// Nothing: the heartbeat is a duplicate, or a newer message arrived before it.
     Stale,
-    /// Nothing that the planner acts on: it is newer, but shows the same agent epoch, fencing
-    /// token, preemption notice and task states.
+    /// Nothing that the planner acts on: the heartbeat is newer than the previous message, but
+    /// shows the same agent epoch, fencing token, presence of a preemption notice, and task states.
     Unchanged,
     /// Something that the planner should consider before the response is sent.
     Changed,
@@ -121,9 +121,9 @@
     }
 }
 
-/// Records the version and fencing token of a heartbeat. It counts as a sign of life only if it
-/// shows the owner's token: one with an older token may be a delayed duplicate from a machine that
-/// no longer exists.
+/// Records the version and fencing token of a heartbeat. The heartbeat counts as a sign of life
+/// only if it shows the owner's token: a heartbeat with an older token may be a delayed duplicate
+/// from a machine that no longer exists.
 fn record_sign_of_life(
     machine: &mut Machine,
     heartbeat: &Heartbeat,
@@ -148,7 +148,7 @@
         }
         let exit_reason = task.exit_reason.unwrap_or(ExitReason::Other);
         log_exit(machine, task, exit_reason);
-        // A task of an unknown job tells nothing about the machine's health.
+        // The exit of a task of an unknown job is no evidence about the machine's health.
         let Some(attempt) = task.task_attempt() else {
             continue;
         };
@@ -211,8 +211,8 @@
 }
 
 /// Drops in-flight direct starts that can't take effect any more: the fencing token or the agent
-/// epoch has changed, or the start was acknowledged and its attempt is neither placed here nor
-/// shown by the worker.
+/// epoch has changed, or the start was acknowledged and its attempt is neither placed on the
+/// machine nor shown by the worker.
 fn drop_settled_in_flight_starts(
     machine: &mut Machine,
     heartbeat: &Heartbeat,
--- a/src/coordination/heartbeats/handler.rs
+++ b/src/coordination/heartbeats/handler.rs
@@ -1,7 +1,7 @@
 //! The HTTP handler of heartbeats: decoding, waiting for the planner, and status codes.
 //!
 //! `job_api` calls [`handle`] for each heartbeat request. The other modules of this folder decide
-//! about the heartbeat and its response.
+//! whether to accept the heartbeat and how to respond.
 
 use super::apply::HeartbeatChange;
 use super::receive::{receive, AcceptedHeartbeat, HeartbeatOutcome};
@@ -20,7 +20,11 @@
 /// `Retry-After` of responses, in seconds, until this controller has loaded all records.
 const RETRY_WHILE_LOADING_S: u32 = 1;
 
-/// Handles one heartbeat: 200 renews the worker's lease, 421 redirects it to another controller.
+/// Handles one heartbeat and returns the HTTP response.
+///
+/// Status 200 renews the worker's lease. Status 421 refuses the renewal, and names the shard's live
+/// owner if this controller knows of another one. Status 400 means that the heartbeat is malformed,
+/// and 503 that this controller has not loaded all records yet.
 pub async fn handle(controller: &Rc<Controller>, body: Option<Vec<u8>>) -> Answer {
     let Some(heartbeat) = decode(body) else {
         controller.warn_rate_limited("malformed heartbeat ignored");
--- a/src/coordination/heartbeats/reachability.rs
+++ b/src/coordination/heartbeats/reachability.rs
@@ -1,9 +1,9 @@
 //! Detects machines whose workers do not receive the responses to their heartbeats.
 //!
 //! A heartbeat that arrives proves only that messages from the worker get through. A machine whose
-//! responses are lost would be assigned tasks for ever without running any, so `apply` calls this
-//! module for each heartbeat before it is recorded. `worker_connectivity` probes machines that are
-//! found unreachable.
+//! responses are lost would be assigned tasks indefinitely without running any, so `apply` calls
+//! this module for each heartbeat before it is recorded. `worker_connectivity` probes machines that
+//! are found unreachable.
 
 use crate::protocol::workers::{Heartbeat, HeartbeatVersion};
 use crate::state::machine::{Machine, ObservedTask, TaskAttempt};
@@ -16,26 +16,26 @@
 
 /// A heartbeat that is about to be recorded, with the values needed to detect lost responses.
 pub(super) struct IncomingHeartbeat<'a> {
-    /// The heartbeat.
+    /// The heartbeat as decoded.
     pub(super) heartbeat: &'a Heartbeat,
-    /// Its tasks, with names resolved.
+    /// The tasks of the heartbeat, with names resolved.
     pub(super) tasks: &'a [ObservedTask],
     /// Attempts that the job records place on the machine.
     pub(super) placed: &'a [TaskAttempt],
     /// The owner's fencing token.
     pub(super) owner_token: FencingToken,
-    /// Duration of a worker's lease.
+    /// Duration of a worker's lease, ms.
     pub(super) lease_ms: u64,
-    /// When it arrived.
+    /// When the heartbeat arrived.
     pub(super) now: MonotonicMillis,
 }
 
 /// Updates whether the machine is reachable; `machine` still has the state from before this
 /// heartbeat.
 ///
-/// Two signs show that it is not: an agent epoch that ended although its heartbeats were answered
-/// without a gap, and starts in responses that later heartbeats do not show. A machine that shows
-/// the effect of a command is reachable again.
+/// Two signs show that a machine is unreachable: an agent epoch that ended although its heartbeats
+/// were answered without a gap, and starts in responses that later heartbeats do not show. A
+/// machine that shows the effect of a command is reachable again.
 pub(super) fn update_reachability(machine: &mut Machine, incoming: &IncomingHeartbeat) {
     let answered = incoming.continues_answered(machine);
     if incoming.begins_new_epoch(machine) {
--- a/src/coordination/heartbeats/receive.rs
+++ b/src/coordination/heartbeats/receive.rs
@@ -15,13 +15,13 @@
 /// A heartbeat that has been recorded, with the values that its response depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct AcceptedHeartbeat<'h> {
-    /// The heartbeat.
+    /// The heartbeat as decoded.
     pub heartbeat: &'h Heartbeat,
-    /// The machine that sent it.
+    /// The machine that sent the heartbeat.
     pub machine: MachineIndex,
     /// The owner's fencing token at the time of acceptance.
     pub fencing_token: FencingToken,
-    /// What it changed.
+    /// What the heartbeat changed in the cluster state.
     pub change: HeartbeatChange,
 }
 
--- a/src/coordination/heartbeats/respond.rs
+++ b/src/coordination/heartbeats/respond.rs
@@ -1,7 +1,7 @@
 //! Responses to accepted heartbeats: lease renewal or refusal, and commands.
 //!
 //! Called by the handler after the wait for the planner. Invariant: no response renews the lease of
-//! a machine with tasks while this controller may have missed their cancellations for too long.
+//! a machine with tasks while this controller's knowledge of cancellations is too old.
 
 use super::apply::HeartbeatChange;
 use super::receive::AcceptedHeartbeat;
@@ -15,8 +15,8 @@
 
 /// The response that renews the worker's lease.
 ///
-/// `None` means refusal: ownership was lost during the wait for the planner, or this controller's
-/// knowledge of recent cancellations is not complete enough.
+/// `None` means refusal: the machine was deleted or ownership was lost during the wait for the
+/// planner, or this controller's knowledge of cancellations is too old.
 pub fn respond(
     cluster: &mut ClusterState,
     config: &SchedulerConfig,
--- a/src/coordination/job_api/answers.rs
+++ b/src/coordination/job_api/answers.rs
@@ -45,8 +45,8 @@
     Answer::of(status, &state)
 }
 
-/// The response to the submission of a job that was just accepted and of which nothing else is
-/// known.
+/// The response to the submission of a job that was just accepted: status `pending`, without task
+/// counts.
 pub(super) fn pending(id: &str) -> Answer {
     let state = JobStatus {
         id: id.to_string(),
--- a/src/coordination/job_api/cancellation.rs
+++ b/src/coordination/job_api/cancellation.rs
@@ -52,7 +52,7 @@
     Some(draft)
 }
 
-/// Commits a cancellation; false if it could not be committed and a retry would not help now.
+/// Commits a cancellation; false if the commit failed and an immediate retry would not help.
 async fn commit_cancellation(
     controller: &Rc<Controller>,
     id: &str,
--- a/src/coordination/job_api/retries.rs
+++ b/src/coordination/job_api/retries.rs
@@ -8,11 +8,10 @@
 
 /// Time limit for committing a submission or a cancellation, retries included.
 pub(super) const COMMIT_TIME_LIMIT_MS: u64 = 3500;
-/// Delay before the retry of a transaction that the key-value store refused for its request rate
-/// limit.
+/// Delay before the retry of a transaction that the key-value store's request rate limit refused.
 const RATE_LIMIT_RETRY_DELAY_MS: u64 = 60;
 
-/// True if a job is in the cached state, whatever its own state is.
+/// True if a job is in the cached state, whether it is open or has ended.
 pub(super) fn is_known(controller: &Controller, id: &str) -> bool {
     controller.cluster.borrow().job(id).is_some()
 }
--- a/src/coordination/job_api/submission.rs
+++ b/src/coordination/job_api/submission.rs
@@ -30,7 +30,8 @@
 enum Admission {
     /// The job can run, or was accepted before.
     Admitted,
-    /// The job can never run, or depends on a job that was never accepted.
+    /// The job can never run, depends on a job that was never accepted, or has too many
+    /// dependencies.
     Impossible,
     /// The controller lacks the information to decide at present.
     Undecided,
@@ -46,7 +47,7 @@
     NotSupportedByAll,
 }
 
-/// Accepts a job, or responds with the status that tells why it was not accepted.
+/// Accepts a job, or responds with the HTTP status for the reason why it was not accepted.
 pub(super) async fn submit(controller: &Rc<Controller>, body: Option<Vec<u8>>) -> Answer {
     let Some(spec) = body.as_deref().and_then(parse_job) else {
         return Answer::bare(status::BAD_REQUEST);
@@ -65,8 +66,8 @@
 }
 
 async fn admit(controller: &Controller, spec: &JobSpec) -> Admission {
-    // For a known job the response is its state, whatever the machine types and dependencies are
-    // now.
+    // The response for a known job is its state, regardless of the current machine types and
+    // dependencies.
     if is_known(controller, &spec.id) {
         return Admission::Admitted;
     }
@@ -78,7 +79,7 @@
     }
 }
 
-/// True if a job can ever run; `None` while this controller knows no machine types.
+/// True if a job can ever run; `None` while this controller has read no machine types.
 fn can_run(cluster: &mut ClusterState, spec: &JobSpec) -> Option<bool> {
     let machine_types_known = !cluster.machine_types.is_empty();
     let interned = cluster.intern_spec(spec);
@@ -100,7 +101,7 @@
 /// Decides about a job that can run, by its dependencies.
 ///
 /// Another controller may have accepted a dependency that is missing from the cached state, so only
-/// a fresh read shows that it does not exist. If the read fails, the answer is undecided.
+/// a fresh read shows that it does not exist. If the read fails, the result is undecided.
 async fn admit_dependencies(controller: &Controller, dependencies: &[String]) -> Admission {
     if dependencies.is_empty() {
         return Admission::Admitted;
--- a/src/coordination/kv/client.rs
+++ b/src/coordination/kv/client.rs
@@ -18,7 +18,7 @@
 const CALL_TIMEOUT_MS: u64 = 1500;
 /// Timeout of a watch, in addition to the time that the store may wait for a change.
 const WATCH_TIMEOUT_MARGIN_MS: u64 = 2000;
-/// Time for which the store counts as reachable after it last served a call.
+/// Time for which the store counts as reachable after the last call that it served.
 const REACHABLE_WINDOW_MS: u64 = 3000;
 
 /// HTTP status codes of the key-value store's responses.
--- a/src/coordination/kv/fresh_reads.rs
+++ b/src/coordination/kv/fresh_reads.rs
@@ -1,8 +1,9 @@
-//! Fresh reads of the key-value store, each of which serves all callers that wait for one.
+//! Fresh reads of the key-value store. Each read serves all callers that are waiting when it
+//! begins.
 //!
-//! There is a minimum time between two reads, so that under load more callers share one read. The
-//! fresh reads of all controllers together leave most of the store's request rate limit to watches
-//! and transactions.
+//! There is a minimum time between two reads, so that under load more callers share one read. This
+//! minimum grows with the number of controllers, so that their fresh reads together leave most of
+//! the store's request rate limit to watches and transactions.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::watch::watch_once;
@@ -10,14 +11,14 @@
 use crate::transport::pause;
 use std::rc::Rc;
 
-/// Time limit that callers pass to [`Controller::refresh`].
+/// Timeout that callers pass to [`Controller::refresh`], including the wait for the next read.
 pub const REFRESH_TIMEOUT_MS: u64 = 1500;
 /// Share of the store's request rate limit that fresh reads of all controllers together may use.
 const REQUEST_LIMIT_SHARE: f64 = 0.3;
 /// Longest wait for a caller before the background task checks again.
 const MAX_IDLE_MS: u64 = 60_000;
-/// Number of attempts at a read. The store refuses a read above its rate limit, but may accept one
-/// a moment later.
+/// Maximum number of attempts at a read. The store refuses a read above its rate limit, but may
+/// accept one a moment later.
 const MAX_READ_ATTEMPTS: usize = 3;
 /// Delay after a failed attempt.
 const RETRY_DELAY_MS: u64 = 60;
--- a/src/coordination/kv/watch.rs
+++ b/src/coordination/kv/watch.rs
@@ -18,7 +18,7 @@
 const WATCH_WAIT_MS: u64 = 5000;
 /// Delay after a failed watch or read, before jitter.
 const RETRY_DELAY_MS: u64 = 300;
-/// Age of the cached state above which a controller first asks how many changes it has missed.
+/// Age of the cached state above which a controller first queries how many changes it has missed.
 const STALE_AFTER_MS: u64 = 20_000;
 /// Largest number of missed changes that is read by a watch; if there are more, all records are
 /// read in pages.
@@ -30,7 +30,7 @@
 /// HTTP status of a watch from a revision whose changes the store has discarded.
 const COMPACTED: u16 = 410;
 
-/// Background task: reads all records, then watches them.
+/// Background task: reads all records, then watches for changes.
 pub async fn run(controller: Rc<Controller>) {
     loop {
         let loaded = controller.cluster.borrow().loaded;
@@ -139,7 +139,7 @@
 
 /// Reads all records in pages; false if a page could not be read.
 ///
-/// The cached state then counts as that of the first page's revision. A watch from there repeats
+/// The cached state then gets the revision of the first page. A watch from that revision repeats
 /// changes that later pages may already include.
 async fn read_all_records(controller: &Controller) -> bool {
     let began = controller.now();
--- a/src/coordination/membership/assignment.rs
+++ b/src/coordination/membership/assignment.rs
@@ -18,8 +18,9 @@
 /// Time for which a controller must have been alive before shards of a live owner are moved to it,
 /// and for which a shard stays with a new owner before it is moved again.
 const ELIGIBLE_AFTER_MS: u64 = 2500;
-/// Time after which a shard that its standby has not taken goes to its preferred owner. Without it,
-/// controllers whose settings or views differ could each wait for the other to take the shard.
+/// Time after which a shard that its standby has not taken goes to its preferred owner. Without
+/// this timeout, controllers whose settings or views differ could each wait for the other to take
+/// the shard.
 const STANDBY_TAKEOVER_TIMEOUT_MS: u64 = 2500;
 /// Age at which an unanswered direct start makes its shard's owner raise the fencing token.
 const UNANSWERED_START_MS: u64 = 2500;
@@ -34,7 +35,7 @@
     pub config: &'a SchedulerConfig,
     /// Zone of each controller whose zone is one of the settings' zones.
     pub zones: &'a BTreeMap<String, ZoneIndex>,
-    /// Knowledge of this controller that is not in the records.
+    /// Observations of this controller that are not in the records.
     pub view: &'a MembershipView,
     /// Whether fencing tokens of own shards may be raised now because of in-flight starts.
     pub may_raise_tokens: bool,
@@ -150,8 +151,8 @@
 
     /// True if this controller has owned a shard for long enough to hand it over.
     ///
-    /// The status updates that explain why the shard came here may still be in flight, and two
-    /// controllers that disagree would otherwise move the shard back and forth.
+    /// The status updates that explain why the shard was moved to this controller may still be in
+    /// flight, and two controllers that disagree would otherwise move the shard back and forth.
     fn has_been_owned_long_enough(&self, shard: ShardIndex) -> bool {
         let owned_since = self.view.owned_since.get(&shard);
         owned_since.is_some_and(|since| self.now.since(*since) >= ELIGIBLE_AFTER_MS)
@@ -224,7 +225,7 @@
 }
 
 /// The standby of a shard: a live controller other than its owner that has the feature enabled.
-/// `None` if there is no such controller, or the feature is off here.
+/// `None` if there is no such controller, or the feature is disabled on this controller.
 pub fn standby_of<'a>(
     cluster: &'a ClusterState,
     view: &MembershipView,
@@ -249,7 +250,7 @@
 }
 
 /// The standby of a shard, if it has been alive for long enough to have followed the owner. After a
-/// restart of all controllers none has, and shards go directly to their preferred owners.
+/// restart of all controllers no controller has, and shards go directly to their preferred owners.
 fn eligible_standby_of<'a>(
     cluster: &'a ClusterState,
     view: &MembershipView,
--- a/src/coordination/membership/lease.rs
+++ b/src/coordination/membership/lease.rs
@@ -57,7 +57,7 @@
 }
 
 /// Writes this controller's record under a lease, and returns the lease; `None` if the key-value
-/// store refuses it as invalid, so that a new one is needed.
+/// store refuses the write as invalid, so that a new lease is needed.
 async fn register(controller: &Controller, lease: LeaseId) -> Option<LeaseId> {
     let transaction = registration(controller, lease)?;
     match controller.kv.commit(&transaction).await {
--- a/src/coordination/membership/mod.rs
+++ b/src/coordination/membership/mod.rs
@@ -2,12 +2,13 @@
 //!
 //! The background task here renews the key's lease and moves shards, once a second and whenever the
 //! records of controllers or shards change. The submodules contain the steps of a round: `lease`
-//! keeps the key, `record_format` switches to the second record format, `view` holds what a
-//! controller knows beside the records, `assignment` decides (pure), `transfer` commits.
+//! maintains the key, `record_format` switches to the second record format, `view` holds the
+//! observations of a controller that are not in the records, `assignment` decides (pure),
+//! `transfer` commits.
 //!
 //! Invariant: the owner of a shard changes only by a transaction that is conditional on the shard's
 //! record and on the keys of both controllers, and that raises the shard's fencing token. If two
-//! controllers with different views both try, only one of them succeeds.
+//! controllers with different views both attempt such a change, only one of them succeeds.
 
 mod assignment;
 mod lease;
--- a/src/coordination/membership/transfer.rs
+++ b/src/coordination/membership/transfer.rs
@@ -86,7 +86,8 @@
                 failover::apply_fence_event(controller, planned.shard, Failovers::fence_refused);
                 return false;
             }
-            // The transaction may have been applied, or may be later: the records will show it.
+            // The transaction may have been applied, or may be applied later; the records show it
+            // then.
             CommitOutcome::Unknown => return false,
         }
     }
--- a/src/coordination/membership/view.rs
+++ b/src/coordination/membership/view.rs
@@ -1,5 +1,5 @@
-//! What a controller knows of the membership beside the records: since when it has seen other
-//! controllers and owned shards, and which controllers workers reach.
+//! Observations of a controller that are not in the records: since when it has seen other
+//! controllers and owned shards, and which controllers no worker reaches.
 
 use crate::coordination::controller::peers::Peer;
 use crate::coordination::controller::Controller;
@@ -8,7 +8,8 @@
 use crate::state::units::{Incarnation, MonotonicMillis};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// Knowledge of a controller that its decisions on the ownership of shards need beside the records.
+/// Observations of a controller that its decisions on the ownership of shards need in addition to
+/// the records.
 #[derive(Default)]
 pub struct MembershipView {
     /// When this controller first saw each live process of a controller, by name and incarnation.
@@ -29,7 +30,7 @@
 pub struct StandbyRule {
     /// Zone of each controller whose zone is one of the settings' zones.
     pub zones: BTreeMap<String, ZoneIndex>,
-    /// Whether controllers outside of the shard's zone are preferred to those inside.
+    /// Whether controllers outside of the shard's zone are preferred to those inside it.
     pub prefer_other_zone: bool,
     /// Time for which a controller must have been alive to be eligible, ms.
     pub settle_ms: u64,
@@ -48,8 +49,8 @@
             controller.is_some_and(|c| c.record.incarnation == *incarnation)
         });
         for (name, controller) in &cluster.controllers {
-            let incarnation = (name.clone(), controller.record.incarnation);
-            self.first_seen.entry(incarnation).or_insert(now);
+            let process = (name.clone(), controller.record.incarnation);
+            self.first_seen.entry(process).or_insert(now);
         }
     }
 
@@ -71,9 +72,9 @@
         controller: &Versioned<ControllerRecord>,
         now: MonotonicMillis,
     ) -> bool {
-        let incarnation = (name.to_string(), controller.record.incarnation);
+        let process = (name.to_string(), controller.record.incarnation);
         self.first_seen
-            .get(&incarnation)
+            .get(&process)
             .is_some_and(|first_seen| now.since(*first_seen) >= ms)
     }
 }
--- a/src/coordination/metrics.rs
+++ b/src/coordination/metrics.rs
@@ -1,5 +1,5 @@
-//! Measures how the one thread spends its time: by the name of each task, the number of its polls,
-//! their total time and the longest one.
+//! Measures how the controller's single thread spends its time: the number of polls under each
+//! name, their total duration and the longest one.
 //!
 //! The controller owns one [`Metrics`], which times background tasks and request handlers. Times
 //! are measured and logged at level debug only; see `docs/operations.md`.
--- a/src/coordination/peer_messages/gang_reservations.rs
+++ b/src/coordination/peer_messages/gang_reservations.rs
@@ -4,8 +4,8 @@
 //! machines of any owner for it, in its own state and by messages to its peers. `status_updates`
 //! calls this module each round, and `requests` for the messages of peers.
 //!
-//! Invariant: a reservation expires unless it is renewed. So if its gang has started or its sender
-//! has failed, it does not keep other work off the machines for long.
+//! Invariant: a reservation expires unless it is renewed. So after its gang has started or its
+//! sender has failed, the machines are soon available for other work again.
 
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
--- a/src/coordination/peer_messages/machine_changes.rs
+++ b/src/coordination/peer_messages/machine_changes.rs
@@ -1,8 +1,8 @@
 //! Machines that the autoscaler removes: cordoned first, deleted later.
 //!
-//! Called by the autoscaler for this controller's machines, and by `requests` when the controller
-//! that runs the autoscaler asks the owner to do it. Invariant: a machine is cordoned for deletion
-//! only by its owner, and only while nothing is placed on it.
+//! Called by the autoscaler on the controller that runs it, and by `requests` on that controller's
+//! peers. Invariant: a machine is cordoned for deletion only by its owner, and only while nothing
+//! is placed on it.
 
 use crate::coordination::controller::Controller;
 use crate::coordination::scheduler::config::SchedulerConfig;
--- a/src/coordination/peer_messages/requests.rs
+++ b/src/coordination/peer_messages/requests.rs
@@ -63,7 +63,7 @@
 }
 
 /// Records a peer's report on its own health. Shard ownership depends on whether workers reach the
-/// peer, so a change of that wakes the membership task immediately.
+/// peer, so a change of that value wakes the membership task immediately.
 fn record_peer_health(
     controller: &Controller,
     sender: &str,
--- a/src/coordination/peer_messages/status_updates.rs
+++ b/src/coordination/peer_messages/status_updates.rs
@@ -4,7 +4,7 @@
 //! update of a peer; the autoscaler calls [`silence_ms`].
 //!
 //! Invariant: a machine's state is accepted only from the owner of its shard, and never replaces
-//! what this controller knows of its own machines.
+//! this controller's own observations of the machines that it owns.
 
 use super::{gang_reservations, utilization_log};
 use crate::coordination::controller::Controller;
@@ -41,8 +41,8 @@
     }
 }
 
-/// Sends the state of this controller's machines to all peers. Each peer has a separate async task,
-/// so that one that hangs does not delay the others.
+/// Sends the state of this controller's machines to all peers, in a separate async task for each
+/// peer, so that a peer that hangs does not delay the others.
 fn broadcast_status(controller: &Rc<Controller>) {
     let requests: Rc<[PeerRequest]> = current_status(controller).into();
     for peer in 0..controller.peers.len() {
@@ -152,9 +152,9 @@
 pub struct SenderStatus<'a> {
     /// Name of the controller.
     pub name: &'a str,
-    /// The controller reaches the key-value store.
+    /// Whether the controller reaches the key-value store.
     pub kv_reachable: bool,
-    /// Workers reach the controller.
+    /// Whether workers reach the controller.
     pub workers_reachable: bool,
 }
 
@@ -176,7 +176,7 @@
 /// Applies a peer's status update.
 ///
 /// Machines are updated only if the sender owns their shard. A controller that has lost its shards
-/// without noticing goes on sending updates. It reports the machines as silent, since they send
+/// without noticing continues to send updates. It reports the machines as silent, since they send
 /// their heartbeats to the new owner; applying these updates would get the machines deleted.
 pub fn apply_machine_statuses(
     cluster: &mut ClusterState,
--- a/src/coordination/peer_messages/utilization_log.rs
+++ b/src/coordination/peer_messages/utilization_log.rs
@@ -1,6 +1,6 @@
 //! Debug log lines on the utilization of this controller's machines by type, and on waiting work.
 //!
-//! Called by `status_updates` every few rounds. It only reads the cluster state.
+//! Called by `status_updates` every few rounds. This module only reads the cluster state.
 
 use crate::coordination::controller::Controller;
 use crate::state::cluster_state::ClusterState;
@@ -25,7 +25,7 @@
     tasks: u32,
 }
 
-/// Writes the lines on utilization, waiting work and background tasks.
+/// Writes the log lines on utilization, waiting work and poll durations.
 pub(super) fn write(controller: &Controller) {
     if log::log_enabled!(log::Level::Debug) {
         log_utilization(controller);
--- a/src/coordination/rate_limiter.rs
+++ b/src/coordination/rate_limiter.rs
@@ -1,7 +1,7 @@
 //! A token bucket that keeps requests within the rate limit of another service, so that the service
 //! doesn't have to refuse them.
 //!
-//! The autoscaler has one for its requests to the cloud.
+//! The autoscaler uses a rate limiter for its requests to the cloud.
 
 use crate::state::units::MonotonicMillis;
 
@@ -33,8 +33,8 @@
         (requests_per_s * BURST_S).max(MIN_BURST)
     }
 
-    /// Takes one request from the bucket if `reserve` requests then remain for more important ones;
-    /// false if not.
+    /// Takes one request from the bucket if at least `reserve` requests then remain, which callers
+    /// keep for more important requests; false if not.
     pub fn try_acquire(&mut self, now: MonotonicMillis, reserve: f64) -> bool {
         self.refill(now);
         let allowed = self.available >= 1.0 + reserve;
--- a/src/coordination/reconciliation/gang_timeouts.rs
+++ b/src/coordination/reconciliation/gang_timeouts.rs
@@ -7,13 +7,13 @@
 use crate::state::machine::{Machine, TaskAttempt};
 use standby::ids::FencingToken;
 
-/// How often a gang task that timed out waiting is restarted on the same machine.
+/// Maximum number of restarts on the same machine of a gang task that timed out waiting.
 const MAX_GANG_WAIT_RETRIES: u8 = 3;
 
 /// True if a gang task that timed out should be restarted under the same attempt number.
 ///
 /// Pulling an image may take the other tasks of the gang longer than a worker waits. A new attempt
-/// would pull the image again on another machine and time out there too, without end.
+/// would pull the image again on another machine and could time out there too, indefinitely.
 pub fn retry_gang_wait(job: &Job, machine: &Machine, attempt: TaskAttempt) -> bool {
     let timed_out = machine
         .observed(attempt)
--- a/src/coordination/reconciliation/overflow.rs
+++ b/src/coordination/reconciliation/overflow.rs
@@ -43,8 +43,8 @@
     })
 }
 
-/// Moves the record's first placement into an overflow record; false if none is left, or if no
-/// overflow record or the transaction has no capacity for it.
+/// Moves the record's first placement into an overflow record; false if none is left, if no
+/// overflow record can hold the placement, or if the transaction is full.
 fn move_one_placement(
     pass: &PassContext,
     draft: &mut DraftTransaction,
--- a/src/coordination/reconciliation/reconcile.rs
+++ b/src/coordination/reconciliation/reconcile.rs
@@ -10,7 +10,11 @@
 use crate::state::names::{Index, JobIndex};
 use standby::permit::Permit;
 
-/// Adds to the draft what heartbeats and machine deletions prove.
+/// Drafts the removal of placements whose end heartbeats, expired leases or machine deletions
+/// prove.
+///
+/// Before that, it drafts moves to overflow records, rewrites of records whose last write has an
+/// unknown outcome, and cascaded cancellations.
 pub fn reconcile(pass: &PassContext, draft: &mut DraftTransaction) {
     let permits = pass.permits_by_shard();
     move_to_overflow(pass, draft);
@@ -66,7 +70,7 @@
 #[derive(Clone, Copy)]
 struct ProvenEnd<'a> {
     end: PlacementEnd,
-    /// `None` for a deletion of the machine, which is proof whoever owns the shard.
+    /// `None` for a deletion of the machine, which is proof regardless of who owns the shard.
     permit: Option<&'a Permit>,
     /// The machine, unless it is deleted.
     machine: Option<&'a Machine>,
@@ -100,8 +104,8 @@
 
 /// True if the write of a task's end may be delayed and batched with others of its job.
 ///
-/// That holds for a done task of an array job with other tasks left; its capacity counts as free
-/// already.
+/// This holds for a done task of an array job with other tasks left. The capacity of such a task
+/// counts as free already.
 fn can_wait_for_batch(
     pass: &PassContext,
     job: &Job,
--- a/src/coordination/reconciliation/unwanted_attempts.rs
+++ b/src/coordination/reconciliation/unwanted_attempts.rs
@@ -26,8 +26,8 @@
 
 /// True if an attempt that is absent from the machine must not be started there again.
 ///
-/// Either it was observed there before and is lost, or its removal is being committed, or the
-/// machine is unreachable.
+/// Either the attempt was observed there before and is lost, or its removal is being committed, or
+/// the machine is unreachable.
 pub(crate) fn is_abandoned(machine: &Machine, attempt: TaskAttempt) -> bool {
     machine.starts.observed_or_abandoned.contains(&attempt)
         || machine.health.unreachable_since.is_some()
--- a/src/coordination/replication/follow.rs
+++ b/src/coordination/replication/follow.rs
@@ -1,4 +1,5 @@
-//! The standby's end: applies the messages of owners whose shards this controller follows.
+//! The standby's side of replication: applies the messages of owners whose shards this controller
+//! follows.
 
 use crate::coordination::controller::Controller;
 use crate::protocol::peers::PeerResponse;
--- a/src/coordination/replication/mod.rs
+++ b/src/coordination/replication/mod.rs
@@ -6,9 +6,9 @@
 //! task, and a failover without it is equally safe.
 //!
 //! - [`streams`]: the state of all streams, held by the controller;
-//! - `publish`: the owner's end, a background task;
+//! - `publish`: the owner's side, a background task;
 //! - `committed`: publishes committed decisions to the owner's streams;
-//! - `follow`: the standby's end, called for a peer's request;
+//! - `follow`: the standby's side, called for a peer's request;
 //! - `status`: the replication status of all shards, for operators.
 
 mod committed;
--- a/src/coordination/replication/publish.rs
+++ b/src/coordination/replication/publish.rs
@@ -1,4 +1,5 @@
-//! The owner's end: publishes the changes of its shards, and sends them to their standbys.
+//! The owner's side of replication: publishes the changes of its shards, and sends them to the
+//! standbys.
 
 use super::streams::Replication;
 use crate::coordination::controller::Controller;
@@ -13,13 +14,13 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// Time between two rounds.
+/// Time between two rounds of the background task.
 const PUBLISH_INTERVAL_MS: u64 = 500;
 /// Number of rounds between two log lines on the traffic of replication.
 const TRAFFIC_LOG_ROUNDS: u64 = 30;
 /// Timeout of a standby's response.
 const RESPONSE_TIMEOUT_MS: u64 = 2000;
-/// Delay before a standby that did not respond is sent the next message.
+/// Delay before the next message is sent to a standby that did not respond.
 const RETRY_AFTER_MS: u64 = 2000;
 /// Maximum number of messages of one stream in a round.
 const MAX_MESSAGES_PER_ROUND: usize = 8;
@@ -149,8 +150,8 @@
     standby: String,
 }
 
-/// Sends the messages of a stream one after the other, until there are none left, one is not
-/// answered, or [`MAX_MESSAGES_PER_ROUND`] have been sent.
+/// Sends the messages of a stream one after the other, until there are none left, one gets no
+/// response, or [`MAX_MESSAGES_PER_ROUND`] have been sent.
 async fn send_messages(controller: Rc<Controller>, shard: ShardIndex) {
     for _ in 0..MAX_MESSAGES_PER_ROUND {
         let next = next_delivery(&mut controller.replication.borrow_mut(), shard);
--- a/src/coordination/worker_connectivity/announce_ownership.rs
+++ b/src/coordination/worker_connectivity/announce_ownership.rs
@@ -1,9 +1,9 @@
 //! Announcement of ownership: a new owner sends its fencing token to the workers of its shards.
 //!
-//! Without it, these workers would go on sending heartbeats to a controller that has lost its
-//! shards without noticing, for example because the key-value store refuses only that controller.
-//! The token is sent in a direct command message with an empty command list. A worker that has seen
-//! it refuses messages with a lower token.
+//! Without the announcement, these workers would continue to send heartbeats to a controller that
+//! has lost its shards without noticing, for example because the key-value store refuses only that
+//! controller. The token is sent in a direct command message with an empty command list. A worker
+//! that has seen it refuses messages with a lower token.
 //!
 //! Called by each round of `worker_connectivity::run`.
 
--- a/src/coordination/worker_connectivity/probes.rs
+++ b/src/coordination/worker_connectivity/probes.rs
@@ -14,7 +14,8 @@
 use crate::state::units::{millis_from_seconds, MonotonicMillis};
 use std::rc::Rc;
 
-/// Number of workers to probe per round while no worker has contacted this controller recently.
+/// Maximum number of workers to probe per round while no worker has contacted this controller
+/// recently.
 const WORKERS_PER_PROBE: usize = 4;
 
 /// An unreachable machine whose status is to be queried.
--- a/tests/heartbeats.rs
+++ b/tests/heartbeats.rs
@@ -57,7 +57,7 @@
     let mut worker2 = FakeWorker::new("m2", "north", 0);
     run_heartbeats(&mut next, &mut store, &mut [&mut worker2], 1500, 60_000);
     assert!(worker2.started.is_empty());
-    // Proof is the deletion of the machine by the cloud.
+    // The deletion of the machine by the cloud is proof.
     let machine = next
         .cluster
         .learn_machine("m1", "oven", "north", true, MonotonicMillis(60_000))
@@ -209,7 +209,8 @@
         .receive_heartbeat(&mut store, &heartbeat, 500)
         .unwrap();
     controller.submit(&mut store, job("job-1", 1), 600);
-    // The duplicate is the first heartbeat after the claim, and no worker receives its response.
+    // The duplicate is the first heartbeat after the claim, and no worker receives the response to
+    // it.
     let response = controller
         .receive_heartbeat(&mut store, &heartbeat, 700)
         .unwrap();
--- a/tests/http_api.rs
+++ b/tests/http_api.rs
@@ -1,4 +1,6 @@
 //! Malformed input from users, workers, peers, the key-value store and settings files.
+//!
+//! Also tests frames, task ranges, interned names and the mapping of machines to shards.
 
 mod support;
 
--- a/tests/kv_consistency.rs
+++ b/tests/kv_consistency.rs
@@ -49,8 +49,8 @@
     let dead = SimulatedController::start("s1", 2, &mut store, 0);
     controller.sync(&store);
     assert!(controller.cluster.controllers.contains_key("s1"));
-    // During a partition the controller misses hundreds of changes, among them the stop of another
-    // controller.
+    // During a partition the controller misses hundreds of changes, among them the expiry of
+    // another controller's key.
     store.revoke_lease(dead.lease);
     let mut other = SimulatedController::start("s2", 3, &mut store, 0);
     for number in 0..200 {
--- a/tests/shard_ownership.rs
+++ b/tests/shard_ownership.rs
@@ -114,8 +114,8 @@
         limits.limit_ms(&controller.cluster, &controller.config, machine)
     };
     assert_eq!(limit_ms(&old), 10_000);
-    // The new owner knows the machine from status updates; the worker still sends its heartbeats to
-    // the old owner.
+    // The new owner has learned of the machine from status updates; the worker still sends its
+    // heartbeats to the old owner.
     store.revoke_lease(old.lease);
     let mut new = SimulatedController::start("s1", 2, &mut store, 5000);
     let known = new
@@ -158,15 +158,15 @@
 #[test]
 fn unreachable_machines_do_not_delay_the_announcement_of_the_fencing_token_to_others() {
     let (_, mut controller) = start_single_controller();
-    for i in 0..300 {
-        let name = format!("m{i:03}");
+    for number in 0..300 {
+        let name = format!("m{number:03}");
         let machine = controller
             .cluster
             .learn_machine(&name, "oven", "north", true, MonotonicMillis(0))
             .unwrap();
         controller.cluster.machine_mut(machine).unwrap().addr = "127.0.0.1:1".into();
     }
-    // No machine answers, and sixty connections can be open at the same time.
+    // No machine responds, and sixty connections can be open at the same time.
     let mut last_attempts = HashMap::new();
     let mut attempted = HashSet::new();
     for now in [10_000u64, 11_500, 13_000, 14_500, 16_000] {
@@ -290,7 +290,8 @@
     let first_seen = HashMap::from(
         [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), Incarnation(i)), MonotonicMillis(0))),
     );
-    // n1 has just acquired the shard, and does not know yet that no worker reaches s1.
+    // n1 has just acquired the shard, and has not yet received the status update that shows that no
+    // worker reaches s1.
     let south = ZoneIndex(1);
     assert_eq!(controller.cluster.shard_zone(ShardIndex(1)), Some(south));
     let moves = |controller: &SimulatedController, now: u64| {
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -154,7 +154,7 @@
         .owner
         .submit(&mut fixture.store, job("job-2", 1), 600);
     let mut other = FakeWorker::new("m2", "north", 0);
-    // The old owner's claim is not answered, and is in flight while the standby raises the token.
+    // The old owner's claim gets no response, and is in flight while the standby raises the token.
     fixture.store.execution_delay_ms = Some(3000);
     fixture
         .owner
