--- a/src/coordination/failover/mod.rs
+++ b/src/coordination/failover/mod.rs
@@ -2,7 +2,7 @@
 //! provides the permits to decide for shards.
 //!
 //! This module connects the state machine in `standby::failover` to the controller. Membership and
-//! all code that decides for a shard call it.
+//! all code that decides for a shard call this module.
 //!
 //! - [`bound`]: upper bound of the duration of a failover in a deployment;
 //! - [`ShardView`]: observation of a shard (pure);
--- a/src/coordination/heartbeats/quarantine.rs
+++ b/src/coordination/heartbeats/quarantine.rs
@@ -16,8 +16,8 @@
 const FAILED_MACHINES_BEFORE_BACKOFF: usize = 3;
 /// Backoff of a job that has failed on [`FAILED_MACHINES_BEFORE_BACKOFF`] machines.
 ///
-/// It should double with each further machine. In fact it stays at this value: each backoff clears
-/// the set of machines, so their number never exceeds the threshold.
+/// The backoff is meant to double with each further machine. In fact it stays at this value: each
+/// backoff clears the set of machines, so their number never exceeds the threshold.
 const FIRST_BACKOFF_MS: u64 = 5000;
 /// Largest number of doublings of the backoff.
 const MAX_BACKOFF_DOUBLINGS: usize = 4;
--- a/src/coordination/job_api/answers.rs
+++ b/src/coordination/job_api/answers.rs
@@ -57,14 +57,15 @@
     Answer::of(status::CREATED, &state)
 }
 
-/// A response with the cached state of a job; `None` if the job is not known.
+/// A response with the cached state of a job; `None` if the job is not cached.
 pub(super) fn current_state(controller: &Controller, id: &str) -> Option<Answer> {
     let cluster = controller.cluster.borrow();
     let (_, job) = cluster.job(id)?;
     Some(job_state(status::OK, job))
 }
 
-/// A response with the state of a job that has ended; `None` if it has not or is not known.
+/// A response with the state of a job that has ended; `None` if the job has not ended or is not
+/// cached.
 ///
 /// A final state never changes again, so it needs no fresh read. Any other cached state could be
 /// older than the state that another controller has already returned to a user.
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -5,7 +5,7 @@
 //! `job_status`; `answers` builds their responses, and `retries` limits their retries.
 //!
 //! Invariant: a state that is not final is returned only after a fresh read of the key-value store,
-//! so that a user who asks another controller never sees a job in an earlier state than before.
+//! so that a user who queries another controller never sees an earlier state of a job than before.
 
 mod answers;
 mod cancellation;
--- a/src/coordination/job_api/submission.rs
+++ b/src/coordination/job_api/submission.rs
@@ -192,9 +192,9 @@
 
 /// The response to the submission of a job that was accepted at this revision.
 ///
-/// It has the cached state if that is newer than the submission, because another controller may
-/// have returned that state already. The state may also be final from the start: a job that depends
-/// on a cancelled one is cancelled too.
+/// The response has the cached state if that is newer than the submission, because another
+/// controller may have returned that state already. The state may also be final from the start: a
+/// job that depends on a cancelled one is cancelled too.
 pub fn accepted(cluster: &ClusterState, id: &str, revision: u64) -> Answer {
     match cluster.job(id) {
         Some((_, job)) if job.version > revision || !job.is_open() => {
--- a/src/coordination/membership/transfer.rs
+++ b/src/coordination/membership/transfer.rs
@@ -86,8 +86,8 @@
                 failover::apply_fence_event(controller, planned.shard, Failovers::fence_refused);
                 return false;
             }
-            // The transaction may have been applied, or may be applied later; the records show it
-            // then.
+            // The transaction may have been applied, or may still be applied; later reads of the
+            // records show its effect.
             CommitOutcome::Unknown => return false,
         }
     }
--- a/src/coordination/peer_messages/status_updates.rs
+++ b/src/coordination/peer_messages/status_updates.rs
@@ -134,8 +134,8 @@
 
 /// Time for which an owner has received no heartbeat from a machine, in milliseconds.
 ///
-/// It counts from the last heartbeat, or from `observing_since` if the owner could receive the
-/// machine's heartbeats only after that.
+/// The time counts from the last heartbeat, or from `observing_since` if the owner could receive
+/// the machine's heartbeats only after that.
 pub fn silence_ms(
     last_heartbeat: Option<MonotonicMillis>,
     discovered_at: MonotonicMillis,
--- a/src/coordination/worker_connectivity/direct_commands.rs
+++ b/src/coordination/worker_connectivity/direct_commands.rs
@@ -36,7 +36,7 @@
     }
 
     /// Sends direct commands. The response is ignored, because its order relative to the worker's
-    /// heartbeats is unknown, so that it proves nothing.
+    /// heartbeats is unknown, so the response proves nothing about the worker's tasks.
     pub(crate) async fn send(&self, commands: &DirectCommands) {
         if let Ok(body) = rmp_serde::to_vec_named(commands) {
             let sent = self
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -53,7 +53,7 @@
     cluster.controller_faults[leader].kv_refused = true;
     cluster.controller_faults[leader].isolated_from_peers = true;
     cluster.run_for(1000);
-    // Other controllers can't reach the leader's machines, which go on sending heartbeats to it.
+    // Other controllers can't reach the leader's machines, which continue to send heartbeats to it.
     for machine in &mut cluster.machines {
         machine.faults.drops_command_responses = true;
     }
@@ -90,7 +90,8 @@
     cluster.run_for(1000);
     cluster.controller_faults[other].isolated_from_peers = true;
     assert!(cluster.cancel(other, "job-1"));
-    // It restarts immediately and reaches its peers, but no controller reaches the key-value store.
+    // The controller restarts immediately and reaches its peers, but no controller reaches the
+    // key-value store.
     cluster.stop_controller(other);
     cluster.kv_outage = true;
     cluster.start_controller_without_records(other);
@@ -386,7 +387,7 @@
     let direct_stop =
         pointhook::coordination::cancellations::direct_stops::stop_commands(&status, &cancelled)
             .unwrap();
-    // It has the worker's own fencing token, so ownership does not change.
+    // The direct stop has the worker's own fencing token, so ownership does not change.
     assert_eq!(
         (
             direct_stop.fencing_token,
--- a/tests/outages_and_restarts.rs
+++ b/tests/outages_and_restarts.rs
@@ -101,7 +101,7 @@
     let mut new = SimulatedController::start("s1", 2, &mut store, 5000);
     new.apply_membership_moves(&mut store, 5000);
     new.submit(&mut store, job("job-2", 1), 5100);
-    // The old owner still answers its worker, which keeps its task and gets no new one.
+    // The old owner still answers its worker, which keeps its task and gets no new task.
     let heartbeat = worker.heartbeat(6000);
     let response = old.receive_heartbeat_without_kv(&heartbeat, 6000).unwrap();
     assert!(!response
--- a/tests/shard_ownership.rs
+++ b/tests/shard_ownership.rs
@@ -184,7 +184,8 @@
         }
     }
     assert_eq!(attempted.len(), 300);
-    // A machine that has shown the fencing token is skipped. One that failed is tried again later.
+    // A machine that has shown the fencing token is skipped. A machine that failed to respond is
+    // tried again later.
     let machine = controller.machine("m299");
     controller
         .cluster
