--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn any_controller_that_knows_a_cancellation_stops_tasks_on_a_machine_with_lost_heartbeats() {
+fn any_controller_aware_of_a_cancellation_stops_tasks_on_a_machine_with_lost_heartbeats() {
     let (mut cluster, leader, other) = two_long_jobs();
     let machine_index = cluster
         .machines
--- a/tests/outages_and_restarts.rs
+++ b/tests/outages_and_restarts.rs
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn every_controller_knows_every_job_after_a_kv_outage_with_a_restart_of_all() {
+fn every_controller_reads_every_job_after_a_kv_outage_with_a_restart_of_all() {
     let (mut store, mut first) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     for i in 1..=30 {
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn nothing_starts_before_the_records_are_known_as_of_the_fence() {
+fn nothing_starts_before_the_records_are_read_up_to_the_fence() {
     let mut fixture = expired_owner();
     // The expired owner still commits the end of the attempt and starts the next one elsewhere.
     let mut other = FakeWorker::new("m2", "north", 0);
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_claim_recorded_without_an_answer_is_known_to_the_next_owner() {
+fn a_claim_recorded_without_a_response_is_read_by_the_next_owner() {
     let mut fixture = expired_owner();
     fixture
         .owner
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn of_two_failovers_at_once_one_succeeds_and_the_other_controller_follows() {
+fn of_two_concurrent_failovers_only_one_succeeds() {
     let mut fixture = expired_owner();
     let mut third =
         SimulatedController::start_as("n3", 3, Standby::SameZone, &mut fixture.store, 0);
