--- a/tests/support/builders.rs
+++ b/tests/support/builders.rs
@@ -1,8 +1,8 @@
-//! Values that several tests look at.
+//! Helpers for tests on commands to workers.
 
 use pointhook::protocol::workers::Command;
 
-/// How many of the commands start a task.
+/// Number of start commands in the list.
 pub fn count_starts(commands: &[Command]) -> usize {
     let starts = commands
         .iter()
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -1,7 +1,7 @@
-//! A digest of what controllers decide, in the order in which they do, on this thread.
+//! A digest of the decisions of simulated controllers on the current thread, in their order.
 //!
-//! Each event goes in as the name of its kind, the time and the bytes of the protocol
-//! (MessagePack with the protocol's names of fields), so that names in the code play no part.
+//! An event is hashed as the text of its kind, its time and its serialized form (MessagePack with
+//! the field names of the protocol), so the digest doesn't depend on identifiers in the code.
 
 use super::kv_store::{FakeKvStore, KvResponse};
 use pointhook::protocol::kv::{Committed, Transaction};
@@ -10,12 +10,12 @@
 use std::fs::File;
 use std::io::Write;
 
-/// FNV-1a of 64 bits and how many events went in.
+/// A 64-bit FNV-1a hash of events, and their number.
 #[derive(Debug)]
 pub struct Digest {
     pub hash: u64,
     pub events: u64,
-    /// Where each event is written as a line, for a comparison of two runs.
+    /// File to which each event is written as a line, so that two runs can be compared.
     trace: Option<File>,
 }
 
@@ -32,8 +32,8 @@
     }
 }
 
-/// Begins a digest of what happens on this thread. `POINTHOOK_DIGEST_TRACE` names a directory in
-/// which the events of each are written as lines.
+/// Begins a digest of the events on this thread. If `POINTHOOK_DIGEST_TRACE` is set, the events
+/// are also written to the file `{name}.txt` in the directory that it names, one a line.
 pub fn begin(name: &str) {
     let directory = std::env::var("POINTHOOK_DIGEST_TRACE").ok();
     let trace = directory.map(|d| File::create(format!("{d}/{name}.txt")).expect("a directory"));
@@ -45,12 +45,12 @@
     CURRENT.set(Some(digest));
 }
 
-/// Ends the digest.
+/// Ends the digest of this thread and returns it.
 pub fn end() -> Digest {
     CURRENT.take().expect("a digest that was begun")
 }
 
-/// Takes an event into the digest that is under way, if one is.
+/// Adds an event to the digest of this thread; does nothing if none was begun.
 pub fn note(kind: &str, now: u64, what: &impl Serialize) {
     CURRENT.with_borrow_mut(|current| {
         let Some(digest) = current else { return };
@@ -66,7 +66,7 @@
     });
 }
 
-/// Commits a transaction, and takes it and its answer into the digest.
+/// Commits a transaction to the store, and adds it and its response to the digest.
 pub fn commit(store: &mut FakeKvStore, txn: &Transaction, now: u64) -> KvResponse<Committed> {
     let response = store.commit(txn, now);
     note("transaction", now, txn);
--- a/tests/support/golden.rs
+++ b/tests/support/golden.rs
@@ -1,9 +1,9 @@
-//! Golden files: what is written now, a name and a value per line, compared to the letter.
+//! Golden files: recorded output of the program, compared exactly with its present output.
 //!
 //! A line of a file is a name, a tab and a value. Values are serialized bytes in hexadecimal, JSON
-//! or exit codes, never names of the program's own types, so that renaming these changes no line.
-//! The files stay as they are when types and fields get other names; a line that changes is a
-//! format that changes, which other controllers, workers, users or stored records would notice.
+//! or exit codes, never names of the program's own types, so renaming types and fields changes no
+//! line. A line that changes means that a format has changed, which other controllers, workers,
+//! users or stored records would notice.
 #![allow(dead_code)]
 
 use serde::de::DeserializeOwned;
@@ -12,9 +12,9 @@
 use std::collections::HashSet;
 use std::path::{Path, PathBuf};
 
-/// With this variable set to 1 the files are written anew, and the tests fail for that.
+/// Environment variable that, if set to 1, overwrites the golden files; the tests then fail.
 const WRITE: &str = "POINTHOOK_WRITE_GOLDEN";
-/// Value of what the program refuses to read.
+/// Recorded value of an input that the program rejects.
 const REFUSED: &str = "refused";
 
 /// Bytes as hexadecimal digits.
@@ -22,18 +22,18 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// The MessagePack form of a JSON value, with named fields, as any other program would write it.
+/// The MessagePack form of a JSON value with named fields, as another program would write it.
 pub fn packed(value: &Value) -> Vec<u8> {
     rmp_serde::to_vec_named(value).expect("JSON has a MessagePack form")
 }
 
-/// What is written of what was read from these bytes; `None` if they are refused.
+/// Deserializes a value from MessagePack and serializes it again; `None` if it is rejected.
 pub fn rewritten<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> Option<Vec<u8>> {
     let read: T = rmp_serde::from_slice(bytes).ok()?;
     Some(rmp_serde::to_vec_named(&read).expect("what was read can be written"))
 }
 
-/// The lines of one golden file.
+/// Lines that are compared with one golden file.
 pub struct Group {
     file: &'static str,
     names: HashSet<String>,
@@ -41,7 +41,7 @@
 }
 
 impl Group {
-    /// An empty group that is compared with this file.
+    /// An empty group for the golden file of this name.
     pub fn new(file: &'static str) -> Group {
         Group {
             file,
@@ -50,15 +50,15 @@
         }
     }
 
-    /// Adds a line.
+    /// Adds a line. Names are unique within a file.
     pub fn line(&mut self, name: &str, value: &str) {
         assert!(!name.contains(['\t', '\n']) && !value.contains('\n'));
         assert!(self.names.insert(name.to_string()), "{name} comes twice");
         self.lines.push(format!("{name}\t{value}"));
     }
 
-    /// Adds what is written of a body, or that it is refused. What is written must read back and
-    /// be written again as the same bytes.
+    /// Adds a line with a body as `read` serializes it again, or with the fact that `read` rejects
+    /// it. Reading the serialized bytes again must give the same bytes.
     pub fn read_by(&mut self, name: &str, body: &Value, read: fn(&[u8]) -> Option<Vec<u8>>) {
         match read(&packed(body)) {
             None => self.line(name, REFUSED),
@@ -69,20 +69,21 @@
         }
     }
 
-    /// Adds a body of this type, which must be one.
+    /// Adds a line with a body, which must be a valid value of the type.
     pub fn form<T: Serialize + DeserializeOwned>(&mut self, name: &str, body: &Value) {
         assert!(rewritten::<T>(&packed(body)).is_some(), "{name} is refused");
         self.read_by(name, body, rewritten::<T>);
     }
 
-    /// Adds a body of this type and what becomes of it without each of its keys, with null for
-    /// each, and with a key more.
+    /// Adds lines with a valid body of the type and with its variations: without each key, with
+    /// null for each key, and with an unknown key.
     pub fn all_keys<T: Serialize + DeserializeOwned>(&mut self, name: &str, body: &Value) {
         self.form::<T>(name, body);
         self.keys_read_by(name, body, rewritten::<T>);
     }
 
-    /// The same variations of a body that is read in a way of its own.
+    /// Adds the lines for the variations of a body, as [`Group::all_keys`] does, with a given
+    /// function that reads and serializes them.
     pub fn keys_read_by(&mut self, name: &str, body: &Value, read: fn(&[u8]) -> Option<Vec<u8>>) {
         let keys = body.as_object().expect("a map").keys();
         for key in keys {
@@ -98,7 +99,8 @@
         self.read_by(&format!("{name} with another key"), &more, read);
     }
 
-    /// Adds an archive, which must be made again of what is read from it.
+    /// Adds a line with the encoded form of a value. Decoding it must give the same value, and a
+    /// form without its last byte must be rejected.
     pub fn archive<T>(
         &mut self,
         name: &str,
@@ -116,7 +118,8 @@
         self.line(name, &hex(&bytes));
     }
 
-    /// Compares the lines with the file. Where the file is to be written anew the test fails too.
+    /// Compares the lines with the golden file, and panics if they differ. Also panics after
+    /// overwriting the file, if that was asked for.
     pub fn compare(self) {
         let path = Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("tests/data/golden")
@@ -124,7 +127,7 @@
         let made = self.lines.join("\n") + "\n";
         if std::env::var(WRITE).is_ok_and(|v| v == "1") {
             std::fs::write(&path, made).expect("the golden file can be written");
-            panic!("{} is written anew; run without {WRITE}", self.file);
+            panic!("{} was overwritten; run without {WRITE}", self.file);
         }
         let golden = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{path:?}: {e}"));
         let (was, is): (Vec<&str>, Vec<&str>) = (golden.lines().collect(), made.lines().collect());
@@ -136,7 +139,7 @@
     }
 }
 
-/// A new file of a test's own, with this text.
+/// Writes a text to a file in a temporary directory of the golden tests; returns its path.
 pub fn file(name: &str, text: &str) -> PathBuf {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden");
     std::fs::create_dir_all(&dir).expect("a directory");
@@ -145,10 +148,10 @@
     path
 }
 
-/// Where a key stands in a TOML document: names of tables and positions in lists.
+/// Path of a table in a TOML document: names of tables and positions in lists.
 type At = Vec<String>;
 
-/// All tables of a document with the names of their keys.
+/// Collects all tables of a document with their paths and the names of their keys.
 fn tables(value: &toml::Value, at: &At, out: &mut Vec<(At, Vec<String>)>) {
     let below = |name: String| at.iter().cloned().chain([name]).collect::<At>();
     match value {
@@ -167,7 +170,7 @@
     }
 }
 
-/// The table at a place.
+/// The table at a path.
 fn table_at<'a>(mut value: &'a mut toml::Value, at: &At) -> &'a mut toml::Table {
     for step in at {
         value = match value {
@@ -178,8 +181,9 @@
     value.as_table_mut().expect("a table")
 }
 
-/// Adds for each key of a settings file what becomes of the file if the key is misspelt, and for
-/// each table what becomes of it with a key more: `refused`, naming the key, `changed` or `ignored`.
+/// Adds a line for each key of a settings file with the effect of misspelling it, and for each
+/// table with the effect of an unknown key in it. The effect is `refused`, with an error that names
+/// the key, `changed` or `ignored`.
 pub fn settings_keys<T: std::fmt::Debug, E: std::fmt::Display>(
     group: &mut Group,
     name: &str,
@@ -191,7 +195,7 @@
         let text = toml::to_string(document).expect("TOML");
         load(&file(&format!("{name}.toml"), &text))
     };
-    // Compared with each other only, within a run: names of fields don't matter.
+    // Debug texts are only compared with each other within a run, so field names don't matter.
     let told = |value: &T| format!("{value:?}");
     let whole = read(&document).map_err(|e| e.to_string()).expect("good");
     let mut all = Vec::new();
@@ -214,7 +218,7 @@
     }
 }
 
-/// What became of a file that was changed at a key.
+/// The effect of a change at a key: an error that names the key, a changed value or none.
 fn fate<T, E: std::fmt::Display>(
     read: Result<T, E>,
     whole: &T,
@@ -224,7 +228,7 @@
     match read {
         Err(e) => {
             let line = e.to_string();
-            // The name of the file comes first, and may hold the key by chance.
+            // The error begins with the file's path, which may contain the key by chance.
             let (_, cause) = line.split_once(".toml: ").expect("the name of the file");
             assert!(cause.contains(key), "{line} names {key}");
             REFUSED
--- a/tests/support/golden_samples.rs
+++ b/tests/support/golden_samples.rs
@@ -1,4 +1,4 @@
-//! Values of the protocol that tests of several formats share, as JSON with its names.
+//! Sample messages for several golden tests, mostly as JSON with the field names of the protocol.
 #![allow(dead_code)]
 
 use super::golden::packed;
@@ -7,7 +7,7 @@
 use pointhook::state::cluster_state::ClusterState;
 use serde_json::{json, Value};
 
-/// A job's description with every key.
+/// A job specification with every key present.
 pub fn described() -> Value {
     json!({
         "uid": "job-000412", "jobline": "train", "crew": "vision", "shape": "group",
@@ -18,7 +18,7 @@
     })
 }
 
-/// A value with some keys changed; null takes a key out.
+/// Replaces or adds keys of a JSON object; a null in `changes` removes the key.
 pub fn with(mut value: Value, changes: Value) -> Value {
     let map = value.as_object_mut().expect("a map");
     for (key, new) in changes.as_object().expect("a map") {
@@ -30,12 +30,12 @@
     value
 }
 
-/// A body of the protocol, read as this type.
+/// Deserializes a message from the MessagePack form of a JSON value.
 pub fn read<T: serde::de::DeserializeOwned>(body: Value) -> T {
     rmp_serde::from_slice(&packed(&body)).expect("a body of the protocol")
 }
 
-/// Two machine types, one without the keys that may be absent.
+/// A catalog of two machine types, the second without its optional keys.
 pub fn offered() -> Value {
     json!({"rigs": [
         {"sku": "g8", "vcpus": 96.0, "gpus": 8.0, "mem_gb": 768.0, "local_gb": 400.5,
@@ -46,7 +46,7 @@
     ]})
 }
 
-/// Two zones, one team and two shards a zone, without records.
+/// A cluster without records: two zones with two shards each, and one team.
 pub fn cluster() -> ClusterState {
     let team = Team {
         name: "vision".into(),
@@ -58,7 +58,8 @@
     ClusterState::new(&["a".to_string(), "b".to_string()], &[team], 2)
 }
 
-/// The states of two shards, of which one has a standby and the other follows.
+/// Statuses of two shards: the first names a standby and its replication lag, the second the token
+/// of the owner whose state the reporting controller replicates.
 pub fn standings() -> Vec<ShardStatus> {
     let standing = |shard, standby: Option<&str>, replication_lag, follows| ShardStatus {
         shard,
--- a/tests/support/liveness.rs
+++ b/tests/support/liveness.rs
@@ -1,4 +1,4 @@
-//! Checks that ready jobs do not wait while there is capacity for them.
+//! Checks that no ready job waits for long while there is capacity for it.
 
 use super::simulated_cluster::SimulatedCluster;
 use pointhook::protocol::users::{JobKind, JobSpec};
@@ -7,17 +7,18 @@
 
 /// Longest time for which a ready job may wait although there is capacity for it.
 const LONGEST_WAIT_MS: u64 = 90_000;
-/// Tasks of the test's usual size that one machine holds.
+/// Number of tasks of the usual size in tests that fit on one machine.
 const MACHINE_SLOTS: usize = 4;
 
-/// Since when each ready job without any started task could have run.
+/// Tracks since when each waiting job could have run.
 #[derive(Default)]
 pub struct Liveness {
+    /// By job; only ready jobs that have no task on any machine and enough capacity.
     waiting_since: BTreeMap<String, u64>,
 }
 
 impl Liveness {
-    /// Looks at all jobs now; those that have waited too long.
+    /// Updates the waiting times of all jobs; returns a message for each that has waited too long.
     pub fn check(&mut self, cluster: &SimulatedCluster) -> Vec<String> {
         let mut waiting = BTreeMap::new();
         let mut late = Vec::new();
@@ -38,9 +39,11 @@
     }
 }
 
-/// True if the job is ready, nothing of it is on any machine, and its first tasks fit.
+/// True if the job is ready, no task of it is on any machine, and there is capacity and quota for
+/// its first tasks.
 fn could_run(cluster: &SimulatedCluster, id: &str, spec: &JobSpec) -> bool {
-    // A completion whose machine was lost before a heartbeat showed it is known to nobody: that job runs again.
+    // If a machine is lost before a heartbeat reports a completion, no controller learns of the
+    // completion, and the task runs again.
     let known = |needed: &String| cluster.is_finished(needed) || cluster.shows_completion(needed);
     let ready = spec.dependencies.iter().all(known);
     if !ready || cluster.is_finished(id) || cluster.runs(id) {
@@ -75,7 +78,7 @@
         .find(&spec.team)
         .expect("a team");
     let most = controller.cluster.team_limits[team.at()].limit.gpu_milli as f64 / 1000.0;
-    // Jobs that were accepted without an answer count as well.
+    // Includes jobs that were stored although their submission got no response.
     let active = controller.cluster.active_jobs();
     let active = active.filter_map(|(_, job)| Some((job, job.spec.as_ref()?)));
     let of_team = active.filter(|(_, other)| other.team == team);
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! What tests share: a fake key-value store, cloud and worker, a controller without sockets, and a
-//! whole simulated cluster, on a clock that only the test moves.
+//! Shared test support: a fake key-value store, cloud and worker, a controller without sockets, and
+//! a simulated cluster of these. Time is simulated: only the test advances the clock.
 #![allow(dead_code)]
 
 pub mod builders;
--- a/tests/support/randomized_run.rs
+++ b/tests/support/randomized_run.rs
@@ -1,4 +1,5 @@
-//! Randomized runs: jobs with dependencies, cancellations and overlapping faults, by a seed.
+//! Randomized runs of the simulated cluster: jobs with dependencies, cancellations and overlapping
+//! faults, all generated from a seed.
 
 use super::job;
 use super::liveness::Liveness;
@@ -10,14 +11,14 @@
 const CONTROLLERS: usize = 3;
 const MACHINES: usize = 6;
 const STEP_MS: u64 = 500;
-/// Steps with faults; a while without any follows.
+/// Number of steps in which faults occur; a recovery without faults follows.
 const FAULTY_STEPS: u32 = 240;
-/// Longest fault, in steps.
+/// Upper bound of the duration of a fault, in steps; exclusive.
 const LONGEST_FAULT: u32 = 40;
-/// All jobs are finished by then.
+/// End of the recovery on the simulated clock. Jobs that are unfinished then fail the test.
 const LONGEST_RUN_MS: u64 = 900_000;
 
-/// A fault of the simulated cluster, with what it affects.
+/// A fault of the simulated cluster, with the index of the controller or machine if it affects one.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Fault {
     KvOutage,
@@ -60,7 +61,8 @@
             Fault::KvRefuses(at) => cluster.controller_faults[at].kv_refused = on,
             Fault::PeersUnreachable(at) => cluster.controller_faults[at].isolated_from_peers = on,
             Fault::ControllerDown(at) if on => cluster.stop_controller(at),
-            // One that can't read the records yet is tried again at each step.
+            // Each step calls `start_controllers`, which also retries a controller that can't read
+            // the records yet.
             Fault::ControllerDown(_) => {}
             Fault::ZonePartition => cluster.partition_zone(on),
             Fault::DelayedTransactions => cluster.store.execution_delay_ms = on.then_some(4000),
@@ -76,14 +78,15 @@
     }
 }
 
-/// A run in progress.
+/// A randomized run in progress.
 pub struct RandomizedRun {
     rng: Rng,
     pub cluster: SimulatedCluster,
+    /// Number of submissions so far, including those that were not accepted.
     jobs: u32,
-    /// Cancellations that were confirmed.
+    /// Number of cancellations that were confirmed.
     pub confirmed: u32,
-    /// Faults under way and the step at which each ends.
+    /// Active faults with the step at which each ends.
     faults: Vec<(Fault, u32)>,
     liveness: Liveness,
 }
@@ -95,7 +98,8 @@
         for machine in &mut cluster.machines {
             machine.worker.run_ms = rng.u64(3000..15_000);
         }
-        // Some runs begin in the first record format, which holds no dependencies.
+        // About a quarter of the runs start in the first record format, which can't store
+        // dependencies.
         if rng.u8(..4) > 0 {
             cluster.begin_record_format_v2();
         }
@@ -211,7 +215,8 @@
         self.cluster.redeliver_heartbeat(machine, which, at);
     }
 
-    /// Ends all faults and gives the jobs time to end; services are cancelled for that.
+    /// Ends all faults and runs until all jobs are finished, at most to `LONGEST_RUN_MS`. Services
+    /// never finish by themselves, so they are cancelled.
     fn recover(&mut self) {
         self.end_faults(u32::MAX);
         assert!(self
@@ -230,7 +235,8 @@
         }
     }
 
-    /// Lets time pass without faults, in which no job may wait while there is capacity.
+    /// Advances the clock without faults, and records a violation for each job that waits too long
+    /// although there is capacity for it.
     fn run_calmly(&mut self, ms: u64) {
         let end = self.cluster.now + ms;
         while self.cluster.now < end {
--- a/tests/support/scenarios.rs
+++ b/tests/support/scenarios.rs
@@ -1,10 +1,10 @@
-//! Situations that several tests begin with or end in.
+//! Cluster states that several tests start from, and faults that several tests inject.
 
 use super::job;
 use super::simulated_cluster::SimulatedCluster;
 
-/// A cluster in which two jobs run for long on machines of both zones; with the controller that owns
-/// the machine of the first job's first task, and another controller.
+/// A cluster in which two jobs with a run time of 200 s run on machines of both zones. Also returns
+/// the controller that owns the machine of the first job's first task, and another controller.
 pub fn two_long_jobs() -> (SimulatedCluster, usize, usize) {
     let mut cluster = SimulatedCluster::new(4);
     for h in &mut cluster.machines {
@@ -23,7 +23,8 @@
     (cluster, leader, other)
 }
 
-/// The key-value store refuses the leader, and a moment after the confirmation all controllers.
+/// Cuts the leader off from the key-value store, cancels a job at the other controller, and then
+/// cuts all controllers off from the store.
 pub fn refuse_leader_then_all(
     cluster: &mut SimulatedCluster,
     leader: usize,
@@ -36,7 +37,8 @@
     cluster.kv_outage = true;
 }
 
-/// Ends the faults of the controllers and gives them time to catch up.
+/// Ends the faults of the controllers and the outage of the key-value store, and runs the cluster
+/// for 20 s so that the controllers catch up.
 pub fn recover(cluster: &mut SimulatedCluster) {
     cluster.kv_outage = false;
     cluster.controller_faults = Default::default();
