--- a/tests/support/simulated_cluster/invariants.rs
+++ b/tests/support/simulated_cluster/invariants.rs
@@ -1,12 +1,13 @@
-//! Invariants on what really runs where, checked after each step of the simulated clock.
+//! Invariants on the tasks that actually run, checked after each step of the simulated clock.
 
 use super::SimulatedCluster;
 use crate::support::simulated_controller::CANCEL_MS;
 use pointhook::state::names::{Index, TeamIndex};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A controller starts tasks only while what it knows is not older than this, which includes a
-/// step of the clock.
+/// Longest time after the confirmation of a cancellation at which a task of the job may start:
+/// controllers start tasks only while their cancellation watermark is at most 6.5 s old. Includes
+/// one step of the clock.
 const MAX_START_DELAY_MS: u64 = 7000;
 
 impl SimulatedCluster {
@@ -24,7 +25,7 @@
             .extend(violations.map(|violation| format!("{now}: {violation}")));
     }
 
-    /// Running tasks with the name and zone of their machine.
+    /// All running tasks, with the names and zones of their machines.
     fn running_tasks(&self) -> impl Iterator<Item = RunningTask<'_>> {
         self.machines.iter().flat_map(|machine| {
             let tasks = machine.worker.running_tasks().into_iter();
@@ -37,7 +38,7 @@
         })
     }
 
-    /// No task runs on two machines.
+    /// Checks that no task runs on two machines.
     fn check_single_execution(&self, violations: &mut Vec<String>) {
         let mut seen = BTreeSet::new();
         for running in self.running_tasks() {
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Tasks run in the zone that their job is bound to, those of a one-zone job in one zone.
+    /// Checks that tasks run in the zone that their job requires, and that all tasks of a one-zone
+    /// job run in the same zone.
     fn check_zones(&self, violations: &mut Vec<String>) {
         let mut first_zones: BTreeMap<&str, &str> = BTreeMap::new();
         for running in self.running_tasks() {
@@ -63,7 +65,7 @@
         }
     }
 
-    /// No task of a cancelled job runs after the time for cancellations.
+    /// Checks that no task of a cancelled job runs longer than `CANCEL_MS` after the confirmation.
     fn check_cancelled_jobs_stop(&self, violations: &mut Vec<String>) {
         for running in self.running_tasks() {
             let cancelled_at = self.cancelled_at.get(running.job);
@@ -75,7 +77,7 @@
         }
     }
 
-    /// No task runs before all jobs that its job depends on are complete.
+    /// Checks that no task runs before all jobs that its job depends on are complete.
     fn check_dependencies(&self, violations: &mut Vec<String>) {
         for running in self.running_tasks() {
             for dependency in self.dependencies_of(running.job) {
@@ -87,7 +89,8 @@
         }
     }
 
-    /// No task of a cancelled job starts after the time within which controllers learn of it.
+    /// Checks that no task of a cancelled job starts later than `MAX_START_DELAY_MS` after the
+    /// confirmation.
     fn check_starts_of_cancelled_jobs(&mut self, violations: &mut Vec<String>) {
         let now = self.now;
         for machine in &self.machines {
@@ -104,7 +107,7 @@
         }
     }
 
-    /// No team uses more than its limit.
+    /// Checks that no team uses more GPUs than its limit.
     fn check_team_limits(&self, violations: &mut Vec<String>) {
         let mut gpus_by_team: BTreeMap<&str, f64> = BTreeMap::new();
         for running in self.running_tasks() {
@@ -121,7 +124,7 @@
         }
     }
 
-    /// Limit of a team, as the first running controller knows it; zero stands for none.
+    /// GPU limit of a team according to the first running controller; zero means no limit.
     fn gpu_limit_of(&self, team: &str) -> Option<f64> {
         let controller = self.controllers.iter().flatten().next()?;
         let cluster = &controller.cluster;
@@ -130,7 +133,7 @@
     }
 }
 
-/// A task that runs, with its machine.
+/// A running task with its job and machine.
 struct RunningTask<'a> {
     task: &'a str,
     job: &'a str,
@@ -138,7 +141,7 @@
     zone: &'a str,
 }
 
-/// The job of a task, by the task's name.
+/// Name of a task's job: the part of the task's name before the slash.
 fn job_of(task: &str) -> &str {
     task.split('/').next().unwrap_or_default()
 }
--- a/tests/support/simulated_cluster/mod.rs
+++ b/tests/support/simulated_cluster/mod.rs
@@ -1,10 +1,10 @@
-//! Several controllers, workers and users around one key-value store, on one simulated clock, with
-//! faults that tests switch on, and a checker of the invariants on what really ran where.
+//! A simulated cluster: controllers, workers and users around one key-value store, on one simulated
+//! clock. Tests inject faults, and each step checks invariants on the tasks that actually run.
 //!
 //! - this module: controllers, machines and their faults;
-//! - `users`: what users submit, cancel and ask, and what they were told;
-//! - `tick`: one step of the clock, with all messages that it carries;
-//! - `invariants`: what must hold after each step.
+//! - `users`: submissions, cancellations and status requests, and the answers that users got;
+//! - `tick`: one step of the clock, with the messages that are sent and delivered in it;
+//! - `invariants`: the invariants that are checked after each step.
 
 mod invariants;
 mod tick;
@@ -20,129 +20,131 @@
 use pointhook::state::units::MonotonicMillis;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Number of controllers.
+/// Number of controllers in the cluster.
 pub const CONTROLLERS: usize = 3;
-/// Names of the controllers.
+/// Names of the controllers by index.
 pub const NAMES: [&str; CONTROLLERS] = ["n1", "n2", "s1"];
-/// Zones of the controllers, as indices.
+/// Zone index of each controller by its name.
 const ZONES: [(&str, u32); CONTROLLERS] = [("n1", 0), ("n2", 0), ("s1", 1)];
-/// The controller of the southern zone.
+/// Index of the controller in the zone `south`.
 const SOUTHERN_CONTROLLER: usize = 2;
 const MACHINE_ZONES: [&str; 2] = ["north", "south"];
 /// Step of the simulated clock.
 const STEP_MS: u64 = 500;
-/// Time until a new cluster has distributed its shards.
+/// Time for which a new cluster runs so that its controllers divide the shards.
 const START_UP_MS: u64 = 6000;
-/// Most writes in a transaction of the store.
+/// Most writes that the store accepts in one transaction.
 const MAX_TXN_OPS: usize = 16;
-/// Due time of commands that a partition holds back until it ends.
+/// Due time of commands that are delivered when the partition ends.
 const WHEN_PARTITION_ENDS: u64 = u64::MAX;
 
 /// Faults between a controller and the rest of the cluster.
 #[derive(Default, Clone, Copy, PartialEq)]
 pub struct ControllerFaults {
-    /// The key-value store refuses this controller.
+    /// The key-value store is unavailable to this controller.
     pub kv_refused: bool,
-    /// No message passes between it and the other controllers.
+    /// No messages are delivered between this controller and the others.
     pub isolated_from_peers: bool,
 }
 
-/// Faults of a machine and of its links.
+/// Faults of a machine and of its network links.
 #[derive(Default, Clone, Copy, PartialEq)]
 pub struct MachineFaults {
-    /// Its heartbeats arrive; their answers and direct commands do not.
+    /// Its heartbeats are delivered; responses and direct commands to it are lost.
     pub drops_incoming: bool,
-    /// Its heartbeats do not arrive; direct commands do.
+    /// Its heartbeats are lost; direct commands to it are delivered.
     pub drops_heartbeats: bool,
-    /// The machine is frozen; commands wait until it resumes.
+    /// Its worker neither sends nor executes anything; commands are delivered when it resumes.
     pub frozen: bool,
-    /// Responses to direct commands are lost.
+    /// Direct commands are executed, but the responses to them are lost.
     pub drops_command_responses: bool,
-    /// Direct commands arrive seconds late.
+    /// Direct commands are delivered several seconds late.
     pub delays_commands: bool,
 }
 
-/// Commands on their way to a machine.
+/// Direct commands that are still to be delivered to a machine.
 struct DelayedCommands {
     due: u64,
     commands: DirectCommands,
 }
 
-/// A heartbeat that a partition holds back.
+/// A heartbeat that is delivered to a controller when the partition ends.
 struct UndeliveredHeartbeat {
     controller: usize,
     heartbeat: Heartbeat,
 }
 
-/// A machine with its worker.
+/// A machine of the simulated cluster with its worker.
 pub struct SimulatedMachine {
     pub worker: FakeWorker,
     pub faults: MachineFaults,
-    /// The controller that gets its heartbeats.
+    /// Index of the controller to which it sends its heartbeats.
     target_controller: usize,
     next_heartbeat_at: u64,
     delayed_commands: Vec<DelayedCommands>,
-    /// All past heartbeats, so that a test can deliver one again.
+    /// All heartbeats so far, including lost ones, so that a test can deliver one again.
     pub sent_heartbeats: Vec<Heartbeat>,
-    /// It reaches only controllers of its own zone.
+    /// The machine can only reach controllers of its own zone.
     pub partitioned: bool,
     undelivered_heartbeats: Vec<UndeliveredHeartbeat>,
 }
 
 impl SimulatedMachine {
-    /// True if a partition separates the machine from a controller.
+    /// True if a partition separates the machine from this controller.
     fn is_partitioned_from(&self, controller: usize) -> bool {
         let is_southern = self.worker.zone == "south";
         self.partitioned && is_southern != (controller == SOUTHERN_CONTROLLER)
     }
 
-    /// True if direct commands of a controller reach the worker now.
+    /// True if direct commands of this controller would reach the worker now.
     fn is_reachable_from(&self, controller: usize) -> bool {
         let is_cut_off = self.is_partitioned_from(controller);
         !is_cut_off && !self.faults.drops_incoming && !self.faults.frozen
     }
 }
 
-/// What a user knows of a job that was accepted.
+/// An accepted job as its user sees it.
 struct UserView {
     spec: JobSpec,
-    /// The status that a user was told last.
+    /// The last status that a controller reported to the user.
     status: &'static str,
 }
 
-/// The whole cluster.
+/// A cluster of controllers, machines and a key-value store on one simulated clock.
 pub struct SimulatedCluster {
     pub store: FakeKvStore,
     /// Controllers by index; `None` while one is stopped.
     pub controllers: Vec<Option<SimulatedController>>,
     pub controller_faults: [ControllerFaults; CONTROLLERS],
-    /// The key-value store is unavailable to all.
+    /// The key-value store is unavailable to all controllers, and its leases don't expire.
     pub kv_outage: bool,
     pub machines: Vec<SimulatedMachine>,
-    /// Whether controllers that start have the warm standby.
+    /// Warm-standby setting of the controllers that are started from now on.
     pub standby: Standby,
-    /// The simulated clock.
+    /// Time on the simulated clock, ms.
     pub now: u64,
+    /// Incarnation of the controller process that was started last.
     incarnation: u64,
-    /// By job: when its user was told that it is cancelled.
+    /// By job: when its user was first told that it is cancelled.
     pub cancelled_at: BTreeMap<String, u64>,
-    /// Accepted jobs with what their users know.
+    /// Accepted jobs as their users see them, by job.
     user_views: BTreeMap<String, UserView>,
-    /// When each machine first started each task.
+    /// When each machine first started each task, by `{machine} {task}`.
     first_starts: HashMap<String, u64>,
-    /// Invariants that were broken.
+    /// Descriptions of all invariant violations so far.
     pub violations: Vec<String>,
-    /// Jobs that users asked to cancel.
+    /// Jobs for which a user has requested cancellation, whether it was confirmed or not.
     cancel_requests: BTreeSet<String>,
 }
 
 impl SimulatedCluster {
-    /// Three controllers that own their shards, and machines in turn of both zones.
+    /// Starts three controllers without standbys, and machines alternating between the two zones,
+    /// and runs the cluster until the controllers have divided the shards.
     pub fn new(machines: usize) -> SimulatedCluster {
         SimulatedCluster::with_standby(machines, Standby::Off)
     }
 
-    /// The same, with or without the warm standby.
+    /// Starts a cluster like [`SimulatedCluster::new`], with a setting for the warm standby.
     pub fn with_standby(machines: usize, standby: Standby) -> SimulatedCluster {
         let mut cluster = SimulatedCluster {
             standby,
@@ -170,7 +172,7 @@
         cluster
     }
 
-    /// Starts a machine; its index.
+    /// Adds a machine in a zone and returns its index.
     pub fn add_machine(&mut self, zone: &str) -> usize {
         let name = format!("m{}", self.machines.len() + 1);
         self.machines.push(SimulatedMachine {
@@ -186,15 +188,16 @@
         self.machines.len() - 1
     }
 
-    /// Starts a controller, or starts it again. Nothing happens while it can't read the records.
+    /// Starts or restarts a controller. Does nothing while the key-value store is unavailable to
+    /// it.
     pub fn start_controller(&mut self, at: usize) {
         if self.kv_outage || self.controller_faults[at].kv_refused {
             return;
         }
         self.select_kv_view(at);
         self.incarnation += 1;
-        // A real controller retries until its key is written. The key is written at once here, so
-        // the faults of the store are off meanwhile.
+        // A real controller retries until its key is stored. Here the key must be stored by the
+        // first transaction, so the faults of the store are suspended meanwhile.
         let delay_ms = self.store.execution_delay_ms.take();
         let drops_responses = std::mem::take(&mut self.store.drops_responses);
         let controller = SimulatedController::start_as(
@@ -214,7 +217,8 @@
         self.controllers[at] = Some(controller);
     }
 
-    /// Starts a controller during an outage: it knows no records, and answers its peers.
+    /// Starts a controller during an outage of the key-value store: it knows no records yet, but
+    /// answers its peers.
     pub fn start_controller_without_records(&mut self, at: usize) {
         let mut empty_store = FakeKvStore::default();
         self.incarnation += 1;
@@ -228,23 +232,23 @@
         self.controllers[at] = Some(controller.with_peers(&NAMES, &ZONES));
     }
 
-    /// Stops a controller.
+    /// Stops a controller at once; its state is lost.
     pub fn stop_controller(&mut self, at: usize) {
         self.controllers[at] = None;
     }
 
-    /// A running controller.
+    /// The controller with this index; panics if it is stopped.
     pub fn controller(&mut self, at: usize) -> &mut SimulatedController {
         self.controllers[at].as_mut().expect("a live controller")
     }
 
-    /// The first running controller.
+    /// The running controller with the lowest index; panics if all are stopped.
     pub fn first_controller(&self) -> &SimulatedController {
         let mut running = self.controllers.iter().flatten();
         running.next().expect("a controller")
     }
 
-    /// Switches to the second record format, which all controllers support.
+    /// Switches the cluster to the second record format. All controllers must run and support it.
     pub fn begin_record_format_v2(&mut self) {
         let controller = self.controllers[0].as_ref().expect("a controller");
         let begin = membership::begin_record_format_v2(&controller.cluster, &NAMES);
@@ -254,8 +258,8 @@
         self.run_for(STEP_MS);
     }
 
-    /// Switches to the second record format if the first controller sees that all controllers run
-    /// and support it.
+    /// Switches the cluster to the second record format if the first controller runs and sees that
+    /// all controllers run and support it.
     pub fn try_begin_record_format_v2(&mut self) {
         self.select_kv_view(0);
         let Some(controller) = &self.controllers[0] else {
@@ -267,14 +271,15 @@
         }
     }
 
-    /// True if this controller accepts jobs with dependencies.
+    /// True if the controller runs and accepts jobs with dependencies.
     pub fn accepts_dependencies(&self, at: usize) -> bool {
         let controller = self.controllers[at].as_ref();
         controller.is_some_and(|c| c.cluster.record_format_v2)
     }
 
-    /// Partitions the southern zone with its controller from the rest, or ends that: heartbeats
-    /// that its machines sent across the partition then arrive.
+    /// Begins or ends a partition of the southern zone and its controller from the key-value store
+    /// and the northern zone. Heartbeats that were sent across the partition are delivered when it
+    /// ends.
     pub fn partition_zone(&mut self, partitioned: bool) {
         let was_partitioned = self.machines.iter().any(|machine| machine.partitioned);
         self.controller_faults[SOUTHERN_CONTROLLER] = ControllerFaults {
@@ -302,13 +307,14 @@
         self.select_kv_view(controller);
         let now = self.now;
         if let Some(mut receiver) = self.controllers[controller].take() {
-            // The answer goes to nobody: the worker has stopped waiting for it.
+            // The response is discarded: the worker no longer waits for it.
             let _ = receiver.receive_heartbeat(&mut self.store, heartbeat, now);
             self.controllers[controller] = Some(receiver);
         }
     }
 
-    /// Delivers a past heartbeat of a machine once more, to any controller.
+    /// Delivers a past heartbeat of a machine again, to the given controller. `which` is its index
+    /// in `sent_heartbeats`; nothing happens if there is none.
     pub fn redeliver_heartbeat(&mut self, machine: usize, which: usize, controller: usize) {
         let past = self.machines[machine].sent_heartbeats.get(which).cloned();
         if let Some(heartbeat) = past {
@@ -316,7 +322,7 @@
         }
     }
 
-    /// The controller that owns a machine's shard, by its own view.
+    /// Index of the first controller that considers itself the owner of a machine's shard.
     pub fn owner_of(&self, machine: usize) -> Option<usize> {
         let name = &self.machines[machine].worker.name;
         let owns = |controller: &SimulatedController| {
@@ -327,14 +333,15 @@
         (0..CONTROLLERS).find(|at| self.controllers[*at].as_ref().is_some_and(owns))
     }
 
-    /// The controller that owns the shard of a zone's first machine, by its own view.
+    /// Index of the first controller that considers itself the owner of the shard of a zone's first
+    /// machine.
     pub fn owner_of_zone(&self, zone: &str) -> usize {
         let machine = self.machines.iter().position(|m| m.worker.zone == zone);
         let owner = self.owner_of(machine.expect("a machine"));
         owner.expect("an owner")
     }
 
-    /// True if some controller is about to delete the machine.
+    /// True if some controller has quarantined or cordoned the machine, so that it will be deleted.
     pub fn is_leaving(&self, machine: &SimulatedMachine) -> bool {
         self.controllers.iter().flatten().any(|controller| {
             let index = controller.cluster.machine_names.find(&machine.worker.name);
@@ -343,26 +350,27 @@
         })
     }
 
-    /// Makes the store available to a controller, or not, before the controller uses it.
+    /// Sets the availability of the store to what this controller sees. Must be called before the
+    /// controller uses the store.
     fn select_kv_view(&mut self, at: usize) {
         self.store.unavailable = self.kv_outage || self.controller_faults[at].kv_refused;
     }
 
-    /// How many starts were executed.
+    /// Number of task starts that workers have executed so far.
     pub fn start_count(&self) -> usize {
         let starts = self.machines.iter().map(|m| m.worker.started.len());
         starts.sum()
     }
 
-    /// True if a task of the job was ever started.
+    /// True if any worker has ever started a task of the job.
     pub fn has_started(&self, job: &str) -> bool {
         let prefix = format!("{job}/");
         let mut started = self.machines.iter().flat_map(|m| &m.worker.started);
         started.any(|(task, _)| task.starts_with(&prefix))
     }
 
-    /// True if workers completed the job: all tasks of an array, any of a gang, whose tasks
-    /// complete together.
+    /// True if workers have completed the job: all tasks of an array or service, or any task of a
+    /// gang, whose tasks complete together. Also true for a job that was not accepted.
     pub fn completed(&self, job: &str) -> bool {
         let Some(view) = self.user_views.get(job) else {
             return true;
@@ -379,18 +387,18 @@
         self.machines.iter().any(completed_by)
     }
 
-    /// True if the job is complete and the heartbeats of a worker still show that.
+    /// True if the job is complete and the heartbeats of a worker still report a completion of it.
     pub fn shows_completion(&self, job: &str) -> bool {
         let shows = |m: &SimulatedMachine| m.worker.reports_completion_of(job);
         self.completed(job) && self.machines.iter().any(shows)
     }
 
-    /// True if a task of the job is on any machine, whether its image is there or not.
+    /// True if a task of the job is on any machine, whether it runs or still pulls its image.
     pub fn runs(&self, job: &str) -> bool {
         self.tasks_on_machines(job) > 0
     }
 
-    /// How many of a job's tasks are on machines, whether their image is there or not.
+    /// Number of the job's tasks on machines, including those that still pull their image.
     pub fn tasks_on_machines(&self, job: &str) -> usize {
         let counts = self.machines.iter();
         counts.map(|m| m.worker.active_task_count_of(job)).sum()
--- a/tests/support/simulated_cluster/tick.rs
+++ b/tests/support/simulated_cluster/tick.rs
@@ -1,5 +1,5 @@
-//! One step of the simulated clock, with all messages that it carries: between controllers, to and
-//! from workers, and to the key-value store.
+//! One step of the simulated clock, with the messages between controllers, between controllers and
+//! workers, and to the key-value store.
 
 use super::{
     DelayedCommands, SimulatedCluster, UndeliveredHeartbeat, CONTROLLERS, NAMES, STEP_MS,
@@ -19,22 +19,24 @@
 use pointhook::state::names::{Index, ShardIndex};
 use pointhook::state::units::MonotonicMillis;
 
-/// Time between a worker's heartbeats.
+/// Interval between two heartbeats of a worker.
 const HEARTBEAT_INTERVAL_MS: u64 = 2000;
-/// Time after which a worker tries the next controller.
+/// Time after which a worker sends its next heartbeat to the next controller, if one was not
+/// accepted and no owner was named.
 const RETRY_DELAY_MS: u64 = 1000;
-/// Time between rounds of gossip, preemption and probes.
+/// Interval of exchanges between peers, of preemption and of probes.
 const ROUND_MS: u64 = 1000;
-/// Shards take turns in preemption.
+/// Number of shards that take turns in preemption: those of the two zones.
 const SHARDS: u64 = 2;
-/// How late commands reach a machine that delays them.
+/// Delivery delay of commands to a machine with the fault `delays_commands`.
 const COMMAND_DELAY_MS: u64 = 6000;
 
-/// Answer to a heartbeat; otherwise the owner that the controller names, if it knows one.
+/// The response to an accepted heartbeat. An error means that the heartbeat was not accepted, and
+/// holds the name of the owner if the controller knows one.
 type HeartbeatAnswer = Result<HeartbeatResponse, Option<String>>;
 
 impl SimulatedCluster {
-    /// Lets time pass, one step of the clock at a time.
+    /// Advances the clock by at least `ms`, in steps of `STEP_MS`.
     pub fn run_for(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
@@ -60,7 +62,7 @@
         self.check_invariants();
     }
 
-    /// Runs part of a step for a controller that is not stopped.
+    /// Runs a part of a step for one controller; does nothing if it is stopped.
     fn with_controller(
         &mut self,
         at: usize,
@@ -77,7 +79,7 @@
         self.now.is_multiple_of(ROUND_MS)
     }
 
-    /// Reads the store, keeps membership and shards, and gossips.
+    /// Reads changes from the store, runs the membership task, and exchanges state with peers.
     fn run_coordination(&mut self, at: usize, controller: &mut SimulatedController) {
         if controller.sync(&self.store) {
             let watermark = &mut controller.cluster.cancellation_watermark;
@@ -89,7 +91,7 @@
         }
     }
 
-    /// Plans, preempts, and sends what does not wait for heartbeats.
+    /// Runs the planner and preemption, and sends direct commands and probes to workers.
     fn run_scheduling(&mut self, at: usize, controller: &mut SimulatedController) {
         let now = self.now;
         controller.run_planner(&mut self.store, now);
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Exchanges cancellations and machine statuses with all peers that can be reached.
+    /// Exchanges cancellations with all reachable peers, and sends them its machine statuses.
     pub(super) fn gossip(&mut self, controller: &mut SimulatedController, at: usize) {
         let now = self.now;
         for peer_index in 0..CONTROLLERS {
@@ -149,7 +151,8 @@
         !isolated(first) && !isolated(second)
     }
 
-    /// Lets a machine execute commands that have arrived, and send a heartbeat if one is due.
+    /// Runs one step of a machine: executes commands that are due, and sends a heartbeat if one is
+    /// due. A frozen machine does neither, but its lease may expire.
     fn run_machine(&mut self, index: usize) {
         let now = self.now;
         let machine = &mut self.machines[index];
@@ -203,7 +206,7 @@
         }
     }
 
-    /// What a controller answers to a heartbeat; `None` if it is stopped.
+    /// The answer of a controller to a heartbeat; `None` if the controller is stopped.
     fn answer_heartbeat(&mut self, at: usize, heartbeat: &Heartbeat) -> Option<HeartbeatAnswer> {
         self.select_kv_view(at);
         let now = self.now;
@@ -269,7 +272,8 @@
         machine.next_heartbeat_at = self.now + RETRY_DELAY_MS;
     }
 
-    /// Sends direct commands of a controller to a machine.
+    /// Sends direct commands from a controller to a machine, subject to the machine's faults. The
+    /// outcome is the one that the controller observes.
     fn send_commands(
         &mut self,
         at: usize,
@@ -308,7 +312,8 @@
         }
     }
 
-    /// Shows the owner's fencing token to machines that still have an older one.
+    /// Sends the owner's fencing token to reachable machines of its shards that still have a lower
+    /// one. Their workers then send a heartbeat at once.
     fn announce_ownership(&mut self, at: usize, controller: &SimulatedController) {
         let now = self.now;
         let cluster = &controller.cluster;
@@ -335,7 +340,8 @@
         }
     }
 
-    /// Asks machines that seem to be unreachable whether they can be reached after all.
+    /// Probes the machines that the controller considers unreachable, and marks those that answer
+    /// as reachable.
     fn probe_unreachable_machines(&mut self, at: usize, controller: &mut SimulatedController) {
         let now = MonotonicMillis(self.now);
         let unreachable = probes::unreachable_machines(
@@ -356,10 +362,10 @@
         }
     }
 
-    /// Stops tasks of cancelled jobs by direct commands.
+    /// Sends direct commands that stop tasks of cancelled jobs.
     fn stop_directly(&mut self, at: usize, cancelled: &CancelledTasks) {
         let now = self.now;
-        // All simulated workers have the same address; the tasks tell whose it is.
+        // All simulated workers have the same address, so the worker is found by its tasks.
         for machine in &mut self.machines {
             let has_any = |tasks: &[(String, u64)]| {
                 tasks.iter().any(|(task, _)| machine.worker.has_task(task))
@@ -377,7 +383,8 @@
     }
 }
 
-/// Decides on preemptions of one shard, in turn.
+/// Runs preemption for one shard, a different one in each round, and records the stops that it
+/// decides on.
 fn preempt(controller: &mut SimulatedController, now: u64) {
     let shard = ShardIndex((now / ROUND_MS % SHARDS) as u32);
     controller.observe_failovers(now);
--- a/tests/support/simulated_cluster/users.rs
+++ b/tests/support/simulated_cluster/users.rs
@@ -1,4 +1,4 @@
-//! Users of the simulated cluster: what they submit, cancel and ask, and what they were told.
+//! Users of the simulated cluster: their requests, and the answers that they got.
 
 use super::{SimulatedCluster, UserView, CONTROLLERS, NAMES};
 use crate::support::digest;
@@ -8,7 +8,7 @@
 use pointhook::state::cluster_state::ClusterState;
 
 impl SimulatedCluster {
-    /// A user submits at a controller; true if the job was accepted.
+    /// Submits a job at a controller as a user does; true if the job was accepted.
     pub fn submit(&mut self, at: usize, spec: JobSpec) -> bool {
         self.select_kv_view(at);
         let now = self.now;
@@ -31,7 +31,8 @@
         accepted
     }
 
-    /// A user whose submission got no answer sends it again, and is told that the job is known.
+    /// Records that a user whose submission got no answer has sent it again and was told that the
+    /// job is known.
     pub fn resubmit(&mut self, id: &str, spec: JobSpec) {
         let status = "pending";
         self.user_views
@@ -39,7 +40,7 @@
             .or_insert(UserView { spec, status });
     }
 
-    /// A user cancels at a controller; true if that was confirmed.
+    /// Cancels a job at a controller as a user does; true if the cancellation was confirmed.
     pub fn cancel(&mut self, at: usize, id: &str) -> bool {
         self.select_kv_view(at);
         let now = self.now;
@@ -61,7 +62,8 @@
         );
         if confirmed {
             self.record_cancelled(id);
-            // Peers that can be reached learn of it at once; the answer does not wait for that.
+            // Reachable peers learn of the cancellation at once; the answer to the user doesn't
+            // depend on them.
             self.gossip(&mut controller, at);
         }
         self.controllers[at] = Some(controller);
@@ -79,7 +81,8 @@
         }
     }
 
-    /// A user asks a controller for a job's status, which must not contradict any earlier answer.
+    /// Requests a job's status at a controller as a user does; `None` if it gives no status.
+    /// Records a violation if the status contradicts an earlier answer.
     pub fn query_status(&mut self, at: usize, id: &str) -> Option<&'static str> {
         self.select_kv_view(at);
         let controller = self.controllers[at].as_mut()?;
@@ -110,7 +113,7 @@
         Some(status)
     }
 
-    /// An array that is reported as done has all its tasks completed.
+    /// Checks that all tasks of an array have completed when it is reported as done.
     fn check_completed(&mut self, id: &str, status: &str) {
         let Some(view) = self.user_views.get(id) else {
             return;
@@ -125,7 +128,8 @@
         }
     }
 
-    /// A job is cancelled in time with a job that it depends on, and never without a request.
+    /// Checks that a job is cancelled within `CANCEL_MS` of a job that it depends on, and only if a
+    /// user has requested one of these cancellations.
     fn check_cancellation(&mut self, id: &str, status: &str) {
         let is_cancelled = status == "aborted";
         let dependency_cancelled = self.dependency_cancelled_at(id);
@@ -142,7 +146,8 @@
         }
     }
 
-    /// Asks all controllers for all accepted jobs; panics if any invariant was ever broken.
+    /// Requests the status of all accepted jobs at all controllers, and panics if there has been
+    /// any violation.
     pub fn assert_no_violations(&mut self) {
         for at in 0..CONTROLLERS {
             let ids: Vec<String> = self.user_views.keys().cloned().collect();
@@ -153,23 +158,25 @@
         assert!(self.violations.is_empty(), "{:#?}", self.violations);
     }
 
-    /// Panics if a task of the job is on any machine.
+    /// Panics if any task of the job is on a machine.
     pub fn assert_nothing_runs_of(&self, id: &str) {
         assert!(!self.runs(id), "{id} still runs");
     }
 
-    /// True if the job's own user cancelled it.
+    /// True if a user has requested the cancellation of this job itself.
     pub fn cancelled_by_user(&self, id: &str) -> bool {
         self.cancel_requests.contains(id)
     }
 
-    /// True if a user asked to cancel the job or one that it depends on.
+    /// True if a user has requested the cancellation of the job or of one that it depends on,
+    /// directly or indirectly.
     fn cancellation_was_requested(&self, id: &str) -> bool {
         let requested = |dependency: &String| self.cancellation_was_requested(dependency);
         self.cancel_requests.contains(id) || self.dependencies_of(id).iter().any(requested)
     }
 
-    /// When the first of the jobs that a job depends on was cancelled, as users were told.
+    /// Time at which a user was first told that a job on which this one depends, directly or
+    /// indirectly, is cancelled.
     fn dependency_cancelled_at(&self, id: &str) -> Option<u64> {
         let cancelled_at = |dependency: &String| match self.cancel_requests.contains(dependency) {
             true => self.cancelled_at.get(dependency).copied(),
@@ -184,44 +191,46 @@
         view.map_or(&[], |view| &view.spec.dependencies)
     }
 
-    /// Accepted jobs with their specifications.
+    /// Ids and specifications of the accepted jobs.
     pub fn accepted_jobs(&self) -> impl Iterator<Item = (&str, &JobSpec)> {
         let views = self.user_views.iter();
         views.map(|(id, view)| (id.as_str(), &view.spec))
     }
 
-    /// How many jobs were accepted.
+    /// Number of accepted jobs.
     pub fn accepted_count(&self) -> usize {
         self.user_views.len()
     }
 
-    /// Accepted jobs that others may depend on: services never end by themselves.
+    /// Accepted jobs on which others may depend: all but services, which never finish by
+    /// themselves.
     pub fn accepted_finite_jobs(&self) -> Vec<String> {
         let jobs = self.accepted_jobs();
         let finite = jobs.filter(|(_, spec)| spec.kind != JobKind::Service);
         finite.map(|(id, _)| id.to_string()).collect()
     }
 
-    /// How many jobs with dependencies have had a task started.
+    /// Number of accepted jobs with dependencies of which a worker has started a task.
     pub fn started_dependents(&self) -> usize {
         let jobs = self.accepted_jobs();
         let dependents = jobs.filter(|(_, spec)| !spec.dependencies.is_empty());
         dependents.filter(|(id, _)| self.has_started(id)).count()
     }
 
-    /// True if the job is finished, as the first running controller knows it.
+    /// True if the job is known and finished according to the first running controller.
     pub fn is_finished(&self, id: &str) -> bool {
         let known = self.first_controller().cluster.job(id);
         known.is_some_and(|(_, job)| !job.is_open())
     }
 
-    /// How many of the accepted jobs are finished.
+    /// Number of accepted jobs that are finished according to the first running controller.
     pub fn finished_count(&mut self) -> usize {
         let ids = self.user_views.keys();
         ids.filter(|id| self.is_finished(id)).count()
     }
 
-    /// Accepted jobs that are not finished, as the first running controller knows them.
+    /// Descriptions of the accepted jobs that are not finished according to the first running
+    /// controller.
     pub fn unfinished(&self) -> Vec<String> {
         let cluster = &self.first_controller().cluster;
         let open = self.user_views.keys().filter(|id| !self.is_finished(id));
@@ -229,7 +238,7 @@
             .collect()
     }
 
-    /// Services that are open, including those accepted by a transaction without a response.
+    /// Open services, including those stored by a submission that got no response.
     pub fn open_services(&self) -> Vec<String> {
         let jobs = self.first_controller().cluster.active_jobs();
         let open = jobs.filter(|(_, job)| job.is_open());
--- a/tests/support/simulated_controller/membership.rs
+++ b/tests/support/simulated_controller/membership.rs
@@ -1,4 +1,4 @@
-//! A simulated controller's key, its shards and its peers.
+//! Membership of a simulated controller: its key, its shards and its peers.
 
 use super::{SimulatedController, Standby, KEY_LEASE_MS};
 use crate::support::kv_store::FakeKvStore;
@@ -13,13 +13,13 @@
 use standby::ids::{FencingToken, Millis, Revision, ShardId};
 use std::collections::HashMap;
 
-/// Time between two raises of fencing tokens.
+/// Least time between two rounds in which the controller may raise fencing tokens.
 const TOKEN_RAISE_INTERVAL_MS: u64 = 5000;
 /// How long a controller must have been a member to become a standby.
 const STANDBY_SETTLE_MS: u64 = 2500;
 
 impl SimulatedController {
-    /// Makes it one of several controllers, with their zones.
+    /// Makes the controller a member of a cluster of these controllers, with their zone indices.
     pub fn with_peers(mut self, names: &[&str], zones: &[(&str, u32)]) -> SimulatedController {
         let own_name = &self.config.controller_name;
         let others = names.iter().filter(|name| **name != *own_name);
@@ -40,8 +40,8 @@
         self
     }
 
-    /// Takes and hands over shards as if all had been owned for long; how many moves were
-    /// committed.
+    /// Takes and hands over shards as if all owners had owned theirs since the clock began. Returns
+    /// the number of committed moves.
     pub fn apply_membership_moves(&mut self, store: &mut FakeKvStore, now: u64) -> usize {
         let view = MembershipView {
             owned_since: self.owned_since_start(),
@@ -59,7 +59,7 @@
         committed
     }
 
-    /// What it would decide on the owners of shards by a membership view.
+    /// The inputs for deciding on the owners of shards, with the given membership view.
     pub fn assignment<'a>(
         &'a self,
         view: &'a MembershipView,
@@ -76,13 +76,14 @@
         }
     }
 
-    /// All shards, as if they had been owned since the clock began.
+    /// Times of ownership that start at zero for all shards.
     pub fn owned_since_start(&self) -> HashMap<ShardIndex, MonotonicMillis> {
         let shards = (0..self.cluster.shards.len()).map(ShardIndex::new);
         shards.map(|shard| (shard, MonotonicMillis(0))).collect()
     }
 
-    /// Keeps its key, and takes and hands over shards, at the pace of the background task.
+    /// Runs one round of the membership task: renews the lease of the controller's key, stores the
+    /// key again if it is gone, and takes and hands over shards.
     pub fn run_membership_tick(&mut self, store: &mut FakeKvStore, now: u64) {
         if !store.unavailable && !store.renew_lease(self.lease, now) {
             self.lease = store.grant_lease(KEY_LEASE_MS, now);
@@ -102,7 +103,8 @@
         }
     }
 
-    /// Notes since when controllers are there and shards are owned.
+    /// Records since when controllers have been present, and shards owned by this controller or
+    /// without a living owner.
     fn update_membership_view(&mut self, now: MonotonicMillis) {
         let controllers = &self.cluster.controllers;
         let is_present = |name: &String, incarnation: Incarnation| {
@@ -144,8 +146,8 @@
         }
     }
 
-    /// Executes a move like the background task: what it recorded is known before any newer
-    /// change.
+    /// Commits a move of a shard. Like the background task, it applies the committed record before
+    /// any newer change is read.
     pub fn execute_move(
         &mut self,
         store: &mut FakeKvStore,
@@ -176,7 +178,8 @@
         outcome
     }
 
-    /// Brings failovers up to date with what it knows.
+    /// Updates the failover state of all shards from the controller's state, and records the shards
+    /// from which it steps down.
     pub fn observe_failovers(&mut self, now: u64) {
         let now = MonotonicMillis(now);
         for shard in (0..self.cluster.shards.len()).map(ShardIndex::new) {
@@ -202,7 +205,8 @@
         }
     }
 
-    /// A worker has shown a higher fencing token than the one under which it owns the shard.
+    /// Records that a worker has shown a higher fencing token than the one under which this
+    /// controller owns the shard.
     pub fn reject_stale_token(&mut self, shard: ShardIndex, seen: u64, now: u64) {
         let refusal = Refusal::Worker {
             seen: FencingToken(seen),
@@ -216,7 +220,8 @@
         }
     }
 
-    /// Tells a peer the cancellations known here, and learns those that the peer knows.
+    /// Sends the cancellations known to this controller to a peer, and applies the peer's response
+    /// with those that the peer knows.
     pub fn exchange_cancellations(&mut self, peer: &mut SimulatedController, now: u64) {
         let jobs = cancellations::cancelled_jobs_to_send(&self.cluster);
         cancellations::record_cancellations(&mut peer.cluster, &jobs);
--- a/tests/support/simulated_controller/mod.rs
+++ b/tests/support/simulated_controller/mod.rs
@@ -1,8 +1,8 @@
-//! A controller without sockets: it makes the same decisions as a real one, commits them to a fake
-//! key-value store, and exchanges messages by function calls on a simulated clock.
+//! A controller without sockets: it makes its decisions with the program's own functions, commits
+//! them to a fake key-value store, and exchanges messages by function calls on a simulated clock.
 //!
-//! - this module: its state, its start, and what it reads and writes;
-//! - `membership`: its key, its shards and its peers;
+//! - this module: state, start, and access to the key-value store;
+//! - `membership`: the controller's key, its shards and its peers;
 //! - `scheduling`: planning, heartbeats and direct starts.
 
 mod membership;
@@ -32,58 +32,59 @@
 
 pub use scheduling::direct_commands;
 
-/// Time within which a cancelled job must have ended.
+/// Time within which all tasks of a cancelled job must have stopped.
 pub const CANCEL_MS: u64 = 24_000;
-/// Workers' lease.
+/// Duration of a worker's lease.
 pub const LEASE_MS: u64 = 10_000;
-/// How old the cancellation watermark may be while leases are renewed: what the settings compute
-/// from both.
+/// Greatest age of the cancellation watermark at which leases are renewed, as the settings compute
+/// it from `CANCEL_MS` and `LEASE_MS`.
 pub const RENEW_MS: u64 = CANCEL_MS - LEASE_MS - 1534;
-/// Lease of a controller's key.
+/// Duration of the lease of a controller's key.
 const KEY_LEASE_MS: u64 = 4000;
 /// Time between the heartbeats of [`run_heartbeats`].
 const HEARTBEAT_INTERVAL_MS: u64 = 500;
 const ZONES: [&str; 2] = ["north", "south"];
 const SHARDS_PER_ZONE: usize = 1;
-/// The shard of each zone, and the one of the whole cluster.
+/// Number of shards: one for each zone, and the shard of the whole cluster.
 const SHARDS: usize = 3;
 const MIXERS_GPU_LIMIT: f64 = 2.0;
-/// Keys that are read at once.
+/// Most keys in the one page that a full read requests. Tests store fewer records.
 const MAX_PAGE: usize = 1000;
 
-/// A controller without sockets.
+/// A controller without sockets, on a simulated clock.
 pub struct SimulatedController {
     pub cluster: ClusterState,
     pub config: SchedulerConfig,
-    /// Lease of its key.
+    /// Id of the lease of the controller's key.
     pub lease: u64,
-    /// Zones of all controllers.
+    /// Zone of each controller, by name.
     pub zones: BTreeMap<String, ZoneIndex>,
-    /// Names of the other controllers, by the index of their attestations.
+    /// Names of the other controllers; the cancellation watermark identifies them by their index.
     pub peers: Vec<String>,
     pub started_at: u64,
     pub cancelled_task_sweeper: CancelledTaskSweeper,
-    /// Since when it knows its shards and the other controllers.
+    /// Since when controllers have been present and shards owned or ownerless.
     pub membership: MembershipView,
-    /// Whether it has the warm standby.
+    /// Warm-standby setting of this controller.
     pub standby: Standby,
-    /// Failovers of its shards, and the permits that they issue.
+    /// Failover state of each shard, and the permits that follow from it.
     pub failovers: Failovers,
-    /// Shards that it stepped down from, in order.
+    /// Shards from which the controller has stepped down, in order.
     pub stepped_down: Vec<ShardIndex>,
+    /// When it was last allowed to raise fencing tokens.
     token_raised_at: u64,
-    /// Cancellations were cascaded to dependents in this step already.
+    /// Whether this run of the planner has already cascaded cancellations to dependents.
     cascaded: bool,
 }
 
-/// Whether a controller has the warm standby.
+/// Warm-standby setting of a controller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum Standby {
     #[default]
     Off,
-    /// Standbys in the owner's zone are preferred.
+    /// On; controllers in the shard's zone are preferred as standbys.
     SameZone,
-    /// Standbys in another zone are preferred.
+    /// On; controllers in another zone are preferred as standbys.
     OtherZone,
 }
 
@@ -96,7 +97,7 @@
     }
 }
 
-/// A team with a limit on GPUs; zero stands for no limit.
+/// A team whose only limit is on GPUs; zero means no limit.
 pub fn team(name: &str, gpus_max: f64) -> Team {
     Team {
         name: name.into(),
@@ -132,7 +133,7 @@
     }
 }
 
-/// A store and one controller that owns all shards.
+/// Starts a store and one controller that owns all shards.
 pub fn start_single_controller() -> (FakeKvStore, SimulatedController) {
     let mut store = FakeKvStore::default();
     let mut controller = SimulatedController::start("n1", 1, &mut store, 0);
@@ -141,7 +142,8 @@
     (store, controller)
 }
 
-/// Lets workers send a heartbeat every half second.
+/// Exchanges a heartbeat of each worker with the controller every half second, from `from` up to
+/// but not including `to`.
 pub fn run_heartbeats(
     controller: &mut SimulatedController,
     store: &mut FakeKvStore,
@@ -158,7 +160,7 @@
 }
 
 impl SimulatedController {
-    /// A controller whose key is stored and that knows all records.
+    /// Starts a controller without standbys: stores its key and reads all records.
     pub fn start(
         name: &str,
         incarnation: u64,
@@ -168,7 +170,7 @@
         SimulatedController::start_as(name, incarnation, Standby::Off, store, now)
     }
 
-    /// The same, with or without the warm standby.
+    /// Starts a controller like [`SimulatedController::start`], with a warm-standby setting.
     pub fn start_as(
         name: &str,
         incarnation: u64,
@@ -212,7 +214,8 @@
         format!("{ROOT}node/{}", self.config.controller_name)
     }
 
-    /// The transaction that stores the controller's key under its lease, in place of this version.
+    /// The transaction that stores the controller's key under its lease, if the stored version of
+    /// the key is `version`.
     fn registration(&self, version: u64) -> Transaction {
         let record = ControllerRecord {
             incarnation: self.config.incarnation,
@@ -235,7 +238,8 @@
         self.cluster.take_all(&page.entries, page.revision);
     }
 
-    /// Reads the newest changes; false while the store is unavailable.
+    /// Reads the changes since the last read, or all records if the store has compacted the
+    /// changes; false if the store is unavailable.
     pub fn sync(&mut self, store: &FakeKvStore) -> bool {
         let from = self.cluster.revision;
         let response = store.watch(ROOT, from);
@@ -253,7 +257,7 @@
         }
     }
 
-    /// Sends a transaction and reads its outcome.
+    /// Commits a transaction and interprets the response.
     pub fn commit(store: &mut FakeKvStore, transaction: &Transaction, now: u64) -> CommitOutcome {
         let response = digest::commit(store, transaction, now);
         match (response.status, response.body) {
@@ -264,7 +268,7 @@
         }
     }
 
-    /// Stores a job that a user submits.
+    /// Stores a submitted job, if its id is new.
     pub fn submit(&mut self, store: &mut FakeKvStore, spec: JobSpec, now: u64) -> CommitOutcome {
         let key = ClusterState::job_key(&spec.id);
         let record = JobRecord::submitted(spec, now);
@@ -295,23 +299,23 @@
         outcome
     }
 
-    /// True if it owns a shard, by its own view.
+    /// True if the controller considers itself the owner of the shard.
     pub fn owns(&self, shard: usize) -> bool {
         self.config.owns(&self.cluster, ShardIndex::new(shard))
     }
 
-    /// Index of a machine that it knows.
+    /// Index of a machine; panics if the controller doesn't know the machine.
     pub fn machine(&self, name: &str) -> MachineIndex {
         let index = self.cluster.machine_names.find(name);
         index.expect("known machine")
     }
 
-    /// Index of a job that it knows.
+    /// Index of a job; panics if the controller doesn't know the job.
     pub fn job_index(&self, id: &str) -> JobIndex {
         self.cluster.job(id).expect("known job").0
     }
 
-    /// A job that it knows.
+    /// A job; panics if the controller doesn't know it.
     pub fn job(&self, id: &str) -> &Job {
         self.cluster.job(id).expect("known job").1
     }
--- a/tests/support/simulated_controller/scheduling.rs
+++ b/tests/support/simulated_controller/scheduling.rs
@@ -1,4 +1,4 @@
-//! A simulated controller's planning, heartbeats and direct starts.
+//! Scheduling of a simulated controller: planning, heartbeats and direct starts.
 
 use super::{SimulatedController, LEASE_MS};
 use crate::support::digest;
@@ -14,15 +14,15 @@
 use pointhook::protocol::workers::{DirectCommands, Heartbeat, HeartbeatResponse};
 use pointhook::state::units::MonotonicMillis;
 
-/// Rounds of planning after which it must have settled.
+/// Most rounds of planning before nothing changes any more; the test fails after that.
 const MAX_PLANNING_ROUNDS: u32 = 60;
-/// Time between cascades of cancellations to dependents.
+/// Interval at which cancellations are cascaded to dependents.
 const CASCADE_INTERVAL_MS: u64 = 1000;
-/// Jobs that a cascade cancels in one transaction.
+/// Most jobs that one cascade cancels.
 const CASCADE_BUDGET: usize = 2;
 
 impl SimulatedController {
-    /// What the next round of planning would commit.
+    /// The draft that the next round of planning would commit.
     pub fn draft_plan(&mut self, now: u64) -> DraftTransaction {
         self.observe_failovers(now);
         let pass = self.pass(now);
@@ -36,7 +36,7 @@
         draft
     }
 
-    /// What a round of planning looks at; wall clock and monotonic clock show the same time.
+    /// The inputs of a round of planning. Wall clock and monotonic clock show the same time.
     pub fn pass(&self, now: u64) -> PassContext<'_> {
         PassContext {
             cluster: &self.cluster,
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Plans until nothing changes any more.
+    /// Plans and commits until nothing changes any more, or until a commit has no known outcome or
+    /// the store is unavailable.
     pub fn run_planner(&mut self, store: &mut FakeKvStore, now: u64) {
         self.cascaded = false;
         for _ in 0..MAX_PLANNING_ROUNDS {
@@ -59,7 +60,7 @@
             reconciliation::mark_abandoned(&mut self.cluster, &draft);
             let outcome = Self::commit(store, &transaction(&self.cluster, &draft), now);
             apply_outcome(&mut self.cluster, &draft, &outcome);
-            // Like the background task: what was refused is tried again in its next round.
+            // Like the background task, retries a refused transaction in its next round.
             let wait = matches!(outcome, CommitOutcome::Unknown | CommitOutcome::Refused(_));
             if wait {
                 self.sync(store);
@@ -72,8 +73,8 @@
         panic!("planning never settles");
     }
 
-    /// The same as [`SimulatedController::receive_heartbeat`] while the key-value store can't be
-    /// reached.
+    /// Answers a heartbeat like [`SimulatedController::receive_heartbeat`], with an unreachable
+    /// key-value store.
     pub fn receive_heartbeat_without_kv(
         &mut self,
         heartbeat: &Heartbeat,
@@ -83,7 +84,7 @@
         self.receive_heartbeat(&mut unreachable, heartbeat, now)
     }
 
-    /// Answers a heartbeat; `None` stands for status 421.
+    /// Answers a heartbeat; `None` means that it is rejected with status 421.
     pub fn receive_heartbeat(
         &mut self,
         store: &mut FakeKvStore,
@@ -114,8 +115,8 @@
         response
     }
 
-    /// A heartbeat of a worker, answered and executed at once; false for status 421. A worker that
-    /// learns a higher fencing token sends another heartbeat.
+    /// Sends a worker's heartbeat to the controller and delivers the response; false if either is
+    /// rejected. A worker that learns a higher fencing token sends another heartbeat at once.
     pub fn exchange_heartbeat(
         &mut self,
         store: &mut FakeKvStore,
@@ -143,7 +144,8 @@
         worker.receive_response(&response, heartbeat.agent_epoch, now, now)
     }
 
-    /// Starts that are sent to machines directly.
+    /// The task starts that the controller sends to machines directly, without waiting for their
+    /// heartbeats.
     pub fn direct_starts(&mut self, now: u64) -> Vec<DirectStart> {
         self.observe_failovers(now);
         let permits = self.failovers.permits();
@@ -157,7 +159,7 @@
     }
 }
 
-/// The message that carries a direct start.
+/// The message that sends a direct start to a worker.
 pub fn direct_commands(start: &DirectStart) -> DirectCommands {
     DirectCommands {
         fencing_token: start.fencing_token,
