--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -26,8 +26,8 @@
 impl Digest {
     fn bytes(&mut self, bytes: &[u8]) {
         let length = (bytes.len() as u64).to_le_bytes();
-        for b in length.iter().chain(bytes) {
-            self.hash = (self.hash ^ u64::from(*b)).wrapping_mul(0x0000_0100_0000_01b3);
+        for byte in length.iter().chain(bytes) {
+            self.hash = (self.hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
         }
     }
 }
@@ -36,7 +36,8 @@
 /// are also written to the file `{name}.txt` in the directory that it names, one a line.
 pub fn begin(name: &str) {
     let directory = std::env::var("POINTHOOK_DIGEST_TRACE").ok();
-    let trace = directory.map(|d| File::create(format!("{d}/{name}.txt")).expect("a directory"));
+    let trace =
+        directory.map(|d| File::create(format!("{d}/{name}.txt")).expect("the directory exists"));
     let digest = Digest {
         hash: 0xcbf2_9ce4_8422_2325,
         events: 0,
@@ -61,7 +62,7 @@
         digest.bytes(&bytes);
         if let Some(trace) = &mut digest.trace {
             let text = serde_json::to_string(what).expect("an event of the protocol");
-            writeln!(trace, "{now} {kind} {text}").expect("a file that takes lines");
+            writeln!(trace, "{now} {kind} {text}").expect("the trace file can be written");
         }
     });
 }
--- a/tests/support/liveness.rs
+++ b/tests/support/liveness.rs
@@ -64,9 +64,13 @@
 }
 
 fn free_slots(cluster: &SimulatedCluster, zone: &str) -> usize {
-    let machines = cluster.machines.iter().filter(|h| h.worker.zone == zone);
-    let machines = machines.filter(|h| !cluster.is_leaving(h));
-    let free = machines.map(|h| MACHINE_SLOTS.saturating_sub(h.worker.active_task_count()));
+    let machines = cluster
+        .machines
+        .iter()
+        .filter(|machine| machine.worker.zone == zone);
+    let machines = machines.filter(|machine| !cluster.is_leaving(machine));
+    let free =
+        machines.map(|machine| MACHINE_SLOTS.saturating_sub(machine.worker.active_task_count()));
     free.sum()
 }
 
--- a/tests/support/randomized_run.rs
+++ b/tests/support/randomized_run.rs
@@ -223,7 +223,7 @@
             .cluster
             .controller_faults
             .iter()
-            .all(|t| *t == ControllerFaults::default()));
+            .all(|faults| *faults == ControllerFaults::default()));
         self.cluster.run_for(6000);
         self.start_controllers();
         self.run_calmly(120_000);
--- a/tests/support/scenarios.rs
+++ b/tests/support/scenarios.rs
@@ -7,18 +7,18 @@
 /// the controller that owns the machine of the first job's first task, and another controller.
 pub fn two_long_jobs() -> (SimulatedCluster, usize, usize) {
     let mut cluster = SimulatedCluster::new(4);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 200_000;
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 200_000;
     }
     assert!(cluster.submit(0, job("job-1", 6)));
     assert!(cluster.submit(1, job("job-2", 6)));
     cluster.run_for(5000);
     assert!(cluster.runs("job-1") && cluster.runs("job-2"));
-    let host = cluster
+    let machine = cluster
         .machines
         .iter()
-        .position(|h| h.worker.has_task("job-1/0"));
-    let leader = cluster.owner_of(host.unwrap()).unwrap();
+        .position(|machine| machine.worker.has_task("job-1/0"));
+    let leader = cluster.owner_of(machine.unwrap()).unwrap();
     let other = (0..3).find(|at| *at != leader).unwrap();
     (cluster, leader, other)
 }
--- a/tests/support/simulated_cluster/invariants.rs
+++ b/tests/support/simulated_cluster/invariants.rs
@@ -43,7 +43,7 @@
         let mut seen = BTreeSet::new();
         for running in self.running_tasks() {
             if !seen.insert(running.task) {
-                violations.push(format!("{} runs twice", running.task));
+                violations.push(format!("{} runs on two machines", running.task));
             }
         }
     }
@@ -60,7 +60,7 @@
             let first_zone = *first_zones.entry(running.job).or_insert(zone);
             let is_bound_elsewhere = view.spec.zone.as_ref().is_some_and(|z| z != zone);
             if is_bound_elsewhere || view.spec.one_zone && first_zone != zone {
-                violations.push(format!("{} runs in {zone}", running.task));
+                violations.push(format!("{} runs in the wrong zone {zone}", running.task));
             }
         }
     }
@@ -72,7 +72,7 @@
             let is_overdue = cancelled_at.is_some_and(|at| self.now - at > CANCEL_MS);
             if is_overdue {
                 let RunningTask { task, machine, .. } = running;
-                violations.push(format!("{task} on {machine} though cancelled"));
+                violations.push(format!("{task} still runs on {machine} though cancelled"));
             }
         }
     }
@@ -83,7 +83,7 @@
             for dependency in self.dependencies_of(running.job) {
                 if !self.completed(dependency) {
                     let task = running.task;
-                    violations.push(format!("{task} runs before {dependency} is done"));
+                    violations.push(format!("{task} runs before {dependency} is complete"));
                 }
             }
         }
@@ -119,7 +119,7 @@
         for (team, used) in gpus_by_team {
             let limit = self.gpu_limit_of(team);
             if limit.is_some_and(|limit| limit > 0.0 && used > limit) {
-                violations.push(format!("{team} uses {used}"));
+                violations.push(format!("{team} uses {used} GPUs, more than its limit"));
             }
         }
     }
--- a/tests/support/simulated_cluster/users.rs
+++ b/tests/support/simulated_cluster/users.rs
@@ -49,7 +49,10 @@
         };
         self.cancel_requests.insert(id.into());
         let is_open = controller.sync(&self.store)
-            && controller.cluster.job(id).is_some_and(|(_, j)| j.is_open());
+            && controller
+                .cluster
+                .job(id)
+                .is_some_and(|(_, job)| job.is_open());
         let confirmed = is_open
             && matches!(
                 controller.cancel(&mut self.store, id, now),
@@ -75,7 +78,8 @@
         self.cancel_requests.insert(id.into());
         if let Some(view) = self.user_views.get_mut(id) {
             if view.status == "done" {
-                self.violations.push(format!("{id} went back from done"));
+                self.violations
+                    .push(format!("{id} was cancelled after it was reported as done"));
             }
             view.status = "aborted";
         }
@@ -89,13 +93,14 @@
         let is_final = controller
             .cluster
             .job(id)
-            .is_some_and(|(_, j)| !j.is_open());
+            .is_some_and(|(_, job)| !job.is_open());
         if !is_final && !controller.sync(&self.store) {
             return None;
         }
         let Some((_, job)) = controller.cluster.job(id) else {
             if self.user_views.contains_key(id) {
-                self.violations.push(format!("{id} is not known at {at}"));
+                self.violations
+                    .push(format!("{} does not know the accepted job {id}", NAMES[at]));
             }
             return None;
         };
@@ -106,8 +111,9 @@
         let view = self.user_views.get_mut(id)?;
         let previous = std::mem::replace(&mut view.status, status);
         if matches!(previous, "done" | "aborted") && status != previous {
-            self.violations
-                .push(format!("{id} went back from {previous} to {status}"));
+            self.violations.push(format!(
+                "{id} changed from the final status {previous} to {status}"
+            ));
         }
         self.check_cancellation(id, status);
         Some(status)
@@ -124,7 +130,8 @@
         let tasks = (0..view.spec.tasks).map(|task| format!("{id}/{task}"));
         let incomplete: Vec<String> = tasks.filter(|task| !self.task_completed(task)).collect();
         for task in incomplete {
-            self.violations.push(format!("{id} is done without {task}"));
+            self.violations
+                .push(format!("{id} is done before its task {task}"));
         }
     }
 
@@ -135,11 +142,13 @@
         let dependency_cancelled = self.dependency_cancelled_at(id);
         let is_overdue = dependency_cancelled.is_some_and(|at| self.now > at + CANCEL_MS);
         if !is_cancelled && is_overdue {
-            self.violations
-                .push(format!("{id} is {status}, though cancelled with another"));
+            self.violations.push(format!(
+                "{id} is {status}, though a dependency was cancelled"
+            ));
         }
         if is_cancelled && !self.cancellation_was_requested(id) {
-            self.violations.push(format!("{id} is cancelled by nobody"));
+            self.violations
+                .push(format!("{id} is cancelled though no user requested that"));
         }
         if is_cancelled {
             self.cancelled_at.entry(id.into()).or_insert(self.now);
