--- a/tests/support/liveness.rs
+++ b/tests/support/liveness.rs
@@ -81,7 +81,7 @@
         .team_names
         .find(&spec.team)
         .expect("a team");
-    let most = controller.cluster.team_limits[team.at()].limit.gpu_milli as f64 / 1000.0;
+    let limit = controller.cluster.team_limits[team.at()].limit.gpu_milli as f64 / 1000.0;
     // Includes jobs that were stored although their submission got no response.
     let active = controller.cluster.active_jobs();
     let active = active.filter_map(|(_, job)| Some((job, job.spec.as_ref()?)));
@@ -89,5 +89,5 @@
     let used: f64 = of_team
         .map(|(job, other)| cluster.tasks_on_machines(&job.id) as f64 * other.wire.gpus)
         .sum();
-    most == 0.0 || used + tasks as f64 * spec.gpus <= most
+    limit == 0.0 || used + tasks as f64 * spec.gpus <= limit
 }
--- a/tests/support/randomized_run.rs
+++ b/tests/support/randomized_run.rs
@@ -58,22 +58,30 @@
     fn set(self, cluster: &mut SimulatedCluster, on: bool) {
         match self {
             Fault::KvOutage => cluster.kv_outage = on,
-            Fault::KvRefuses(at) => cluster.controller_faults[at].kv_refused = on,
-            Fault::PeersUnreachable(at) => cluster.controller_faults[at].isolated_from_peers = on,
-            Fault::ControllerDown(at) if on => cluster.stop_controller(at),
+            Fault::KvRefuses(controller) => cluster.controller_faults[controller].kv_refused = on,
+            Fault::PeersUnreachable(controller) => {
+                cluster.controller_faults[controller].isolated_from_peers = on
+            }
+            Fault::ControllerDown(controller) if on => cluster.stop_controller(controller),
             // Each step calls `start_controllers`, which also retries a controller that can't read
             // the records yet.
             Fault::ControllerDown(_) => {}
             Fault::ZonePartition => cluster.partition_zone(on),
             Fault::DelayedTransactions => cluster.store.execution_delay_ms = on.then_some(4000),
             Fault::DroppedKvResponses => cluster.store.drops_responses = on,
-            Fault::MachineDropsIncoming(at) => cluster.machines[at].faults.drops_incoming = on,
-            Fault::MachineDropsHeartbeats(at) => cluster.machines[at].faults.drops_heartbeats = on,
-            Fault::MachineFrozen(at) => cluster.machines[at].faults.frozen = on,
-            Fault::MachineDropsCommandResponses(at) => {
-                cluster.machines[at].faults.drops_command_responses = on
+            Fault::MachineDropsIncoming(machine) => {
+                cluster.machines[machine].faults.drops_incoming = on
+            }
+            Fault::MachineDropsHeartbeats(machine) => {
+                cluster.machines[machine].faults.drops_heartbeats = on
+            }
+            Fault::MachineFrozen(machine) => cluster.machines[machine].faults.frozen = on,
+            Fault::MachineDropsCommandResponses(machine) => {
+                cluster.machines[machine].faults.drops_command_responses = on
+            }
+            Fault::MachineDelaysCommands(machine) => {
+                cluster.machines[machine].faults.delays_commands = on
             }
-            Fault::MachineDelaysCommands(at) => cluster.machines[at].faults.delays_commands = on,
         }
     }
 }
@@ -122,12 +130,12 @@
             if self.rng.u8(..6) == 0 {
                 self.begin_fault(step);
             }
-            let at = self.rng.usize(..CONTROLLERS);
+            let controller = self.rng.usize(..CONTROLLERS);
             match self.rng.u8(..10) {
-                0..=3 => self.submit(at),
-                4 => self.cancel(at),
-                5 => self.redeliver_old_heartbeat(at),
-                _ => self.poll(at),
+                0..=3 => self.submit(controller),
+                4 => self.cancel(controller),
+                5 => self.redeliver_old_heartbeat(controller),
+                _ => self.poll(controller),
             }
         }
         self.recover();
@@ -155,16 +163,16 @@
     }
 
     fn start_controllers(&mut self) {
-        for at in 0..CONTROLLERS {
-            let down = Fault::ControllerDown(at);
-            let kept_down = self.faults.iter().any(|(fault, _)| *fault == down);
-            if self.cluster.controllers[at].is_none() && !kept_down {
-                self.cluster.start_controller(at);
+        for controller in 0..CONTROLLERS {
+            let down = Fault::ControllerDown(controller);
+            let stays_down = self.faults.iter().any(|(fault, _)| *fault == down);
+            if self.cluster.controllers[controller].is_none() && !stays_down {
+                self.cluster.start_controller(controller);
             }
         }
     }
 
-    fn submit(&mut self, at: usize) {
+    fn submit(&mut self, controller: usize) {
         self.jobs += 1;
         let mut spec = job(&format!("job-{}", self.jobs), self.rng.u32(1..5));
         if self.rng.bool() {
@@ -177,10 +185,10 @@
             2 => JobKind::Service,
             _ => JobKind::Array,
         };
-        if self.cluster.accepts_dependencies(at) && self.rng.bool() {
+        if self.cluster.accepts_dependencies(controller) && self.rng.bool() {
             self.add_dependencies(&mut spec);
         }
-        self.cluster.submit(at, spec);
+        self.cluster.submit(controller, spec);
     }
 
     fn add_dependencies(&mut self, spec: &mut JobSpec) {
@@ -191,28 +199,29 @@
         spec.priority = [Priority::High, Priority::Normal, Priority::Low][self.rng.usize(..3)];
     }
 
-    fn any_job(&mut self) -> Option<String> {
+    fn random_job(&mut self) -> Option<String> {
         (self.jobs > 0).then(|| format!("job-{}", self.rng.u32(1..=self.jobs)))
     }
 
-    fn cancel(&mut self, at: usize) {
-        let Some(id) = self.any_job() else { return };
-        self.confirmed += u32::from(self.cluster.cancel(at, &id));
+    fn cancel(&mut self, controller: usize) {
+        let Some(id) = self.random_job() else { return };
+        self.confirmed += u32::from(self.cluster.cancel(controller, &id));
         let other = self.rng.usize(..CONTROLLERS);
         self.cluster.query_status(other, &id);
     }
 
-    fn poll(&mut self, at: usize) {
-        if let Some(id) = self.any_job() {
-            self.cluster.query_status(at, &id);
+    fn poll(&mut self, controller: usize) {
+        if let Some(id) = self.random_job() {
+            self.cluster.query_status(controller, &id);
         }
     }
 
-    fn redeliver_old_heartbeat(&mut self, at: usize) {
+    fn redeliver_old_heartbeat(&mut self, controller: usize) {
         let machine = self.rng.usize(..MACHINES);
         let sent = self.cluster.machines[machine].sent_heartbeats.len().max(1);
-        let which = self.rng.usize(..sent);
-        self.cluster.redeliver_heartbeat(machine, which, at);
+        let heartbeat_index = self.rng.usize(..sent);
+        self.cluster
+            .redeliver_heartbeat(machine, heartbeat_index, controller);
     }
 
     /// Ends all faults and runs until all jobs are finished, at most to `LONGEST_RUN_MS`. Services
@@ -226,18 +235,18 @@
             .all(|faults| *faults == ControllerFaults::default()));
         self.cluster.run_for(6000);
         self.start_controllers();
-        self.run_calmly(120_000);
+        self.run_without_faults(120_000);
         for id in self.cluster.open_services() {
             self.cluster.cancel(0, &id);
         }
         while self.cluster.now < LONGEST_RUN_MS && !self.cluster.unfinished().is_empty() {
-            self.run_calmly(10_000);
+            self.run_without_faults(10_000);
         }
     }
 
     /// Advances the clock without faults, and records a violation for each job that waits too long
     /// although there is capacity for it.
-    fn run_calmly(&mut self, ms: u64) {
+    fn run_without_faults(&mut self, ms: u64) {
         let end = self.cluster.now + ms;
         while self.cluster.now < end {
             self.cluster.run_for(STEP_MS);
--- a/tests/support/scenarios.rs
+++ b/tests/support/scenarios.rs
@@ -19,7 +19,7 @@
         .iter()
         .position(|machine| machine.worker.has_task("job-1/0"));
     let leader = cluster.owner_of(machine.unwrap()).unwrap();
-    let other = (0..3).find(|at| *at != leader).unwrap();
+    let other = (0..3).find(|controller| *controller != leader).unwrap();
     (cluster, leader, other)
 }
 
--- a/tests/support/simulated_cluster/mod.rs
+++ b/tests/support/simulated_cluster/mod.rs
@@ -190,18 +190,18 @@
 
     /// Starts or restarts a controller. Does nothing while the key-value store is unavailable to
     /// it.
-    pub fn start_controller(&mut self, at: usize) {
-        if self.kv_outage || self.controller_faults[at].kv_refused {
+    pub fn start_controller(&mut self, controller_index: usize) {
+        if self.kv_outage || self.controller_faults[controller_index].kv_refused {
             return;
         }
-        self.select_kv_view(at);
+        self.select_kv_view(controller_index);
         self.incarnation += 1;
         // A real controller retries until its key is stored. Here the key must be stored by the
         // first transaction, so the faults of the store are suspended meanwhile.
         let delay_ms = self.store.execution_delay_ms.take();
         let drops_responses = std::mem::take(&mut self.store.drops_responses);
         let controller = SimulatedController::start_as(
-            NAMES[at],
+            NAMES[controller_index],
             self.incarnation,
             self.standby,
             &mut self.store,
@@ -214,32 +214,34 @@
             .cluster
             .cancellation_watermark
             .record_read(MonotonicMillis(self.now));
-        self.controllers[at] = Some(controller);
+        self.controllers[controller_index] = Some(controller);
     }
 
     /// Starts a controller during an outage of the key-value store: it knows no records yet, but
     /// answers its peers.
-    pub fn start_controller_without_records(&mut self, at: usize) {
+    pub fn start_controller_without_records(&mut self, controller_index: usize) {
         let mut empty_store = FakeKvStore::default();
         self.incarnation += 1;
         let controller = SimulatedController::start_as(
-            NAMES[at],
+            NAMES[controller_index],
             self.incarnation,
             self.standby,
             &mut empty_store,
             self.now,
         );
-        self.controllers[at] = Some(controller.with_peers(&NAMES, &ZONES));
+        self.controllers[controller_index] = Some(controller.with_peers(&NAMES, &ZONES));
     }
 
     /// Stops a controller at once; its state is lost.
-    pub fn stop_controller(&mut self, at: usize) {
-        self.controllers[at] = None;
+    pub fn stop_controller(&mut self, controller_index: usize) {
+        self.controllers[controller_index] = None;
     }
 
     /// The controller with this index; panics if it is stopped.
-    pub fn controller(&mut self, at: usize) -> &mut SimulatedController {
-        self.controllers[at].as_mut().expect("a live controller")
+    pub fn controller(&mut self, controller_index: usize) -> &mut SimulatedController {
+        self.controllers[controller_index]
+            .as_mut()
+            .expect("the controller runs")
     }
 
     /// The running controller with the lowest index; panics if all are stopped.
@@ -272,8 +274,8 @@
     }
 
     /// True if the controller runs and accepts jobs with dependencies.
-    pub fn accepts_dependencies(&self, at: usize) -> bool {
-        let controller = self.controllers[at].as_ref();
+    pub fn accepts_dependencies(&self, controller_index: usize) -> bool {
+        let controller = self.controllers[controller_index].as_ref();
         controller.is_some_and(|c| c.cluster.record_format_v2)
     }
 
@@ -313,10 +315,18 @@
         }
     }
 
-    /// Delivers a past heartbeat of a machine again, to the given controller. `which` is its index
-    /// in `sent_heartbeats`; nothing happens if there is none.
-    pub fn redeliver_heartbeat(&mut self, machine: usize, which: usize, controller: usize) {
-        let past = self.machines[machine].sent_heartbeats.get(which).cloned();
+    /// Delivers a past heartbeat of a machine again, to the given controller. `heartbeat_index` is
+    /// its index in `sent_heartbeats`; nothing happens if there is none.
+    pub fn redeliver_heartbeat(
+        &mut self,
+        machine: usize,
+        heartbeat_index: usize,
+        controller: usize,
+    ) {
+        let past = self.machines[machine]
+            .sent_heartbeats
+            .get(heartbeat_index)
+            .cloned();
         if let Some(heartbeat) = past {
             self.deliver(controller, &heartbeat);
         }
@@ -330,7 +340,11 @@
             let known = index.and_then(|index| controller.cluster.machine(index));
             known.is_some_and(|m| controller.config.owns(&controller.cluster, m.shard))
         };
-        (0..CONTROLLERS).find(|at| self.controllers[*at].as_ref().is_some_and(owns))
+        (0..CONTROLLERS).find(|controller_index| {
+            self.controllers[*controller_index]
+                .as_ref()
+                .is_some_and(owns)
+        })
     }
 
     /// Index of the first controller that considers itself the owner of the shard of a zone's first
@@ -352,8 +366,9 @@
 
     /// Sets the availability of the store to what this controller sees. Must be called before the
     /// controller uses the store.
-    fn select_kv_view(&mut self, at: usize) {
-        self.store.unavailable = self.kv_outage || self.controller_faults[at].kv_refused;
+    fn select_kv_view(&mut self, controller_index: usize) {
+        self.store.unavailable =
+            self.kv_outage || self.controller_faults[controller_index].kv_refused;
     }
 
     /// Number of task starts that workers have executed so far.
--- a/tests/support/simulated_cluster/tick.rs
+++ b/tests/support/simulated_cluster/tick.rs
@@ -50,14 +50,14 @@
         if !self.kv_outage {
             self.store.expire_leases(self.now);
         }
-        for at in 0..CONTROLLERS {
-            self.with_controller(at, SimulatedCluster::run_coordination);
+        for controller_index in 0..CONTROLLERS {
+            self.with_controller(controller_index, SimulatedCluster::run_coordination);
         }
         for machine in 0..self.machines.len() {
             self.run_machine(machine);
         }
-        for at in 0..CONTROLLERS {
-            self.with_controller(at, SimulatedCluster::run_scheduling);
+        for controller_index in 0..CONTROLLERS {
+            self.with_controller(controller_index, SimulatedCluster::run_scheduling);
         }
         self.check_invariants();
     }
@@ -65,13 +65,13 @@
     /// Runs a part of a step for one controller; does nothing if it is stopped.
     fn with_controller(
         &mut self,
-        at: usize,
+        controller_index: usize,
         run: fn(&mut SimulatedCluster, usize, &mut SimulatedController),
     ) {
-        self.select_kv_view(at);
-        if let Some(mut controller) = self.controllers[at].take() {
-            run(self, at, &mut controller);
-            self.controllers[at] = Some(controller);
+        self.select_kv_view(controller_index);
+        if let Some(mut controller) = self.controllers[controller_index].take() {
+            run(self, controller_index, &mut controller);
+            self.controllers[controller_index] = Some(controller);
         }
     }
 
@@ -80,19 +80,19 @@
     }
 
     /// Reads changes from the store, runs the membership task, and exchanges state with peers.
-    fn run_coordination(&mut self, at: usize, controller: &mut SimulatedController) {
+    fn run_coordination(&mut self, controller_index: usize, controller: &mut SimulatedController) {
         if controller.sync(&self.store) {
             let watermark = &mut controller.cluster.cancellation_watermark;
             watermark.record_read(MonotonicMillis(self.now));
         }
         controller.run_membership_tick(&mut self.store, self.now);
         if self.is_round() {
-            self.gossip(controller, at);
+            self.gossip(controller, controller_index);
         }
     }
 
     /// Runs the planner and preemption, and sends direct commands and probes to workers.
-    fn run_scheduling(&mut self, at: usize, controller: &mut SimulatedController) {
+    fn run_scheduling(&mut self, controller_index: usize, controller: &mut SimulatedController) {
         let now = self.now;
         controller.run_planner(&mut self.store, now);
         if self.is_round() {
@@ -101,12 +101,12 @@
         for start in controller.direct_starts(now) {
             let names = &controller.cluster.machine_names;
             let name = names.name(start.machine).clone();
-            let outcome = self.send_commands(at, &name, direct_commands(&start));
+            let outcome = self.send_commands(controller_index, &name, direct_commands(&start));
             record_direct_start_outcome(&mut controller.cluster, &start, outcome);
         }
-        self.announce_ownership(at, controller);
+        self.announce_ownership(controller_index, controller);
         if self.is_round() {
-            self.probe_unreachable_machines(at, controller);
+            self.probe_unreachable_machines(controller_index, controller);
         }
         let due = controller.cancelled_task_sweeper.due(
             &controller.cluster,
@@ -114,15 +114,17 @@
             MonotonicMillis(now),
         );
         for cancelled in due {
-            self.stop_directly(at, &cancelled);
+            self.stop_directly(controller_index, &cancelled);
         }
     }
 
     /// Exchanges cancellations with all reachable peers, and sends them its machine statuses.
-    pub(super) fn gossip(&mut self, controller: &mut SimulatedController, at: usize) {
+    pub(super) fn gossip(&mut self, controller: &mut SimulatedController, controller_index: usize) {
         let now = self.now;
         for peer_index in 0..CONTROLLERS {
-            if peer_index == at || !self.peers_reach_each_other(at, peer_index) {
+            if peer_index == controller_index
+                || !self.peers_reach_each_other(controller_index, peer_index)
+            {
                 continue;
             }
             let Some(peer) = self.controllers[peer_index].as_mut() else {
@@ -139,7 +141,7 @@
             status_updates::apply_machine_statuses(
                 &mut peer.cluster,
                 &peer.config,
-                NAMES[at],
+                NAMES[controller_index],
                 statuses,
                 MonotonicMillis(now),
             );
@@ -147,7 +149,8 @@
     }
 
     fn peers_reach_each_other(&self, first: usize, second: usize) -> bool {
-        let isolated = |at: usize| self.controller_faults[at].isolated_from_peers;
+        let isolated =
+            |controller_index: usize| self.controller_faults[controller_index].isolated_from_peers;
         !isolated(first) && !isolated(second)
     }
 
@@ -207,10 +210,14 @@
     }
 
     /// The answer of a controller to a heartbeat; `None` if the controller is stopped.
-    fn answer_heartbeat(&mut self, at: usize, heartbeat: &Heartbeat) -> Option<HeartbeatAnswer> {
-        self.select_kv_view(at);
+    fn answer_heartbeat(
+        &mut self,
+        controller_index: usize,
+        heartbeat: &Heartbeat,
+    ) -> Option<HeartbeatAnswer> {
+        self.select_kv_view(controller_index);
         let now = self.now;
-        let mut controller = self.controllers[at].take()?;
+        let mut controller = self.controllers[controller_index].take()?;
         let received = heartbeats::receive(
             &mut controller.cluster,
             &controller.config,
@@ -238,8 +245,12 @@
                 Err(None)
             }
         };
-        self.controllers[at] = Some(controller);
-        let response = (NAMES[at], &heartbeat.machine, answer.as_ref().ok());
+        self.controllers[controller_index] = Some(controller);
+        let response = (
+            NAMES[controller_index],
+            &heartbeat.machine,
+            answer.as_ref().ok(),
+        );
         digest::note("answer to a report", now, &response);
         digest::note("who is in charge", now, &answer.as_ref().err());
         Some(answer)
@@ -276,18 +287,18 @@
     /// outcome is the one that the controller observes.
     fn send_commands(
         &mut self,
-        at: usize,
+        controller_index: usize,
         name: &str,
         commands: DirectCommands,
     ) -> DirectStartOutcome {
         let now = self.now;
-        digest::note("commands", now, &(NAMES[at], name, &commands));
+        digest::note("commands", now, &(NAMES[controller_index], name, &commands));
         let mut machines = self.machines.iter_mut();
         let Some(machine) = machines.find(|machine| machine.worker.name == name) else {
             return DirectStartOutcome::Unknown;
         };
         let faults = machine.faults;
-        let delayed_until = if machine.is_partitioned_from(at) {
+        let delayed_until = if machine.is_partitioned_from(controller_index) {
             Some(WHEN_PARTITION_ENDS)
         } else if faults.delays_commands {
             Some(now + COMMAND_DELAY_MS)
@@ -314,7 +325,7 @@
 
     /// Sends the owner's fencing token to reachable machines of its shards that still have a lower
     /// one. Their workers then send a heartbeat at once.
-    fn announce_ownership(&mut self, at: usize, controller: &SimulatedController) {
+    fn announce_ownership(&mut self, controller_index: usize, controller: &SimulatedController) {
         let now = self.now;
         let cluster = &controller.cluster;
         for machine in &mut self.machines {
@@ -325,7 +336,7 @@
             let fencing_token = cluster.shards[known.shard.at()].record.fencing_token;
             let is_owner = controller.config.owns(cluster, known.shard);
             let is_due = is_owner && machine.worker.fencing_token < fencing_token;
-            if !is_due || !machine.is_reachable_from(at) {
+            if !is_due || !machine.is_reachable_from(controller_index) {
                 continue;
             }
             let announcement = DirectCommands {
@@ -334,7 +345,11 @@
                 commands: Vec::new(),
             };
             let name = &machine.worker.name;
-            digest::note("token", now, &(NAMES[at], name, &announcement));
+            digest::note(
+                "token",
+                now,
+                &(NAMES[controller_index], name, &announcement),
+            );
             machine.worker.receive_commands(&announcement, now);
             machine.next_heartbeat_at = now;
         }
@@ -342,7 +357,11 @@
 
     /// Probes the machines that the controller considers unreachable, and marks those that answer
     /// as reachable.
-    fn probe_unreachable_machines(&mut self, at: usize, controller: &mut SimulatedController) {
+    fn probe_unreachable_machines(
+        &mut self,
+        controller_index: usize,
+        controller: &mut SimulatedController,
+    ) {
         let now = MonotonicMillis(self.now);
         let unreachable = probes::unreachable_machines(
             &mut controller.cluster,
@@ -354,7 +373,7 @@
             let index = target.machine;
             let name = controller.cluster.machine_names.name(index).clone();
             let machine = self.machines.iter().find(|m| *m.worker.name == *name);
-            let is_reachable = machine.is_some_and(|m| m.is_reachable_from(at));
+            let is_reachable = machine.is_some_and(|m| m.is_reachable_from(controller_index));
             let known = controller.cluster.machine_mut(index);
             if let Some(known) = known.filter(|_| is_reachable) {
                 known.health.mark_reachable(now);
@@ -363,20 +382,20 @@
     }
 
     /// Sends direct commands that stop tasks of cancelled jobs.
-    fn stop_directly(&mut self, at: usize, cancelled: &CancelledTasks) {
+    fn stop_directly(&mut self, controller_index: usize, cancelled: &CancelledTasks) {
         let now = self.now;
         // All simulated workers have the same address, so the worker is found by its tasks.
         for machine in &mut self.machines {
             let has_any = |tasks: &[(String, u64)]| {
                 tasks.iter().any(|(task, _)| machine.worker.has_task(task))
             };
-            if !machine.is_reachable_from(at) || !has_any(&cancelled.tasks) {
+            if !machine.is_reachable_from(controller_index) || !has_any(&cancelled.tasks) {
                 continue;
             }
             let status = machine.worker.heartbeat(now);
             if let Some(stops) = direct_stops::stop_commands(&status, &cancelled.tasks) {
                 let name = &machine.worker.name;
-                digest::note("direct stop", now, &(NAMES[at], name, &stops));
+                digest::note("direct stop", now, &(NAMES[controller_index], name, &stops));
                 machine.worker.receive_commands(&stops, now);
             }
         }
--- a/tests/support/simulated_cluster/users.rs
+++ b/tests/support/simulated_cluster/users.rs
@@ -9,19 +9,19 @@
 
 impl SimulatedCluster {
     /// Submits a job at a controller as a user does; true if the job was accepted.
-    pub fn submit(&mut self, at: usize, spec: JobSpec) -> bool {
-        self.select_kv_view(at);
+    pub fn submit(&mut self, controller_index: usize, spec: JobSpec) -> bool {
+        self.select_kv_view(controller_index);
         let now = self.now;
-        let Some(mut controller) = self.controllers[at].take() else {
+        let Some(mut controller) = self.controllers[controller_index].take() else {
             return false;
         };
         let outcome = controller.submit(&mut self.store, spec.clone(), now);
         let accepted = matches!(outcome, CommitOutcome::Committed(_));
-        self.controllers[at] = Some(controller);
+        self.controllers[controller_index] = Some(controller);
         digest::note(
             "answer to a submission",
             now,
-            &(NAMES[at], &spec.id, accepted),
+            &(NAMES[controller_index], &spec.id, accepted),
         );
         if accepted {
             let status = "pending";
@@ -41,10 +41,10 @@
     }
 
     /// Cancels a job at a controller as a user does; true if the cancellation was confirmed.
-    pub fn cancel(&mut self, at: usize, id: &str) -> bool {
-        self.select_kv_view(at);
+    pub fn cancel(&mut self, controller_index: usize, id: &str) -> bool {
+        self.select_kv_view(controller_index);
         let now = self.now;
-        let Some(mut controller) = self.controllers[at].take() else {
+        let Some(mut controller) = self.controllers[controller_index].take() else {
             return false;
         };
         self.cancel_requests.insert(id.into());
@@ -61,15 +61,15 @@
         digest::note(
             "answer to a cancellation",
             now,
-            &(NAMES[at], id, is_open, confirmed),
+            &(NAMES[controller_index], id, is_open, confirmed),
         );
         if confirmed {
             self.record_cancelled(id);
             // Reachable peers learn of the cancellation at once; the answer to the user doesn't
             // depend on them.
-            self.gossip(&mut controller, at);
+            self.gossip(&mut controller, controller_index);
         }
-        self.controllers[at] = Some(controller);
+        self.controllers[controller_index] = Some(controller);
         confirmed
     }
 
@@ -87,9 +87,9 @@
 
     /// Requests a job's status at a controller as a user does; `None` if it gives no status.
     /// Records a violation if the status contradicts an earlier answer.
-    pub fn query_status(&mut self, at: usize, id: &str) -> Option<&'static str> {
-        self.select_kv_view(at);
-        let controller = self.controllers[at].as_mut()?;
+    pub fn query_status(&mut self, controller_index: usize, id: &str) -> Option<&'static str> {
+        self.select_kv_view(controller_index);
+        let controller = self.controllers[controller_index].as_mut()?;
         let is_final = controller
             .cluster
             .job(id)
@@ -99,13 +99,19 @@
         }
         let Some((_, job)) = controller.cluster.job(id) else {
             if self.user_views.contains_key(id) {
-                self.violations
-                    .push(format!("{} does not know the accepted job {id}", NAMES[at]));
+                self.violations.push(format!(
+                    "{} does not know the accepted job {id}",
+                    NAMES[controller_index]
+                ));
             }
             return None;
         };
         let answer = ClusterState::status(job);
-        digest::note("answer to a poll", self.now, &(NAMES[at], id, answer));
+        digest::note(
+            "answer to a poll",
+            self.now,
+            &(NAMES[controller_index], id, answer),
+        );
         let status = answer.0;
         self.check_completed(id, status);
         let view = self.user_views.get_mut(id)?;
@@ -158,10 +164,10 @@
     /// Requests the status of all accepted jobs at all controllers, and panics if there has been
     /// any violation.
     pub fn assert_no_violations(&mut self) {
-        for at in 0..CONTROLLERS {
+        for controller_index in 0..CONTROLLERS {
             let ids: Vec<String> = self.user_views.keys().cloned().collect();
             for id in ids {
-                self.query_status(at, &id);
+                self.query_status(controller_index, &id);
             }
         }
         assert!(self.violations.is_empty(), "{:#?}", self.violations);
