--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -74,7 +74,7 @@
     }
     for h in &cluster.machines {
         let of_host = (&h.worker.name, &h.worker.started, &h.worker.completed);
-        digest::note("machine", cluster.now, &of_host);
+        digest::record("machine", cluster.now, &of_host);
     }
 }
 
@@ -159,7 +159,7 @@
             for machine in reservation.machines {
                 let id = controller.cluster.jobs[reservation.job.at()].id.to_string();
                 let name = controller.cluster.machine_names.name(machine).to_string();
-                digest::note(
+                digest::record(
                     "held for a gang",
                     now,
                     &(&controller.config.controller_name, id, name),
@@ -191,7 +191,7 @@
                 .into_iter()
                 .map(|b| (b.task, name(b.machine)))
                 .collect();
-            digest::note(
+            digest::record(
                 "queued",
                 cluster.now,
                 &(&controller.config.controller_name, id, queues),
@@ -323,7 +323,7 @@
     let name = |m: &MachineIndex| controller.cluster.machine_names.name(*m).to_string();
     let mut needed: Vec<String> = plan.needed_machines.iter().map(name).collect();
     needed.sort_unstable();
-    digest::note("needed", now, &needed);
+    digest::record("needed", now, &needed);
     (needed, split_into_requests(plan.machines_to_request))
 }
 
@@ -344,7 +344,7 @@
             spot: pool.spot,
             count,
         };
-        digest::note("booking", now, &booking);
+        digest::record("booking", now, &booking);
         for name in cloud.provision(&booking, now).unwrap_or_default() {
             let (zone, spot) = (&booking.zone, booking.spot);
             let kind = &booking.machine_type;
@@ -378,7 +378,7 @@
         .filter(|cluster| idle(cluster))
         .map(|cluster| cluster.name.clone())
         .collect();
-    digest::note("returned", now, &idle);
+    digest::record("returned", now, &idle);
     cloud.delete_machines(&idle);
     workers.retain(|cluster| !idle.contains(&cluster.name));
     for name in &idle {
@@ -411,7 +411,7 @@
         .active_jobs()
         .filter(|(_, j)| j.is_open())
     {
-        digest::note("open job", 150_000, &j.id.to_string());
+        digest::record("open job", 150_000, &j.id.to_string());
     }
 }
 
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -24,7 +24,7 @@
 }
 
 impl Digest {
-    fn bytes(&mut self, bytes: &[u8]) {
+    fn update(&mut self, bytes: &[u8]) {
         let length = (bytes.len() as u64).to_le_bytes();
         for byte in length.iter().chain(bytes) {
             self.hash = (self.hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
@@ -52,14 +52,14 @@
 }
 
 /// Adds an event to the digest of this thread; does nothing if none was begun.
-pub fn note(kind: &str, now: u64, what: &impl Serialize) {
+pub fn record(kind: &str, now: u64, what: &impl Serialize) {
     CURRENT.with_borrow_mut(|current| {
         let Some(digest) = current else { return };
         let bytes = rmp_serde::to_vec_named(what).expect("an event of the protocol");
         digest.events += 1;
-        digest.bytes(kind.as_bytes());
-        digest.bytes(&now.to_le_bytes());
-        digest.bytes(&bytes);
+        digest.update(kind.as_bytes());
+        digest.update(&now.to_le_bytes());
+        digest.update(&bytes);
         if let Some(trace) = &mut digest.trace {
             let text = serde_json::to_string(what).expect("an event of the protocol");
             writeln!(trace, "{now} {kind} {text}").expect("the trace file can be written");
@@ -70,8 +70,8 @@
 /// Commits a transaction to the store, and adds it and its response to the digest.
 pub fn commit(store: &mut FakeKvStore, txn: &Transaction, now: u64) -> KvResponse<Committed> {
     let response = store.commit(txn, now);
-    note("transaction", now, txn);
-    note(
+    record("transaction", now, txn);
+    record(
         "transaction's answer",
         now,
         &(response.status, &response.body),
--- a/tests/support/golden.rs
+++ b/tests/support/golden.rs
@@ -13,7 +13,7 @@
 use std::path::{Path, PathBuf};
 
 /// Environment variable that, if set to 1, overwrites the golden files; the tests then fail.
-const WRITE: &str = "POINTHOOK_WRITE_GOLDEN";
+const OVERWRITE: &str = "POINTHOOK_WRITE_GOLDEN";
 /// Recorded value of an input that the program rejects.
 const REFUSED: &str = "refused";
 
@@ -87,16 +87,16 @@
     pub fn keys_read_by(&mut self, name: &str, body: &Value, read: fn(&[u8]) -> Option<Vec<u8>>) {
         let keys = body.as_object().expect("a map").keys();
         for key in keys {
-            let mut less = body.clone();
-            less.as_object_mut().expect("a map").remove(key);
-            self.read_by(&format!("{name} without {key}"), &less, read);
-            let mut null = body.clone();
-            null[key] = Value::Null;
-            self.read_by(&format!("{name} null {key}"), &null, read);
+            let mut without_key = body.clone();
+            without_key.as_object_mut().expect("a map").remove(key);
+            self.read_by(&format!("{name} without {key}"), &without_key, read);
+            let mut with_null = body.clone();
+            with_null[key] = Value::Null;
+            self.read_by(&format!("{name} null {key}"), &with_null, read);
         }
-        let mut more = body.clone();
-        more["no_such_key"] = json!(1);
-        self.read_by(&format!("{name} with another key"), &more, read);
+        let mut with_unknown_key = body.clone();
+        with_unknown_key["no_such_key"] = json!(1);
+        self.read_by(&format!("{name} with another key"), &with_unknown_key, read);
     }
 
     /// Adds a line with the encoded form of a value. Decoding it must give the same value, and a
@@ -124,18 +124,24 @@
         let path = Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("tests/data/golden")
             .join(self.file);
-        let made = self.lines.join("\n") + "\n";
-        if std::env::var(WRITE).is_ok_and(|v| v == "1") {
-            std::fs::write(&path, made).expect("the golden file can be written");
-            panic!("{} was overwritten; run without {WRITE}", self.file);
+        let actual = self.lines.join("\n") + "\n";
+        if std::env::var(OVERWRITE).is_ok_and(|v| v == "1") {
+            std::fs::write(&path, actual).expect("the golden file can be written");
+            panic!("{} was overwritten; run without {OVERWRITE}", self.file);
         }
-        let golden = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{path:?}: {e}"));
-        let (was, is): (Vec<&str>, Vec<&str>) = (golden.lines().collect(), made.lines().collect());
-        for (was, is) in was.iter().zip(&is) {
-            assert_eq!(was, is, "{}", self.file);
+        let recorded = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{path:?}: {e}"));
+        let recorded_lines: Vec<&str> = recorded.lines().collect();
+        let actual_lines: Vec<&str> = actual.lines().collect();
+        for (recorded_line, actual_line) in recorded_lines.iter().zip(&actual_lines) {
+            assert_eq!(recorded_line, actual_line, "{}", self.file);
         }
-        assert_eq!(was.len(), is.len(), "lines of {}", self.file);
-        assert!(golden == made, "{} differs in its line ends", self.file);
+        assert_eq!(
+            recorded_lines.len(),
+            actual_lines.len(),
+            "lines of {}",
+            self.file
+        );
+        assert!(recorded == actual, "{} differs in its line ends", self.file);
     }
 }
 
@@ -149,14 +155,14 @@
 }
 
 /// Path of a table in a TOML document: names of tables and positions in lists.
-type At = Vec<String>;
+type TablePath = Vec<String>;
 
 /// Collects all tables of a document with their paths and the names of their keys.
-fn tables(value: &toml::Value, at: &At, out: &mut Vec<(At, Vec<String>)>) {
-    let below = |name: String| at.iter().cloned().chain([name]).collect::<At>();
+fn tables(value: &toml::Value, path: &TablePath, out: &mut Vec<(TablePath, Vec<String>)>) {
+    let below = |name: String| path.iter().cloned().chain([name]).collect::<TablePath>();
     match value {
         toml::Value::Table(table) => {
-            out.push((at.clone(), table.keys().cloned().collect()));
+            out.push((path.clone(), table.keys().cloned().collect()));
             for (key, inner) in table {
                 tables(inner, &below(key.clone()), out);
             }
@@ -171,8 +177,8 @@
 }
 
 /// The table at a path.
-fn table_at<'a>(mut value: &'a mut toml::Value, at: &At) -> &'a mut toml::Table {
-    for step in at {
+fn table_at<'a>(mut value: &'a mut toml::Value, path: &TablePath) -> &'a mut toml::Table {
+    for step in path {
         value = match value {
             toml::Value::Array(list) => &mut list[step.parse::<usize>().expect("a position")],
             other => other.get_mut(step).expect("a key"),
@@ -196,34 +202,39 @@
         load(&file(&format!("{name}.toml"), &text))
     };
     // Debug texts are only compared with each other within a run, so field names don't matter.
-    let told = |value: &T| format!("{value:?}");
-    let whole = read(&document).map_err(|e| e.to_string()).expect("good");
+    let debug_text = |value: &T| format!("{value:?}");
+    let unchanged = read(&document).map_err(|e| e.to_string()).expect("good");
     let mut all = Vec::new();
-    tables(&document, &At::new(), &mut all);
-    for (at, keys) in all {
-        let mut more = document.clone();
-        table_at(&mut more, &at).insert("no_such_key".into(), 1.into());
-        let fate = fate(read(&more), &whole, "no_such_key", &told);
-        let place: String = at.iter().map(|step| format!("{step}.")).collect();
-        group.line(&format!("{name} another key {place}"), fate);
+    tables(&document, &TablePath::new(), &mut all);
+    for (path, keys) in all {
+        let mut with_unknown_key = document.clone();
+        table_at(&mut with_unknown_key, &path).insert("no_such_key".into(), 1.into());
+        let effect = effect_of(
+            read(&with_unknown_key),
+            &unchanged,
+            "no_such_key",
+            &debug_text,
+        );
+        let prefix: String = path.iter().map(|step| format!("{step}.")).collect();
+        group.line(&format!("{name} another key {prefix}"), effect);
         for key in keys {
             let mut misspelt = document.clone();
-            let table = table_at(&mut misspelt, &at);
+            let table = table_at(&mut misspelt, &path);
             let value = table.remove(&key).expect("the key");
             table.insert(format!("{key}x"), value);
-            let fate = self::fate(read(&misspelt), &whole, &key, &told);
-            assert_ne!(fate, "ignored", "{place}{key} has no effect");
-            group.line(&format!("{name} misspelt {place}{key}"), fate);
+            let effect = effect_of(read(&misspelt), &unchanged, &key, &debug_text);
+            assert_ne!(effect, "ignored", "{prefix}{key} has no effect");
+            group.line(&format!("{name} misspelt {prefix}{key}"), effect);
         }
     }
 }
 
 /// The effect of a change at a key: an error that names the key, a changed value or none.
-fn fate<T, E: std::fmt::Display>(
+fn effect_of<T, E: std::fmt::Display>(
     read: Result<T, E>,
-    whole: &T,
+    unchanged: &T,
     key: &str,
-    told: &dyn Fn(&T) -> String,
+    debug_text: &dyn Fn(&T) -> String,
 ) -> &'static str {
     match read {
         Err(e) => {
@@ -233,7 +244,7 @@
             assert!(cause.contains(key), "{line} names {key}");
             REFUSED
         }
-        Ok(now) if told(&now) == told(whole) => "ignored",
+        Ok(changed) if debug_text(&changed) == debug_text(unchanged) => "ignored",
         Ok(_) => "changed",
     }
 }
--- a/tests/support/simulated_cluster/tick.rs
+++ b/tests/support/simulated_cluster/tick.rs
@@ -251,8 +251,8 @@
             &heartbeat.machine,
             answer.as_ref().ok(),
         );
-        digest::note("answer to a report", now, &response);
-        digest::note("who is in charge", now, &answer.as_ref().err());
+        digest::record("answer to a report", now, &response);
+        digest::record("who is in charge", now, &answer.as_ref().err());
         Some(answer)
     }
 
@@ -292,7 +292,7 @@
         commands: DirectCommands,
     ) -> DirectStartOutcome {
         let now = self.now;
-        digest::note("commands", now, &(NAMES[controller_index], name, &commands));
+        digest::record("commands", now, &(NAMES[controller_index], name, &commands));
         let mut machines = self.machines.iter_mut();
         let Some(machine) = machines.find(|machine| machine.worker.name == name) else {
             return DirectStartOutcome::Unknown;
@@ -345,7 +345,7 @@
                 commands: Vec::new(),
             };
             let name = &machine.worker.name;
-            digest::note(
+            digest::record(
                 "token",
                 now,
                 &(NAMES[controller_index], name, &announcement),
@@ -395,7 +395,7 @@
             let status = machine.worker.heartbeat(now);
             if let Some(stops) = direct_stops::stop_commands(&status, &cancelled.tasks) {
                 let name = &machine.worker.name;
-                digest::note("direct stop", now, &(NAMES[controller_index], name, &stops));
+                digest::record("direct stop", now, &(NAMES[controller_index], name, &stops));
                 machine.worker.receive_commands(&stops, now);
             }
         }
--- a/tests/support/simulated_cluster/users.rs
+++ b/tests/support/simulated_cluster/users.rs
@@ -18,7 +18,7 @@
         let outcome = controller.submit(&mut self.store, spec.clone(), now);
         let accepted = matches!(outcome, CommitOutcome::Committed(_));
         self.controllers[controller_index] = Some(controller);
-        digest::note(
+        digest::record(
             "answer to a submission",
             now,
             &(NAMES[controller_index], &spec.id, accepted),
@@ -58,7 +58,7 @@
                 controller.cancel(&mut self.store, id, now),
                 CommitOutcome::Committed(_)
             );
-        digest::note(
+        digest::record(
             "answer to a cancellation",
             now,
             &(NAMES[controller_index], id, is_open, confirmed),
@@ -107,7 +107,7 @@
             return None;
         };
         let answer = ClusterState::status(job);
-        digest::note(
+        digest::record(
             "answer to a poll",
             self.now,
             &(NAMES[controller_index], id, answer),
--- a/tests/support/simulated_controller/scheduling.rs
+++ b/tests/support/simulated_controller/scheduling.rs
@@ -99,7 +99,7 @@
             MonotonicMillis(now),
         );
         let HeartbeatOutcome::Accepted(accepted) = received else {
-            digest::note("report not taken", now, &heartbeat.machine);
+            digest::record("report not taken", now, &heartbeat.machine);
             return None;
         };
         self.run_planner(store, now);
@@ -111,7 +111,7 @@
             &accepted,
             MonotonicMillis(now),
         );
-        digest::note("answer to a report", now, &(&heartbeat.machine, &response));
+        digest::record("answer to a report", now, &(&heartbeat.machine, &response));
         response
     }
 
