--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -1,5 +1,5 @@
-//! Two or more faults at a time: several controllers, fake workers, a key-value store that fails in
-//! parts, and one checker of the invariants.
+//! Overlapping faults: several controllers, fake workers and a key-value store that fails in part.
+//! The simulated cluster checks its invariants after each step.
 
 mod support;
 
@@ -22,7 +22,7 @@
         team: "mixers".into(),
         ..job(id, tasks)
     };
-    // One controller holds the team's whole quota, and its tasks complete.
+    // The northern shard gets the team's whole quota as its share, and its tasks end.
     let (north, south) = (0, 2);
     let mut first = small("job-1", 2);
     first.zone = Some("north".into());
@@ -32,7 +32,7 @@
     assert!(cluster.cancel(north, "job-1"));
     cluster.run_for(6000);
     assert!(!cluster.runs("job-1"));
-    // A task of the team waits, so that quota shares are lowered.
+    // A waiting task of the team makes owners lower the team's unused shares.
     let mut waits = small("job-9", 1);
     waits.vcpus = 1000.0;
     let controller = cluster.owner_of_zone("north");
@@ -45,7 +45,7 @@
         assert!(d.team_quotas.contains_key(&team));
         d
     };
-    // It gets no response, and is executed after what comes next.
+    // The transaction gets no response, and is executed only after the next claims.
     let late =
         pointhook::coordination::kv::transaction(&cluster.controller(controller).cluster, &lowered);
     let unknown = pointhook::coordination::kv::CommitOutcome::Unknown;
@@ -82,10 +82,10 @@
     assert!(worker.has_task("job-1/0"));
     worker.time_out_gang_wait();
     let old = worker.heartbeat(1500);
-    // It waits again on its machine, under the same attempt.
+    // The task is started again on its machine, under the same attempt.
     controller.exchange_heartbeat(&mut store, &mut worker, 2000);
     assert!(worker.has_task("job-1/0"));
-    // A new owner gets a duplicate of the earlier heartbeat; the job has been cancelled.
+    // A new owner receives a duplicate of the old heartbeat after the job was cancelled.
     store.revoke_lease(controller.lease);
     let mut new =
         support::simulated_controller::SimulatedController::start("s1", 2, &mut store, 2500);
@@ -123,7 +123,7 @@
         .receive_heartbeat(&mut store, &heartbeat, 1500)
         .unwrap();
     assert_eq!(answer.commands.len(), 2, "acknowledgement and start");
-    // The response is in flight when the other's machine is deleted.
+    // The other member's machine is deleted while the response is in flight.
     let other = controller.machine("m2");
     controller.cluster.mark_deleted(other);
     controller.run_planner(&mut store, 1600);
@@ -131,7 +131,7 @@
     assert!(job.placement(0).is_some(), "its exit is not final");
     assert!(first.receive_response(&answer, heartbeat.agent_epoch, 1500, 2500));
     assert!(first.has_task("job-1/0"));
-    // It is stopped there, and then the gang is retried.
+    // The remaining member is stopped, so that the gang can be retried.
     support::simulated_controller::run_heartbeats(
         &mut controller,
         &mut store,
@@ -159,12 +159,13 @@
         3000,
     );
     assert!(worker.has_task("job-1/0"));
-    // Its owner gets a heartbeat with its exit while the key-value store is unavailable to it.
+    // The owner receives a heartbeat with the task's exit while it can't reach the key-value store.
     let mut heartbeat = worker.heartbeat(3000);
     heartbeat.tasks[0].state = pointhook::protocol::workers::TaskState::Exited;
     heartbeat.tasks[0].exit_reason = Some(pointhook::protocol::workers::ExitReason::GangMemberLost);
     let _ = controller.receive_heartbeat_without_kv(&heartbeat, 3000);
-    // Another takes the shard; the agent epoch has ended, and the attempt is started once more.
+    // Another controller takes the shard. The worker begins a new agent epoch, in which the attempt
+    // is started again.
     store.revoke_lease(controller.lease);
     let mut other =
         support::simulated_controller::SimulatedController::start("s1", 2, &mut store, 9000);
@@ -178,7 +179,7 @@
         16_000,
     );
     assert!(worker.has_task("job-1/0"));
-    // The first owns the shard again, and remembers that exit.
+    // The first controller regains the shard, and still has the exit of the old agent epoch.
     store.revoke_lease(other.lease);
     let key = format!("{}node/n1", pointhook::state::cluster_state::ROOT);
     assert_eq!(store.version(&key), 0);
@@ -191,7 +192,7 @@
     assert_eq!(controller.job("job-1").next_attempt, 2);
 }
 
-/// A cluster whose small team is at its quota, with a job that waits for it.
+/// A cluster with a team at its quota, whose third job waits for quota.
 fn at_the_limit() -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(4);
     for h in &mut cluster.machines {
@@ -257,7 +258,7 @@
     cluster.run_for(3000);
     cluster.store.execution_delay_ms = None;
     let other = (leader + 1) % 3;
-    // The user sends it again, and it is known.
+    // The user resubmits the job and is told that it is known.
     assert!(!cluster.submit(other, job("job-1", 4)));
     cluster.resubmit("job-1", job("job-1", 4));
     cluster.run_for(9000);
@@ -373,10 +374,10 @@
         .zip([4000, 12_000, 20_000, 28_000])
     {
         h.worker.run_ms = ms;
-        // One task each, so that the job's tasks are on different machines.
         h.worker.image_pull_ms = 500;
     }
     let mut spec = job("job-1", 3);
+    // One such task fills a machine, so the job's tasks are on different machines.
     spec.gpus = 4.0;
     assert!(cluster.submit(0, spec));
     cluster.run_for(6000);
@@ -414,7 +415,7 @@
         for machine in 0..4 {
             let sent = cluster.machines[machine].sent_heartbeats.len();
             for at in 0..3 {
-                // One from long ago, and the newest that was sent to the old leader.
+                // An old heartbeat, and the newest, which may have been sent to the stopped owner.
                 cluster.redeliver_heartbeat(machine, sent / 3, at);
                 cluster.redeliver_heartbeat(machine, sent - 1, at);
             }
@@ -442,7 +443,7 @@
         let id = format!("job-{i}");
         let at = i % 3;
         assert!(!cluster.submit(at, job(&id, 2)), "no response");
-        // Another has read it, and the user sends it once more to the first.
+        // Another controller has read the job, and the user resubmits it to the first.
         cluster.resubmit(&id, job(&id, 2));
         for step in 0..6 {
             cluster.run_for(500);
@@ -506,7 +507,7 @@
         }
         cluster.run_for(500);
     }
-    // Refusals are answered at once; there are few.
+    // Submissions over the write limit are refused at once; fewer than a tenth are refused.
     assert!(refused < sent / 10, "{refused} of {sent}");
     cluster.run_for(60_000);
     assert_eq!(cluster.finished_count(), cluster.accepted_count());
@@ -529,7 +530,7 @@
         for step in 0..16 {
             for node in 0..3 {
                 assert!(cluster.query_status((node + step) % 3, &id).is_some());
-                // The same submission again makes no second job.
+                // A repeated submission is refused.
                 assert!(!cluster.submit(node, job(&id, 2)));
             }
             cluster.run_for(500);
@@ -580,7 +581,7 @@
         for at in 0..3 {
             cluster.stop_controller(at);
         }
-        // It returns while the others' keys still exist.
+        // The controller restarts while the keys of the others still exist.
         cluster.run_for(500);
         cluster.start_controller(round % 3);
         cluster.run_for(1500);
