--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -3,63 +3,68 @@
 
 mod support;
 
-use pointhook::coordination::scheduler::draft;
+use pointhook::coordination::kv::{apply_outcome, transaction, CommitOutcome};
+use pointhook::coordination::scheduler::draft::DraftTransaction;
 use pointhook::coordination::scheduler::quota;
-use pointhook::protocol::users::JobKind;
+use pointhook::protocol::users::{JobKind, JobSpec, Priority};
+use pointhook::protocol::workers::{ExitReason, TaskState};
+use pointhook::state::cluster_state::ROOT;
+use pointhook::state::names::TeamIndex;
 use support::job;
 use support::scenarios::{recover, two_long_jobs};
 use support::simulated_cluster::SimulatedCluster;
-use support::simulated_controller::{CANCEL_MS, LEASE_MS};
+use support::simulated_controller::{
+    run_heartbeats, start_single_controller, SimulatedController, CANCEL_MS, LEASE_MS,
+};
+use support::worker::FakeWorker;
 
 #[test]
 fn a_quota_share_whose_lowering_is_delayed_is_not_claimed_from_meanwhile() {
     let mut cluster = SimulatedCluster::new(4);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 200_000;
-        h.worker.image_pull_ms = 500;
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 200_000;
+        machine.worker.image_pull_ms = 500;
     }
-    let small = |id: &str, tasks| pointhook::protocol::users::JobSpec {
+    let job_of_mixers = |id: &str, tasks| JobSpec {
         team: "mixers".into(),
         ..job(id, tasks)
     };
     // The northern shard gets the team's whole quota as its share, and its tasks end.
     let (north, south) = (0, 2);
-    let mut first = small("job-1", 2);
-    first.zone = Some("north".into());
-    assert!(cluster.submit(north, first));
+    let mut first_job = job_of_mixers("job-1", 2);
+    first_job.zone = Some("north".into());
+    assert!(cluster.submit(north, first_job));
     cluster.run_for(5000);
     assert!(cluster.runs("job-1"));
     assert!(cluster.cancel(north, "job-1"));
     cluster.run_for(6000);
     assert!(!cluster.runs("job-1"));
     // A waiting task of the team makes owners lower the team's unused shares.
-    let mut waits = small("job-9", 1);
-    waits.vcpus = 1000.0;
+    let mut waiting_job = job_of_mixers("job-9", 1);
+    waiting_job.vcpus = 1000.0;
     let controller = cluster.owner_of_zone("north");
-    assert!(cluster.submit(controller, waits));
-    let team = pointhook::state::names::TeamIndex(1);
+    assert!(cluster.submit(controller, waiting_job));
+    let team = TeamIndex(1);
     let lowered = {
         let controller = cluster.controller(controller);
-        let mut d = draft::DraftTransaction::default();
-        quota::lower_unused_quota(&controller.pass(0), &mut d);
-        assert!(d.team_quotas.contains_key(&team));
-        d
+        let mut draft = DraftTransaction::default();
+        quota::lower_unused_quota(&controller.pass(0), &mut draft);
+        assert!(draft.team_quotas.contains_key(&team));
+        draft
     };
     // The transaction gets no response, and is executed only after the next claims.
-    let late =
-        pointhook::coordination::kv::transaction(&cluster.controller(controller).cluster, &lowered);
-    let unknown = pointhook::coordination::kv::CommitOutcome::Unknown;
-    pointhook::coordination::kv::apply_outcome(
+    let delayed = transaction(&cluster.controller(controller).cluster, &lowered);
+    apply_outcome(
         &mut cluster.controller(controller).cluster,
         &lowered,
-        &unknown,
+        &CommitOutcome::Unknown,
     );
-    let mut second = small("job-2", 2);
-    second.zone = Some("north".into());
-    assert!(cluster.submit(north, second));
+    let mut second_job = job_of_mixers("job-2", 2);
+    second_job.zone = Some("north".into());
+    assert!(cluster.submit(north, second_job));
     cluster.run_for(3000);
-    cluster.store.commit(&late, cluster.now);
-    assert!(cluster.submit(south, small("job-3", 2)));
+    cluster.store.commit(&delayed, cluster.now);
+    assert!(cluster.submit(south, job_of_mixers("job-3", 2)));
     cluster.run_for(10_000);
     assert!(cluster.runs("job-2"));
     cluster.assert_no_violations();
@@ -67,39 +72,32 @@
 
 #[test]
 fn an_old_heartbeat_with_a_gang_timeout_proves_nothing_to_a_new_owner() {
-    let (mut store, mut controller) = support::simulated_controller::start_single_controller();
-    let mut worker = support::worker::FakeWorker::new("m1", "north", 0);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
     let mut gang = job("job-1", 1);
-    gang.kind = pointhook::protocol::users::JobKind::Gang;
+    gang.kind = JobKind::Gang;
     controller.submit(&mut store, gang, 0);
-    support::simulated_controller::run_heartbeats(
-        &mut controller,
-        &mut store,
-        &mut [&mut worker],
-        0,
-        1500,
-    );
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 1500);
     assert!(worker.has_task("job-1/0"));
     worker.time_out_gang_wait();
-    let old = worker.heartbeat(1500);
+    let old_heartbeat = worker.heartbeat(1500);
     // The task is started again on its machine, under the same attempt.
     controller.exchange_heartbeat(&mut store, &mut worker, 2000);
     assert!(worker.has_task("job-1/0"));
     // A new owner receives a duplicate of the old heartbeat after the job was cancelled.
     store.revoke_lease(controller.lease);
-    let mut new =
-        support::simulated_controller::SimulatedController::start("s1", 2, &mut store, 2500);
-    assert_eq!(new.apply_membership_moves(&mut store, 2500), 3);
-    new.cancel(&mut store, "job-1", 2600);
-    let _ = new.receive_heartbeat(&mut store, &old, 2700);
-    assert_eq!(new.job("job-1").placements.len(), 1);
+    let mut new_owner = SimulatedController::start("s1", 2, &mut store, 2500);
+    assert_eq!(new_owner.apply_membership_moves(&mut store, 2500), 3);
+    new_owner.cancel(&mut store, "job-1", 2600);
+    let _ = new_owner.receive_heartbeat(&mut store, &old_heartbeat, 2700);
+    assert_eq!(new_owner.job("job-1").placements.len(), 1);
 }
 
 #[test]
 fn a_gang_lost_while_a_member_is_restarted_in_its_wait_keeps_that_member_placed() {
-    let (mut store, mut controller) = support::simulated_controller::start_single_controller();
-    let mut machines = [("m1", 0), ("m2", 0)].map(|(n, t)| {
-        let mut worker = support::worker::FakeWorker::new(n, "north", t);
+    let (mut store, mut controller) = start_single_controller();
+    let mut machines = ["m1", "m2"].map(|name| {
+        let mut worker = FakeWorker::new(name, "north", 0);
         worker.image_pull_ms = 60_000;
         worker
     });
@@ -119,69 +117,50 @@
     assert!(first.has_task("job-1/0") && second.has_task("job-1/1"));
     first.time_out_gang_wait();
     let heartbeat = first.heartbeat(1500);
-    let answer = controller
+    let response = controller
         .receive_heartbeat(&mut store, &heartbeat, 1500)
         .unwrap();
-    assert_eq!(answer.commands.len(), 2, "acknowledgement and start");
+    assert_eq!(response.commands.len(), 2, "acknowledgement and start");
     // The other member's machine is deleted while the response is in flight.
-    let other = controller.machine("m2");
-    controller.cluster.mark_deleted(other);
+    let lost_machine = controller.machine("m2");
+    controller.cluster.mark_deleted(lost_machine);
     controller.run_planner(&mut store, 1600);
     let job = controller.job("job-1");
     assert!(job.placement(0).is_some(), "its exit is not final");
-    assert!(first.receive_response(&answer, heartbeat.agent_epoch, 1500, 2500));
+    assert!(first.receive_response(&response, heartbeat.agent_epoch, 1500, 2500));
     assert!(first.has_task("job-1/0"));
     // The remaining member is stopped, so that the gang can be retried.
-    support::simulated_controller::run_heartbeats(
-        &mut controller,
-        &mut store,
-        &mut [first],
-        3000,
-        6000,
-    );
+    run_heartbeats(&mut controller, &mut store, &mut [first], 3000, 6000);
     assert!(!first.has_task("job-1/0"));
     assert!(controller.job("job-1").placements.is_empty());
 }
 
 #[test]
 fn an_exit_of_an_earlier_agent_epoch_proves_nothing_once_the_shard_is_regained() {
-    let (mut store, mut controller) = support::simulated_controller::start_single_controller();
-    let mut worker = support::worker::FakeWorker::new("m1", "north", 0);
+    let (mut store, mut controller) = start_single_controller();
+    let mut worker = FakeWorker::new("m1", "north", 0);
     worker.run_ms = 60_000;
-    let mut two = job("job-1", 1);
-    two.kind = JobKind::Gang;
-    controller.submit(&mut store, two, 0);
-    support::simulated_controller::run_heartbeats(
-        &mut controller,
-        &mut store,
-        &mut [&mut worker],
-        0,
-        3000,
-    );
+    let mut gang = job("job-1", 1);
+    gang.kind = JobKind::Gang;
+    controller.submit(&mut store, gang, 0);
+    run_heartbeats(&mut controller, &mut store, &mut [&mut worker], 0, 3000);
     assert!(worker.has_task("job-1/0"));
     // The owner receives a heartbeat with the task's exit while it can't reach the key-value store.
     let mut heartbeat = worker.heartbeat(3000);
-    heartbeat.tasks[0].state = pointhook::protocol::workers::TaskState::Exited;
-    heartbeat.tasks[0].exit_reason = Some(pointhook::protocol::workers::ExitReason::GangMemberLost);
+    heartbeat.tasks[0].state = TaskState::Exited;
+    heartbeat.tasks[0].exit_reason = Some(ExitReason::GangMemberLost);
     let _ = controller.receive_heartbeat_without_kv(&heartbeat, 3000);
     // Another controller takes the shard. The worker begins a new agent epoch, in which the attempt
     // is started again.
     store.revoke_lease(controller.lease);
-    let mut other =
-        support::simulated_controller::SimulatedController::start("s1", 2, &mut store, 9000);
+    let mut other = SimulatedController::start("s1", 2, &mut store, 9000);
     assert_eq!(other.apply_membership_moves(&mut store, 9000), 3);
     worker.expire_lease(14_000);
-    support::simulated_controller::run_heartbeats(
-        &mut other,
-        &mut store,
-        &mut [&mut worker],
-        14_000,
-        16_000,
-    );
+    run_heartbeats(&mut other, &mut store, &mut [&mut worker], 14_000, 16_000);
     assert!(worker.has_task("job-1/0"));
     // The first controller regains the shard, and still has the exit of the old agent epoch.
     store.revoke_lease(other.lease);
-    let key = format!("{}node/n1", pointhook::state::cluster_state::ROOT);
+    let key = format!("{ROOT}node/n1");
     assert_eq!(store.version(&key), 0);
     controller.sync(&store);
     controller.run_membership_tick(&mut store, 17_000);
@@ -193,10 +172,10 @@
 }
 
 /// A cluster with a team at its quota, whose third job waits for quota.
-fn at_the_limit() -> SimulatedCluster {
+fn cluster_with_team_at_quota() -> SimulatedCluster {
     let mut cluster = SimulatedCluster::new(4);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 60_000;
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 60_000;
     }
     for (id, zone) in [("job-1", "north"), ("job-2", "south")] {
         let mut spec = job(id, 1);
@@ -205,9 +184,9 @@
         assert!(cluster.submit(0, spec));
     }
     cluster.run_for(4000);
-    let mut waits = job("job-3", 2);
-    waits.team = "mixers".into();
-    assert!(cluster.submit(1, waits));
+    let mut waiting_job = job("job-3", 2);
+    waiting_job.team = "mixers".into();
+    assert!(cluster.submit(1, waiting_job));
     cluster.run_for(5000);
     assert!(cluster.runs("job-1") && cluster.runs("job-2") && !cluster.runs("job-3"));
     cluster
@@ -215,19 +194,19 @@
 
 #[test]
 fn a_team_stays_within_its_quota_while_cancelled_tasks_are_partitioned_and_the_leader_changes() {
-    for faults in 0..3 {
-        let mut cluster = at_the_limit();
+    for variant in 0..3 {
+        let mut cluster = cluster_with_team_at_quota();
         let machine = cluster
             .machines
             .iter()
-            .position(|h| h.worker.has_task("job-1/0"));
+            .position(|machine| machine.worker.has_task("job-1/0"));
         let machine = machine.unwrap();
         let leader = cluster.owner_of(machine).unwrap();
-        let h = &mut cluster.machines[machine].faults;
-        match faults {
-            0 => h.drops_heartbeats = true,
-            1 => h.frozen = true,
-            _ => (h.drops_incoming, h.drops_command_responses) = (true, true),
+        let faults = &mut cluster.machines[machine].faults;
+        match variant {
+            0 => faults.drops_heartbeats = true,
+            1 => faults.frozen = true,
+            _ => (faults.drops_incoming, faults.drops_command_responses) = (true, true),
         }
         cluster.stop_controller(leader);
         cluster.run_for(1000);
@@ -238,7 +217,11 @@
         cluster.run_for(CANCEL_MS);
         cluster.machines[machine].faults = Default::default();
         cluster.run_for(160_000);
-        assert_eq!(cluster.finished_count(), 3, "{faults}: unfinished work");
+        assert_eq!(
+            cluster.finished_count(),
+            3,
+            "variant {variant}: unfinished jobs"
+        );
         cluster.assert_no_violations();
     }
 }
@@ -271,22 +254,22 @@
 #[test]
 fn commands_delayed_for_seconds_start_nothing_twice_and_nothing_cancelled() {
     let mut cluster = SimulatedCluster::new(4);
-    for h in &mut cluster.machines {
-        h.faults.delays_commands = true;
-        h.worker.run_ms = 8000;
+    for machine in &mut cluster.machines {
+        machine.faults.delays_commands = true;
+        machine.worker.run_ms = 8000;
     }
-    for i in 1..=6 {
-        assert!(cluster.submit(i % 3, job(&format!("job-{i}"), 3)));
+    for number in 1..=6 {
+        assert!(cluster.submit(number % 3, job(&format!("job-{number}"), 3)));
         cluster.run_for(1500);
-        if i % 2 == 0 {
-            assert!(cluster.cancel((i + 1) % 3, &format!("job-{i}")));
+        if number % 2 == 0 {
+            assert!(cluster.cancel((number + 1) % 3, &format!("job-{number}")));
         }
-        let h = &mut cluster.machines[i % 4].faults;
-        h.frozen = !h.frozen;
+        let faults = &mut cluster.machines[number % 4].faults;
+        faults.frozen = !faults.frozen;
     }
     cluster.run_for(8000);
-    for h in &mut cluster.machines {
-        h.faults = Default::default();
+    for machine in &mut cluster.machines {
+        machine.faults = Default::default();
     }
     cluster.run_for(60_000);
     assert_eq!(cluster.finished_count(), 6);
@@ -296,20 +279,21 @@
 #[test]
 fn jobs_bound_to_one_zone_stay_in_it_when_their_machines_are_lost() {
     let mut cluster = SimulatedCluster::new(4);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 20_000;
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 20_000;
     }
-    for (id, shape) in [("job-1", JobKind::Array), ("job-2", JobKind::Gang)] {
+    for (id, kind) in [("job-1", JobKind::Array), ("job-2", JobKind::Gang)] {
         let mut spec = job(id, 3);
         spec.one_zone = true;
-        spec.kind = shape;
+        spec.kind = kind;
         assert!(cluster.submit(0, spec));
     }
     cluster.run_for(5000);
-    let on = |cluster: &SimulatedCluster, t: &str| {
-        cluster.machines.iter().position(|h| h.worker.has_task(t))
-    };
-    let lost = on(&cluster, "job-1/0").unwrap();
+    let lost = cluster
+        .machines
+        .iter()
+        .position(|machine| machine.worker.has_task("job-1/0"));
+    let lost = lost.unwrap();
     cluster.machines[lost].faults.frozen = true;
     cluster.machines[lost].faults.drops_heartbeats = true;
     cluster.run_for(15_000);
@@ -340,24 +324,24 @@
 #[test]
 fn ten_leader_changes_in_two_minutes_lose_nothing_even_in_an_outage() {
     let mut cluster = SimulatedCluster::new(4);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 15_000;
-    }
-    for i in 0..10 {
-        let at = i % 3;
-        let next = (at + 1) % 3;
-        let id = format!("job-{}", i + 1);
-        cluster.submit(at, job(&id, 3));
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 15_000;
+    }
+    for number in 0..10 {
+        let controller = number % 3;
+        let next = (controller + 1) % 3;
+        let id = format!("job-{}", number + 1);
+        cluster.submit(controller, job(&id, 3));
         cluster.run_for(3000);
-        cluster.kv_outage = i % 4 == 2;
-        cluster.stop_controller(at);
+        cluster.kv_outage = number % 4 == 2;
+        cluster.stop_controller(controller);
         cluster.run_for(4000);
-        if i % 3 == 1 {
+        if number % 3 == 1 {
             cluster.cancel(next, &id);
         }
         cluster.run_for(2000);
         cluster.kv_outage = false;
-        cluster.start_controller(at);
+        cluster.start_controller(controller);
         cluster.run_for(3000);
     }
     cluster.run_for(90_000);
@@ -368,13 +352,13 @@
 #[test]
 fn tasks_that_complete_far_apart_across_a_leader_change_complete_once() {
     let mut cluster = SimulatedCluster::new(4);
-    for (h, ms) in cluster
+    for (machine, run_ms) in cluster
         .machines
         .iter_mut()
         .zip([4000, 12_000, 20_000, 28_000])
     {
-        h.worker.run_ms = ms;
-        h.worker.image_pull_ms = 500;
+        machine.worker.run_ms = run_ms;
+        machine.worker.image_pull_ms = 500;
     }
     let mut spec = job("job-1", 3);
     // One such task fills a machine, so the job's tasks are on different machines.
@@ -384,7 +368,7 @@
     let machine = cluster
         .machines
         .iter()
-        .position(|h| h.worker.has_task("job-1/1"));
+        .position(|machine| machine.worker.has_task("job-1/1"));
     let leader = cluster.owner_of(machine.unwrap()).unwrap();
     cluster.stop_controller(leader);
     cluster.run_for(8000);
@@ -401,11 +385,11 @@
 #[test]
 fn old_heartbeats_that_reach_every_controller_at_a_leader_change_prove_nothing() {
     let mut cluster = SimulatedCluster::new(4);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 12_000;
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 12_000;
     }
-    for i in 1..=4 {
-        assert!(cluster.submit(i % 3, job(&format!("job-{i}"), 4)));
+    for number in 1..=4 {
+        assert!(cluster.submit(number % 3, job(&format!("job-{number}"), 4)));
         cluster.run_for(2000);
     }
     let leader = cluster.owner_of(0).unwrap();
@@ -414,10 +398,10 @@
         cluster.run_for(500);
         for machine in 0..4 {
             let sent = cluster.machines[machine].sent_heartbeats.len();
-            for at in 0..3 {
+            for controller in 0..3 {
                 // An old heartbeat, and the newest, which may have been sent to the stopped owner.
-                cluster.redeliver_heartbeat(machine, sent / 3, at);
-                cluster.redeliver_heartbeat(machine, sent - 1, at);
+                cluster.redeliver_heartbeat(machine, sent / 3, controller);
+                cluster.redeliver_heartbeat(machine, sent - 1, controller);
             }
         }
     }
@@ -435,25 +419,28 @@
 #[test]
 fn transactions_with_lost_responses_contradict_nothing_that_others_have_read() {
     let mut cluster = SimulatedCluster::new(4);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 4000;
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 4000;
     }
     cluster.store.drops_responses = true;
-    for i in 1..=9 {
-        let id = format!("job-{i}");
-        let at = i % 3;
-        assert!(!cluster.submit(at, job(&id, 2)), "no response");
+    for number in 1..=9 {
+        let id = format!("job-{number}");
+        let receiver = number % 3;
+        assert!(!cluster.submit(receiver, job(&id, 2)), "no response");
         // Another controller has read the job, and the user resubmits it to the first.
         cluster.resubmit(&id, job(&id, 2));
         for step in 0..6 {
             cluster.run_for(500);
-            for node in 0..3 {
-                cluster.query_status(node, &id);
+            for controller in 0..3 {
+                cluster.query_status(controller, &id);
             }
-            if step == 3 && i % 3 == 0 {
-                assert!(!cluster.cancel(at, &id), "no response");
-                assert_eq!(cluster.query_status((at + 1) % 3, &id), Some("aborted"));
-                assert_eq!(cluster.query_status(at, &id), Some("aborted"));
+            if step == 3 && number % 3 == 0 {
+                assert!(!cluster.cancel(receiver, &id), "no response");
+                assert_eq!(
+                    cluster.query_status((receiver + 1) % 3, &id),
+                    Some("aborted")
+                );
+                assert_eq!(cluster.query_status(receiver, &id), Some("aborted"));
             }
         }
     }
@@ -466,16 +453,16 @@
 #[test]
 fn work_continues_after_all_controllers_were_down_for_longer_than_a_lease() {
     let (mut cluster, ..) = two_long_jobs();
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 10_000;
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 10_000;
     }
-    for at in 0..3 {
-        cluster.stop_controller(at);
+    for controller in 0..3 {
+        cluster.stop_controller(controller);
     }
     cluster.run_for(2 * LEASE_MS);
     assert!(!cluster.runs("job-1"));
-    for at in [2, 0, 1] {
-        cluster.start_controller(at);
+    for controller in [2, 0, 1] {
+        cluster.start_controller(controller);
         cluster.run_for(700);
     }
     assert!(cluster.cancel(1, "job-2"));
@@ -487,9 +474,9 @@
 #[test]
 fn four_one_task_jobs_a_second_stay_within_the_limits() {
     let mut cluster = SimulatedCluster::new(8);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 1500;
-        h.worker.image_pull_ms = 500;
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 1500;
+        machine.worker.image_pull_ms = 500;
     }
     cluster.store.max_writes_per_s = 20.0;
     let (mut sent, mut refused) = (0, 0);
@@ -517,21 +504,21 @@
 #[test]
 fn users_who_query_all_controllers_at_once_see_nothing_older() {
     let mut cluster = SimulatedCluster::new(4);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 2000;
-    }
-    for i in 0..12 {
-        let id = format!("job-{i}1");
-        let at = i % 3;
-        assert!(cluster.submit(at, job(&id, 2)));
-        if i % 3 == 0 {
-            assert!(cluster.cancel((at + 1) % 3, &id));
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 2000;
+    }
+    for number in 0..12 {
+        let id = format!("job-{number}1");
+        let receiver = number % 3;
+        assert!(cluster.submit(receiver, job(&id, 2)));
+        if number % 3 == 0 {
+            assert!(cluster.cancel((receiver + 1) % 3, &id));
         }
         for step in 0..16 {
-            for node in 0..3 {
-                assert!(cluster.query_status((node + step) % 3, &id).is_some());
+            for controller in 0..3 {
+                assert!(cluster.query_status((controller + step) % 3, &id).is_some());
                 // A repeated submission is refused.
-                assert!(!cluster.submit(node, job(&id, 2)));
+                assert!(!cluster.submit(controller, job(&id, 2)));
             }
             cluster.run_for(500);
         }
@@ -548,7 +535,7 @@
         let machine = cluster
             .machines
             .iter()
-            .position(|h| h.worker.has_task("job-1/0"));
+            .position(|machine| machine.worker.has_task("job-1/0"));
         let faults = &mut cluster.machines[machine.unwrap()].faults;
         (faults.drops_heartbeats, faults.drops_incoming) = (drops_heartbeats, !drops_heartbeats);
         cluster.stop_controller(leader);
@@ -559,8 +546,8 @@
         cluster.run_for(CANCEL_MS - 8000);
         cluster.assert_nothing_runs_of("job-1");
         cluster.machines[machine.unwrap()].faults = Default::default();
-        for h in &mut cluster.machines {
-            h.worker.run_ms = 5000;
+        for machine in &mut cluster.machines {
+            machine.worker.run_ms = 5000;
         }
         cluster.run_for(250_000);
         assert_eq!(cluster.finished_count(), 2);
@@ -571,15 +558,15 @@
 #[test]
 fn controllers_hand_over_and_back_then_all_stop_and_one_returns_within_a_second() {
     let mut cluster = SimulatedCluster::new(4);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 9000;
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 9000;
     }
     for round in 0..4 {
         let id = format!("job-{}", round + 1);
         assert!(cluster.submit(round % 3, job(&id, 4)));
         cluster.run_for(2500);
-        for at in 0..3 {
-            cluster.stop_controller(at);
+        for controller in 0..3 {
+            cluster.stop_controller(controller);
         }
         // The controller restarts while the keys of the others still exist.
         cluster.run_for(500);
@@ -588,9 +575,9 @@
         if round % 2 == 0 {
             assert!(cluster.cancel(round % 3, &id));
         }
-        for at in 0..3 {
-            if cluster.controllers[at].is_none() {
-                cluster.start_controller(at);
+        for controller in 0..3 {
+            if cluster.controllers[controller].is_none() {
+                cluster.start_controller(controller);
             }
             cluster.run_for(1000);
         }
@@ -603,18 +590,18 @@
 #[test]
 fn more_work_than_capacity_over_slow_links_runs_by_priority() {
     let mut cluster = SimulatedCluster::new(2);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 12_000;
-        h.faults.delays_commands = true;
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 12_000;
+        machine.faults.delays_commands = true;
     }
-    for i in 1..=4 {
-        let mut spec = job(&format!("job-{i}"), 4);
-        spec.priority = pointhook::protocol::users::Priority::Low;
-        assert!(cluster.submit(i % 3, spec));
+    for number in 1..=4 {
+        let mut spec = job(&format!("job-{number}"), 4);
+        spec.priority = Priority::Low;
+        assert!(cluster.submit(number % 3, spec));
     }
     cluster.run_for(6000);
     let mut urgent = job("job-9", 4);
-    urgent.priority = pointhook::protocol::users::Priority::Production;
+    urgent.priority = Priority::Production;
     assert!(cluster.submit(0, urgent));
     cluster.run_for(30_000);
     assert!(
