--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_old_heartbeat_with_a_gang_timeout_proves_nothing_to_a_new_owner() {
+fn an_old_heartbeat_with_a_gang_timeout_frees_no_placement_at_a_new_owner() {
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     let mut gang = job("job-1", 1);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_gang_lost_while_a_member_is_restarted_in_its_wait_keeps_that_member_placed() {
+fn a_gang_member_whose_restart_is_in_flight_stays_placed_when_another_member_is_lost() {
     let (mut store, mut controller) = start_single_controller();
     let mut machines = ["m1", "m2"].map(|name| {
         let mut worker = FakeWorker::new(name, "north", 0);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn an_exit_of_an_earlier_agent_epoch_proves_nothing_once_the_shard_is_regained() {
+fn an_exit_of_an_earlier_agent_epoch_is_ignored_once_the_shard_is_regained() {
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
     worker.run_ms = 60_000;
@@ -383,7 +383,7 @@
 }
 
 #[test]
-fn old_heartbeats_that_reach_every_controller_at_a_leader_change_prove_nothing() {
+fn old_heartbeats_that_reach_every_controller_at_a_leader_change_restart_no_task() {
     let mut cluster = SimulatedCluster::new(4);
     for machine in &mut cluster.machines {
         machine.worker.run_ms = 12_000;
@@ -502,7 +502,7 @@
 }
 
 #[test]
-fn users_who_query_all_controllers_at_once_see_nothing_older() {
+fn users_who_query_all_controllers_at_once_see_no_older_status() {
     let mut cluster = SimulatedCluster::new(4);
     for machine in &mut cluster.machines {
         machine.worker.run_ms = 2000;
