--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -1,21 +1,22 @@
-//! A digest of decisions: fixed scenarios of the simulated world are played, and all that is sent
-//! to the state service and to workers and answered to users goes into one hash a scenario, in
-//! order. Changes that keep the behaviour keep `data/decision_digest.txt` to the letter.
+//! A digest of decisions: runs fixed scenarios on a simulated clock, and hashes all messages to the
+//! key-value store and to workers, and all answers to users, in their order; one hash for each
+//! scenario. A change that keeps the behaviour leaves every line of `data/decision_digest.txt` as
+//! it is.
 //!
-//! What goes in, with its time: each transaction with its conditions and writes as the bytes of
-//! the protocol, in the order in which it lists them, and its answer; answers to reports, direct
-//! commands and stops, tokens shown to workers; answers to submissions, cancellations and polls;
-//! machines that are rented, needed and returned; machines held for gangs; the order of
-//! waiting jobs and the machines that their tasks would queue at; what each machine
-//! started and each job's state at the end.
+//! The hash covers these events with their times: each transaction with its conditions and writes,
+//! in the order in which it lists them, and its response; responses to heartbeats, direct commands
+//! and stops, and fencing tokens sent to workers; answers to submissions, cancellations and status
+//! requests; machines that are provisioned, needed and deleted; machines reserved for gangs; the
+//! order of waiting jobs and the machines in whose queues their tasks would be placed; at the end,
+//! the tasks that each machine has started and completed, and each job's state.
 //!
-//! What is left out: messages between controllers, logs, metrics and all that has sockets. What
-//! they carry shows in what follows only. Names of needed machines are sorted, as they are a set;
-//! nothing else is reordered. Random numbers are seeded, times and incarnations are the world's.
+//! The hash does not cover messages between controllers, logs, metrics and sockets; those show only
+//! in the decisions that follow from them. Names of needed machines are sorted because they are a
+//! set; nothing else is reordered. Random numbers are seeded; times and incarnations are simulated.
 //!
-//! `POINTHOOK_WRITE_GOLDEN=1` writes the file anew, and the test fails then.
-//! `POINTHOOK_DIGEST_TRACE` names a directory for the events of each scenario as lines, which
-//! tell where two runs part.
+//! `POINTHOOK_WRITE_GOLDEN=1` overwrites the file, and the test then fails.
+//! `POINTHOOK_DIGEST_TRACE` names a directory to which the events of each scenario are written as
+//! lines, which show where two runs diverge.
 
 mod support;
 
@@ -45,9 +46,9 @@
 use support::worker::FakeWorker;
 
 const GOLDEN: &str = "tests/data/decision_digest.txt";
-/// Days that differ with the warm standby's place.
+/// Seeds of the random runs; with these, the decisions depend on the zone of the warm standby.
 const DAYS: [u64; 5] = [3, 4, 5, 6, 8];
-/// Scenarios side by side.
+/// Most scenarios that run at the same time.
 const MAX_CONCURRENT_REQUESTS: usize = 4;
 const STANDBYS: [(&str, Standby); 3] = [
     ("no-standby", Standby::Off),
@@ -55,15 +56,15 @@
     ("standby-in-other-zone", Standby::OtherZone),
 ];
 
-/// Faults of every kind, pipelines and cancellations.
+/// Scenario: a randomized run with faults of every kind, job dependencies and cancellations.
 fn random_day(seed: u64, standby: Standby) {
     let mut run = RandomizedRun::new(seed, standby);
     run.run();
     end(run.cluster);
 }
 
-/// Takes the end of a world into the digest: each job's state at each controller, and what each
-/// machine started and completed.
+/// Adds the final state of a cluster to the digest: each job's status at each controller, and the
+/// tasks that each machine has started and completed.
 fn end(mut cluster: SimulatedCluster) {
     let ids: Vec<String> = cluster
         .accepted_jobs()
@@ -78,7 +79,7 @@
     }
 }
 
-/// A job of any shape, priority, size and demand.
+/// A job with random kind, priority, size, resources and constraints.
 fn any_job(rng: &mut Rng, n: u32, done_first: &[String]) -> JobSpec {
     let mut spec = job(&format!("job-{n}"), rng.u32(1..7));
     spec.kind = match rng.u8(..8) {
@@ -113,8 +114,8 @@
     spec
 }
 
-/// More work of all kinds than there is room for: the order of jobs, limits of teams, preemption,
-/// gangs that machines are held for, expected times to finish.
+/// Scenario: more work of all kinds than capacity. Covers the order of jobs, team limits,
+/// preemption, reservations for gangs and completion targets.
 fn crowded(seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let mut cluster = SimulatedCluster::new(5);
@@ -146,7 +147,7 @@
     end(cluster);
 }
 
-/// Keeps machines for gangs that have waited for long, as the duty does.
+/// Reserves machines for gangs that have waited for long, as the program's background task does.
 fn reserve_for_gangs(cluster: &mut SimulatedCluster) {
     let now = cluster.now;
     for controller in cluster.controllers.iter_mut().flatten() {
@@ -172,8 +173,8 @@
     }
 }
 
-/// The order in which each controller would serve the jobs that wait, and the machines at which
-/// it would queue their tasks.
+/// Adds to the digest the order in which each controller would place the waiting jobs, and the
+/// machines in whose queues it would place their tasks.
 fn note_order_and_queues(cluster: &SimulatedCluster) {
     let draft = DraftTransaction::default();
     for controller in cluster.controllers.iter().flatten() {
@@ -200,7 +201,7 @@
     }
 }
 
-/// Urgent work finds all machines taken by work that can save.
+/// Scenario: jobs of high priority are submitted while all machines run jobs that can checkpoint.
 fn preemption() {
     let mut cluster = SimulatedCluster::new(3);
     for h in &mut cluster.machines {
@@ -227,7 +228,7 @@
     end(cluster);
 }
 
-/// Teams at their limit in both zones, with a service that takes a part of it.
+/// Scenario: a team at its limit in both zones, with a service that uses a part of the limit.
 fn quotas() {
     let mut cluster = SimulatedCluster::new(4);
     let shapes = [
@@ -251,7 +252,8 @@
     end(cluster);
 }
 
-/// Each controller ends in its turn while arrays, gangs and services run; then a zone is cut off.
+/// Scenario: each controller in turn stops and restarts while arrays, gangs and services run; then
+/// a zone is partitioned.
 fn failovers(standby: Standby) {
     let mut cluster = SimulatedCluster::with_standby(6, standby);
     for (n, shape) in (1..).zip([JobKind::Array, JobKind::Gang, JobKind::Service]) {
@@ -277,7 +279,8 @@
     end(cluster);
 }
 
-/// A cancellation is confirmed, then the state service is out and a machine or a node with it.
+/// Scenario: a cancellation is confirmed, then the key-value store becomes unavailable and a
+/// controller or a machine has a fault as well.
 fn cancelled_in_outage(trouble: usize) {
     let (mut cluster, leader, other) = two_long_jobs();
     refuse_leader_then_all(&mut cluster, leader, other, "job-1");
@@ -297,7 +300,8 @@
     end(cluster);
 }
 
-/// Notes the machines that waiting and expected tasks need; these and the machines to rent.
+/// Plans machines for waiting and expected tasks. Returns the names of existing machines that are
+/// needed, which are added to the digest, and the provisioning requests.
 fn plan_rentals(
     controller: &SimulatedController,
     cloud: &mut FakeCloud,
@@ -327,7 +331,7 @@
     (needed, split_into_requests(plan.machines_to_request))
 }
 
-/// Rents machines, which start their workers at once.
+/// Provisions machines, whose workers start at once.
 fn rent(
     controller: &mut SimulatedController,
     cloud: &mut FakeCloud,
@@ -358,7 +362,8 @@
     }
 }
 
-/// A rule of this test: what is empty and not needed goes back every four seconds.
+/// Deletes machines that are idle and not needed, every four seconds. This rule belongs to the test
+/// alone.
 fn return_idle(
     controller: &mut SimulatedController,
     cloud: &mut FakeCloud,
@@ -387,7 +392,7 @@
     }
 }
 
-/// Machines are rented for what waits, serve it and go back when nothing needs them.
+/// Scenario: machines are provisioned for waiting jobs and deleted when no job needs them.
 fn renting(seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let (mut store, mut controller) = start_single_controller();
@@ -415,18 +420,18 @@
     }
 }
 
-/// Plays a scenario; its line of the file.
+/// Runs a scenario and returns its line of the file.
 fn line(name: &str, seed: u64, play: impl FnOnce()) -> String {
     fastrand::seed(seed);
     let name = format!("{name}-{seed}");
     digest::begin(&name);
     play();
     let digest = digest::end();
-    assert!(digest.events > 0, "{name} decided nothing");
+    assert!(digest.events > 0, "{name} recorded no event");
     format!("{name} {:016x} {}", digest.hash, digest.events)
 }
 
-/// A scenario: its name, its seed and how it is played.
+/// A scenario: its name, its seed and the function that runs it.
 type Scenario = (String, u64, Box<dyn FnOnce() + Send>);
 
 fn scenarios() -> Vec<Scenario> {
@@ -453,8 +458,8 @@
     all
 }
 
-/// All lines, in order. Each scenario has a thread of its own, as random numbers and the digest
-/// belong to the thread; a few are played side by side.
+/// Runs all scenarios, a few at a time, and returns their lines in order. Each scenario runs on its
+/// own thread because random numbers and the digest are thread-local.
 fn all_lines() -> Vec<String> {
     let mut left = scenarios().into_iter().peekable();
     let mut lines = Vec::new();
@@ -466,7 +471,7 @@
         lines.extend(
             running
                 .into_iter()
-                .map(|t| t.join().expect("a scenario without a panic")),
+                .map(|t| t.join().expect("no scenario panics")),
         );
     }
     lines
@@ -476,21 +481,21 @@
 fn decisions_match_the_recorded_digest() {
     let lines = all_lines();
     if std::env::var("POINTHOOK_WRITE_GOLDEN").as_deref() == Ok("1") {
-        std::fs::write(GOLDEN, lines.join("\n") + "\n").expect("a file that can be written");
-        panic!("{GOLDEN} is written anew: run again without POINTHOOK_WRITE_GOLDEN");
+        std::fs::write(GOLDEN, lines.join("\n") + "\n").expect("the file can be written");
+        panic!("{GOLDEN} was overwritten; run again without POINTHOOK_WRITE_GOLDEN");
     }
-    let golden = std::fs::read_to_string(GOLDEN).expect("the digests on record");
+    let golden = std::fs::read_to_string(GOLDEN).expect("the recorded digests can be read");
     let golden: Vec<&str> = golden.lines().collect();
     let mut differ = String::new();
     for at in 0..golden.len().max(lines.len()) {
         let (old, new) = (golden.get(at).copied(), lines.get(at).map(String::as_str));
         if old != new {
             let [old, new] = [old, new].map(|line| line.unwrap_or("nothing"));
-            writeln!(differ, "  on record: {old}\n  decided:   {new}").expect("text");
+            writeln!(differ, "  recorded: {old}\n  now:      {new}").expect("text");
         }
     }
     assert!(
         differ.is_empty(),
-        "other decisions than on record:\n{differ}"
+        "decisions differ from the recorded digest:\n{differ}"
     );
 }
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -1,9 +1,10 @@
-//! The page of architecture names only what is there, and links between pages resolve.
+//! Checks that paths and identifiers named in the architecture page exist, and that links between
+//! documentation pages resolve.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
-/// Folders whose files the pages name by their path.
+/// Top-level directories. Text that begins with one of these is taken as a path.
 const ROOTS: [&str; 6] = ["src/", "crates/", "tests/", "docs/", "deploy/", "examples/"];
 
 fn repository() -> &'static Path {
@@ -14,7 +15,7 @@
     std::fs::read_to_string(path).unwrap_or_else(|e| panic!("{}: {e}", path.display()))
 }
 
-/// All files below a folder that have this ending.
+/// All files with this extension in a directory and its subdirectories.
 fn files(folder: &Path, ending: &str) -> Vec<PathBuf> {
     let entries = std::fs::read_dir(folder).unwrap_or_else(|e| panic!("{}: {e}", folder.display()));
     let paths = entries.map(|entry| entry.unwrap().path());
@@ -27,7 +28,7 @@
         .collect()
 }
 
-/// The text of all sources, this file apart, which names what is not there.
+/// The text of all source files except this one, which contains names that must not be found.
 fn source_text() -> String {
     let folders = ["src", "crates", "tests", "examples"];
     let sources = folders
@@ -45,13 +46,13 @@
     ROOTS.iter().any(|root| span.starts_with(root))
 }
 
-/// True for `name` and `Type::name`; record keys, commands and numbers are none.
+/// True for text such as `name` or `Type::name`; false for record keys, commands and numbers.
 fn is_identifier(span: &str) -> bool {
     let name = |part: &str| !part.starts_with(char::is_numeric) && part.chars().all(is_name_part);
     span.split("::").all(name)
 }
 
-/// What a page has in backticks, and the paths in its fenced blocks.
+/// All text in backticks on a page, and the paths in its fenced code blocks.
 fn marked(page: &str) -> Vec<&str> {
     let mut out = Vec::new();
     for (n, block) in page.split("```").enumerate() {
@@ -65,7 +66,8 @@
     out
 }
 
-/// What a page names and the sources lack; `Type::name` needs a function of that name.
+/// Paths and identifiers on a page that don't exist. For `Type::name`, if `name` is not a type, the
+/// sources must contain a function of that name.
 fn missing<'a>(page: &'a str, sources: &str) -> Vec<&'a str> {
     let words: BTreeSet<&str> = sources.split(|c| !is_name_part(c)).collect();
     let is_type = |name: &str| name.starts_with(|c: char| c.is_ascii_uppercase());
--- a/tests/module_dependencies.rs
+++ b/tests/module_dependencies.rs
@@ -1,13 +1,13 @@
-//! Modules use each other in one direction: no circle of `use` lines between the files of `src/`.
+//! Checks that the modules in `src/` have no dependency cycle.
 //!
-//! A circle means that no file of it can be read, tested or changed without the others. The usual ways
-//! out: what both sides need moves to a module below both, or data moves away from the tasks that
-//! change it.
+//! No file of a cycle can be read, tested or changed without the others. The usual ways to break a
+//! cycle are to move what both sides need to a module below both, or to separate data from the
+//! tasks that change it.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// Modules by path, `coordination::kv::client` for example, and the modules that each one uses.
+/// The modules that each module uses, by its path, for example `coordination::kv::client`.
 type Dependencies = BTreeMap<String, BTreeSet<String>>;
 
 fn source_folder() -> PathBuf {
@@ -27,7 +27,7 @@
         .collect()
 }
 
-/// The module of a file, by its path from `src/`.
+/// Module path of a file, from its path relative to `src/`.
 fn module_of(file: &Path) -> String {
     let without_ending = file.with_extension("");
     let mut names: Vec<&str> = without_ending
@@ -46,7 +46,7 @@
     lines.join("\n")
 }
 
-/// All paths of a `use` tree: `a::{b, c::{d, e}}` names `a::b`, `a::c::d` and `a::c::e`.
+/// All paths in a `use` tree: `a::b`, `a::c::d` and `a::c::e` for `a::{b, c::{d, e}}`.
 fn paths_of_tree(tree: &str) -> Vec<String> {
     let tree = tree.trim();
     let Some((prefix, rest)) = tree.split_once('{') else {
@@ -58,7 +58,7 @@
     below.map(|path| format!("{prefix}{path}")).collect()
 }
 
-/// Splits at the commas that are in no inner braces.
+/// Splits a list of `use` trees at the commas outside of inner braces.
 fn branches_of(branches: &str) -> Vec<&str> {
     let mut depth = 0;
     let parts = branches.split(|c| {
@@ -72,7 +72,7 @@
     parts.filter(|part| !part.trim().is_empty()).collect()
 }
 
-/// The path from `src/` on; `None` for a path into another crate.
+/// Converts a path to one from the crate root; `None` for a path into another crate.
 fn absolute(path: &str, module: &str, modules: &BTreeSet<String>) -> Option<String> {
     if let Some(path) = path.strip_prefix("crate::") {
         return Some(path.to_string());
@@ -87,13 +87,13 @@
         "" => rest.to_string(),
         base => format!("{base}::{rest}"),
     };
-    // A path that names no parent is relative only if it begins with a module below this one.
+    // A path without `super::` or `crate::` is relative only if it begins with a child module.
     let first = rest.split("::").next().unwrap_or_default();
     let names_child = modules.contains(&format!("{module}::{first}"));
     (base != module || names_child).then_some(joined)
 }
 
-/// The module that a path names or in which what it names stands.
+/// The module that a path names, or that contains the item that the path names.
 fn owner<'a>(path: &'a str, modules: &BTreeSet<String>) -> Option<&'a str> {
     let mut prefix = path;
     while !modules.contains(prefix) {
@@ -102,7 +102,7 @@
     Some(prefix)
 }
 
-/// Paths in `use` lines, and those in expressions.
+/// All paths in `use` declarations and in other code.
 fn paths_in(source: &str) -> Vec<String> {
     let mut paths = Vec::new();
     let mut lines = source.lines();
@@ -121,7 +121,7 @@
     paths
 }
 
-/// What follows `use` on a line that begins with it.
+/// The text after `use` on a line that begins a `use` declaration.
 fn begin_of_use(line: &str) -> Option<&str> {
     let line = line.trim_start();
     let private = match line.strip_prefix("pub") {
@@ -151,7 +151,8 @@
     dependencies
 }
 
-/// A circle as the path that walks it; `None` if there is none.
+/// A cycle as the list of its modules, with the first one repeated at the end; `None` if there is no
+/// cycle.
 fn find_circle(dependencies: &Dependencies) -> Option<Vec<String>> {
     let mut finished = BTreeSet::new();
     dependencies
@@ -187,7 +188,7 @@
 fn no_modules_use_each_other_in_a_circle() {
     if let Some(circle) = find_circle(&dependencies()) {
         panic!(
-            "modules use each other in a circle: {}",
+            "modules depend on each other in a cycle: {}",
             circle.join(" -> ")
         );
     }
--- a/tests/randomized_faults.rs
+++ b/tests/randomized_faults.rs
@@ -1,15 +1,15 @@
 //! Seeded randomized runs: jobs with dependencies, cancellations and overlapping faults of every
-//! kind, against the invariants in `support::simulated_cluster`.
+//! kind. The invariants of `support::simulated_cluster` must hold, and every job must finish.
 
 mod support;
 
 use support::randomized_run::RandomizedRun;
 use support::simulated_controller::Standby;
 
-/// Runs in CI; `POINTHOOK_RANDOM_DAYS` asks for more.
+/// Number of runs unless `POINTHOOK_RANDOM_DAYS` is set to a higher number.
 const RUNS: u64 = 24;
 
-/// How many runs: more if asked for, never fewer.
+/// The number of runs of each test: at least `RUNS`.
 fn run_count() -> u64 {
     let wanted = std::env::var("POINTHOOK_RANDOM_DAYS").ok();
     let wanted = wanted.and_then(|n| n.parse().ok()).unwrap_or(0);
