--- a/tests/decision_digest.rs
+++ b/tests/decision_digest.rs
@@ -47,9 +47,9 @@
 
 const GOLDEN: &str = "tests/data/decision_digest.txt";
 /// Seeds of the random runs; with these, the decisions depend on the zone of the warm standby.
-const DAYS: [u64; 5] = [3, 4, 5, 6, 8];
+const RANDOM_RUN_SEEDS: [u64; 5] = [3, 4, 5, 6, 8];
 /// Most scenarios that run at the same time.
-const MAX_CONCURRENT_REQUESTS: usize = 4;
+const MAX_CONCURRENT_SCENARIOS: usize = 4;
 const STANDBYS: [(&str, Standby); 3] = [
     ("no-standby", Standby::Off),
     ("standby-in-same-zone", Standby::SameZone),
@@ -57,43 +57,47 @@
 ];
 
 /// Scenario: a randomized run with faults of every kind, job dependencies and cancellations.
-fn random_day(seed: u64, standby: Standby) {
+fn random_run(seed: u64, standby: Standby) {
     let mut run = RandomizedRun::new(seed, standby);
     run.run();
-    end(run.cluster);
+    record_final_state(run.cluster);
 }
 
 /// Adds the final state of a cluster to the digest: each job's status at each controller, and the
 /// tasks that each machine has started and completed.
-fn end(mut cluster: SimulatedCluster) {
+fn record_final_state(mut cluster: SimulatedCluster) {
     let ids: Vec<String> = cluster
         .accepted_jobs()
         .map(|(id, _)| id.to_string())
         .collect();
-    for (at, id) in ids.iter().flat_map(|id| (0..3).map(move |at| (at, id))) {
-        cluster.query_status(at, id);
+    for (controller, id) in ids
+        .iter()
+        .flat_map(|id| (0..3).map(move |index| (index, id)))
+    {
+        cluster.query_status(controller, id);
     }
-    for h in &cluster.machines {
-        let of_host = (&h.worker.name, &h.worker.started, &h.worker.completed);
-        digest::record("machine", cluster.now, &of_host);
+    for machine in &cluster.machines {
+        let worker = &machine.worker;
+        let state = (&worker.name, &worker.started, &worker.completed);
+        digest::record("machine", cluster.now, &state);
     }
 }
 
 /// A job with random kind, priority, size, resources and constraints.
-fn any_job(rng: &mut Rng, n: u32, done_first: &[String]) -> JobSpec {
-    let mut spec = job(&format!("job-{n}"), rng.u32(1..7));
+fn random_job(rng: &mut Rng, number: u32, possible_dependencies: &[String]) -> JobSpec {
+    let mut spec = job(&format!("job-{number}"), rng.u32(1..7));
     spec.kind = match rng.u8(..8) {
         0 | 1 => JobKind::Gang,
         2 => JobKind::Service,
         _ => JobKind::Array,
     };
-    let ranks = [
+    let priorities = [
         Priority::Production,
         Priority::High,
         Priority::Normal,
         Priority::Low,
     ];
-    spec.priority = ranks[rng.usize(..4)];
+    spec.priority = priorities[rng.usize(..4)];
     spec.class = ["bake", "proof"][rng.usize(..2)].into();
     spec.image = ["bread", "cake", "pie"][rng.usize(..3)].into();
     spec.vcpus = [1.0, 4.0, 8.0, 16.0][rng.usize(..4)];
@@ -108,8 +112,9 @@
     if rng.u8(..3) == 0 {
         spec.team = "mixers".into();
     }
-    if rng.u8(..4) == 0 && !done_first.is_empty() {
-        spec.dependencies = vec![done_first[rng.usize(..done_first.len())].clone()];
+    if rng.u8(..4) == 0 && !possible_dependencies.is_empty() {
+        spec.dependencies =
+            vec![possible_dependencies[rng.usize(..possible_dependencies.len())].clone()];
     }
     spec
 }
@@ -132,7 +137,7 @@
     for step in 0..150 {
         if rng.u8(..3) == 0 {
             let earlier = cluster.accepted_finite_jobs();
-            let spec = any_job(&mut rng, step, &earlier);
+            let spec = random_job(&mut rng, step, &earlier);
             cluster.submit(rng.usize(..3), spec);
         }
         if rng.u8(..12) == 0 {
@@ -141,10 +146,10 @@
         }
         cluster.query_status(rng.usize(..3), &format!("job-{}", rng.u32(..=step)));
         reserve_for_gangs(&mut cluster);
-        note_order_and_queues(&cluster);
+        record_job_order_and_queues(&cluster);
         cluster.run_for(1000);
     }
-    end(cluster);
+    record_final_state(cluster);
 }
 
 /// Reserves machines for gangs that have waited for long, as the program's background task does.
@@ -165,8 +170,8 @@
                     now,
                     &(&controller.config.controller_name, id, name),
                 );
-                if let Some(m) = controller.cluster.machine_mut(machine) {
-                    m.reserve_for(reservation.job, MonotonicMillis(now + 4000));
+                if let Some(known) = controller.cluster.machine_mut(machine) {
+                    known.reserve_for(reservation.job, MonotonicMillis(now + 4000));
                 }
             }
         }
@@ -175,7 +180,7 @@
 
 /// Adds to the digest the order in which each controller would place the waiting jobs, and the
 /// machines in whose queues it would place their tasks.
-fn note_order_and_queues(cluster: &SimulatedCluster) {
+fn record_job_order_and_queues(cluster: &SimulatedCluster) {
     let draft = DraftTransaction::default();
     for controller in cluster.controllers.iter().flatten() {
         for job in job_order::waiting_jobs(&controller.pass(cluster.now), &draft) {
@@ -190,7 +195,7 @@
             let name = |m: MachineIndex| controller.cluster.machine_names.name(m).to_string();
             let queues: Vec<_> = queues
                 .into_iter()
-                .map(|b| (b.task, name(b.machine)))
+                .map(|binding| (binding.task, name(binding.machine)))
                 .collect();
             digest::record(
                 "queued",
@@ -204,70 +209,74 @@
 /// Scenario: jobs of high priority are submitted while all machines run jobs that can checkpoint.
 fn preemption() {
     let mut cluster = SimulatedCluster::new(3);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 30_000;
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 30_000;
     }
-    for (n, rank) in [
+    for (number, priority) in [
         (1, Priority::Low),
         (2, Priority::Normal),
         (3, Priority::Low),
     ] {
-        let mut spec = job(&format!("job-{n}"), 4);
-        (spec.priority, spec.checkpoint_s, spec.checkpoint_grace_s) = (rank, 5.0, f64::from(n));
-        assert!(cluster.submit(n as usize % 3, spec));
+        let mut spec = job(&format!("job-{number}"), 4);
+        (spec.priority, spec.checkpoint_s, spec.checkpoint_grace_s) =
+            (priority, 5.0, f64::from(number));
+        assert!(cluster.submit(number as usize % 3, spec));
         cluster.run_for(1500);
     }
     cluster.run_for(3000);
-    for (n, rank) in [(4, Priority::Production), (5, Priority::High)] {
-        let mut spec = job(&format!("job-{n}"), 2);
-        (spec.priority, spec.gpus) = (rank, 2.0);
-        assert!(cluster.submit(n as usize % 3, spec));
+    for (number, priority) in [(4, Priority::Production), (5, Priority::High)] {
+        let mut spec = job(&format!("job-{number}"), 2);
+        (spec.priority, spec.gpus) = (priority, 2.0);
+        assert!(cluster.submit(number as usize % 3, spec));
         cluster.run_for(8000);
     }
     cluster.run_for(90_000);
-    end(cluster);
+    record_final_state(cluster);
 }
 
 /// Scenario: a team at its limit in both zones, with a service that uses a part of the limit.
 fn quotas() {
     let mut cluster = SimulatedCluster::new(4);
-    let shapes = [
+    let kinds = [
         JobKind::Service,
         JobKind::Array,
         JobKind::Gang,
         JobKind::Array,
     ];
-    for (n, shape) in (1..).zip(shapes) {
-        let mut spec = job(&format!("job-{n}"), 1 + n as u32 % 2 * 3);
-        (spec.team, spec.kind) = ("mixers".into(), shape);
-        if shape != JobKind::Array {
+    for (number, kind) in (1..).zip(kinds) {
+        let mut spec = job(&format!("job-{number}"), 1 + number as u32 % 2 * 3);
+        (spec.team, spec.kind) = ("mixers".into(), kind);
+        if kind != JobKind::Array {
             spec.tasks = 1;
         }
-        assert!(cluster.submit(n % 3, spec));
+        assert!(cluster.submit(number % 3, spec));
         cluster.run_for(4000);
     }
     cluster.run_for(40_000);
     assert!(cluster.cancel(1, "job-1"));
     cluster.run_for(60_000);
-    end(cluster);
+    record_final_state(cluster);
 }
 
 /// Scenario: each controller in turn stops and restarts while arrays, gangs and services run; then
 /// a zone is partitioned.
 fn failovers(standby: Standby) {
     let mut cluster = SimulatedCluster::with_standby(6, standby);
-    for (n, shape) in (1..).zip([JobKind::Array, JobKind::Gang, JobKind::Service]) {
-        let mut spec = job(&format!("job-{n}"), 3);
-        spec.kind = shape;
-        assert!(cluster.submit(n % 3, spec));
+    for (number, kind) in (1..).zip([JobKind::Array, JobKind::Gang, JobKind::Service]) {
+        let mut spec = job(&format!("job-{number}"), 3);
+        spec.kind = kind;
+        assert!(cluster.submit(number % 3, spec));
     }
-    for at in 0..3 {
+    for controller in 0..3 {
         cluster.run_for(3000);
-        cluster.stop_controller(at);
+        cluster.stop_controller(controller);
         cluster.run_for(9000);
-        assert!(cluster.submit((at + 1) % 3, job(&format!("job-{}", 10 + at), 9)));
+        assert!(cluster.submit(
+            (controller + 1) % 3,
+            job(&format!("job-{}", 10 + controller), 9)
+        ));
         cluster.run_for(2000);
-        cluster.start_controller(at);
+        cluster.start_controller(controller);
     }
     cluster.run_for(6000);
     cluster.partition_zone(true);
@@ -276,15 +285,15 @@
     cluster.run_for(30_000);
     assert!(cluster.cancel(0, "job-3"));
     cluster.run_for(30_000);
-    end(cluster);
+    record_final_state(cluster);
 }
 
 /// Scenario: a cancellation is confirmed, then the key-value store becomes unavailable and a
 /// controller or a machine has a fault as well.
-fn cancelled_in_outage(trouble: usize) {
+fn cancelled_in_outage(variant: usize) {
     let (mut cluster, leader, other) = two_long_jobs();
     refuse_leader_then_all(&mut cluster, leader, other, "job-1");
-    match trouble {
+    match variant {
         0 => cluster.controller_faults[leader].isolated_from_peers = true,
         1 => cluster.machines[0].faults.drops_incoming = true,
         2 => cluster.machines[1].faults.drops_command_responses = true,
@@ -297,22 +306,24 @@
     cluster.start_controller(other);
     assert!(cluster.cancel(leader, "job-2"));
     cluster.run_for(CANCEL_MS);
-    end(cluster);
+    record_final_state(cluster);
 }
 
 /// Plans machines for waiting and expected tasks. Returns the names of existing machines that are
 /// needed, which are added to the digest, and the provisioning requests.
-fn plan_rentals(
+fn plan_provisioning(
     controller: &SimulatedController,
     cloud: &mut FakeCloud,
     now: u64,
 ) -> (Vec<String>, Vec<PoolRequest>) {
     let listed = cloud.list_machines(now).machines;
-    let list: HashMap<String, ListedMachine> =
-        listed.into_iter().map(|h| (h.name.clone(), h)).collect();
-    let mut have = supply(
+    let listed: HashMap<String, ListedMachine> = listed
+        .into_iter()
+        .map(|machine| (machine.name.clone(), machine))
+        .collect();
+    let mut available = supply(
         &controller.cluster,
-        &list,
+        &listed,
         controller.config.unresponsive_ms,
         MonotonicMillis(now),
     );
@@ -323,7 +334,7 @@
         now: MonotonicMillis(now),
         wall_ms: now,
     };
-    let plan = planner.plan(&mut have);
+    let plan = planner.plan(&mut available);
     let name = |m: &MachineIndex| controller.cluster.machine_names.name(*m).to_string();
     let mut needed: Vec<String> = plan.needed_machines.iter().map(name).collect();
     needed.sort_unstable();
@@ -332,29 +343,29 @@
 }
 
 /// Provisions machines, whose workers start at once.
-fn rent(
+fn provision(
     controller: &mut SimulatedController,
     cloud: &mut FakeCloud,
     workers: &mut Vec<FakeWorker>,
     requests: Vec<PoolRequest>,
     now: u64,
 ) {
-    for (n, PoolRequest { pool, count }) in requests.into_iter().enumerate() {
+    for (index, PoolRequest { pool, count }) in requests.into_iter().enumerate() {
         let names = &controller.cluster.machine_type_names;
-        let booking = ProvisioningRequest {
-            request_id: format!("b-{now}-{n}"),
+        let request = ProvisioningRequest {
+            request_id: format!("b-{now}-{index}"),
             machine_type: names.name(pool.machine_type).to_string(),
             zone: ["north", "south"][pool.zone.at()].into(),
             spot: pool.spot,
             count,
         };
-        digest::record("booking", now, &booking);
-        for name in cloud.provision(&booking, now).unwrap_or_default() {
-            let (zone, spot) = (&booking.zone, booking.spot);
-            let kind = &booking.machine_type;
+        digest::record("booking", now, &request);
+        for name in cloud.provision(&request, now).unwrap_or_default() {
+            let (zone, spot) = (&request.zone, request.spot);
+            let machine_type = &request.machine_type;
             controller
                 .cluster
-                .learn_machine(&name, kind, zone, spot, MonotonicMillis(now));
+                .learn_machine(&name, machine_type, zone, spot, MonotonicMillis(now));
             let mut worker = FakeWorker::new(&name, zone, now);
             worker.spot = spot;
             workers.push(worker);
@@ -364,28 +375,28 @@
 
 /// Deletes machines that are idle and not needed, every four seconds. This rule belongs to the test
 /// alone.
-fn return_idle(
+fn delete_idle(
     controller: &mut SimulatedController,
     cloud: &mut FakeCloud,
     workers: &mut Vec<FakeWorker>,
     needed: &[String],
     now: u64,
 ) {
-    let idle = |cluster: &FakeWorker| {
+    let is_idle = |worker: &FakeWorker| {
         let empty = controller
             .cluster
-            .placed_on(controller.machine(&cluster.name))
+            .placed_on(controller.machine(&worker.name))
             .is_empty();
-        empty && now.is_multiple_of(4000) && !needed.contains(&cluster.name)
+        empty && now.is_multiple_of(4000) && !needed.contains(&worker.name)
     };
     let idle: Vec<String> = workers
         .iter()
-        .filter(|cluster| idle(cluster))
-        .map(|cluster| cluster.name.clone())
+        .filter(|worker| is_idle(worker))
+        .map(|worker| worker.name.clone())
         .collect();
     digest::record("returned", now, &idle);
     cloud.delete_machines(&idle);
-    workers.retain(|cluster| !idle.contains(&cluster.name));
+    workers.retain(|worker| !idle.contains(&worker.name));
     for name in &idle {
         let machine = controller.machine(name);
         controller.cluster.mark_deleted(machine);
@@ -393,39 +404,39 @@
 }
 
 /// Scenario: machines are provisioned for waiting jobs and deleted when no job needs them.
-fn renting(seed: u64) {
+fn provisioning(seed: u64) {
     let mut rng = Rng::with_seed(seed);
     let (mut store, mut controller) = start_single_controller();
     let mut cloud = FakeCloud::default();
     let mut workers: Vec<FakeWorker> = Vec::new();
     for now in (0..150_000).step_by(1000) {
         if now < 80_000 && rng.u8(..5) == 0 {
-            let mut spec = any_job(&mut rng, now as u32 / 1000, &[]);
+            let mut spec = random_job(&mut rng, now as u32 / 1000, &[]);
             spec.spot = rng.bool();
             controller.submit(&mut store, spec, now);
         }
-        let (needed, requests) = plan_rentals(&controller, &mut cloud, now);
-        rent(&mut controller, &mut cloud, &mut workers, requests, now);
-        for cluster in &mut workers {
-            controller.exchange_heartbeat(&mut store, cluster, now);
+        let (needed, requests) = plan_provisioning(&controller, &mut cloud, now);
+        provision(&mut controller, &mut cloud, &mut workers, requests, now);
+        for worker in &mut workers {
+            controller.exchange_heartbeat(&mut store, worker, now);
         }
-        return_idle(&mut controller, &mut cloud, &mut workers, &needed, now);
+        delete_idle(&mut controller, &mut cloud, &mut workers, &needed, now);
     }
-    for (_, j) in controller
+    for (_, job) in controller
         .cluster
         .active_jobs()
-        .filter(|(_, j)| j.is_open())
+        .filter(|(_, job)| job.is_open())
     {
-        digest::record("open job", 150_000, &j.id.to_string());
+        digest::record("open job", 150_000, &job.id.to_string());
     }
 }
 
 /// Runs a scenario and returns its line of the file.
-fn line(name: &str, seed: u64, play: impl FnOnce()) -> String {
+fn run_scenario(name: &str, seed: u64, run: impl FnOnce()) -> String {
     fastrand::seed(seed);
     let name = format!("{name}-{seed}");
     digest::begin(&name);
-    play();
+    run();
     let digest = digest::end();
     assert!(digest.events > 0, "{name} recorded no event");
     format!("{name} {:016x} {}", digest.hash, digest.events)
@@ -435,43 +446,44 @@
 type Scenario = (String, u64, Box<dyn FnOnce() + Send>);
 
 fn scenarios() -> Vec<Scenario> {
-    let mut all: Vec<Scenario> = Vec::new();
+    let mut scenarios: Vec<Scenario> = Vec::new();
     for (name, standby) in STANDBYS {
-        for seed in DAYS {
+        for seed in RANDOM_RUN_SEEDS {
             let name = format!("random-day-{name}");
-            all.push((name, seed, Box::new(move || random_day(seed, standby))));
+            scenarios.push((name, seed, Box::new(move || random_run(seed, standby))));
         }
         let name = format!("failovers-{name}");
-        all.push((name, 1, Box::new(move || failovers(standby))));
+        scenarios.push((name, 1, Box::new(move || failovers(standby))));
     }
     for seed in 1..=8 {
-        all.push(("crowded".into(), seed, Box::new(move || crowded(seed))));
-        all.push(("renting".into(), seed, Box::new(move || renting(seed))));
+        scenarios.push(("crowded".into(), seed, Box::new(move || crowded(seed))));
+        scenarios.push(("renting".into(), seed, Box::new(move || provisioning(seed))));
     }
-    all.push(("preemption".into(), 1, Box::new(preemption)));
-    all.push(("quotas".into(), 1, Box::new(quotas)));
-    for trouble in 0..4 {
-        let play = move || cancelled_in_outage(trouble);
+    scenarios.push(("preemption".into(), 1, Box::new(preemption)));
+    scenarios.push(("quotas".into(), 1, Box::new(quotas)));
+    for variant in 0..4 {
+        let run = move || cancelled_in_outage(variant);
         let name = "cancelled-in-outage".to_string();
-        all.push((name, trouble as u64, Box::new(play)));
+        scenarios.push((name, variant as u64, Box::new(run)));
     }
-    all
+    scenarios
 }
 
 /// Runs all scenarios, a few at a time, and returns their lines in order. Each scenario runs on its
 /// own thread because random numbers and the digest are thread-local.
-fn all_lines() -> Vec<String> {
-    let mut left = scenarios().into_iter().peekable();
+fn run_all_scenarios() -> Vec<String> {
+    let mut remaining = scenarios().into_iter().peekable();
     let mut lines = Vec::new();
-    while left.peek().is_some() {
-        let some: Vec<Scenario> = left.by_ref().take(MAX_CONCURRENT_REQUESTS).collect();
-        let begin =
-            |(name, seed, play): Scenario| std::thread::spawn(move || line(&name, seed, play));
-        let running: Vec<_> = some.into_iter().map(begin).collect();
+    while remaining.peek().is_some() {
+        let batch: Vec<Scenario> = remaining.by_ref().take(MAX_CONCURRENT_SCENARIOS).collect();
+        let begin = |(name, seed, run): Scenario| {
+            std::thread::spawn(move || run_scenario(&name, seed, run))
+        };
+        let running: Vec<_> = batch.into_iter().map(begin).collect();
         lines.extend(
             running
                 .into_iter()
-                .map(|t| t.join().expect("no scenario panics")),
+                .map(|thread| thread.join().expect("no scenario panics")),
         );
     }
     lines
@@ -479,23 +491,24 @@
 
 #[test]
 fn decisions_match_the_recorded_digest() {
-    let lines = all_lines();
+    let lines = run_all_scenarios();
     if std::env::var("POINTHOOK_WRITE_GOLDEN").as_deref() == Ok("1") {
         std::fs::write(GOLDEN, lines.join("\n") + "\n").expect("the file can be written");
         panic!("{GOLDEN} was overwritten; run again without POINTHOOK_WRITE_GOLDEN");
     }
-    let golden = std::fs::read_to_string(GOLDEN).expect("the recorded digests can be read");
-    let golden: Vec<&str> = golden.lines().collect();
-    let mut differ = String::new();
-    for at in 0..golden.len().max(lines.len()) {
-        let (old, new) = (golden.get(at).copied(), lines.get(at).map(String::as_str));
+    let recorded = std::fs::read_to_string(GOLDEN).expect("the recorded digests can be read");
+    let recorded: Vec<&str> = recorded.lines().collect();
+    let mut differences = String::new();
+    for index in 0..recorded.len().max(lines.len()) {
+        let old = recorded.get(index).copied();
+        let new = lines.get(index).map(String::as_str);
         if old != new {
             let [old, new] = [old, new].map(|line| line.unwrap_or("nothing"));
-            writeln!(differ, "  recorded: {old}\n  now:      {new}").expect("text");
+            writeln!(differences, "  recorded: {old}\n  now:      {new}").expect("text");
         }
     }
     assert!(
-        differ.is_empty(),
-        "decisions differ from the recorded digest:\n{differ}"
+        differences.is_empty(),
+        "decisions differ from the recorded digest:\n{differences}"
     );
 }
--- a/tests/documentation.rs
+++ b/tests/documentation.rs
@@ -16,24 +16,25 @@
 }
 
 /// All files with this extension in a directory and its subdirectories.
-fn files(folder: &Path, ending: &str) -> Vec<PathBuf> {
-    let entries = std::fs::read_dir(folder).unwrap_or_else(|e| panic!("{}: {e}", folder.display()));
+fn files(directory: &Path, extension: &str) -> Vec<PathBuf> {
+    let entries =
+        std::fs::read_dir(directory).unwrap_or_else(|e| panic!("{}: {e}", directory.display()));
     let paths = entries.map(|entry| entry.unwrap().path());
     let below = |path: PathBuf| match path.is_dir() {
-        true => files(&path, ending),
+        true => files(&path, extension),
         false => vec![path],
     };
     let all = paths.flat_map(below);
-    all.filter(|p| p.extension().is_some_and(|e| e == ending))
+    all.filter(|path| path.extension().is_some_and(|other| other == extension))
         .collect()
 }
 
 /// The text of all source files except this one, which contains names that must not be found.
 fn source_text() -> String {
-    let folders = ["src", "crates", "tests", "examples"];
-    let sources = folders
+    let directories = ["src", "crates", "tests", "examples"];
+    let sources = directories
         .iter()
-        .flat_map(|f| files(&repository().join(f), "rs"));
+        .flat_map(|directory| files(&repository().join(directory), "rs"));
     let others = sources.filter(|path| !path.ends_with(file!()));
     others.map(|path| read(&path)).collect()
 }
@@ -53,50 +54,52 @@
 }
 
 /// All text in backticks on a page, and the paths in its fenced code blocks.
-fn marked(page: &str) -> Vec<&str> {
-    let mut out = Vec::new();
-    for (n, block) in page.split("```").enumerate() {
-        if n % 2 == 1 {
-            out.extend(block.split_whitespace().filter(|word| is_path(word)));
+fn marked_text(page: &str) -> Vec<&str> {
+    let mut marked = Vec::new();
+    for (index, block) in page.split("```").enumerate() {
+        if index % 2 == 1 {
+            marked.extend(block.split_whitespace().filter(|word| is_path(word)));
         } else {
             let spans = |line| str::split(line, '`').skip(1).step_by(2);
-            out.extend(block.lines().flat_map(spans));
+            marked.extend(block.lines().flat_map(spans));
         }
     }
-    out
+    marked
 }
 
 /// Paths and identifiers on a page that don't exist. For `Type::name`, if `name` is not a type, the
 /// sources must contain a function of that name.
-fn missing<'a>(page: &'a str, sources: &str) -> Vec<&'a str> {
+fn missing_names<'a>(page: &'a str, sources: &str) -> Vec<&'a str> {
     let words: BTreeSet<&str> = sources.split(|c| !is_name_part(c)).collect();
     let is_type = |name: &str| name.starts_with(|c: char| c.is_ascii_uppercase());
     let known = |span: &str| match span.rsplit_once("::") {
         Some((_, name)) if !is_type(name) && !sources.contains(&format!("fn {name}")) => false,
         _ => span.split("::").all(|name| words.contains(name)),
     };
-    let lacks = |span: &&str| match is_path(span) {
+    let is_missing = |span: &&str| match is_path(span) {
         true => !repository().join(span).exists(),
         false => is_identifier(span) && !known(span),
     };
-    marked(page).into_iter().filter(lacks).collect()
+    marked_text(page).into_iter().filter(is_missing).collect()
 }
 
 #[test]
-fn every_path_and_name_on_the_page_of_architecture_is_in_the_sources() {
+fn paths_and_names_in_the_architecture_page_exist() {
     let page = read(&repository().join("docs/architecture.md"));
-    let names = marked(&page).into_iter().filter(|s| is_identifier(s));
+    let names = marked_text(&page)
+        .into_iter()
+        .filter(|span| is_identifier(span));
     assert!(names.count() > 100, "the names on the page are not found");
-    let missing = missing(&page, &source_text());
+    let missing = missing_names(&page, &source_text());
     assert!(missing.is_empty(), "no source has {missing:?}");
 }
 
 #[test]
-fn a_path_and_a_name_that_are_not_there_are_reported() {
+fn missing_paths_and_names_are_reported() {
     let page = "`Controller::refresh` `Controller::baton` `no_such` `ph/job/ID` `src/lib.rs`\n\
                 ```text\nsrc/no_such.rs\n```\n";
     let expected = ["Controller::baton", "no_such", "src/no_such.rs"];
-    assert_eq!(missing(page, &source_text()), expected);
+    assert_eq!(missing_names(page, &source_text()), expected);
 }
 
 #[test]
@@ -105,16 +108,19 @@
     pages.push(repository().join("README.md"));
     for path in pages {
         let page = read(&path);
-        let targets = page.split("](").skip(1).filter_map(|s| s.split(')').next());
+        let targets = page
+            .split("](")
+            .skip(1)
+            .filter_map(|rest| rest.split(')').next());
         let targets = targets
-            .filter(|t| !t.contains("://"))
-            .map(|t| t.split('#').next());
-        let is_page = |s: &&str| s.ends_with(".md") && !s.contains([' ', '*']);
-        let named = marked(&page).into_iter().filter(is_page);
+            .filter(|target| !target.contains("://"))
+            .map(|target| target.split('#').next());
+        let is_page = |span: &&str| span.ends_with(".md") && !span.contains([' ', '*']);
+        let named = marked_text(&page).into_iter().filter(is_page);
         for target in targets.flatten().chain(named) {
-            let near = path.with_file_name(target).exists();
-            let there = near || repository().join(target).exists();
-            assert!(there, "{}: no page {target}", path.display());
+            let is_relative = path.with_file_name(target).exists();
+            let exists = is_relative || repository().join(target).exists();
+            assert!(exists, "{}: no page {target}", path.display());
         }
     }
 }
--- a/tests/module_dependencies.rs
+++ b/tests/module_dependencies.rs
@@ -10,12 +10,13 @@
 /// The modules that each module uses, by its path, for example `coordination::kv::client`.
 type Dependencies = BTreeMap<String, BTreeSet<String>>;
 
-fn source_folder() -> PathBuf {
+fn source_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("src")
 }
 
-fn rust_files(folder: &Path) -> Vec<PathBuf> {
-    let entries = std::fs::read_dir(folder).unwrap_or_else(|e| panic!("{}: {e}", folder.display()));
+fn rust_files(directory: &Path) -> Vec<PathBuf> {
+    let entries =
+        std::fs::read_dir(directory).unwrap_or_else(|e| panic!("{}: {e}", directory.display()));
     let paths = entries.map(|entry| entry.unwrap().path());
     let below = |path: PathBuf| match path.is_dir() {
         true => rust_files(&path),
@@ -23,14 +24,14 @@
     };
     let files = paths.flat_map(below);
     files
-        .filter(|path| path.extension().is_some_and(|ending| ending == "rs"))
+        .filter(|path| path.extension().is_some_and(|extension| extension == "rs"))
         .collect()
 }
 
 /// Module path of a file, from its path relative to `src/`.
 fn module_of(file: &Path) -> String {
-    let without_ending = file.with_extension("");
-    let mut names: Vec<&str> = without_ending
+    let without_extension = file.with_extension("");
+    let mut names: Vec<&str> = without_extension
         .components()
         .map(|part| part.as_os_str().to_str().expect("names of files are text"))
         .collect();
@@ -47,21 +48,21 @@
 }
 
 /// All paths in a `use` tree: `a::b`, `a::c::d` and `a::c::e` for `a::{b, c::{d, e}}`.
-fn paths_of_tree(tree: &str) -> Vec<String> {
+fn paths_in_tree(tree: &str) -> Vec<String> {
     let tree = tree.trim();
     let Some((prefix, rest)) = tree.split_once('{') else {
         let path = tree.split(" as ").next().unwrap_or_default();
         return vec![path.trim().to_string()];
     };
-    let branches = rest.strip_suffix('}').expect("braces are closed");
-    let below = branches_of(branches).into_iter().flat_map(paths_of_tree);
+    let trees = rest.strip_suffix('}').expect("braces are closed");
+    let below = split_trees(trees).into_iter().flat_map(paths_in_tree);
     below.map(|path| format!("{prefix}{path}")).collect()
 }
 
 /// Splits a list of `use` trees at the commas outside of inner braces.
-fn branches_of(branches: &str) -> Vec<&str> {
+fn split_trees(trees: &str) -> Vec<&str> {
     let mut depth = 0;
-    let parts = branches.split(|c| {
+    let parts = trees.split(|c| {
         match c {
             '{' => depth += 1,
             '}' => depth -= 1,
@@ -73,7 +74,7 @@
 }
 
 /// Converts a path to one from the crate root; `None` for a path into another crate.
-fn absolute(path: &str, module: &str, modules: &BTreeSet<String>) -> Option<String> {
+fn absolute_path(path: &str, module: &str, modules: &BTreeSet<String>) -> Option<String> {
     if let Some(path) = path.strip_prefix("crate::") {
         return Some(path.to_string());
     }
@@ -94,7 +95,7 @@
 }
 
 /// The module that a path names, or that contains the item that the path names.
-fn owner<'a>(path: &'a str, modules: &BTreeSet<String>) -> Option<&'a str> {
+fn containing_module<'a>(path: &'a str, modules: &BTreeSet<String>) -> Option<&'a str> {
     let mut prefix = path;
     while !modules.contains(prefix) {
         prefix = prefix.rsplit_once("::")?.0;
@@ -107,43 +108,46 @@
     let mut paths = Vec::new();
     let mut lines = source.lines();
     while let Some(line) = lines.next() {
-        let Some(tree) = begin_of_use(line) else {
+        let Some(tree) = use_declaration(line) else {
             let words = line.split(|c: char| !c.is_alphanumeric() && c != '_' && c != ':');
-            paths.extend(words.filter(|w| w.contains("::")).map(str::to_string));
+            paths.extend(words.filter(|word| word.contains("::")).map(str::to_string));
             continue;
         };
         let mut tree = tree.to_string();
         while !tree.contains(';') {
             tree.push_str(lines.next().expect("a use line ends").trim());
         }
-        paths.extend(paths_of_tree(tree.trim_end_matches(';')));
+        paths.extend(paths_in_tree(tree.trim_end_matches(';')));
     }
     paths
 }
 
 /// The text after `use` on a line that begins a `use` declaration.
-fn begin_of_use(line: &str) -> Option<&str> {
+fn use_declaration(line: &str) -> Option<&str> {
     let line = line.trim_start();
-    let private = match line.strip_prefix("pub") {
+    let without_visibility = match line.strip_prefix("pub") {
         Some(rest) => rest.trim_start_matches(|c: char| c != ' ').trim_start(),
         None => line,
     };
-    private.strip_prefix("use ")
+    without_visibility.strip_prefix("use ")
 }
 
 fn dependencies() -> Dependencies {
-    let folder = source_folder();
-    let files = rust_files(&folder);
-    let relative = |file: &Path| file.strip_prefix(&folder).unwrap().to_path_buf();
-    let modules: BTreeSet<String> = files.iter().map(|f| module_of(&relative(f))).collect();
+    let directory = source_directory();
+    let files = rust_files(&directory);
+    let relative = |file: &Path| file.strip_prefix(&directory).unwrap().to_path_buf();
+    let modules: BTreeSet<String> = files
+        .iter()
+        .map(|file| module_of(&relative(file)))
+        .collect();
     let mut dependencies = Dependencies::new();
     for file in &files {
         let module = module_of(&relative(file));
         let source = std::fs::read_to_string(file).unwrap();
         let used: BTreeSet<String> = paths_in(&without_comments(&source))
             .iter()
-            .filter_map(|path| absolute(path, &module, &modules))
-            .filter_map(|path| Some(owner(&path, &modules)?.to_string()))
+            .filter_map(|path| absolute_path(path, &module, &modules))
+            .filter_map(|path| Some(containing_module(&path, &modules)?.to_string()))
             .filter(|used| *used != module)
             .collect();
         dependencies.insert(module, used);
@@ -151,45 +155,45 @@
     dependencies
 }
 
-/// A cycle as the list of its modules, with the first one repeated at the end; `None` if there is no
-/// cycle.
-fn find_circle(dependencies: &Dependencies) -> Option<Vec<String>> {
+/// A cycle as the list of its modules, with the first one repeated at the end; `None` if there is
+/// none.
+fn find_cycle(dependencies: &Dependencies) -> Option<Vec<String>> {
     let mut finished = BTreeSet::new();
     dependencies
         .keys()
-        .find_map(|module| walk(module, dependencies, &mut Vec::new(), &mut finished))
+        .find_map(|module| find_cycle_from(module, dependencies, &mut Vec::new(), &mut finished))
 }
 
-fn walk(
+fn find_cycle_from(
     module: &str,
     dependencies: &Dependencies,
     path: &mut Vec<String>,
     finished: &mut BTreeSet<String>,
 ) -> Option<Vec<String>> {
-    if let Some(begin) = path.iter().position(|on_path| on_path == module) {
-        let mut circle = path[begin..].to_vec();
-        circle.push(module.to_string());
-        return Some(circle);
+    if let Some(start) = path.iter().position(|on_path| on_path == module) {
+        let mut cycle = path[start..].to_vec();
+        cycle.push(module.to_string());
+        return Some(cycle);
     }
     if finished.contains(module) {
         return None;
     }
     path.push(module.to_string());
     let used = dependencies.get(module).into_iter().flatten();
-    let circle = used
+    let cycle = used
         .into_iter()
-        .find_map(|next| walk(next, dependencies, path, finished));
+        .find_map(|next| find_cycle_from(next, dependencies, path, finished));
     path.pop();
     finished.insert(module.to_string());
-    circle
+    cycle
 }
 
 #[test]
-fn no_modules_use_each_other_in_a_circle() {
-    if let Some(circle) = find_circle(&dependencies()) {
+fn modules_have_no_dependency_cycle() {
+    if let Some(cycle) = find_cycle(&dependencies()) {
         panic!(
             "modules depend on each other in a cycle: {}",
-            circle.join(" -> ")
+            cycle.join(" -> ")
         );
     }
 }
@@ -203,23 +207,23 @@
 }
 
 #[test]
-fn a_circle_is_reported_by_its_path() {
+fn a_cycle_is_reported_as_a_path() {
     let uses = |used: &[&str]| used.iter().map(|m| m.to_string()).collect::<BTreeSet<_>>();
-    let circle = Dependencies::from([
+    let cycle = Dependencies::from([
         ("a".to_string(), uses(&["b"])),
         ("b".to_string(), uses(&["c", "d"])),
         ("c".to_string(), uses(&[])),
         ("d".to_string(), uses(&["b"])),
     ]);
     assert_eq!(
-        find_circle(&circle),
+        find_cycle(&cycle),
         Some(vec!["b".into(), "d".into(), "b".into()])
     );
     let tree = Dependencies::from([
         ("a".to_string(), uses(&["b"])),
         ("b".to_string(), uses(&[])),
     ]);
-    assert_eq!(find_circle(&tree), None);
+    assert_eq!(find_cycle(&tree), None);
 }
 
 #[test]
@@ -230,7 +234,7 @@
     let modules = BTreeSet::from(["x::y::z".to_string()]);
     let paths: Vec<String> = paths_in(source)
         .iter()
-        .filter_map(|path| absolute(path, "x::y", &modules))
+        .filter_map(|path| absolute_path(path, "x::y", &modules))
         .collect();
     assert_eq!(
         paths,
