--- a/src/coordination/controller/peers.rs
+++ b/src/coordination/controller/peers.rs
@@ -1,32 +1,33 @@
-//! The other controllers: connections to them, and what their status messages said last.
+//! The other controllers: connections to them, and the contents of their last status updates.
 //!
-//! [`Peer`] owns the state of one of them. `peer_messages` records what it sends, `cancellations`
-//! keeps one exchange of cancellations with it running at most, and health checks ask
-//! [`is_cluster_wide_outage`]. All of it is a hint: no decision that must be safe rests on it.
+//! [`Peer`] holds the state of one of them. `peer_messages` records its status updates,
+//! `cancellations` runs at most one exchange of cancellations with it at a time, and health checks
+//! call [`is_cluster_wide_outage`]. This state is advisory: no decision depends on it for safety.
 
 use crate::settings::PeerSettings;
 use crate::state::units::MonotonicMillis;
 use crate::transport::frames::PeerClient;
 use std::cell::Cell;
 
-/// Time after its last status message for which a peer counts as heard: messages come once a second.
-const HEARD_RECENTLY_MS: u64 = 4000;
-/// First wait before cancellations go again to a peer that closed the connection; it doubles.
-const FIRST_RETRY_MS: u64 = 1000;
-/// Longest such wait.
-const LONGEST_RETRY_MS: u64 = 8000;
+/// Age up to which a peer's last status update counts as recent. Peers send one each second.
+const RECENT_STATUS_MS: u64 = 4000;
+/// Initial delay before cancellations are sent again to a peer that closed the connection. The
+/// delay doubles with each failure.
+const INITIAL_RETRY_DELAY_MS: u64 = 1000;
+/// Maximum of that delay.
+const MAX_RETRY_DELAY_MS: u64 = 8000;
 
 /// Another controller.
 pub struct Peer {
-    /// Name.
+    /// Name of the controller.
     pub name: String,
-    /// Connection.
+    /// Connection for status updates and other requests.
     pub client: PeerClient,
-    /// Connection for cancellations, which wait for no other frames.
+    /// Connection for cancellations, so that they never wait for other frames.
     pub cancellations_client: PeerClient,
-    /// Connection for the streams of shards that it is the standby of.
+    /// Connection for the streams of shards whose standby the peer is.
     pub replication_client: PeerClient,
-    cancellation_broadcast: Cell<BroadcastState>,
+    cancellation_exchange: Cell<ExchangeState>,
     cancellation_retry: Cell<RetryDelay>,
     last_status: Cell<Option<MonotonicMillis>>,
     kv_reachable: Cell<bool>,
@@ -34,17 +35,17 @@
     workers_reachable: Cell<bool>,
 }
 
-/// Whether a peer is being sent cancellations.
+/// State of the exchange of cancellations with a peer.
 #[derive(Clone, Copy, Default, PartialEq, Eq, Debug)]
-enum BroadcastState {
+enum ExchangeState {
     #[default]
     Idle,
-    Sending,
-    /// Sending, and there is more to send since that began.
-    SendingWithMorePending,
+    Running,
+    /// An exchange is running, and new cancellations have arrived since it began.
+    RunningWithMorePending,
 }
 
-/// When a peer that closed the connection is tried again.
+/// Delay before cancellations are sent again to a peer that closed the connection.
 #[derive(Clone, Copy, Default, Debug)]
 struct RetryDelay {
     not_before: MonotonicMillis,
@@ -52,14 +53,14 @@
 }
 
 impl Peer {
-    /// A peer that has not been heard yet.
+    /// A peer that has sent no status update yet.
     pub fn new(settings: &PeerSettings) -> Peer {
         Peer {
             name: settings.name.clone(),
             client: PeerClient::new(settings.addr),
             cancellations_client: PeerClient::new(settings.addr),
             replication_client: PeerClient::new(settings.addr),
-            cancellation_broadcast: Cell::default(),
+            cancellation_exchange: Cell::default(),
             cancellation_retry: Cell::default(),
             last_status: Cell::new(None),
             kv_reachable: Cell::new(false),
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Records a status message; true if it changes whether workers reach the peer.
+    /// Records a status update; true if it changes whether workers reach the peer.
     pub fn record_status(
         &self,
         now: MonotonicMillis,
@@ -80,74 +81,79 @@
         self.workers_reachable.replace(workers_reachable) != workers_reachable
     }
 
-    /// Records whether it refused the last connection: if so, it is down and the way to it is open.
+    /// Records whether the peer refused the last connection. If it did, its process is down, but
+    /// the network path to it works.
     pub fn record_connection_refused(&self, refused: bool) {
         self.connection_refused.set(refused);
     }
 
-    /// When its last status message came.
+    /// When the peer's last status update was received; `None` if there was none.
     pub fn last_status(&self) -> Option<MonotonicMillis> {
         self.last_status.get()
     }
 
-    /// True if a status message came a moment ago.
-    pub fn heard_recently(&self, now: MonotonicMillis) -> bool {
+    /// True if the peer's last status update is recent.
+    pub fn has_recent_status(&self, now: MonotonicMillis) -> bool {
         self.last_status
             .get()
-            .is_some_and(|last| now.since(last) < HEARD_RECENTLY_MS)
+            .is_some_and(|last| now.since(last) < RECENT_STATUS_MS)
     }
 
-    /// True if workers reach it, by its last status message.
+    /// True if workers reach the peer, according to its last status update; true before the first.
     pub fn workers_reachable(&self) -> bool {
         self.workers_reachable.get()
     }
 
-    /// What is known of it now.
+    /// Observation of the peer at a time.
     pub fn observation(&self, now: MonotonicMillis) -> PeerObservation {
         PeerObservation {
-            heard_recently: self.heard_recently(now),
+            has_recent_status: self.has_recent_status(now),
             kv_reachable: self.kv_reachable.get(),
             connection_refused: self.connection_refused.get(),
         }
     }
 
-    /// True if an exchange of cancellations should begin now. One that runs already goes on with
-    /// what is new instead.
-    pub fn begin_cancellation_broadcast(&self, now: MonotonicMillis) -> bool {
+    /// True if an exchange of cancellations with the peer should begin now. If one is running, it
+    /// will continue with the new cancellations instead.
+    pub fn begin_cancellation_exchange(&self, now: MonotonicMillis) -> bool {
         if now < self.cancellation_retry.get().not_before {
             return false;
         }
-        let idle = self.cancellation_broadcast.get() == BroadcastState::Idle;
-        self.cancellation_broadcast.set(if idle {
-            BroadcastState::Sending
+        let idle = self.cancellation_exchange.get() == ExchangeState::Idle;
+        self.cancellation_exchange.set(if idle {
+            ExchangeState::Running
         } else {
-            BroadcastState::SendingWithMorePending
+            ExchangeState::RunningWithMorePending
         });
         idle
     }
 
-    /// True if there is more to send since the exchange that has just ended began.
-    pub fn continue_cancellation_broadcast(&self) -> bool {
-        let before = self.cancellation_broadcast.replace(BroadcastState::Sending);
-        before == BroadcastState::SendingWithMorePending
+    /// True if new cancellations have arrived since the exchange that has just ended began, so that
+    /// another one is needed.
+    pub fn continue_cancellation_exchange(&self) -> bool {
+        let before = self.cancellation_exchange.replace(ExchangeState::Running);
+        before == ExchangeState::RunningWithMorePending
     }
 
-    /// No exchange of cancellations runs any more.
-    pub fn end_cancellation_broadcast(&self) {
-        self.cancellation_broadcast.set(BroadcastState::Idle);
+    /// Records that no exchange of cancellations is running any more.
+    pub fn end_cancellation_exchange(&self) {
+        self.cancellation_exchange.set(ExchangeState::Idle);
     }
 
-    /// An exchange of cancellations was answered.
+    /// Records that the peer answered an exchange of cancellations. Resets the retry delay.
     pub fn record_cancellation_answer(&self) {
         self.cancellation_retry.set(RetryDelay::default());
     }
 
-    /// An exchange of cancellations failed. A peer that closes the connection may be of a version
-    /// that does not know the request and logs a warning for each, so it is asked less and less often.
+    /// Records that an exchange of cancellations failed.
+    ///
+    /// A peer that closes the connection may run a version that doesn't know the request and logs a
+    /// warning for each, so it is retried with an increasing delay. Other failures are retried
+    /// without delay.
     pub fn record_cancellation_failure(&self, now: MonotonicMillis, connection_closed: bool) {
         let wait_ms = if connection_closed {
             let doubled = self.cancellation_retry.get().wait_ms * 2;
-            doubled.clamp(FIRST_RETRY_MS, LONGEST_RETRY_MS)
+            doubled.clamp(INITIAL_RETRY_DELAY_MS, MAX_RETRY_DELAY_MS)
         } else {
             0
         };
@@ -158,28 +164,29 @@
     }
 }
 
-/// What a controller knows of a peer's state.
+/// A controller's knowledge of a peer's state.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerObservation {
-    /// Its last status message came a moment ago.
-    pub heard_recently: bool,
-    /// It reaches the key-value store, by that message.
+    /// Whether the peer's last status update is recent.
+    pub has_recent_status: bool,
+    /// Whether the peer reaches the key-value store, according to its last status update.
     pub kv_reachable: bool,
-    /// It refused the last connection.
+    /// Whether the peer refused the last connection.
     pub connection_refused: bool,
 }
 
-/// True if a controller that does not reach the key-value store should take requests all the same.
+/// True if a controller that doesn't reach the key-value store should accept requests nevertheless.
 ///
-/// In an outage of the store every controller fares alike, and being unhealthy helps nobody. One
-/// whose peers reach the store, or that hears nothing from any of them, is itself cut off: its
-/// users, who would get nothing but refusals from it, have to go elsewhere.
+/// In an outage of the store all controllers are equally affected, and reporting itself unhealthy
+/// would help no user. But a controller whose peers reach the store, or that has no contact with
+/// any peer, is itself partitioned: it could only refuse requests, so its users have to go to
+/// another controller.
 pub fn is_cluster_wide_outage(peers: &[PeerObservation]) -> bool {
     let kv_serves_others = peers
         .iter()
-        .any(|peer| peer.heard_recently && peer.kv_reachable);
+        .any(|peer| peer.has_recent_status && peer.kv_reachable);
     let isolated = peers
         .iter()
-        .all(|peer| !peer.heard_recently && !peer.connection_refused);
+        .all(|peer| !peer.has_recent_status && !peer.connection_refused);
     !kv_serves_others && (peers.is_empty() || !isolated)
 }
