--- a/src/coordination/cancellations/exchange.rs
+++ b/src/coordination/cancellations/exchange.rs
@@ -95,7 +95,7 @@
 
 /// The cancelled jobs to list in one frame, at most [`MAX_CANCELLED_JOBS`].
 pub fn cancelled_jobs_to_send(cluster: &ClusterState) -> Vec<String> {
-    let mut jobs = cluster.cancelled_names();
+    let mut jobs = cluster.cancelled_job_ids();
     jobs.truncate(MAX_CANCELLED_JOBS);
     jobs
 }
--- a/src/coordination/job_api/answers.rs
+++ b/src/coordination/job_api/answers.rs
@@ -35,7 +35,7 @@
 
 /// A response with the state of a job.
 pub(super) fn job_state(status: u16, job: &Job) -> Answer {
-    let (job_status, done, running) = ClusterState::status(job);
+    let (job_status, done, running) = ClusterState::job_status(job);
     let state = JobStatus {
         id: job.id.to_string(),
         status: job_status.into(),
--- a/src/state/record_formats.rs
+++ b/src/state/record_formats.rs
@@ -1,5 +1,5 @@
-//! What is written to the key-value store for a job: its own record, and overflow records with
-//! the placements that exceed the limit of one value.
+//! Stored form of a job in the key-value store: its own record, and overflow records with the
+//! placements that would exceed the size limit of one value.
 
 use super::cluster_state::ClusterState;
 use super::job::{Job, JobRecord, Placement, StoredPlacement};
@@ -7,7 +7,7 @@
 use super::records::ROOT;
 use crate::protocol::users::JobSpec;
 
-/// Size of a job's description in its record, as the key-value store counts it.
+/// Size in bytes of a job's description in its record, as the key-value store counts it.
 pub(super) fn stored_bytes(wire: &JobSpec) -> usize {
     let bytes = rmp_serde::to_vec_named(wire).unwrap_or_default();
     let value = rmpv::decode::read_value(&mut bytes.as_slice());
@@ -26,21 +26,21 @@
     }
 
     /// A job's record as it is stored, without the placements in overflow records.
-    pub fn record(&self, job: &Job) -> JobRecord {
+    pub fn job_record(&self, job: &Job) -> JobRecord {
         let spec = job.spec.as_ref().filter(|_| !job.is_settled());
         JobRecord {
             spec: spec.map(|spec| spec.wire.clone()),
             state: job.state,
             submitted_at: job.submitted_at,
             done: job.done.clone(),
-            placements: self.stored_overflow(job, 0),
+            placements: self.stored_placements(job, 0),
             next_attempt: job.next_attempt,
             finished_at: job.finished_at,
         }
     }
 
-    /// The placements of one overflow record as they are stored; 0: those in the job's record.
-    pub fn stored_overflow(&self, job: &Job, overflow_index: u16) -> Vec<StoredPlacement> {
+    /// Stored form of the placements in one overflow record; index 0 is the job's own record.
+    pub fn stored_placements(&self, job: &Job, overflow_index: u16) -> Vec<StoredPlacement> {
         job.placements
             .iter()
             .filter(|p| p.overflow_index == overflow_index)
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Placements in memory for those of a stored record.
+    /// Converts the placements of a stored record to their form in memory.
     pub(super) fn read_placements(
         &mut self,
         stored: &[StoredPlacement],
@@ -86,7 +86,7 @@
         indices.sort_unstable();
         indices.dedup();
         indices.retain(|index| {
-            *index > 0 && self.stored_overflow(old, *index) != self.stored_overflow(job, *index)
+            *index > 0 && self.stored_placements(old, *index) != self.stored_placements(job, *index)
         });
         indices
     }
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -200,7 +200,9 @@
     // A newer record that is still open, from a read that began before the cancellation.
     let record = pointhook::state::job::JobRecord {
         state: JobState::Open,
-        ..controller.cluster.record(&controller.job("job-1").clone())
+        ..controller
+            .cluster
+            .job_record(&controller.job("job-1").clone())
     };
     controller.cluster.put_job("job-1", before + 1, &record);
     assert_eq!(controller.job("job-1").state, JobState::Cancelled);
@@ -212,7 +214,7 @@
     assert_eq!(controller.job("job-77").state, JobState::Cancelled);
     assert!(controller
         .cluster
-        .cancelled_names()
+        .cancelled_job_ids()
         .contains(&"job-77".to_string()));
 }
 
--- a/tests/kv_consistency.rs
+++ b/tests/kv_consistency.rs
@@ -26,7 +26,7 @@
     assert!(!controller.cluster.controllers.contains_key("s1"));
     controller
         .cluster
-        .take_changes(0, old.revision, &old.events);
+        .apply_changes(0, old.revision, &old.events);
     assert!(!controller.cluster.controllers.contains_key("s1"));
 }
 
@@ -71,7 +71,7 @@
         revision.get_or_insert(page.revision);
         controller
             .cluster
-            .take_page(&page.entries, &mut deletable_keys);
+            .apply_page(&page.entries, &mut deletable_keys);
         match page.entries.last() {
             Some(last) if page.more => from.clone_from(&last.key),
             _ => break,
@@ -88,7 +88,7 @@
         .put(&key, page.entries[0].version, &page.entries[0].v);
     controller
         .cluster
-        .end_read(&deletable_keys, revision.unwrap());
+        .finish_full_read(&deletable_keys, revision.unwrap());
     assert!((0..200).all(|number| {
         let id = format!("job-{number}");
         controller.cluster.job(&id).is_some()
--- a/tests/support/digest.rs
+++ b/tests/support/digest.rs
@@ -4,7 +4,7 @@
 //! the field names of the protocol), so the digest doesn't depend on identifiers in the code.
 
 use super::kv_store::{FakeKvStore, KvResponse};
-use pointhook::protocol::kv::{Committed, Transaction};
+use pointhook::protocol::kv::{CommitResponse, Transaction};
 use serde::Serialize;
 use std::cell::RefCell;
 use std::fs::File;
@@ -68,7 +68,7 @@
 }
 
 /// Commits a transaction to the store, and adds it and its response to the digest.
-pub fn commit(store: &mut FakeKvStore, txn: &Transaction, now: u64) -> KvResponse<Committed> {
+pub fn commit(store: &mut FakeKvStore, txn: &Transaction, now: u64) -> KvResponse<CommitResponse> {
     let response = store.commit(txn, now);
     record("transaction", now, txn);
     record(
--- a/tests/support/simulated_cluster/users.rs
+++ b/tests/support/simulated_cluster/users.rs
@@ -106,7 +106,7 @@
             }
             return None;
         };
-        let answer = ClusterState::status(job);
+        let answer = ClusterState::job_status(job);
         digest::record(
             "answer to a poll",
             self.now,
