--- a/tests/golden_http_bodies.rs
+++ b/tests/golden_http_bodies.rs
@@ -16,8 +16,8 @@
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
-use support::golden::{hex, packed, rewritten, Group};
-use support::golden_samples::{cluster, described, offered, read, with};
+use support::golden::{hex, reserialized, to_message_pack, Group};
+use support::golden_samples::{cluster, full_job_spec, machine_type_catalog, read, with};
 
 mod support {
     pub mod golden;
@@ -32,10 +32,14 @@
 #[test]
 fn bodies_of_users() {
     let mut group = Group::new("users.txt");
-    group.read_by("job", &described(), submission);
-    group.keys_read_by("job", &described(), submission);
+    group.message_read_by("job", &full_job_spec(), submission);
+    group.variations_read_by("job", &full_job_spec(), submission);
     let twice = json!({"awaits": ["job-3", "job-3"]});
-    group.read_by("job twice awaited", &with(described(), twice), submission);
+    group.message_read_by(
+        "job twice awaited",
+        &with(full_job_spec(), twice),
+        submission,
+    );
     let enums = [
         (
             "shape",
@@ -48,25 +52,25 @@
     ];
     for (key, words) in enums {
         for word in words {
-            let job = with(described(), json!({ key: word }));
-            group.read_by(&format!("job {key} {word}"), &job, submission);
+            let job = with(full_job_spec(), json!({ key: word }));
+            group.message_read_by(&format!("job {key} {word}"), &job, submission);
         }
     }
     let as_list = Value::Array(
-        described()
+        full_job_spec()
             .as_object()
             .expect("a map")
             .values()
             .cloned()
             .collect(),
     );
-    group.read_by("job as a list", &as_list, submission);
+    group.message_read_by("job as a list", &as_list, submission);
     let status = json!({"uid": "job-000412", "status": "running", "done": 3, "running": 200});
     group.all_keys::<users::JobStatus>("status", &status);
     for word in ["o", "d", "c"] {
         for (suffix, placed) in [("", json!([])), (" placed", json!([[2, 7, "n-1", 1, 0]]))] {
             let mut cluster = cluster();
-            let record = json!({"j": described(), "s": word, "t": 1, "n": 9, "d": [[0, 1]],
+            let record = json!({"j": full_job_spec(), "s": word, "t": 1, "n": 9, "d": [[0, 1]],
                 "p": placed});
             cluster.put_job("job-000412", 5, &read(record));
             let (_, job) = cluster.job("job-000412").expect("known");
@@ -99,10 +103,10 @@
     group.all_keys::<workers::TaskStatus>("task", &task);
     for word in ["pulling", "gathering", "running", "flushing", "exited", "x"] {
         let task = with(task.clone(), json!({"status": word}));
-        group.read_by(
+        group.message_read_by(
             &format!("task status {word}"),
             &task,
-            rewritten::<workers::TaskStatus>,
+            reserialized::<workers::TaskStatus>,
         );
     }
     let causes = [
@@ -118,7 +122,7 @@
     for word in causes.into_iter().chain(["some new cause"]) {
         // An unknown cause is accepted when read, but is never written.
         let task = with(task.clone(), json!({"cause": word}));
-        let bytes = rewritten::<workers::TaskStatus>(&packed(&task)).expect(word);
+        let bytes = reserialized::<workers::TaskStatus>(&to_message_pack(&task)).expect(word);
         group.line(&format!("task cause {word}"), &hex(&bytes));
     }
     let commands = [
@@ -131,7 +135,7 @@
         group.all_keys::<workers::Command>(verb, command);
     }
     let unknown = json!({"verb": "forget", "piece": "job-1/0", "try": 1});
-    group.read_by("another verb", &unknown, rewritten::<workers::Command>);
+    group.message_read_by("another verb", &unknown, reserialized::<workers::Command>);
     group.all_keys::<workers::HeartbeatResponse>(
         "answer",
         &json!({"baton": 41, "orders": commands}),
@@ -145,8 +149,8 @@
 #[test]
 fn bodies_of_the_cloud_and_the_key_value_store() {
     let mut group = Group::new("outside.txt");
-    group.all_keys::<cloud::MachineTypeCatalog>("flavors", &offered());
-    group.all_keys::<cloud::CloudMachineType>("flavor", &offered()["rigs"][0]);
+    group.all_keys::<cloud::MachineTypeCatalog>("flavors", &machine_type_catalog());
+    group.all_keys::<cloud::CloudMachineType>("flavor", &machine_type_catalog()["rigs"][0]);
     let request = json!({"booking": "b-1", "rig": "g8", "yard": "a", "loaners": true, "count": 12});
     group.all_keys::<cloud::ProvisioningRequest>("rent", &request);
     group.all_keys::<cloud::MachineNames>("hosts", &json!({"hosts": ["n-1", "n-2"]}));
@@ -182,7 +186,7 @@
 }
 
 fn check_names_of_a_job_description() {
-    let spec: users::JobSpec = read(described());
+    let spec: users::JobSpec = read(full_job_spec());
     assert_eq!(
         (spec.vcpus, spec.gpus, spec.mem_gb, spec.image_gb),
         (8.0, 1.5, 64.25, 6.2)
@@ -276,7 +280,7 @@
 }
 
 fn check_names_of_the_cloud() {
-    let machine_type = &read::<cloud::MachineTypeCatalog>(offered()).types[0];
+    let machine_type = &read::<cloud::MachineTypeCatalog>(machine_type_catalog()).types[0];
     assert_eq!(
         (
             machine_type.name.as_str(),
--- a/tests/golden_peer_frames.rs
+++ b/tests/golden_peer_frames.rs
@@ -6,7 +6,7 @@
     Decision, FollowerResponse, MachineState, Message, QueuedTask, MAX_MESSAGE_BYTES,
 };
 use support::golden::Group;
-use support::golden_samples::standings;
+use support::golden_samples::shard_statuses;
 
 mod support {
     pub mod golden;
@@ -149,7 +149,7 @@
         (
             "standbys",
             PeerResponse::ShardStatuses {
-                shards: standings(),
+                shards: shard_statuses(),
             },
         ),
     ];
--- a/tests/golden_records.rs
+++ b/tests/golden_records.rs
@@ -15,8 +15,8 @@
 };
 use pointhook::state::units::QuotaUsage;
 use serde_json::{json, Value};
-use support::golden::{hex, packed, rewritten, Group};
-use support::golden_samples::{cluster, described, offered, read, with};
+use support::golden::{hex, reserialized, to_message_pack, Group};
+use support::golden_samples::{cluster, full_job_spec, machine_type_catalog, read, with};
 
 mod support {
     pub mod golden;
@@ -27,40 +27,40 @@
 fn stored_records() {
     let mut group = Group::new("records.txt");
     let without_optional = with(
-        described(),
+        full_job_spec(),
         json!({"rigs": null, "yard": null, "due_s": null, "awaits": null}),
     );
     let job = json!({
-        "j": described(), "s": "o", "t": 1_764_650_000_123_u64, "d": [[0, 2], [3, 4]],
+        "j": full_job_spec(), "s": "o", "t": 1_764_650_000_123_u64, "d": [[0, 2], [3, 4]],
         "p": [[2, 7, "n-000231", 1, 0], [4, 70_000, "n-000007", 3, 3]], "n": 70_001,
         "f": 1_764_650_090_456_u64,
     });
     group.all_keys::<JobRecord>("job", &job);
     for state in ["o", "d", "c"] {
         let required_only = json!({"s": state, "t": 1, "n": 1});
-        group.form::<JobRecord>(&format!("job least {state}"), &required_only);
+        group.message::<JobRecord>(&format!("job least {state}"), &required_only);
         let full = with(
             job.clone(),
             json!({"s": state, "f": null, "j": without_optional}),
         );
-        group.form::<JobRecord>(&format!("job {state}"), &full);
+        group.message::<JobRecord>(&format!("job {state}"), &full);
     }
-    group.read_by(
+    group.message_read_by(
         "job x",
         &with(job, json!({"s": "x"})),
-        rewritten::<JobRecord>,
+        reserialized::<JobRecord>,
     );
     let overflow = json!({"p": [[40, 41, "n-000007", 3, 3], [41, 42, "n-000231", 1, 0]]});
     group.all_keys::<OverflowRecord>("more", &overflow);
-    group.form::<OverflowRecord>("more none", &json!({"p": []}));
+    group.message::<OverflowRecord>("more none", &json!({"p": []}));
     group.all_keys::<ControllerRecord>("node", &json!({"i": u64::MAX, "v": 2, "w": 1}));
-    group.form::<ControllerRecord>("node zeros", &json!({"i": 7, "v": 0, "w": 0}));
+    group.message::<ControllerRecord>("node zeros", &json!({"i": 7, "v": 0, "w": 0}));
     group.all_keys::<ShardRecord>("shard", &json!({"o": "stoker-1", "i": 1_234_567, "t": 41}));
     group.all_keys::<TeamRecord>("team", &json!({"s": [[1, 8000, 2000], [3, -5, 0]]}));
     let provisioning = json!({"r": "g8", "z": "a", "s": true, "n": 12, "h": ["n-000231"]});
     group.all_keys::<ProvisioningRecord>("book", &provisioning);
-    group.form::<cloud::MachineTypeCatalog>("flavors", &offered());
-    group.form::<bool>("form", &json!(true));
+    group.message::<cloud::MachineTypeCatalog>("flavors", &machine_type_catalog());
+    group.message::<bool>("form", &json!(true));
     group.line("second form", &RECORD_FORMAT_V2.to_string());
     group.line("standby version", &STANDBY_VERSION.to_string());
     group.compare();
@@ -72,7 +72,7 @@
 
 /// Adds the transactions that write a record, one for each kind of record.
 fn add_record_writes(group: &mut Group, cluster: &ClusterState) {
-    let record = JobRecord::submitted(read(described()), 1);
+    let record = JobRecord::submitted(read(full_job_spec()), 1);
     let shard = ShardRecord {
         fencing_token: FencingToken(5),
         ..ShardRecord::default()
@@ -105,7 +105,7 @@
 /// Checks that records of all kinds are read from their keys.
 fn check_records_are_read_from_their_keys(cluster: &mut ClusterState) {
     let mut put = |key: &str, value: Value| {
-        let value = rmp_serde::from_slice(&packed(&value)).expect("a value");
+        let value = rmp_serde::from_slice(&to_message_pack(&value)).expect("a value");
         cluster.put(key, 9, &value);
     };
     put("ph/node/stoker-1", json!({"i": 7, "v": 2}));
@@ -115,7 +115,7 @@
         "ph/book/b-1",
         json!({"r": "g8", "z": "a", "s": true, "n": 12}),
     );
-    put("ph/flavors/all", offered());
+    put("ph/flavors/all", machine_type_catalog());
     put("ph/job/job-1", json!({"s": "c", "t": 1, "n": 1}));
     assert_eq!(cluster.controllers["stoker-1"].version, 9);
     assert_eq!(
--- a/tests/golden_settings_and_commands.rs
+++ b/tests/golden_settings_and_commands.rs
@@ -8,8 +8,8 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::process::{Command, Output};
-use support::golden::{file, hex, packed, settings_keys, Group};
-use support::golden_samples::{described, standings};
+use support::golden::{file, hex, settings_keys, to_message_pack, Group};
+use support::golden_samples::{full_job_spec, shard_statuses};
 
 mod support {
     pub mod golden;
@@ -43,7 +43,7 @@
         let mut rest = vec![0; u32::from_be_bytes(head) as usize];
         stream.read_exact(&mut rest).expect("a frame");
         let body = peers::encode(&PeerResponse::ShardStatuses {
-            shards: standings(),
+            shards: shard_statuses(),
         });
         let body = body.expect("a reply");
         let mut frame = (body.len() as u32 + 1).to_be_bytes().to_vec();
@@ -270,7 +270,7 @@
 
 /// A description of a job as people write it.
 fn job_file() -> String {
-    toml::to_string(&described()).expect("TOML")
+    toml::to_string(&full_job_spec()).expect("TOML")
 }
 
 #[test]
@@ -343,7 +343,8 @@
 fn requests_and_exit_codes_of_job_commands() {
     let mut g = Group::new("job_commands.txt");
     let job = file("submitted.toml", &job_file()).display().to_string();
-    let body = packed(&json!({"uid": "job-7", "status": "running", "done": 1, "running": 2}));
+    let body =
+        to_message_pack(&json!({"uid": "job-7", "status": "running", "done": 1, "running": 2}));
     let mut exchange = |action: &str, what: &str, status: u16| {
         let name = format!("job {action} {status}");
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/tests/support/golden.rs
+++ b/tests/support/golden.rs
@@ -23,12 +23,12 @@
 }
 
 /// The MessagePack form of a JSON value with named fields, as another program would write it.
-pub fn packed(value: &Value) -> Vec<u8> {
+pub fn to_message_pack(value: &Value) -> Vec<u8> {
     rmp_serde::to_vec_named(value).expect("JSON has a MessagePack form")
 }
 
 /// Deserializes a value from MessagePack and serializes it again; `None` if it is rejected.
-pub fn rewritten<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> Option<Vec<u8>> {
+pub fn reserialized<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> Option<Vec<u8>> {
     let read: T = rmp_serde::from_slice(bytes).ok()?;
     Some(rmp_serde::to_vec_named(&read).expect("what was read can be written"))
 }
@@ -59,8 +59,13 @@
 
     /// Adds a line with a body as `read` serializes it again, or with the fact that `read` rejects
     /// it. Reading the serialized bytes again must give the same bytes.
-    pub fn read_by(&mut self, name: &str, body: &Value, read: fn(&[u8]) -> Option<Vec<u8>>) {
-        match read(&packed(body)) {
+    pub fn message_read_by(
+        &mut self,
+        name: &str,
+        body: &Value,
+        read: fn(&[u8]) -> Option<Vec<u8>>,
+    ) {
+        match read(&to_message_pack(body)) {
             None => self.line(name, REFUSED),
             Some(bytes) => {
                 assert_eq!(read(&bytes).as_ref(), Some(&bytes), "{name} reads back");
@@ -70,33 +75,41 @@
     }
 
     /// Adds a line with a body, which must be a valid value of the type.
-    pub fn form<T: Serialize + DeserializeOwned>(&mut self, name: &str, body: &Value) {
-        assert!(rewritten::<T>(&packed(body)).is_some(), "{name} is refused");
-        self.read_by(name, body, rewritten::<T>);
+    pub fn message<T: Serialize + DeserializeOwned>(&mut self, name: &str, body: &Value) {
+        assert!(
+            reserialized::<T>(&to_message_pack(body)).is_some(),
+            "{name} is refused"
+        );
+        self.message_read_by(name, body, reserialized::<T>);
     }
 
     /// Adds lines with a valid body of the type and with its variations: without each key, with
     /// null for each key, and with an unknown key.
     pub fn all_keys<T: Serialize + DeserializeOwned>(&mut self, name: &str, body: &Value) {
-        self.form::<T>(name, body);
-        self.keys_read_by(name, body, rewritten::<T>);
+        self.message::<T>(name, body);
+        self.variations_read_by(name, body, reserialized::<T>);
     }
 
     /// Adds the lines for the variations of a body, as [`Group::all_keys`] does, with a given
     /// function that reads and serializes them.
-    pub fn keys_read_by(&mut self, name: &str, body: &Value, read: fn(&[u8]) -> Option<Vec<u8>>) {
+    pub fn variations_read_by(
+        &mut self,
+        name: &str,
+        body: &Value,
+        read: fn(&[u8]) -> Option<Vec<u8>>,
+    ) {
         let keys = body.as_object().expect("a map").keys();
         for key in keys {
             let mut without_key = body.clone();
             without_key.as_object_mut().expect("a map").remove(key);
-            self.read_by(&format!("{name} without {key}"), &without_key, read);
+            self.message_read_by(&format!("{name} without {key}"), &without_key, read);
             let mut with_null = body.clone();
             with_null[key] = Value::Null;
-            self.read_by(&format!("{name} null {key}"), &with_null, read);
+            self.message_read_by(&format!("{name} null {key}"), &with_null, read);
         }
         let mut with_unknown_key = body.clone();
         with_unknown_key["no_such_key"] = json!(1);
-        self.read_by(&format!("{name} with another key"), &with_unknown_key, read);
+        self.message_read_by(&format!("{name} with another key"), &with_unknown_key, read);
     }
 
     /// Adds a line with the encoded form of a value. Decoding it must give the same value, and a
--- a/tests/support/golden_samples.rs
+++ b/tests/support/golden_samples.rs
@@ -1,14 +1,14 @@
 //! Sample messages for several golden tests, mostly as JSON with the field names of the protocol.
 #![allow(dead_code)]
 
-use super::golden::packed;
+use super::golden::to_message_pack;
 use pointhook::protocol::peers::ShardStatus;
 use pointhook::settings::Team;
 use pointhook::state::cluster_state::ClusterState;
 use serde_json::{json, Value};
 
 /// A job specification with every key present.
-pub fn described() -> Value {
+pub fn full_job_spec() -> Value {
     json!({
         "uid": "job-000412", "jobline": "train", "crew": "vision", "shape": "group",
         "rank": "urgent", "pieces": 4, "vcpus": 8.0, "gpus": 1.5, "mem_gb": 64.25,
@@ -32,11 +32,11 @@
 
 /// Deserializes a message from the MessagePack form of a JSON value.
 pub fn read<T: serde::de::DeserializeOwned>(body: Value) -> T {
-    rmp_serde::from_slice(&packed(&body)).expect("a body of the protocol")
+    rmp_serde::from_slice(&to_message_pack(&body)).expect("a body of the protocol")
 }
 
 /// A catalog of two machine types, the second without its optional keys.
-pub fn offered() -> Value {
+pub fn machine_type_catalog() -> Value {
     json!({"rigs": [
         {"sku": "g8", "vcpus": 96.0, "gpus": 8.0, "mem_gb": 768.0, "local_gb": 400.5,
          "pull_gb_per_s": 0.5, "hourly": 21.5, "low_price": 7.25, "startup_s": 95.0,
@@ -60,7 +60,7 @@
 
 /// Statuses of two shards: the first names a standby and its replication lag, the second the token
 /// of the owner whose state the reporting controller replicates.
-pub fn standings() -> Vec<ShardStatus> {
+pub fn shard_statuses() -> Vec<ShardStatus> {
     let standing = |shard, standby: Option<&str>, replication_lag, follows| ShardStatus {
         shard,
         owner: "stoker-north-1".into(),
