--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -9,7 +9,7 @@
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::coordination::scheduler::quota::used_by_team;
-use crate::coordination::scheduler::starved_gangs::{fits_beside_services, reservation_expired};
+use crate::coordination::scheduler::starved_gangs::{fits_beside_services, may_bypass_gangs};
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::{Job, Spec};
 use crate::state::names::{Index, JobIndex, TeamIndex};
@@ -48,7 +48,7 @@
 /// gang that waits for it. The rule is implemented twice because the two count differently: the
 /// scheduler compares running tasks with the demand of one gang, while this function divides the
 /// remaining quota among all waiting jobs in order, and does so for a gang that has only begun to
-/// wait, too. `reservation_expired` and `fits_beside_services` are shared because both must give
+/// wait, too. `may_bypass_gangs` and `fits_beside_services` are shared because both must give
 /// the same result in both places.
 pub(super) fn waiting(cluster: &ClusterState, now: MonotonicMillis, wall_ms: u64) -> Vec<Demand> {
     let mut remaining = remaining_quotas(cluster);
@@ -57,7 +57,7 @@
     for (job_index, job) in waiting_jobs(cluster, now) {
         let Some(spec) = &job.spec else { continue };
         let quota_left_to_gang = teams_with_waiting_gang.contains(&spec.team);
-        if quota_left_to_gang && !reservation_expired(job, wall_ms) {
+        if quota_left_to_gang && !may_bypass_gangs(job, wall_ms) {
             continue;
         }
         let remaining = &mut remaining[spec.team.at()];
