--- a/tests/support/scenarios.rs
+++ b/tests/support/scenarios.rs
@@ -4,7 +4,8 @@
 use super::simulated_cluster::SimulatedCluster;
 
 /// A cluster in which two jobs with a run time of 200 s run on machines of both zones. Also returns
-/// the controller that owns the machine of the first job's first task, and another controller.
+/// the leader, which is the controller that owns the machine of the first job's first task, and
+/// another controller.
 pub fn two_long_jobs() -> (SimulatedCluster, usize, usize) {
     let mut cluster = SimulatedCluster::new(4);
     for machine in &mut cluster.machines {
