--- a/tests/support/golden.rs
+++ b/tests/support/golden.rs
@@ -1,9 +1,9 @@
-//! Golden files: what is written now, a name and a value per line, compared to the letter.
+//! Golden files: recorded output of the program, compared exactly with its present output.
 //!
 //! A line of a file is a name, a tab and a value. Values are serialized bytes in hexadecimal, JSON
-//! or exit codes, never names of the program's own types, so that renaming these changes no line.
-//! The files stay as they are when types and fields get other names; a line that changes is a
-//! format that changes, which other controllers, workers, users or stored records would notice.
+//! or exit codes, never names of the program's own types, so renaming types and fields changes no
+//! line. A line that changes means that a format has changed, which other controllers, workers,
+//! users or stored records would notice.
 #![allow(dead_code)]
 
 use serde::de::DeserializeOwned;
@@ -12,9 +12,9 @@
 use std::collections::HashSet;
 use std::path::{Path, PathBuf};
 
-/// With this variable set to 1 the files are written anew, and the tests fail for that.
-const WRITE: &str = "POINTHOOK_WRITE_GOLDEN";
-/// Value of what the program refuses to read.
+/// Environment variable that, if set to 1, overwrites the golden files; the tests then fail.
+const OVERWRITE: &str = "POINTHOOK_WRITE_GOLDEN";
+/// Recorded value of an input that the program rejects.
 const REFUSED: &str = "refused";
 
 /// Bytes as hexadecimal digits.
@@ -22,18 +22,18 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
-/// The MessagePack form of a JSON value, with named fields, as any other program would write it.
-pub fn packed(value: &Value) -> Vec<u8> {
+/// The MessagePack form of a JSON value with named fields, as another program would write it.
+pub fn to_message_pack(value: &Value) -> Vec<u8> {
     rmp_serde::to_vec_named(value).expect("JSON has a MessagePack form")
 }
 
-/// What is written of what was read from these bytes; `None` if they are refused.
-pub fn rewritten<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> Option<Vec<u8>> {
+/// Deserializes a value from MessagePack and serializes it again; `None` if it is rejected.
+pub fn reserialized<T: Serialize + DeserializeOwned>(bytes: &[u8]) -> Option<Vec<u8>> {
     let read: T = rmp_serde::from_slice(bytes).ok()?;
     Some(rmp_serde::to_vec_named(&read).expect("what was read can be written"))
 }
 
-/// The lines of one golden file.
+/// Lines that are compared with one golden file.
 pub struct Group {
     file: &'static str,
     names: HashSet<String>,
@@ -41,7 +41,7 @@
 }
 
 impl Group {
-    /// An empty group that is compared with this file.
+    /// An empty group for the golden file of this name.
     pub fn new(file: &'static str) -> Group {
         Group {
             file,
@@ -50,17 +50,22 @@
         }
     }
 
-    /// Adds a line.
+    /// Adds a line. Names are unique within a file.
     pub fn line(&mut self, name: &str, value: &str) {
         assert!(!name.contains(['\t', '\n']) && !value.contains('\n'));
         assert!(self.names.insert(name.to_string()), "{name} comes twice");
         self.lines.push(format!("{name}\t{value}"));
     }
 
-    /// Adds what is written of a body, or that it is refused. What is written must read back and
-    /// be written again as the same bytes.
-    pub fn read_by(&mut self, name: &str, body: &Value, read: fn(&[u8]) -> Option<Vec<u8>>) {
-        match read(&packed(body)) {
+    /// Adds a line with a body as `read` serializes it again, or with the fact that `read` rejects
+    /// it. Reading the serialized bytes again must give the same bytes.
+    pub fn message_read_by(
+        &mut self,
+        name: &str,
+        body: &Value,
+        read: fn(&[u8]) -> Option<Vec<u8>>,
+    ) {
+        match read(&to_message_pack(body)) {
             None => self.line(name, REFUSED),
             Some(bytes) => {
                 assert_eq!(read(&bytes).as_ref(), Some(&bytes), "{name} reads back");
@@ -69,36 +74,46 @@
         }
     }
 
-    /// Adds a body of this type, which must be one.
-    pub fn form<T: Serialize + DeserializeOwned>(&mut self, name: &str, body: &Value) {
-        assert!(rewritten::<T>(&packed(body)).is_some(), "{name} is refused");
-        self.read_by(name, body, rewritten::<T>);
+    /// Adds a line with a body, which must be a valid value of the type.
+    pub fn message<T: Serialize + DeserializeOwned>(&mut self, name: &str, body: &Value) {
+        assert!(
+            reserialized::<T>(&to_message_pack(body)).is_some(),
+            "{name} is refused"
+        );
+        self.message_read_by(name, body, reserialized::<T>);
     }
 
-    /// Adds a body of this type and what becomes of it without each of its keys, with null for
-    /// each, and with a key more.
+    /// Adds lines with a valid body of the type and with its variations: without each key, with
+    /// null for each key, and with an unknown key.
     pub fn all_keys<T: Serialize + DeserializeOwned>(&mut self, name: &str, body: &Value) {
-        self.form::<T>(name, body);
-        self.keys_read_by(name, body, rewritten::<T>);
+        self.message::<T>(name, body);
+        self.variations_read_by(name, body, reserialized::<T>);
     }
 
-    /// The same variations of a body that is read in a way of its own.
-    pub fn keys_read_by(&mut self, name: &str, body: &Value, read: fn(&[u8]) -> Option<Vec<u8>>) {
+    /// Adds the lines for the variations of a body, as [`Group::all_keys`] does, with a given
+    /// function that reads and serializes them.
+    pub fn variations_read_by(
+        &mut self,
+        name: &str,
+        body: &Value,
+        read: fn(&[u8]) -> Option<Vec<u8>>,
+    ) {
         let keys = body.as_object().expect("a map").keys();
         for key in keys {
-            let mut less = body.clone();
-            less.as_object_mut().expect("a map").remove(key);
-            self.read_by(&format!("{name} without {key}"), &less, read);
-            let mut null = body.clone();
-            null[key] = Value::Null;
-            self.read_by(&format!("{name} null {key}"), &null, read);
+            let mut without_key = body.clone();
+            without_key.as_object_mut().expect("a map").remove(key);
+            self.message_read_by(&format!("{name} without {key}"), &without_key, read);
+            let mut with_null = body.clone();
+            with_null[key] = Value::Null;
+            self.message_read_by(&format!("{name} null {key}"), &with_null, read);
         }
-        let mut more = body.clone();
-        more["no_such_key"] = json!(1);
-        self.read_by(&format!("{name} with another key"), &more, read);
+        let mut with_unknown_key = body.clone();
+        with_unknown_key["no_such_key"] = json!(1);
+        self.message_read_by(&format!("{name} with another key"), &with_unknown_key, read);
     }
 
-    /// Adds an archive, which must be made again of what is read from it.
+    /// Adds a line with the encoded form of a value. Decoding it must give the same value, and a
+    /// form without its last byte must be rejected.
     pub fn archive<T>(
         &mut self,
         name: &str,
@@ -116,27 +131,34 @@
         self.line(name, &hex(&bytes));
     }
 
-    /// Compares the lines with the file. Where the file is to be written anew the test fails too.
+    /// Compares the lines with the golden file, and panics if they differ. Also panics after
+    /// overwriting the file, if that was asked for.
     pub fn compare(self) {
         let path = Path::new(env!("CARGO_MANIFEST_DIR"))
             .join("tests/data/golden")
             .join(self.file);
-        let made = self.lines.join("\n") + "\n";
-        if std::env::var(WRITE).is_ok_and(|v| v == "1") {
-            std::fs::write(&path, made).expect("the golden file can be written");
-            panic!("{} is written anew; run without {WRITE}", self.file);
+        let actual = self.lines.join("\n") + "\n";
+        if std::env::var(OVERWRITE).is_ok_and(|v| v == "1") {
+            std::fs::write(&path, actual).expect("the golden file can be written");
+            panic!("{} was overwritten; run without {OVERWRITE}", self.file);
         }
-        let golden = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{path:?}: {e}"));
-        let (was, is): (Vec<&str>, Vec<&str>) = (golden.lines().collect(), made.lines().collect());
-        for (was, is) in was.iter().zip(&is) {
-            assert_eq!(was, is, "{}", self.file);
+        let recorded = std::fs::read_to_string(&path).unwrap_or_else(|e| panic!("{path:?}: {e}"));
+        let recorded_lines: Vec<&str> = recorded.lines().collect();
+        let actual_lines: Vec<&str> = actual.lines().collect();
+        for (recorded_line, actual_line) in recorded_lines.iter().zip(&actual_lines) {
+            assert_eq!(recorded_line, actual_line, "{}", self.file);
         }
-        assert_eq!(was.len(), is.len(), "lines of {}", self.file);
-        assert!(golden == made, "{} differs in its line ends", self.file);
+        assert_eq!(
+            recorded_lines.len(),
+            actual_lines.len(),
+            "lines of {}",
+            self.file
+        );
+        assert!(recorded == actual, "{} differs in its line ends", self.file);
     }
 }
 
-/// A new file of a test's own, with this text.
+/// Writes a text to a file in a temporary directory of the golden tests; returns its path.
 pub fn file(name: &str, text: &str) -> PathBuf {
     let dir = Path::new(env!("CARGO_TARGET_TMPDIR")).join("golden");
     std::fs::create_dir_all(&dir).expect("a directory");
@@ -145,15 +167,15 @@
     path
 }
 
-/// Where a key stands in a TOML document: names of tables and positions in lists.
-type At = Vec<String>;
+/// Path of a table in a TOML document: names of tables and positions in lists.
+type TablePath = Vec<String>;
 
-/// All tables of a document with the names of their keys.
-fn tables(value: &toml::Value, at: &At, out: &mut Vec<(At, Vec<String>)>) {
-    let below = |name: String| at.iter().cloned().chain([name]).collect::<At>();
+/// Collects all tables of a document with their paths and the names of their keys.
+fn tables(value: &toml::Value, path: &TablePath, out: &mut Vec<(TablePath, Vec<String>)>) {
+    let below = |name: String| path.iter().cloned().chain([name]).collect::<TablePath>();
     match value {
         toml::Value::Table(table) => {
-            out.push((at.clone(), table.keys().cloned().collect()));
+            out.push((path.clone(), table.keys().cloned().collect()));
             for (key, inner) in table {
                 tables(inner, &below(key.clone()), out);
             }
@@ -167,9 +189,9 @@
     }
 }
 
-/// The table at a place.
-fn table_at<'a>(mut value: &'a mut toml::Value, at: &At) -> &'a mut toml::Table {
-    for step in at {
+/// The table at a path.
+fn table_at<'a>(mut value: &'a mut toml::Value, path: &TablePath) -> &'a mut toml::Table {
+    for step in path {
         value = match value {
             toml::Value::Array(list) => &mut list[step.parse::<usize>().expect("a position")],
             other => other.get_mut(step).expect("a key"),
@@ -178,8 +200,9 @@
     value.as_table_mut().expect("a table")
 }
 
-/// Adds for each key of a settings file what becomes of the file if the key is misspelt, and for
-/// each table what becomes of it with a key more: `refused`, naming the key, `changed` or `ignored`.
+/// Adds a line for each key of a settings file with the effect of misspelling it, and for each
+/// table with the effect of an unknown key in it. The effect is `refused`, with an error that names
+/// the key, `changed` or `ignored`.
 pub fn settings_keys<T: std::fmt::Debug, E: std::fmt::Display>(
     group: &mut Group,
     name: &str,
@@ -191,45 +214,50 @@
         let text = toml::to_string(document).expect("TOML");
         load(&file(&format!("{name}.toml"), &text))
     };
-    // Compared with each other only, within a run: names of fields don't matter.
-    let told = |value: &T| format!("{value:?}");
-    let whole = read(&document).map_err(|e| e.to_string()).expect("good");
+    // Debug texts are only compared with each other within a run, so field names don't matter.
+    let debug_text = |value: &T| format!("{value:?}");
+    let unchanged = read(&document).map_err(|e| e.to_string()).expect("good");
     let mut all = Vec::new();
-    tables(&document, &At::new(), &mut all);
-    for (at, keys) in all {
-        let mut more = document.clone();
-        table_at(&mut more, &at).insert("no_such_key".into(), 1.into());
-        let fate = fate(read(&more), &whole, "no_such_key", &told);
-        let place: String = at.iter().map(|step| format!("{step}.")).collect();
-        group.line(&format!("{name} another key {place}"), fate);
+    tables(&document, &TablePath::new(), &mut all);
+    for (path, keys) in all {
+        let mut with_unknown_key = document.clone();
+        table_at(&mut with_unknown_key, &path).insert("no_such_key".into(), 1.into());
+        let effect = effect_of(
+            read(&with_unknown_key),
+            &unchanged,
+            "no_such_key",
+            &debug_text,
+        );
+        let prefix: String = path.iter().map(|step| format!("{step}.")).collect();
+        group.line(&format!("{name} another key {prefix}"), effect);
         for key in keys {
             let mut misspelt = document.clone();
-            let table = table_at(&mut misspelt, &at);
+            let table = table_at(&mut misspelt, &path);
             let value = table.remove(&key).expect("the key");
             table.insert(format!("{key}x"), value);
-            let fate = self::fate(read(&misspelt), &whole, &key, &told);
-            assert_ne!(fate, "ignored", "{place}{key} has no effect");
-            group.line(&format!("{name} misspelt {place}{key}"), fate);
+            let effect = effect_of(read(&misspelt), &unchanged, &key, &debug_text);
+            assert_ne!(effect, "ignored", "{prefix}{key} has no effect");
+            group.line(&format!("{name} misspelt {prefix}{key}"), effect);
         }
     }
 }
 
-/// What became of a file that was changed at a key.
-fn fate<T, E: std::fmt::Display>(
+/// The effect of a change at a key: an error that names the key, a changed value or none.
+fn effect_of<T, E: std::fmt::Display>(
     read: Result<T, E>,
-    whole: &T,
+    unchanged: &T,
     key: &str,
-    told: &dyn Fn(&T) -> String,
+    debug_text: &dyn Fn(&T) -> String,
 ) -> &'static str {
     match read {
         Err(e) => {
             let line = e.to_string();
-            // The name of the file comes first, and may hold the key by chance.
+            // The error begins with the file's path, which may contain the key by chance.
             let (_, cause) = line.split_once(".toml: ").expect("the name of the file");
             assert!(cause.contains(key), "{line} names {key}");
             REFUSED
         }
-        Ok(now) if told(&now) == told(whole) => "ignored",
+        Ok(changed) if debug_text(&changed) == debug_text(unchanged) => "ignored",
         Ok(_) => "changed",
     }
 }
--- a/tests/support/simulated_cluster/invariants.rs
+++ b/tests/support/simulated_cluster/invariants.rs
@@ -1,12 +1,13 @@
-//! Invariants on what really runs where, checked after each step of the simulated clock.
+//! Invariants on the tasks that actually run, checked after each step of the simulated clock.
 
 use super::SimulatedCluster;
 use crate::support::simulated_controller::CANCEL_MS;
 use pointhook::state::names::{Index, TeamIndex};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A controller starts tasks only while what it knows is not older than this, which includes a
-/// step of the clock.
+/// Longest time after the confirmation of a cancellation at which a task of the job may start:
+/// controllers start tasks only while their cancellation watermark is at most 6.5 s old. Includes
+/// one step of the clock.
 const MAX_START_DELAY_MS: u64 = 7000;
 
 impl SimulatedCluster {
@@ -24,7 +25,7 @@
             .extend(violations.map(|violation| format!("{now}: {violation}")));
     }
 
-    /// Running tasks with the name and zone of their machine.
+    /// All running tasks, with the names and zones of their machines.
     fn running_tasks(&self) -> impl Iterator<Item = RunningTask<'_>> {
         self.machines.iter().flat_map(|machine| {
             let tasks = machine.worker.running_tasks().into_iter();
@@ -37,17 +38,18 @@
         })
     }
 
-    /// No task runs on two machines.
+    /// Checks that no task runs on two machines.
     fn check_single_execution(&self, violations: &mut Vec<String>) {
         let mut seen = BTreeSet::new();
         for running in self.running_tasks() {
             if !seen.insert(running.task) {
-                violations.push(format!("{} runs twice", running.task));
+                violations.push(format!("{} runs on two machines", running.task));
             }
         }
     }
 
-    /// Tasks run in the zone that their job is bound to, those of a one-zone job in one zone.
+    /// Checks that tasks run in the zone that their job requires, and that all tasks of a one-zone
+    /// job run in the same zone.
     fn check_zones(&self, violations: &mut Vec<String>) {
         let mut first_zones: BTreeMap<&str, &str> = BTreeMap::new();
         for running in self.running_tasks() {
@@ -58,36 +60,37 @@
             let first_zone = *first_zones.entry(running.job).or_insert(zone);
             let is_bound_elsewhere = view.spec.zone.as_ref().is_some_and(|z| z != zone);
             if is_bound_elsewhere || view.spec.one_zone && first_zone != zone {
-                violations.push(format!("{} runs in {zone}", running.task));
+                violations.push(format!("{} runs in the wrong zone {zone}", running.task));
             }
         }
     }
 
-    /// No task of a cancelled job runs after the time for cancellations.
+    /// Checks that no task of a cancelled job runs longer than `CANCEL_MS` after the confirmation.
     fn check_cancelled_jobs_stop(&self, violations: &mut Vec<String>) {
         for running in self.running_tasks() {
             let cancelled_at = self.cancelled_at.get(running.job);
             let is_overdue = cancelled_at.is_some_and(|at| self.now - at > CANCEL_MS);
             if is_overdue {
                 let RunningTask { task, machine, .. } = running;
-                violations.push(format!("{task} on {machine} though cancelled"));
+                violations.push(format!("{task} still runs on {machine} though cancelled"));
             }
         }
     }
 
-    /// No task runs before all jobs that its job depends on are complete.
+    /// Checks that no task runs before all jobs that its job depends on are complete.
     fn check_dependencies(&self, violations: &mut Vec<String>) {
         for running in self.running_tasks() {
             for dependency in self.dependencies_of(running.job) {
                 if !self.completed(dependency) {
                     let task = running.task;
-                    violations.push(format!("{task} runs before {dependency} is done"));
+                    violations.push(format!("{task} runs before {dependency} is complete"));
                 }
             }
         }
     }
 
-    /// No task of a cancelled job starts after the time within which controllers learn of it.
+    /// Checks that no task of a cancelled job starts later than `MAX_START_DELAY_MS` after the
+    /// confirmation.
     fn check_starts_of_cancelled_jobs(&mut self, violations: &mut Vec<String>) {
         let now = self.now;
         for machine in &self.machines {
@@ -104,7 +107,7 @@
         }
     }
 
-    /// No team uses more than its limit.
+    /// Checks that no team uses more GPUs than its limit.
     fn check_team_limits(&self, violations: &mut Vec<String>) {
         let mut gpus_by_team: BTreeMap<&str, f64> = BTreeMap::new();
         for running in self.running_tasks() {
@@ -116,12 +119,12 @@
         for (team, used) in gpus_by_team {
             let limit = self.gpu_limit_of(team);
             if limit.is_some_and(|limit| limit > 0.0 && used > limit) {
-                violations.push(format!("{team} uses {used}"));
+                violations.push(format!("{team} uses {used} GPUs, more than its limit"));
             }
         }
     }
 
-    /// Limit of a team, as the first running controller knows it; zero stands for none.
+    /// GPU limit of a team according to the first running controller; zero means no limit.
     fn gpu_limit_of(&self, team: &str) -> Option<f64> {
         let controller = self.controllers.iter().flatten().next()?;
         let cluster = &controller.cluster;
@@ -130,7 +133,7 @@
     }
 }
 
-/// A task that runs, with its machine.
+/// A running task with its job and machine.
 struct RunningTask<'a> {
     task: &'a str,
     job: &'a str,
@@ -138,7 +141,7 @@
     zone: &'a str,
 }
 
-/// The job of a task, by the task's name.
+/// Name of a task's job: the part of the task's name before the slash.
 fn job_of(task: &str) -> &str {
     task.split('/').next().unwrap_or_default()
 }
