--- a/tests/support/golden_samples.rs
+++ b/tests/support/golden_samples.rs
@@ -1,14 +1,14 @@
-//! Values of the protocol that tests of several formats share, as JSON with its names.
+//! Sample messages for several golden tests, mostly as JSON with the field names of the protocol.
 #![allow(dead_code)]
 
-use super::golden::packed;
+use super::golden::to_message_pack;
 use pointhook::protocol::peers::ShardStatus;
 use pointhook::settings::Team;
 use pointhook::state::cluster_state::ClusterState;
 use serde_json::{json, Value};
 
-/// A job's description with every key.
-pub fn described() -> Value {
+/// A job specification with every key present.
+pub fn full_job_spec() -> Value {
     json!({
         "uid": "job-000412", "jobline": "train", "crew": "vision", "shape": "group",
         "rank": "urgent", "pieces": 4, "vcpus": 8.0, "gpus": 1.5, "mem_gb": 64.25,
@@ -18,7 +18,7 @@
     })
 }
 
-/// A value with some keys changed; null takes a key out.
+/// Replaces or adds keys of a JSON object; a null in `changes` removes the key.
 pub fn with(mut value: Value, changes: Value) -> Value {
     let map = value.as_object_mut().expect("a map");
     for (key, new) in changes.as_object().expect("a map") {
@@ -30,13 +30,13 @@
     value
 }
 
-/// A body of the protocol, read as this type.
+/// Deserializes a message from the MessagePack form of a JSON value.
 pub fn read<T: serde::de::DeserializeOwned>(body: Value) -> T {
-    rmp_serde::from_slice(&packed(&body)).expect("a body of the protocol")
+    rmp_serde::from_slice(&to_message_pack(&body)).expect("a body of the protocol")
 }
 
-/// Two machine types, one without the keys that may be absent.
-pub fn offered() -> Value {
+/// A catalog of two machine types, the second without its optional keys.
+pub fn machine_type_catalog() -> Value {
     json!({"rigs": [
         {"sku": "g8", "vcpus": 96.0, "gpus": 8.0, "mem_gb": 768.0, "local_gb": 400.5,
          "pull_gb_per_s": 0.5, "hourly": 21.5, "low_price": 7.25, "startup_s": 95.0,
@@ -46,7 +46,7 @@
     ]})
 }
 
-/// Two zones, one team and two shards a zone, without records.
+/// A cluster without records: two zones with two shards each, and one team.
 pub fn cluster() -> ClusterState {
     let team = Team {
         name: "vision".into(),
@@ -58,8 +58,9 @@
     ClusterState::new(&["a".to_string(), "b".to_string()], &[team], 2)
 }
 
-/// The states of two shards, of which one has a standby and the other follows.
-pub fn standings() -> Vec<ShardStatus> {
+/// Statuses of two shards: the first names a standby and its replication lag, the second the token
+/// of the owner whose state the reporting controller replicates.
+pub fn shard_statuses() -> Vec<ShardStatus> {
     let standing = |shard, standby: Option<&str>, replication_lag, follows| ShardStatus {
         shard,
         owner: "stoker-north-1".into(),
--- a/tests/support/scenarios.rs
+++ b/tests/support/scenarios.rs
@@ -1,29 +1,31 @@
-//! Situations that several tests begin with or end in.
+//! Cluster states that several tests start from, and faults that several tests inject.
 
 use super::job;
 use super::simulated_cluster::SimulatedCluster;
 
-/// A cluster in which two jobs run for long on machines of both zones; with the controller that owns
-/// the machine of the first job's first task, and another controller.
+/// A cluster in which two jobs with a run time of 200 s run on machines of both zones. Also returns
+/// the leader, which is the controller that owns the machine of the first job's first task, and
+/// another controller.
 pub fn two_long_jobs() -> (SimulatedCluster, usize, usize) {
     let mut cluster = SimulatedCluster::new(4);
-    for h in &mut cluster.machines {
-        h.worker.run_ms = 200_000;
+    for machine in &mut cluster.machines {
+        machine.worker.run_ms = 200_000;
     }
     assert!(cluster.submit(0, job("job-1", 6)));
     assert!(cluster.submit(1, job("job-2", 6)));
     cluster.run_for(5000);
     assert!(cluster.runs("job-1") && cluster.runs("job-2"));
-    let host = cluster
+    let machine = cluster
         .machines
         .iter()
-        .position(|h| h.worker.has_task("job-1/0"));
-    let leader = cluster.owner_of(host.unwrap()).unwrap();
-    let other = (0..3).find(|at| *at != leader).unwrap();
+        .position(|machine| machine.worker.has_task("job-1/0"));
+    let leader = cluster.owner_of(machine.unwrap()).unwrap();
+    let other = (0..3).find(|controller| *controller != leader).unwrap();
     (cluster, leader, other)
 }
 
-/// The key-value store refuses the leader, and a moment after the confirmation all controllers.
+/// Cuts the leader off from the key-value store, cancels a job at the other controller, and then
+/// cuts all controllers off from the store.
 pub fn refuse_leader_then_all(
     cluster: &mut SimulatedCluster,
     leader: usize,
@@ -36,7 +38,8 @@
     cluster.kv_outage = true;
 }
 
-/// Ends the faults of the controllers and gives them time to catch up.
+/// Ends the faults of the controllers and the outage of the key-value store, and runs the cluster
+/// for 20 s so that the controllers catch up.
 pub fn recover(cluster: &mut SimulatedCluster) {
     cluster.kv_outage = false;
     cluster.controller_faults = Default::default();
