--- a/src/coordination/cancellations/direct_stops.rs
+++ b/src/coordination/cancellations/direct_stops.rs
@@ -39,7 +39,7 @@
 /// Tracks since when each placement of a cancelled job has been known, and when each machine was
 /// last returned as due.
 #[derive(Default)]
-pub struct CancelledTaskSweeper {
+pub struct DirectStopTracker {
     first_seen: HashMap<TaskAttempt, MonotonicMillis>,
     last_tried: HashMap<MachineIndex, MonotonicMillis>,
 }
@@ -55,8 +55,8 @@
 
 /// Stops due tasks while connections to workers are available; the remaining ones come first in a
 /// later round.
-pub(super) fn stop_due_tasks(controller: &Rc<Controller>, sweeper: &mut CancelledTaskSweeper) {
-    let due = sweeper.due(
+pub(super) fn stop_due_tasks(controller: &Rc<Controller>, tracker: &mut DirectStopTracker) {
+    let due = tracker.due_tasks(
         &controller.cluster.borrow(),
         &controller.config,
         controller.now(),
@@ -69,13 +69,13 @@
     }
 }
 
-impl CancelledTaskSweeper {
+impl DirectStopTracker {
     /// Tasks of cancelled jobs that are due for a direct stop, grouped by machine. The returned
     /// machines count as tried, and are not returned again for 3 seconds (`RETRY_INTERVAL_MS`).
     ///
     /// A stop that arrives before the start of its task has no effect, so stops are repeated until
     /// the placement is removed. Only the owner can prove that the attempt has ended.
-    pub fn due(
+    pub fn due_tasks(
         &mut self,
         cluster: &ClusterState,
         config: &SchedulerConfig,
--- a/src/coordination/cancellations/mod.rs
+++ b/src/coordination/cancellations/mod.rs
@@ -27,7 +27,7 @@
 };
 
 use crate::coordination::controller::Controller;
-use direct_stops::CancelledTaskSweeper;
+use direct_stops::DirectStopTracker;
 use std::rc::Rc;
 
 /// Time between two rounds of the background task.
@@ -36,10 +36,10 @@
 /// Background task: exchanges cancellations with all peers, and stops remaining tasks of cancelled
 /// jobs.
 pub async fn run(controller: Rc<Controller>) {
-    let mut sweeper = CancelledTaskSweeper::default();
+    let mut tracker = DirectStopTracker::default();
     loop {
         controller.tick(CANCELLATION_INTERVAL_MS, None).await;
         exchange_with_peers(&controller);
-        direct_stops::stop_due_tasks(&controller, &mut sweeper);
+        direct_stops::stop_due_tasks(&controller, &mut tracker);
     }
 }
--- a/src/coordination/worker_connectivity/announce_ownership.rs
+++ b/src/coordination/worker_connectivity/announce_ownership.rs
@@ -25,12 +25,12 @@
 const RETRY_INTERVAL_MS: u64 = 3000;
 
 /// When each machine was last sent an announcement.
-pub type LastAttempts = HashMap<MachineIndex, MonotonicMillis>;
+pub type LastAnnouncements = HashMap<MachineIndex, MonotonicMillis>;
 
-/// Announces ownership, and records when each machine was last tried.
+/// Announces ownership, and records when each machine was last sent an announcement.
 #[derive(Default)]
 pub(super) struct OwnershipAnnouncer {
-    last_attempts: LastAttempts,
+    last_announcements: LastAnnouncements,
 }
 
 /// A machine that has not shown its owner's fencing token.
@@ -51,7 +51,7 @@
         let due = machines_with_stale_token(
             &controller.cluster.borrow(),
             &controller.config,
-            &mut self.last_attempts,
+            &mut self.last_announcements,
             now,
             |shard| is_announcing(controller, shard, now),
         );
@@ -60,7 +60,7 @@
             if !tasks::spawn_with_worker_connection(controller, raise_token(stale)) {
                 break;
             }
-            self.last_attempts.insert(machine, now);
+            self.last_announcements.insert(machine, now);
         }
     }
 }
@@ -78,12 +78,12 @@
 /// Machines of owned shards that have not shown their owner's fencing token.
 ///
 /// Machines that were tried least recently come first, so that dozens of unreachable machines do
-/// not delay the others. Removes the entries in `last_attempts` of machines that have shown the
-/// token since.
+/// not delay the others. Removes the entries in `last_announcements` of machines that have shown
+/// the token since.
 pub fn machines_with_stale_token(
     cluster: &ClusterState,
     config: &SchedulerConfig,
-    last_attempts: &mut LastAttempts,
+    last_announcements: &mut LastAnnouncements,
     now: MonotonicMillis,
     is_announcing: impl Fn(ShardIndex) -> bool,
 ) -> Vec<StaleTokenMachine> {
@@ -96,11 +96,11 @@
     let owner_token = |m: &Machine| cluster.shards[m.shard.at()].record.fencing_token;
     let is_stale =
         |m: &Machine| announcing[m.shard.at()] && m.heartbeat.fencing_token < owner_token(m);
-    last_attempts.retain(|machine, _| cluster.machine(*machine).is_some_and(is_stale));
+    last_announcements.retain(|machine, _| cluster.machine(*machine).is_some_and(is_stale));
     let mut due: Vec<(Option<MonotonicMillis>, MachineIndex, &Machine)> = cluster
         .all_machines()
         .filter(|(_, m)| is_stale(m) && !m.addr.is_empty())
-        .map(|(machine, m)| (last_attempts.get(&machine).copied(), machine, m))
+        .map(|(machine, m)| (last_announcements.get(&machine).copied(), machine, m))
         .filter(|(tried_at, ..)| tried_at.is_none_or(|t| now.since(t) >= RETRY_INTERVAL_MS))
         .collect();
     due.sort_by_key(|(tried_at, machine, _)| (*tried_at, *machine));
--- a/tests/shard_ownership.rs
+++ b/tests/shard_ownership.rs
@@ -167,23 +167,23 @@
         controller.cluster.machine_mut(machine).unwrap().addr = "127.0.0.1:1".into();
     }
     // No machine responds, and sixty connections can be open at the same time.
-    let mut last_attempts = HashMap::new();
-    let mut attempted = HashSet::new();
+    let mut last_announcements = HashMap::new();
+    let mut announced_to = HashSet::new();
     for now in [10_000u64, 11_500, 13_000, 14_500, 16_000] {
         let due = announce_ownership::machines_with_stale_token(
             &controller.cluster,
             &controller.config,
-            &mut last_attempts,
+            &mut last_announcements,
             MonotonicMillis(now),
             |_| true,
         );
         for stale in due.into_iter().take(60) {
             let machine = stale.machine;
-            last_attempts.insert(machine, MonotonicMillis(now));
-            attempted.insert(machine);
+            last_announcements.insert(machine, MonotonicMillis(now));
+            announced_to.insert(machine);
         }
     }
-    assert_eq!(attempted.len(), 300);
+    assert_eq!(announced_to.len(), 300);
     // A machine that has shown the fencing token is skipped. A machine that failed to respond is
     // tried again later.
     let machine = controller.machine("m299");
@@ -199,7 +199,7 @@
     let due = announce_ownership::machines_with_stale_token(
         &controller.cluster,
         &controller.config,
-        &mut last_attempts,
+        &mut last_announcements,
         MonotonicMillis(16_500),
         |_| true,
     );
--- a/tests/support/simulated_cluster/tick.rs
+++ b/tests/support/simulated_cluster/tick.rs
@@ -108,7 +108,7 @@
         if self.is_round() {
             self.probe_unreachable_machines(controller_index, controller);
         }
-        let due = controller.cancelled_task_sweeper.due(
+        let due = controller.direct_stop_tracker.due_tasks(
             &controller.cluster,
             &controller.config,
             MonotonicMillis(now),
--- a/tests/support/simulated_controller/mod.rs
+++ b/tests/support/simulated_controller/mod.rs
@@ -12,7 +12,7 @@
 use super::digest;
 use super::kv_store::{FakeKvStore, NO_RESPONSE};
 use super::worker::FakeWorker;
-use pointhook::coordination::cancellations::direct_stops::CancelledTaskSweeper;
+use pointhook::coordination::cancellations::direct_stops::DirectStopTracker;
 use pointhook::coordination::kv::{apply_outcome, set, transaction, CommitOutcome};
 use pointhook::coordination::membership::MembershipView;
 use pointhook::coordination::scheduler::config::SchedulerConfig;
@@ -62,7 +62,7 @@
     /// Names of the other controllers; the cancellation watermark identifies them by their index.
     pub peers: Vec<String>,
     pub started_at: u64,
-    pub cancelled_task_sweeper: CancelledTaskSweeper,
+    pub direct_stop_tracker: DirectStopTracker,
     /// Since when controllers have been present and shards owned or ownerless.
     pub membership: MembershipView,
     /// Warm-standby setting of this controller.
@@ -190,7 +190,7 @@
             lease: store.grant_lease(KEY_LEASE_MS, now),
             peers: Vec::new(),
             started_at: now,
-            cancelled_task_sweeper: CancelledTaskSweeper::default(),
+            direct_stop_tracker: DirectStopTracker::default(),
             membership: MembershipView::default(),
             failovers: Failovers::new(SHARDS),
             standby,
