--- a/crates/testkit/src/network/cloud_service.rs
+++ b/crates/testkit/src/network/cloud_service.rs
@@ -5,7 +5,7 @@
 
 use http_types::Method;
 use pointhook::protocol::cloud::{MachineNames, ProvisioningRequest};
-use pointhook::transport::http::{Answer, Incoming};
+use pointhook::transport::http::{ServerRequest, ServerResponse};
 use std::cell::RefCell;
 use std::rc::Rc;
 
@@ -15,18 +15,20 @@
 pub(super) async fn handle(
     cluster: Rc<LoopbackCluster>,
     executor: Executor,
-    request: Incoming,
-) -> Answer {
+    request: ServerRequest,
+) -> ServerResponse {
     match (request.method, request.path.as_str()) {
-        (Method::Get, "/flavors") => Answer::of(200, &cluster.cloud.borrow().machine_types),
+        (Method::Get, "/flavors") => {
+            ServerResponse::with_body(200, &cluster.cloud.borrow().machine_types)
+        }
         (Method::Get, "/hosts") => list_machines(&cluster, &request.query),
         (Method::Post, "/hosts") => provision(&cluster, &executor, request),
         (Method::Post, "/hosts/release") => delete_machines(&cluster, request),
-        _ => Answer::bare(404),
+        _ => ServerResponse::empty(404),
     }
 }
 
-fn list_machines(cluster: &LoopbackCluster, query: &str) -> Answer {
+fn list_machines(cluster: &LoopbackCluster, query: &str) -> ServerResponse {
     let mut page = cluster.cloud.borrow().list_machines(cluster.now());
     let start_after = query_field(query, "from");
     let limit = query_field(query, "most")
@@ -36,17 +38,21 @@
         .retain(|machine| machine.name.as_str() > start_after);
     page.more = page.machines.len() > limit;
     page.machines.truncate(limit);
-    Answer::of(200, &page)
+    ServerResponse::with_body(200, &page)
 }
 
-fn provision(cluster: &Rc<LoopbackCluster>, executor: &Executor, request: Incoming) -> Answer {
+fn provision(
+    cluster: &Rc<LoopbackCluster>,
+    executor: &Executor,
+    request: ServerRequest,
+) -> ServerResponse {
     let body = request.body.unwrap_or_default();
     let Ok(request) = rmp_serde::from_slice::<ProvisioningRequest>(&body) else {
-        return Answer::bare(400);
+        return ServerResponse::empty(400);
     };
     let now = cluster.now();
     let Some(machines) = cluster.cloud.borrow_mut().provision(&request, now) else {
-        return Answer::bare(503);
+        return ServerResponse::empty(503);
     };
     for name in &machines {
         let is_new = !cluster.workers.borrow().contains_key(name);
@@ -54,7 +60,7 @@
             start_worker(cluster, executor, name, &request);
         }
     }
-    Answer::of(200, &MachineNames { machines })
+    ServerResponse::with_body(200, &MachineNames { machines })
 }
 
 fn start_worker(
@@ -81,10 +87,10 @@
     executor.spawn(running).detach();
 }
 
-fn delete_machines(cluster: &LoopbackCluster, request: Incoming) -> Answer {
+fn delete_machines(cluster: &LoopbackCluster, request: ServerRequest) -> ServerResponse {
     let body = request.body.unwrap_or_default();
     let Ok(names) = rmp_serde::from_slice::<MachineNames>(&body) else {
-        return Answer::bare(400);
+        return ServerResponse::empty(400);
     };
     cluster.cloud.borrow_mut().delete_machines(&names.machines);
     for name in &names.machines {
@@ -93,5 +99,5 @@
             println!("machine deleted: machine={name}");
         }
     }
-    Answer::bare(200)
+    ServerResponse::empty(200)
 }
--- a/crates/testkit/src/network/kv_service.rs
+++ b/crates/testkit/src/network/kv_service.rs
@@ -5,7 +5,7 @@
 
 use http_types::Method;
 use pointhook::protocol::kv::{Committed, Lease, LeaseRequest, Transaction};
-use pointhook::transport::http::{Answer, Incoming};
+use pointhook::transport::http::{ServerRequest, ServerResponse};
 use pointhook::transport::pause;
 use std::rc::Rc;
 
@@ -14,7 +14,7 @@
 const WATCH_POLL_INTERVAL_MS: u64 = 10;
 
 /// Answers a request to the key-value store.
-pub(super) async fn handle(cluster: Rc<LoopbackCluster>, request: Incoming) -> Answer {
+pub(super) async fn handle(cluster: Rc<LoopbackCluster>, request: ServerRequest) -> ServerResponse {
     let path = request.path.clone();
     let path: Vec<&str> = path.trim_start_matches('/').split('/').collect();
     cluster.kv_store.borrow_mut().expire_leases(cluster.now());
@@ -24,21 +24,21 @@
         (Method::Post, ["grants", id, "touch"]) => renew_lease(&cluster, id),
         (Method::Get, ["keys"]) => read_page(&cluster, &request.query),
         (Method::Get, ["watch"]) => watch(&cluster, &request.query).await,
-        _ => Answer::bare(404),
+        _ => ServerResponse::empty(404),
     }
 }
 
-fn commit(cluster: &LoopbackCluster, request: Incoming) -> Answer {
+fn commit(cluster: &LoopbackCluster, request: ServerRequest) -> ServerResponse {
     let body = request.body.unwrap_or_default();
     let Ok(transaction) = rmp_serde::from_slice::<Transaction>(&body) else {
-        return Answer::bare(400);
+        return ServerResponse::empty(400);
     };
     let now = cluster.now();
     let response = cluster.kv_store.borrow_mut().commit(&transaction, now);
     record_commit(cluster, &transaction, &response, now);
     match response.body {
-        Some(body) => Answer::of(response.status, &body),
-        None => Answer::bare(response.status),
+        Some(body) => ServerResponse::with_body(response.status, &body),
+        None => ServerResponse::empty(response.status),
     }
 }
 
@@ -54,36 +54,36 @@
     }
 }
 
-fn grant_lease(cluster: &LoopbackCluster, request: Incoming) -> Answer {
+fn grant_lease(cluster: &LoopbackCluster, request: ServerRequest) -> ServerResponse {
     let body = request.body.unwrap_or_default();
     let Ok(requested) = rmp_serde::from_slice::<LeaseRequest>(&body) else {
-        return Answer::bare(400);
+        return ServerResponse::empty(400);
     };
     let mut store = cluster.kv_store.borrow_mut();
     let lease = store.grant_lease(requested.ttl_ms, cluster.now());
-    Answer::of(200, &Lease { lease })
+    ServerResponse::with_body(200, &Lease { lease })
 }
 
-fn renew_lease(cluster: &LoopbackCluster, id: &str) -> Answer {
+fn renew_lease(cluster: &LoopbackCluster, id: &str) -> ServerResponse {
     let mut store = cluster.kv_store.borrow_mut();
     let renewed = id
         .parse()
         .is_ok_and(|id| store.renew_lease(id, cluster.now()));
-    Answer::bare(if renewed { 200 } else { 404 })
+    ServerResponse::empty(if renewed { 200 } else { 404 })
 }
 
-fn read_page(cluster: &LoopbackCluster, query: &str) -> Answer {
+fn read_page(cluster: &LoopbackCluster, query: &str) -> ServerResponse {
     let limit = query_field(query, "most")
         .parse()
         .unwrap_or(DEFAULT_PAGE_LIMIT);
     let prefix = query_field(query, "prefix");
     let start_after = query_field(query, "from");
     let store = cluster.kv_store.borrow();
-    Answer::of(200, &store.read_page(prefix, start_after, limit))
+    ServerResponse::with_body(200, &store.read_page(prefix, start_after, limit))
 }
 
 /// Answers as soon as there are changes, or with none when the wait is over.
-async fn watch(cluster: &LoopbackCluster, query: &str) -> Answer {
+async fn watch(cluster: &LoopbackCluster, query: &str) -> ServerResponse {
     let prefix = query_field(query, "prefix");
     let from = query_field(query, "from").parse().unwrap_or(0);
     let wait_ms = query_field(query, "wait_ms").parse::<u64>().unwrap_or(0);
@@ -91,10 +91,10 @@
     loop {
         let response = cluster.kv_store.borrow().watch(prefix, from);
         let Some(changes) = response.body else {
-            return Answer::bare(response.status);
+            return ServerResponse::empty(response.status);
         };
         if !changes.events.is_empty() || cluster.now() >= deadline {
-            return Answer::of(response.status, &changes);
+            return ServerResponse::with_body(response.status, &changes);
         }
         pause(WATCH_POLL_INTERVAL_MS).await;
     }
--- a/crates/testkit/src/network/worker_loop.rs
+++ b/crates/testkit/src/network/worker_loop.rs
@@ -6,7 +6,7 @@
 
 use http_types::Method;
 use pointhook::protocol::workers::{DirectCommands, Heartbeat, HeartbeatResponse, NotOwner};
-use pointhook::transport::http::{listen, serve, Answer, Client, Incoming};
+use pointhook::transport::http::{listen, serve, Client, ServerRequest, ServerResponse};
 use pointhook::transport::pause;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -53,19 +53,19 @@
 async fn serve_commands(
     cluster: Rc<LoopbackCluster>,
     worker: SharedWorker,
-    request: Incoming,
-) -> Answer {
+    request: ServerRequest,
+) -> ServerResponse {
     let now = cluster.now();
     let mut status = 200;
     if request.path == "/commands" {
         let body = request.body.unwrap_or_default();
         let Ok(commands) = rmp_serde::from_slice::<DirectCommands>(&body) else {
-            return Answer::bare(400);
+            return ServerResponse::empty(400);
         };
         status = worker.borrow_mut().receive_commands(&commands, now);
         record_progress(&cluster, &worker);
     }
-    Answer::of(status, &worker.borrow_mut().heartbeat(now))
+    ServerResponse::with_body(status, &worker.borrow_mut().heartbeat(now))
 }
 
 async fn send_heartbeats(cluster: &LoopbackCluster, worker: &RefCell<FakeWorker>) {
--- a/src/coordination/heartbeats/handler.rs
+++ b/src/coordination/heartbeats/handler.rs
@@ -11,7 +11,7 @@
 use crate::protocol::workers::{Heartbeat, NotOwner};
 use crate::state::names::MachineIndex;
 use crate::state::units::millis_from_seconds;
-use crate::transport::http::Answer;
+use crate::transport::http::ServerResponse;
 use standby::failover::Refusal;
 use std::rc::Rc;
 
@@ -21,14 +21,14 @@
 const RETRY_WHILE_LOADING_S: u32 = 1;
 
 /// Handles one heartbeat: 200 renews the lease, 421 sends the worker to another controller.
-pub async fn handle(controller: &Rc<Controller>, body: Option<Vec<u8>>) -> Answer {
+pub async fn handle(controller: &Rc<Controller>, body: Option<Vec<u8>>) -> ServerResponse {
     let Some(heartbeat) = decode(body) else {
         controller.warn_rate_limited("malformed heartbeat ignored");
-        return Answer::bare(400);
+        return ServerResponse::empty(400);
     };
     controller.record_worker_contact();
     if !controller.cluster.borrow().loaded {
-        return Answer::later(RETRY_WHILE_LOADING_S);
+        return ServerResponse::unavailable(RETRY_WHILE_LOADING_S);
     }
     let accepted = match receive_now(controller, &heartbeat) {
         HeartbeatOutcome::Accepted(accepted) => accepted,
@@ -48,8 +48,8 @@
     rmp_serde::from_slice(&body?).ok()
 }
 
-fn not_owner(owner: Option<String>) -> Answer {
-    Answer::of(421, &NotOwner { owner })
+fn not_owner(owner: Option<String>) -> ServerResponse {
+    ServerResponse::with_body(421, &NotOwner { owner })
 }
 
 fn receive_now<'h>(controller: &Controller, heartbeat: &'h Heartbeat) -> HeartbeatOutcome<'h> {
@@ -80,12 +80,12 @@
     }
 }
 
-fn respond_now(controller: &Controller, accepted: &AcceptedHeartbeat) -> Answer {
+fn respond_now(controller: &Controller, accepted: &AcceptedHeartbeat) -> ServerResponse {
     let permits = failover::permits(controller);
     let mut cluster = controller.cluster.borrow_mut();
     let now = controller.now();
     match respond(&mut cluster, &controller.config, &permits, accepted, now) {
-        Some(response) => Answer::of(200, &response),
+        Some(response) => ServerResponse::with_body(200, &response),
         None => not_owner(None),
     }
 }
--- a/src/coordination/job_api/answers.rs
+++ b/src/coordination/job_api/answers.rs
@@ -4,7 +4,7 @@
 use crate::protocol::users::JobStatus;
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::Job;
-use crate::transport::http::Answer;
+use crate::transport::http::ServerResponse;
 
 /// HTTP statuses of answers.
 pub(super) mod status {
@@ -28,12 +28,12 @@
 const RETRY_AFTER_S: u32 = 1;
 
 /// The request can't be served now; another controller, or this one later, may serve it.
-pub(super) fn retry_later() -> Answer {
-    Answer::later(RETRY_AFTER_S)
+pub(super) fn retry_later() -> ServerResponse {
+    ServerResponse::unavailable(RETRY_AFTER_S)
 }
 
 /// A job's state.
-pub(super) fn job_state(status: u16, job: &Job) -> Answer {
+pub(super) fn job_state(status: u16, job: &Job) -> ServerResponse {
     let (word, done, running) = ClusterState::status(job);
     let state = JobStatus {
         id: job.id.to_string(),
@@ -41,22 +41,22 @@
         done: Some(done),
         running: Some(running),
     };
-    Answer::of(status, &state)
+    ServerResponse::with_body(status, &state)
 }
 
 /// The state of a job that was just accepted, and of which nothing else is known.
-pub(super) fn pending(id: &str) -> Answer {
+pub(super) fn pending(id: &str) -> ServerResponse {
     let state = JobStatus {
         id: id.to_string(),
         status: "pending".into(),
         done: None,
         running: None,
     };
-    Answer::of(status::CREATED, &state)
+    ServerResponse::with_body(status::CREATED, &state)
 }
 
 /// The state of a job as it is cached here; `None` if the job is not known.
-pub(super) fn current_state(controller: &Controller, id: &str) -> Option<Answer> {
+pub(super) fn current_state(controller: &Controller, id: &str) -> Option<ServerResponse> {
     let cluster = controller.cluster.borrow();
     let (_, job) = cluster.job(id)?;
     Some(job_state(status::OK, job))
@@ -64,7 +64,7 @@
 
 /// The state of a job that has ended. It never changes again, so it needs no fresh read; any other
 /// cached state could be older than what another controller has answered.
-pub(super) fn final_state(controller: &Controller, id: &str) -> Option<Answer> {
+pub(super) fn final_state(controller: &Controller, id: &str) -> Option<ServerResponse> {
     let cluster = controller.cluster.borrow();
     let (_, job) = cluster.job(id)?;
     (!job.is_open()).then(|| job_state(status::OK, job))
--- a/src/coordination/job_api/cancellation.rs
+++ b/src/coordination/job_api/cancellation.rs
@@ -10,13 +10,13 @@
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::protocol::users::valid_id;
 use crate::state::job::JobState;
-use crate::transport::http::Answer;
+use crate::transport::http::ServerResponse;
 use std::rc::Rc;
 
 /// Cancels a job; one that has ended already is answered as it is.
-pub(super) async fn cancel(controller: &Rc<Controller>, id: &str) -> Answer {
+pub(super) async fn cancel(controller: &Rc<Controller>, id: &str) -> ServerResponse {
     if !valid_id(id) {
-        return Answer::bare(status::NOT_FOUND);
+        return ServerResponse::empty(status::NOT_FOUND);
     }
     let began = controller.now();
     let mut newest_read = false;
@@ -29,7 +29,7 @@
                 break;
             }
         } else if newest_read {
-            return Answer::bare(status::NOT_FOUND);
+            return ServerResponse::empty(status::NOT_FOUND);
         } else {
             // Another controller may have accepted the job a moment ago.
             newest_read = controller.refresh(REFRESH_MS).await;
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -15,7 +15,7 @@
 use crate::coordination::heartbeats;
 use crate::coordination::kv::fresh_reads::REFRESH_MS;
 use crate::protocol::users::valid_id;
-use crate::transport::http::{Answer, Incoming};
+use crate::transport::http::{ServerRequest, ServerResponse};
 use answers::status;
 use http_types::Method;
 use std::rc::Rc;
@@ -62,7 +62,7 @@
 }
 
 /// Answers users, workers and health checks.
-pub async fn handle(controller: Rc<Controller>, request: Incoming) -> Answer {
+pub async fn handle(controller: Rc<Controller>, request: ServerRequest) -> ServerResponse {
     let path: Vec<&str> = request.path.trim_start_matches('/').split('/').collect();
     let metrics = &controller.metrics;
     match Route::of(&path, request.method) {
@@ -83,22 +83,22 @@
             let work = cancellation::cancel(&controller, id);
             metrics.time_polls("cancellations", work).await
         }
-        Route::MethodNotAllowed => Answer::bare(status::METHOD_NOT_ALLOWED),
-        Route::NotFound => Answer::bare(status::NOT_FOUND),
+        Route::MethodNotAllowed => ServerResponse::empty(status::METHOD_NOT_ALLOWED),
+        Route::NotFound => ServerResponse::empty(status::NOT_FOUND),
     }
 }
 
-fn health(controller: &Controller) -> Answer {
-    Answer::bare(if controller.healthy() {
+fn health(controller: &Controller) -> ServerResponse {
+    ServerResponse::empty(if controller.healthy() {
         status::OK
     } else {
         status::UNAVAILABLE
     })
 }
 
-async fn job_status(controller: &Controller, id: &str) -> Answer {
+async fn job_status(controller: &Controller, id: &str) -> ServerResponse {
     if !valid_id(id) {
-        return Answer::bare(status::NOT_FOUND);
+        return ServerResponse::empty(status::NOT_FOUND);
     }
     if let Some(answer) = answers::final_state(controller, id) {
         return answer;
@@ -106,5 +106,5 @@
     if !controller.refresh(REFRESH_MS).await {
         return answers::retry_later();
     }
-    answers::current_state(controller, id).unwrap_or(Answer::bare(status::NOT_FOUND))
+    answers::current_state(controller, id).unwrap_or(ServerResponse::empty(status::NOT_FOUND))
 }
--- a/src/coordination/job_api/submission.rs
+++ b/src/coordination/job_api/submission.rs
@@ -16,7 +16,7 @@
 use crate::protocol::users::{parse_job, JobSpec, MAX_DEPENDENCIES};
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::JobRecord;
-use crate::transport::http::Answer;
+use crate::transport::http::ServerResponse;
 use std::rc::Rc;
 
 /// Version of a key that does not exist.
@@ -44,9 +44,9 @@
 }
 
 /// Accepts a job, or answers why not.
-pub(super) async fn submit(controller: &Rc<Controller>, body: Option<Vec<u8>>) -> Answer {
+pub(super) async fn submit(controller: &Rc<Controller>, body: Option<Vec<u8>>) -> ServerResponse {
     let Some(spec) = body.as_deref().and_then(parse_job) else {
-        return Answer::bare(status::BAD_REQUEST);
+        return ServerResponse::empty(status::BAD_REQUEST);
     };
     if !controller.cluster.borrow().loaded {
         return answers::retry_later();
@@ -56,7 +56,7 @@
     }
     match admit(controller, &spec).await {
         Admission::Admitted => store_job(controller, spec).await,
-        Admission::Impossible => Answer::bare(status::UNPROCESSABLE),
+        Admission::Impossible => ServerResponse::empty(status::UNPROCESSABLE),
         Admission::Undecided => answers::retry_later(),
     }
 }
@@ -124,7 +124,7 @@
 }
 
 /// Stores a job that may be accepted, and answers its submission.
-async fn store_job(controller: &Rc<Controller>, spec: JobSpec) -> Answer {
+async fn store_job(controller: &Rc<Controller>, spec: JobSpec) -> ServerResponse {
     let id = spec.id.clone();
     let record = JobRecord::submitted(spec, wall_ms());
     if let Some(revision) = commit_submission(controller, &id, &record).await {
@@ -169,7 +169,12 @@
 
 /// Takes a job that was just stored into the cached state, binds its tasks to machines, and answers
 /// its submission.
-fn accept(controller: &Rc<Controller>, id: &str, revision: u64, record: &JobRecord) -> Answer {
+fn accept(
+    controller: &Rc<Controller>,
+    id: &str,
+    revision: u64,
+    record: &JobRecord,
+) -> ServerResponse {
     controller
         .cluster
         .borrow_mut()
@@ -186,7 +191,7 @@
 ///
 /// By now the cached state may be newer, and may have been answered by another controller; and a job
 /// that depends on a cancelled one is cancelled with it from the start.
-pub fn accepted(cluster: &ClusterState, id: &str, revision: u64) -> Answer {
+pub fn accepted(cluster: &ClusterState, id: &str, revision: u64) -> ServerResponse {
     match cluster.job(id) {
         Some((_, job)) if job.version > revision || !job.is_open() => {
             answers::job_state(status::CREATED, job)
--- a/src/transport/http/mod.rs
+++ b/src/transport/http/mod.rs
@@ -6,7 +6,7 @@
 mod server;
 
 pub use client::{Client, ClientResponse};
-pub use server::{listen, serve, serve_prioritized, Answer, Incoming, MAX_BODY};
+pub use server::{listen, serve, serve_prioritized, ServerRequest, ServerResponse, MAX_BODY_BYTES};
 
 /// A length for a pause, in ms, a little random so that controllers do not act in step.
 pub fn jittered(ms: u64) -> u64 {
--- a/src/transport/http/server.rs
+++ b/src/transport/http/server.rs
@@ -30,14 +30,14 @@
 /// Pause after a failed accept: out of sockets, wait for some to close instead of spinning.
 const ACCEPT_RETRY_MS: u64 = 100;
 /// Largest request body taken.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 const BAD_REQUEST: u16 = 400;
 const INTERNAL_ERROR: u16 = 500;
 const UNAVAILABLE: u16 = 503;
 
 /// A request as handlers see it.
-pub struct Incoming {
+pub struct ServerRequest {
     /// Method.
     pub method: Method,
     /// Path.
@@ -49,44 +49,44 @@
 }
 
 /// A handler's answer.
-pub struct Answer {
+pub struct ServerResponse {
     /// Status.
     pub status: u16,
     /// MessagePack body.
     pub body: Vec<u8>,
     /// Seconds after which to try again.
-    pub retry_after: Option<u32>,
+    pub retry_after_s: Option<u32>,
 }
 
-impl Answer {
+impl ServerResponse {
     /// An answer without a body.
-    pub fn bare(status: u16) -> Answer {
-        Answer {
+    pub fn empty(status: u16) -> ServerResponse {
+        ServerResponse {
             status,
             body: Vec::new(),
-            retry_after: None,
+            retry_after_s: None,
         }
     }
     /// An answer with a body.
-    pub fn of<T: serde::Serialize>(status: u16, value: &T) -> Answer {
+    pub fn with_body<T: serde::Serialize>(status: u16, value: &T) -> ServerResponse {
         match rmp_serde::to_vec_named(value) {
-            Ok(body) => Answer {
+            Ok(body) => ServerResponse {
                 status,
                 body,
-                retry_after: None,
+                retry_after_s: None,
             },
             Err(e) => {
                 log::error!("answer not encoded: status={status} error={e}");
-                Answer::bare(INTERNAL_ERROR)
+                ServerResponse::empty(INTERNAL_ERROR)
             }
         }
     }
     /// Can't be taken now; try again after `seconds`.
-    pub fn later(seconds: u32) -> Answer {
-        Answer {
+    pub fn unavailable(retry_after_s: u32) -> ServerResponse {
+        ServerResponse {
             status: UNAVAILABLE,
             body: Vec::new(),
-            retry_after: Some(seconds),
+            retry_after_s: Some(retry_after_s),
         }
     }
 }
@@ -103,8 +103,8 @@
     max_connections: usize,
     handler: F,
 ) where
-    F: Fn(Incoming) -> Fut + Clone + 'static,
-    Fut: Future<Output = Answer> + 'static,
+    F: Fn(ServerRequest) -> Fut + Clone + 'static,
+    Fut: Future<Output = ServerResponse> + 'static,
 {
     let executors = ExecutorPriorities {
         users: executor.clone(),
@@ -123,8 +123,8 @@
     max_connections: usize,
     handler: F,
 ) where
-    F: Fn(Incoming) -> Fut + Clone + 'static,
-    Fut: Future<Output = Answer> + 'static,
+    F: Fn(ServerRequest) -> Fut + Clone + 'static,
+    Fut: Future<Output = ServerResponse> + 'static,
 {
     let open = Rc::new(Cell::new(0usize));
     loop {
@@ -173,8 +173,8 @@
     wanted: fn(&str) -> bool,
 ) -> ConnectionEnd
 where
-    F: Fn(Incoming) -> Fut,
-    Fut: Future<Output = Answer>,
+    F: Fn(ServerRequest) -> Fut,
+    Fut: Future<Output = ServerResponse>,
 {
     while let Some(Ok(())) = within(REST_MS, stream.readable()).await {
         // Boxed, so that a connection at rest does not hold it inline.
@@ -207,8 +207,8 @@
     wanted: fn(&str) -> bool,
 ) -> Result<Next, http_types::Error>
 where
-    F: Fn(Incoming) -> Fut,
-    Fut: Future<Output = Answer>,
+    F: Fn(ServerRequest) -> Fut,
+    Fut: Future<Output = ServerResponse>,
 {
     let received = match Box::pin(receive(stream)).await {
         Ok(Some(received)) => received,
@@ -216,7 +216,7 @@
         Err(e) => {
             // A broken connection takes no answer; a malformed request deserves one.
             if e.downcast_ref::<std::io::Error>().is_none() {
-                let refusal = to_response(Answer::bare(BAD_REQUEST), true);
+                let refusal = to_response(ServerResponse::empty(BAD_REQUEST), true);
                 send(stream, Encoder::new(refusal, Method::Get)).await?;
             }
             return Ok(Next::Close);
@@ -236,7 +236,7 @@
 
 /// A request that was read.
 struct Received {
-    request: Incoming,
+    request: ServerRequest,
     /// The connection is to be closed after the answer.
     close: bool,
 }
@@ -253,7 +253,7 @@
     let body = within(BODY_MS, read_body(&mut request)).await.flatten();
     // The rest of a body that was not read is not worth draining.
     let close = body.is_none() || asks_to_close(request.header("Connection"));
-    let request = Incoming {
+    let request = ServerRequest {
         method: request.method(),
         path: request.url().path().to_string(),
         query: request.url().query().unwrap_or("").to_string(),
@@ -264,20 +264,20 @@
 
 /// The body; `None` if it is too large or can't be read.
 async fn read_body(request: &mut Request) -> Option<Vec<u8>> {
-    if request.len().is_some_and(|length| length > MAX_BODY) {
+    if request.len().is_some_and(|length| length > MAX_BODY_BYTES) {
         return None;
     }
     let mut bytes = Vec::with_capacity(request.len().unwrap_or(0));
     // One byte more than allowed tells a body that is too large from one that just fits.
-    let mut body = request.take_body().take(MAX_BODY as u64 + 1);
+    let mut body = request.take_body().take(MAX_BODY_BYTES as u64 + 1);
     body.read_to_end(&mut bytes).await.ok()?;
-    (bytes.len() <= MAX_BODY).then_some(bytes)
+    (bytes.len() <= MAX_BODY_BYTES).then_some(bytes)
 }
 
-fn to_response(answer: Answer, close: bool) -> Response {
+fn to_response(answer: ServerResponse, close: bool) -> Response {
     let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::InternalServerError);
     let mut response = Response::new(status);
-    if let Some(seconds) = answer.retry_after {
+    if let Some(seconds) = answer.retry_after_s {
         response.insert_header("Retry-After", seconds.to_string());
     }
     if close {
--- a/tests/golden_http_bodies.rs
+++ b/tests/golden_http_bodies.rs
@@ -11,7 +11,7 @@
 use pointhook::state::cluster_state::ClusterState;
 use pointhook::state::records::ControllerRecord;
 use pointhook::state::units::Incarnation;
-use pointhook::transport::http::{self, Answer};
+use pointhook::transport::http::{self, ServerResponse};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -391,11 +391,11 @@
         let addr = listener.get_ref().local_addr().expect("an address");
         tell.send(addr).expect("a test");
         let ex = Rc::new(async_executor::LocalExecutor::new());
-        let answer = |incoming: http::Incoming| async move {
+        let answer = |incoming: http::ServerRequest| async move {
             match incoming.path.as_str() {
-                "/later" => Answer::later(1),
-                "/status" => Answer::of(201, &json!({"uid": "job-1"})),
-                path => Answer::bare(path[1..].parse().expect("a status")),
+                "/later" => ServerResponse::unavailable(1),
+                "/status" => ServerResponse::with_body(201, &json!({"uid": "job-1"})),
+                path => ServerResponse::empty(path[1..].parse().expect("a status")),
             }
         };
         let serving = http::serve(ex.clone(), listener, 8, answer);
@@ -403,7 +403,7 @@
     });
     let addr = told.recv().expect("a server");
     let mut g = Group::new("http.txt");
-    g.line("largest body", &http::MAX_BODY.to_string());
+    g.line("largest body", &http::MAX_BODY_BYTES.to_string());
     for path in [
         "/later", "/status", "/200", "/400", "/404", "/405", "/421", "/422", "/503",
     ] {
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -12,7 +12,7 @@
 use pointhook::protocol::users::{JobSpec, MAX_DEPENDENCIES};
 use pointhook::settings::{Operator, Platform};
 use pointhook::state::job::JobRecord;
-use pointhook::transport::http::{Answer, Incoming};
+use pointhook::transport::http::{ServerRequest, ServerResponse};
 use std::rc::Rc;
 use support::{cloud, job};
 
@@ -49,7 +49,7 @@
 }
 
 /// Serves fresh reads as scripted, for as long as it is polled.
-async fn serve_reads(node: &Controller, read: FreshRead) -> Answer {
+async fn serve_reads(node: &Controller, read: FreshRead) -> ServerResponse {
     loop {
         node.fresh_reads.notified(60_000).await;
         if let FreshRead::Job(id) = read {
@@ -62,8 +62,8 @@
     }
 }
 
-fn submit(node: &Rc<Controller>, spec: &JobSpec, read: FreshRead) -> Answer {
-    let request = Incoming {
+fn submit(node: &Rc<Controller>, spec: &JobSpec, read: FreshRead) -> ServerResponse {
+    let request = ServerRequest {
         method: Method::Post,
         path: "/v1/jobs".into(),
         query: String::new(),
@@ -86,7 +86,7 @@
     assert_eq!(submit(&node, &unknown, FreshRead::Nothing).status, 422);
     let answer = submit(&node, &unknown, FreshRead::Fails);
     assert_eq!(answer.status, 503);
-    assert!(answer.retry_after.is_some());
+    assert!(answer.retry_after_s.is_some());
     // Another controller has accepted it: all that fails now is the write, and that may be tried again.
     let known = submit(&node, &unknown, FreshRead::Job("job-1"));
     assert_eq!(known.status, 503);
@@ -100,7 +100,7 @@
     for read in [FreshRead::Nothing, FreshRead::Job("job-1")] {
         let answer = submit(&first_form, &spec, read);
         assert_eq!(answer.status, 503);
-        assert!(answer.retry_after.is_some());
+        assert!(answer.retry_after_s.is_some());
     }
     let node = controller(true);
     let ids: Vec<String> = (1..=MAX_DEPENDENCIES + 1)
--- a/tests/transport_costs.rs
+++ b/tests/transport_costs.rs
@@ -5,7 +5,7 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use pointhook::transport::deadlines::DeadlineTable;
 use pointhook::transport::executor_priorities::ExecutorPriorities;
-use pointhook::transport::http::{listen, serve, Answer, Incoming};
+use pointhook::transport::http::{listen, serve, ServerRequest, ServerResponse};
 use stats_alloc::{Region, StatsAlloc, INSTRUMENTED_SYSTEM};
 use std::alloc::System;
 use std::cell::Cell;
@@ -61,14 +61,14 @@
     let entered = Rc::new(Cell::new(0));
     let (go, wait) = async_channel::bounded::<()>(1);
     let (count, gate) = (entered.clone(), wait.clone());
-    let serving = serve(ex.clone(), door, 1000, move |req: Incoming| {
+    let serving = serve(ex.clone(), door, 1000, move |req: ServerRequest| {
         let (count, gate) = (count.clone(), gate.clone());
         async move {
             if req.path == "/wait" {
                 count.set(count.get() + 1);
                 let _ = gate.recv().await;
             }
-            Answer::bare(200)
+            ServerResponse::empty(200)
         }
     });
     ex.spawn(serving).detach();
@@ -105,7 +105,9 @@
 fn a_request_that_is_not_http_gets_400_and_its_connection_is_closed() {
     let _alone = alone();
     let (ex, door, addr) = open_door();
-    let serving = serve(ex.clone(), door, 10, |_| async { Answer::bare(200) });
+    let serving = serve(ex.clone(), door, 10, |_| async {
+        ServerResponse::empty(200)
+    });
     ex.spawn(serving).detach();
     async_io::block_on(ex.run(async {
         for junk in [
@@ -202,9 +204,9 @@
     drop(gone);
     let handled = Rc::new(Cell::new(0));
     let count = handled.clone();
-    let serving = serve(ex.clone(), door, 10, move |req: Incoming| {
+    let serving = serve(ex.clone(), door, 10, move |req: ServerRequest| {
         count.set(count.get() + u32::from(req.path == "/gone"));
-        async { Answer::bare(200) }
+        async { ServerResponse::empty(200) }
     });
     ex.spawn(serving).detach();
     async_io::block_on(ex.run(async {
