--- a/src/coordination/autoscaler/machine_list_refresh.rs
+++ b/src/coordination/autoscaler/machine_list_refresh.rs
@@ -94,7 +94,7 @@
             controller
                 .availability
                 .record(ExternalService::Cloud, false);
-            controller.cloud.reset();
+            controller.cloud.close_idle();
             None
         }
     }
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -138,7 +138,7 @@
         Ok(answer) => answer,
         Err(e) => {
             log::debug!("machine types not read: error={e}");
-            controller.cloud.reset();
+            controller.cloud.close_idle();
             return None;
         }
     };
--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -152,7 +152,7 @@
             log::warn!(
                 "provisioning request unanswered, to be repeated: request={request_id} error={e}"
             );
-            controller.cloud.reset();
+            controller.cloud.close_idle();
             ProvisioningResponse::Unanswered
         }
     }
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -125,7 +125,7 @@
         return Vec::new();
     };
     let request = PeerRequest::Cordon { machines };
-    match peer.client.ask(&request, CORDON_TIMEOUT_MS).await {
+    match peer.client.call(&request, CORDON_TIMEOUT_MS).await {
         Ok(PeerResponse::Cordoned(cordoned)) => cordoned,
         Ok(_) => Vec::new(),
         Err(e) => {
@@ -169,7 +169,7 @@
         Ok(answer) => log::warn!("machine deletion refused: status={}", answer.status),
         Err(e) => {
             log::warn!("machine deletion unanswered: error={e}");
-            controller.cloud.reset();
+            controller.cloud.close_idle();
         }
     }
 }
@@ -180,7 +180,7 @@
     machine_changes::mark_machines_deleted(controller, &machines);
     let announcement = PeerRequest::MachinesDeleted { machines };
     for peer in &controller.peers {
-        let answer = peer.client.ask(&announcement, ANNOUNCE_TIMEOUT_MS).await;
+        let answer = peer.client.call(&announcement, ANNOUNCE_TIMEOUT_MS).await;
         if let Err(e) = answer {
             log::debug!(
                 "deleted machines not announced: peer={} error={e}",
--- a/src/coordination/cancellations/exchange.rs
+++ b/src/coordination/cancellations/exchange.rs
@@ -49,12 +49,12 @@
     let request = PeerRequest::CancelledJobs { jobs };
     let response = peer
         .cancellations_client
-        .ask(&request, RESPONSE_TIMEOUT_MS)
+        .call(&request, RESPONSE_TIMEOUT_MS)
         .await;
     let response = match response {
         Ok(response) => response,
         Err(error) => {
-            let connection_closed = matches!(error, TransportError::Broken { .. });
+            let connection_closed = matches!(error, TransportError::ExchangeFailed { .. });
             peer.record_cancellation_failure(controller.now(), connection_closed);
             return false;
         }
--- a/src/coordination/kv/client.rs
+++ b/src/coordination/kv/client.rs
@@ -115,7 +115,7 @@
         self.record_answer(&answer);
         if answer.is_err() {
             // Connections kept from before a network partition hang; new ones fail at once.
-            self.calls.reset();
+            self.calls.close_idle();
         }
         answer
     }
@@ -137,7 +137,7 @@
 
     /// Drops the connections of long polls after a failed one.
     pub(super) fn reset_watches(&self) {
-        self.watches.reset();
+        self.watches.close_idle();
     }
 
     /// One transaction, sent once.
--- a/src/coordination/peer_messages/gang_reservations.rs
+++ b/src/coordination/peer_messages/gang_reservations.rs
@@ -55,7 +55,7 @@
 async fn send_reservation(controller: Rc<Controller>, peer: usize, requests: Rc<[PeerRequest]>) {
     let client = &controller.peers[peer].client;
     for request in requests.iter() {
-        if client.ask(request, PEER_TIMEOUT_MS).await.is_err() {
+        if client.call(request, PEER_TIMEOUT_MS).await.is_err() {
             break;
         }
     }
--- a/src/coordination/peer_messages/status_updates.rs
+++ b/src/coordination/peer_messages/status_updates.rs
@@ -69,7 +69,7 @@
 async fn send_status(controller: Rc<Controller>, peer: usize, requests: Rc<[PeerRequest]>) {
     let peer = &controller.peers[peer];
     for request in requests.iter() {
-        let response = peer.client.ask(request, STATUS_INTERVAL_MS).await;
+        let response = peer.client.call(request, STATUS_INTERVAL_MS).await;
         let refused = response
             .as_ref()
             .is_err_and(TransportError::is_connection_refused);
--- a/src/coordination/replication/publish.rs
+++ b/src/coordination/replication/publish.rs
@@ -188,7 +188,7 @@
     let peer = controller.peer(&delivery.standby)?;
     match peer
         .replication_client
-        .ask(&request, RESPONSE_TIMEOUT_MS)
+        .call(&request, RESPONSE_TIMEOUT_MS)
         .await
     {
         Ok(PeerResponse::ReplicationAnswer { answer }) => FollowerResponse::decode(&answer),
--- a/src/coordination/scheduler/queues.rs
+++ b/src/coordination/scheduler/queues.rs
@@ -129,7 +129,7 @@
         return;
     };
     for request in bind_requests(&tasks) {
-        if peer.client.ask(&request, PEER_TIMEOUT_MS).await.is_err() {
+        if peer.client.call(&request, PEER_TIMEOUT_MS).await.is_err() {
             break;
         }
     }
--- a/src/coordination/scheduler/work_stealing.rs
+++ b/src/coordination/scheduler/work_stealing.rs
@@ -124,7 +124,7 @@
         idle_machine,
         machines,
     };
-    let response = peer.client.ask(&request, PEER_TIMEOUT_MS).await;
+    let response = peer.client.call(&request, PEER_TIMEOUT_MS).await;
     if let Ok(PeerResponse::StolenTask(Some(task))) = response {
         if enqueue(&controller, idle, &task, QueueEnd::Front) {
             controller.scheduling.notify();
--- a/src/observe_command.rs
+++ b/src/observe_command.rs
@@ -61,7 +61,7 @@
 
 fn shard_statuses(server: SocketAddr) -> Result<Vec<ShardStatus>, ObserveError> {
     let client = PeerClient::new(server);
-    let answer = async_io::block_on(client.ask(&PeerRequest::ShardStatuses, TIMEOUT_MS));
+    let answer = async_io::block_on(client.call(&PeerRequest::ShardStatuses, TIMEOUT_MS));
     match answer? {
         PeerResponse::ShardStatuses { shards } => Ok(shards),
         _ => Err(ObserveError::Unexpected { server }),
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -15,5 +15,5 @@
 pub use operator::Operator;
 pub use platform::{
     CloudLimits, ClusterSettings, KvLimits, NextLimits, Objective, PeerSettings, Platform,
-    ProcessLimits, ServiceAddresses, Team, Workers, WorkersWarning, PEER_CONNECTIONS,
+    ProcessLimits, ServiceAddresses, Team, Workers, WorkersWarning, MAX_PEER_CONNECTIONS,
 };
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -180,7 +180,7 @@
 }
 
 /// Connections that peers may open here.
-pub const PEER_CONNECTIONS: usize = 64;
+pub const MAX_PEER_CONNECTIONS: usize = 64;
 /// Connections to peers, the key-value store and the cloud, and some to spare.
 const OWN_CLIENT_CONNECTIONS: usize = 36;
 /// Connections that users and workers may open at least.
@@ -194,7 +194,7 @@
     /// Connections that users and workers may open: the rest is kept for direct commands, the
     /// peers, the key-value store and the cloud.
     pub fn listener_connections(&self) -> usize {
-        let reserved = self.worker_connections() + PEER_CONNECTIONS + OWN_CLIENT_CONNECTIONS;
+        let reserved = self.worker_connections() + MAX_PEER_CONNECTIONS + OWN_CLIENT_CONNECTIONS;
         self.max_connections
             .saturating_sub(reserved)
             .max(MIN_LISTENER_CONNECTIONS)
--- a/src/transport/deadlines.rs
+++ b/src/transport/deadlines.rs
@@ -26,19 +26,19 @@
 pub struct DeadlineTable {
     waiting: BTreeMap<DeadlineKey, Waker>,
     last_number: u64,
-    armed_for: Option<u64>,
+    armed_for_ms: Option<u64>,
 }
 
 impl DeadlineTable {
     /// When a deadline in `ms` from now is due: at most an eighth later, so that what is due at
     /// about the same time is due together.
-    pub fn due_at(now: u64, ms: u64) -> u64 {
-        let step = 1u64 << (ms / 8).max(1).ilog2();
-        (now + ms).div_ceil(step) * step
+    pub fn due_at(now_ms: u64, delay_ms: u64) -> u64 {
+        let step = 1u64 << (delay_ms / 8).max(1).ilog2();
+        (now_ms + delay_ms).div_ceil(step) * step
     }
     /// The next tick of `ms`: background tasks of the same interval run in one round.
-    pub fn next_tick(now: u64, ms: u64) -> u64 {
-        (now / ms.max(1) + 1) * ms.max(1)
+    pub fn next_tick(now_ms: u64, interval_ms: u64) -> u64 {
+        (now_ms / interval_ms.max(1) + 1) * interval_ms.max(1)
     }
     /// Adds a waiting task.
     pub fn add(&mut self, due_ms: u64, waker: Waker) -> DeadlineKey {
@@ -65,19 +65,19 @@
         self.waiting.remove(&key);
     }
     /// The time that the timer has to be set to, if it is not set early enough already.
-    pub fn to_arm(&mut self) -> Option<u64> {
+    pub fn arm_earliest(&mut self) -> Option<u64> {
         let earliest = self.waiting.keys().next()?.due_ms;
-        if self.armed_for.is_some_and(|armed| armed <= earliest) {
+        if self.armed_for_ms.is_some_and(|armed| armed <= earliest) {
             return None;
         }
-        self.armed_for = Some(earliest);
+        self.armed_for_ms = Some(earliest);
         Some(earliest)
     }
     /// Removes the deadlines that are due; the timer is no longer set.
-    pub fn take_due(&mut self, now: u64) -> Vec<Waker> {
-        self.armed_for = None;
+    pub fn take_due(&mut self, now_ms: u64) -> Vec<Waker> {
+        self.armed_for_ms = None;
         let first_later = DeadlineKey {
-            due_ms: now + 1,
+            due_ms: now_ms + 1,
             number: 0,
         };
         let later = self.waiting.split_off(&first_later);
@@ -110,7 +110,7 @@
 }
 
 impl ProcessDeadlines {
-    fn now(&self) -> u64 {
+    fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
     fn lock(&self) -> MutexGuard<'_, ArmedTable> {
@@ -120,10 +120,10 @@
     fn arm(&self) {
         loop {
             let mut armed = self.lock();
-            let Some(at) = armed.table.to_arm() else {
+            let Some(due_ms) = armed.table.arm_earliest() else {
                 return;
             };
-            let mut timer = Timer::at(self.started + Duration::from_millis(at));
+            let mut timer = Timer::at(self.started + Duration::from_millis(due_ms));
             let waker = Waker::from(Arc::new(TimerFired));
             let fired = Pin::new(&mut timer).poll(&mut Context::from_waker(&waker));
             if fired.is_pending() {
@@ -131,7 +131,7 @@
                 return;
             }
             // It is due by now: wake those who wait and arm for the next.
-            let due = armed.table.take_due(self.now());
+            let due = armed.table.take_due(self.now_ms());
             // A woken task may set a deadline of its own.
             drop(armed);
             due.into_iter().for_each(Waker::wake);
@@ -145,7 +145,7 @@
 impl Wake for TimerFired {
     fn wake(self: Arc<Self>) {
         let deadlines = process_deadlines();
-        let due = deadlines.lock().table.take_due(deadlines.now());
+        let due = deadlines.lock().table.take_due(deadlines.now_ms());
         due.into_iter().for_each(Waker::wake);
         deadlines.arm();
     }
@@ -195,8 +195,8 @@
             return Poll::Ready(());
         }
         let due_ms = match self.due {
-            Due::After(ms) => DeadlineTable::due_at(deadlines.now(), ms),
-            Due::NextTick(ms) => DeadlineTable::next_tick(deadlines.now(), ms),
+            Due::After(ms) => DeadlineTable::due_at(deadlines.now_ms(), ms),
+            Due::NextTick(ms) => DeadlineTable::next_tick(deadlines.now_ms(), ms),
         };
         self.key = Some(deadlines.lock().table.add(due_ms, cx.waker().clone()));
         deadlines.arm();
--- a/src/transport/executor_priorities.rs
+++ b/src/transport/executor_priorities.rs
@@ -27,15 +27,15 @@
 /// Polls of users' and of workers' tasks before background tasks and sockets are looked at again.
 const REQUEST_POLLS_PER_ROUND: usize = 4;
 /// Rounds in a row that found requests, after which the process rests.
-const BUSY_ROUNDS_BEFORE_REST: usize = 4;
+const BUSY_ROUNDS_BEFORE_SLEEP: usize = 4;
 /// Length of that rest, ms: a core of which the process has a small share charges what came
 /// before in small parts, so that no background task is late by all of a burst.
-const REST_MS: u64 = 1;
+const SLEEP_MS: u64 = 1;
 
 impl ExecutorPriorities {
     /// Runs all tasks until `end` is done.
-    pub async fn run<T>(&self, end: impl std::future::Future<Output = T>) -> T {
-        or(end, self.run_forever()).await
+    pub async fn run<T>(&self, until: impl std::future::Future<Output = T>) -> T {
+        or(until, self.run_forever()).await
     }
 
     async fn run_forever<T>(&self) -> T {
@@ -44,9 +44,9 @@
             while self.background.try_tick() {}
             let found_requests = self.poll_requests();
             busy_rounds = if found_requests { busy_rounds + 1 } else { 0 };
-            if busy_rounds >= BUSY_ROUNDS_BEFORE_REST {
+            if busy_rounds >= BUSY_ROUNDS_BEFORE_SLEEP {
                 busy_rounds = 0;
-                super::pause(REST_MS).await;
+                super::pause(SLEEP_MS).await;
             } else if found_requests {
                 // The sockets are looked at now, so that an answer to a background task is not
                 // late.
--- a/src/transport/frames.rs
+++ b/src/transport/frames.rs
@@ -7,7 +7,7 @@
 
 use super::{disable_nagle, within, ConnectionSlot, ExchangeError, TransportError};
 use crate::protocol::peers::{self, PeerRequest, PeerResponse, MAX_FRAME, VERSION};
-use crate::settings::PEER_CONNECTIONS;
+use crate::settings::MAX_PEER_CONNECTIONS;
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -17,9 +17,9 @@
 use std::rc::Rc;
 
 /// A connection without a request for this long is closed.
-const IDLE_MS: u64 = 60_000;
+const IDLE_TIMEOUT_MS: u64 = 60_000;
 /// Time for a response to be written.
-const WRITE_MS: u64 = 2000;
+const WRITE_TIMEOUT_MS: u64 = 2000;
 /// Pause after a failed accept: out of sockets, wait for some to close instead of spinning.
 const ACCEPT_RETRY_MS: u64 = 100;
 /// Length and version.
@@ -68,7 +68,7 @@
                 continue;
             }
         };
-        let Some(slot) = ConnectionSlot::acquire(&open, PEER_CONNECTIONS) else {
+        let Some(slot) = ConnectionSlot::acquire(&open, MAX_PEER_CONNECTIONS) else {
             continue;
         };
         disable_nagle(&stream);
@@ -86,7 +86,7 @@
 where
     F: Fn(PeerRequest) -> PeerResponse,
 {
-    while let Some(Ok(body)) = within(IDLE_MS, read_frame(stream)).await {
+    while let Some(Ok(body)) = within(IDLE_TIMEOUT_MS, read_frame(stream)).await {
         let Some(request) = peers::decode_request(&body) else {
             log::warn!("connection closed after malformed frame: peer={peer}");
             return;
@@ -94,7 +94,7 @@
         let Some(response) = peers::encode(&handler(request)) else {
             return;
         };
-        let written = within(WRITE_MS, write_frame(stream, &response)).await;
+        let written = within(WRITE_TIMEOUT_MS, write_frame(stream, &response)).await;
         if !matches!(written, Some(Ok(()))) {
             return;
         }
@@ -117,19 +117,19 @@
     }
 
     /// Sends a request and waits for the response, `timeout_ms` in all.
-    pub async fn ask(
+    pub async fn call(
         &self,
         request: &PeerRequest,
         timeout_ms: u64,
     ) -> Result<PeerResponse, TransportError> {
         let address = self.address;
-        let body = peers::encode(request).ok_or(TransportError::Broken {
+        let body = peers::encode(request).ok_or(TransportError::ExchangeFailed {
             address,
             source: ExchangeError::EncodeRequest,
         })?;
         within(timeout_ms, self.exchange(&body))
             .await
-            .unwrap_or(Err(TransportError::Deadline {
+            .unwrap_or(Err(TransportError::Timeout {
                 address,
                 timeout_ms,
             }))
@@ -146,7 +146,7 @@
         let response =
             round_trip(&stream, body)
                 .await
-                .map_err(|source| TransportError::Broken {
+                .map_err(|source| TransportError::ExchangeFailed {
                     address: self.address,
                     source,
                 })?;
--- a/src/transport/http/client.rs
+++ b/src/transport/http/client.rs
@@ -4,7 +4,7 @@
 //! Invariant: a connection is kept only after a complete answer, so that no late answer is taken
 //! for the next one.
 
-use super::message::{asks_to_close, send, Stream, MESSAGE_PACK};
+use super::message::{requests_close, send, Stream, MESSAGE_PACK};
 use crate::transport::{disable_nagle, within, ExchangeError, TransportError};
 use async_dup::Arc;
 use async_io::Async;
@@ -13,7 +13,7 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// Connections that are kept open between requests.
-const MAX_IDLE: usize = 4;
+const MAX_IDLE_CONNECTIONS: usize = 4;
 
 /// A client of one address with kept-alive connections.
 pub struct Client {
@@ -49,14 +49,14 @@
         // Boxed, so that whoever waits for an answer need not hold it inline.
         within(timeout_ms, Box::pin(self.exchange(method, path, body)))
             .await
-            .unwrap_or(Err(TransportError::Deadline {
+            .unwrap_or(Err(TransportError::Timeout {
                 address: self.address,
                 timeout_ms,
             }))
     }
 
     /// Drops kept connections, for example after a failure.
-    pub fn reset(&self) {
+    pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
@@ -73,7 +73,7 @@
         };
         self.round_trip(stream, method, path, body)
             .await
-            .map_err(|source| TransportError::Broken {
+            .map_err(|source| TransportError::ExchangeFailed {
                 address: self.address,
                 source,
             })
@@ -100,7 +100,7 @@
         // The answer is waited for before it is read: a try at once would find nothing.
         stream.readable().await?;
         let mut response = async_h1::client::decode(stream.clone()).await?;
-        let closes = asks_to_close(response.header("Connection"));
+        let closes = requests_close(response.header("Connection"));
         let body = response.body_bytes().await?;
         if !closes {
             self.keep(stream);
@@ -124,7 +124,7 @@
 
     fn keep(&self, stream: Stream) {
         let mut idle = self.idle.borrow_mut();
-        if idle.len() < MAX_IDLE {
+        if idle.len() < MAX_IDLE_CONNECTIONS {
             idle.push(stream);
         }
     }
--- a/src/transport/http/message.rs
+++ b/src/transport/http/message.rs
@@ -13,19 +13,19 @@
 pub(super) const MESSAGE_PACK: &str = "application/msgpack";
 
 /// Usual size of a message with its head.
-const USUAL_MESSAGE_BYTES: usize = 512;
+const TYPICAL_MESSAGE_BYTES: usize = 512;
 
 /// Sends head and body of a message as one.
 pub(super) async fn send(
     stream: &Stream,
     mut message: impl AsyncRead + Unpin,
 ) -> std::io::Result<()> {
-    let mut bytes = Vec::with_capacity(USUAL_MESSAGE_BYTES);
+    let mut bytes = Vec::with_capacity(TYPICAL_MESSAGE_BYTES);
     message.read_to_end(&mut bytes).await?;
     (&**stream).write_all(&bytes).await
 }
 
 /// True if the `Connection` header asks for the connection to be closed.
-pub(super) fn asks_to_close(connection: Option<&HeaderValues>) -> bool {
+pub(super) fn requests_close(connection: Option<&HeaderValues>) -> bool {
     connection.is_some_and(|value| value.as_str().eq_ignore_ascii_case("close"))
 }
--- a/src/transport/http/server.rs
+++ b/src/transport/http/server.rs
@@ -6,8 +6,8 @@
 //! Invariant: a connection at rest holds a socket and a deadline only. What a request needs is
 //! set up when there is one, so that hundreds of connections fit into a small machine.
 
-use super::message::{asks_to_close, send, Stream, MESSAGE_PACK};
-use super::request_reading::OpenedStream;
+use super::message::{requests_close, send, Stream, MESSAGE_PACK};
+use super::request_reading::PrefetchedStream;
 use crate::transport::executor_priorities::ExecutorPriorities;
 use crate::transport::{disable_nagle, pause, within, ConnectionSlot};
 use async_dup::Arc;
@@ -22,11 +22,11 @@
 use std::rc::Rc;
 
 /// Longest rest of a connection between requests.
-const REST_MS: u64 = 75_000;
+const IDLE_TIMEOUT_MS: u64 = 75_000;
 /// Longest time for a request, its answer included.
-const REQUEST_MS: u64 = 15_000;
+const REQUEST_TIMEOUT_MS: u64 = 15_000;
 /// Longest time for the body of a request.
-const BODY_MS: u64 = 4000;
+const BODY_TIMEOUT_MS: u64 = 4000;
 /// Pause after a failed accept: out of sockets, wait for some to close instead of spinning.
 const ACCEPT_RETRY_MS: u64 = 100;
 /// Largest request body taken.
@@ -143,12 +143,13 @@
         let stream: Stream = Arc::new(stream);
         let (handler, workers) = (handler.clone(), executors.workers.clone());
         let connection = async move {
-            if answer_requests(&stream, &handler, is_worker_path).await == ConnectionEnd::HandOver {
-                let of_worker = async move {
+            if answer_requests(&stream, &handler, is_worker_path).await == ConnectionEnd::HandedOver
+            {
+                let worker_connection = async move {
                     answer_requests(&stream, &handler, |_| false).await;
                     drop(slot);
                 };
-                workers.spawn(of_worker).detach();
+                workers.spawn(worker_connection).detach();
             }
         };
         executors.users.spawn(connection).detach();
@@ -161,7 +162,7 @@
     /// The connection is over.
     Closed,
     /// The last request was a worker's.
-    HandOver,
+    HandedOver,
 }
 
 /// Answers requests until the connection ends, or until the path of one is `wanted`.
@@ -170,18 +171,18 @@
 async fn answer_requests<F, Fut>(
     stream: &Stream,
     handler: &F,
-    wanted: fn(&str) -> bool,
+    is_handover_path: fn(&str) -> bool,
 ) -> ConnectionEnd
 where
     F: Fn(ServerRequest) -> Fut,
     Fut: Future<Output = ServerResponse>,
 {
-    while let Some(Ok(())) = within(REST_MS, stream.readable()).await {
+    while let Some(Ok(())) = within(IDLE_TIMEOUT_MS, stream.readable()).await {
         // Boxed, so that a connection at rest does not hold it inline.
-        let exchange = Box::pin(exchange(stream, handler, wanted));
-        match within(REQUEST_MS, exchange).await {
-            Some(Ok(Next::Wait)) => {}
-            Some(Ok(Next::HandOver)) => return ConnectionEnd::HandOver,
+        let exchange = Box::pin(exchange(stream, handler, is_handover_path));
+        match within(REQUEST_TIMEOUT_MS, exchange).await {
+            Some(Ok(AfterResponse::KeepAlive)) => {}
+            Some(Ok(AfterResponse::HandOver)) => return ConnectionEnd::HandedOver,
             _ => return ConnectionEnd::Closed,
         }
     }
@@ -189,8 +190,8 @@
 }
 
 /// What becomes of a connection after an answer.
-enum Next {
-    Wait,
+enum AfterResponse {
+    KeepAlive,
     HandOver,
     Close,
 }
@@ -204,38 +205,38 @@
 async fn exchange<F, Fut>(
     stream: &Stream,
     handler: &F,
-    wanted: fn(&str) -> bool,
-) -> Result<Next, http_types::Error>
+    is_handover_path: fn(&str) -> bool,
+) -> Result<AfterResponse, http_types::Error>
 where
     F: Fn(ServerRequest) -> Fut,
     Fut: Future<Output = ServerResponse>,
 {
     let received = match Box::pin(receive(stream)).await {
         Ok(Some(received)) => received,
-        Ok(None) => return Ok(Next::Close),
+        Ok(None) => return Ok(AfterResponse::Close),
         Err(e) => {
             // A broken connection takes no answer; a malformed request deserves one.
             if e.downcast_ref::<std::io::Error>().is_none() {
                 let refusal = to_response(ServerResponse::empty(BAD_REQUEST), true);
                 send(stream, Encoder::new(refusal, Method::Get)).await?;
             }
-            return Ok(Next::Close);
+            return Ok(AfterResponse::Close);
         }
     };
-    let Received { request, close } = received;
+    let ReceivedRequest { request, close } = received;
     let method = request.method;
-    let is_wanted = wanted(&request.path);
+    let hand_over = is_handover_path(&request.path);
     let response = to_response(handler(request).await, close);
     send(stream, Encoder::new(response, method)).await?;
-    Ok(match (close, is_wanted) {
-        (true, _) => Next::Close,
-        (false, true) => Next::HandOver,
-        (false, false) => Next::Wait,
+    Ok(match (close, hand_over) {
+        (true, _) => AfterResponse::Close,
+        (false, true) => AfterResponse::HandOver,
+        (false, false) => AfterResponse::KeepAlive,
     })
 }
 
 /// A request that was read.
-struct Received {
+struct ReceivedRequest {
     request: ServerRequest,
     /// The connection is to be closed after the answer.
     close: bool,
@@ -243,23 +244,25 @@
 
 /// Reads one request; `None` at the end of the stream, or if nobody waits for the answer any
 /// more.
-async fn receive(stream: &Stream) -> Result<Option<Received>, http_types::Error> {
-    let Some(opened) = OpenedStream::read(stream).await? else {
+async fn receive(stream: &Stream) -> Result<Option<ReceivedRequest>, http_types::Error> {
+    let Some(prefetched) = PrefetchedStream::read(stream).await? else {
         return Ok(None);
     };
-    let Some((mut request, _)) = async_h1::server::decode(opened).await? else {
+    let Some((mut request, _)) = async_h1::server::decode(prefetched).await? else {
         return Ok(None);
     };
-    let body = within(BODY_MS, read_body(&mut request)).await.flatten();
+    let body = within(BODY_TIMEOUT_MS, read_body(&mut request))
+        .await
+        .flatten();
     // The rest of a body that was not read is not worth draining.
-    let close = body.is_none() || asks_to_close(request.header("Connection"));
+    let close = body.is_none() || requests_close(request.header("Connection"));
     let request = ServerRequest {
         method: request.method(),
         path: request.url().path().to_string(),
         query: request.url().query().unwrap_or("").to_string(),
         body,
     };
-    Ok(Some(Received { request, close }))
+    Ok(Some(ReceivedRequest { request, close }))
 }
 
 /// The body; `None` if it is too large or can't be read.
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -33,7 +33,7 @@
     },
     /// The deadline passed; the request may have been executed.
     #[error("no answer from {address} within {timeout_ms} ms")]
-    Deadline {
+    Timeout {
         /// Address of the server.
         address: SocketAddr,
         /// The time allowed.
@@ -41,7 +41,7 @@
     },
     /// The exchange failed on an open connection; the request may have been executed.
     #[error("exchange with {address} failed: {source}")]
-    Broken {
+    ExchangeFailed {
         /// Address of the server.
         address: SocketAddr,
         /// What failed.
@@ -95,10 +95,10 @@
     until(Deadline::next_tick(ms), work).await
 }
 
-async fn until<T>(end: Deadline, work: impl Future<Output = T>) -> Option<T> {
+async fn until<T>(deadline: Deadline, work: impl Future<Output = T>) -> Option<T> {
     async { Some(work.await) }
         .or(async {
-            end.await;
+            deadline.await;
             None
         })
         .await
--- a/tests/boundary_errors.rs
+++ b/tests/boundary_errors.rs
@@ -111,7 +111,7 @@
     let error = get(address, 50);
     assert!(matches!(
         error,
-        TransportError::Deadline { timeout_ms: 50, .. }
+        TransportError::Timeout { timeout_ms: 50, .. }
     ));
     assert!(!error.is_connection_refused());
     assert!(error.to_string().contains(&address.to_string()), "{error}");
@@ -126,6 +126,9 @@
     });
     let error = get(address, 5000);
     closing.join().unwrap();
-    assert!(matches!(error, TransportError::Broken { .. }), "{error}");
+    assert!(
+        matches!(error, TransportError::ExchangeFailed { .. }),
+        "{error}"
+    );
     assert!(error.source().is_some());
 }
--- a/tests/transport_costs.rs
+++ b/tests/transport_costs.rs
@@ -135,22 +135,22 @@
     let nobody = || std::task::Waker::from(std::sync::Arc::new(Nobody));
     let mut t = DeadlineTable::default();
     let first = t.add(DeadlineTable::due_at(0, 1000), nobody());
-    assert_eq!(t.to_arm(), Some(1024), "an eighth later at most");
+    assert_eq!(t.arm_earliest(), Some(1024), "an eighth later at most");
     let mut answered = Vec::new();
     for i in 0..100 {
         answered.push(t.add(DeadlineTable::due_at(i, 1500), nobody()));
-        assert_eq!(t.to_arm(), None, "request {i}");
+        assert_eq!(t.arm_earliest(), None, "request {i}");
     }
     for key in answered {
         t.remove(key);
     }
     let early = t.add(DeadlineTable::due_at(5, 60), nobody());
-    assert_eq!(t.to_arm(), Some(68));
+    assert_eq!(t.arm_earliest(), Some(68));
     assert!(t.is_waiting(early, &nobody()));
     assert_eq!(t.take_due(67).len(), 0);
     assert_eq!(t.take_due(68).len(), 1);
     assert!(!t.is_waiting(early, &nobody()) && t.is_waiting(first, &nobody()));
-    assert_eq!(t.to_arm(), Some(1024), "the next one");
+    assert_eq!(t.arm_earliest(), Some(1024), "the next one");
     // Background tasks of one rate tick together, whenever each of them ended.
     let ticks: Vec<u64> = [7000, 7001, 7999]
         .map(|t| DeadlineTable::next_tick(t, 1000))
