--- a/src/cli.rs
+++ b/src/cli.rs
@@ -13,7 +13,7 @@
 use crate::features::Features;
 use crate::job_command::{self, JobAction, JobCommandError};
 use crate::observe_command::{self, ObserveError, Subject};
-use crate::settings::{Operator, Platform, SettingsError};
+use crate::settings::{OperatorSettings, PlatformSettings, SettingsError};
 use crate::transport::executor_priorities::ExecutorPriorities;
 use crate::transport::{frames, http};
 use async_io::Async;
@@ -71,7 +71,7 @@
     #[error(transparent)]
     Settings(#[from] SettingsError),
     #[error("--config FILE is required")]
-    NoConfig,
+    MissingConfig,
     #[error("can't listen on {address}: {source}")]
     Listen {
         address: SocketAddr,
@@ -119,18 +119,18 @@
 
 /// All that a controller is started with.
 struct Settings {
-    platform: Platform,
-    operator: Operator,
+    platform: PlatformSettings,
+    operator: OperatorSettings,
     features: Features,
 }
 
 impl Settings {
     fn load(files: &SettingsFiles) -> Result<Settings, CliError> {
-        let config = files.config.as_deref().ok_or(CliError::NoConfig)?;
-        let platform = Platform::load(config)?;
+        let config = files.config.as_deref().ok_or(CliError::MissingConfig)?;
+        let platform = PlatformSettings::load(config)?;
         let operator = match &files.operator {
-            Some(file) => Operator::load(file)?,
-            None => Operator::default(),
+            Some(file) => OperatorSettings::load(file)?,
+            None => OperatorSettings::default(),
         };
         let features = match &files.features {
             Some(file) => Features::load(file)?,
@@ -164,7 +164,7 @@
 }
 
 impl Listeners {
-    fn bind(platform: &Platform) -> Result<Listeners, CliError> {
+    fn bind(platform: &PlatformSettings) -> Result<Listeners, CliError> {
         Ok(Listeners {
             public: listen(platform.bind)?,
             peers: listen(platform.cluster_listen)?,
@@ -197,7 +197,7 @@
     })
 }
 
-fn log_start(platform: &Platform) {
+fn log_start(platform: &PlatformSettings) {
     log::info!(
         "controller started: controller={} zone={} address={}",
         platform.name,
@@ -236,18 +236,18 @@
     listeners: Listeners,
 ) {
     let background = &executors.background;
-    let for_peers = controller.clone();
+    let peer_controller = controller.clone();
     let peer_server = frames::serve(background.clone(), listeners.peers, move |request| {
-        requests::handle(&for_peers, request)
+        requests::handle(&peer_controller, request)
     });
     background.spawn(peer_server).detach();
-    let for_users = controller.clone();
+    let public_controller = controller.clone();
     let public_server = http::serve_prioritized(
         executors.clone(),
         job_api::is_heartbeat_path,
         listeners.public,
         controller.platform.settings.process.listener_connections(),
-        move |request| job_api::handle(for_users.clone(), request),
+        move |request| job_api::handle(public_controller.clone(), request),
     );
     // A task of its own: what `run` is given is polled each time any task is.
     let public_server = background.spawn(public_server);
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -21,7 +21,7 @@
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::features::Features;
 use crate::protocol::kv::Limits;
-use crate::settings::{Objective, Operator, Platform};
+use crate::settings::{Objective, OperatorSettings, PlatformSettings};
 use crate::state::cancellation_watermark::CancellationWatermark;
 use crate::state::cluster_state::ClusterState;
 use crate::state::machine::Machine;
@@ -56,9 +56,9 @@
 /// A controller.
 pub struct Controller {
     /// The platform's settings.
-    pub platform: Platform,
+    pub platform: PlatformSettings,
     /// The operators' settings.
-    pub operator: Operator,
+    pub operator: OperatorSettings,
     /// Optional features.
     pub features: Features,
     /// Parameters of scheduling decisions.
@@ -120,7 +120,7 @@
 }
 
 /// The parameters of decisions that follow from the settings.
-fn scheduler_config(platform: &Platform, operator: &Operator) -> SchedulerConfig {
+fn scheduler_config(platform: &PlatformSettings, operator: &OperatorSettings) -> SchedulerConfig {
     let shared = &platform.settings;
     let workers = &shared.workers;
     let next = shared.kv.next.as_ref();
@@ -137,7 +137,7 @@
         capacity_buffer_on_demand: operator.capacity_buffer_on_demand,
         lease_expiry_ms: millis_from_seconds(workers.lease_s * CLOCK_DRIFT_FACTOR)
             + LEASE_EXPIRY_MARGIN_MS,
-        max_watermark_age_ms: workers.renew_ms(),
+        max_watermark_age_ms: workers.max_watermark_age_ms(),
         cancel_ms: millis_from_seconds(workers.cancel_s),
         completion_targets: finish_times(&shared.objectives),
         limits_now: shared.kv.limits(),
@@ -152,7 +152,7 @@
 }
 
 /// The cached state before anything has been read.
-fn empty_cluster_state(platform: &Platform, operator: &Operator) -> ClusterState {
+fn empty_cluster_state(platform: &PlatformSettings, operator: &OperatorSettings) -> ClusterState {
     let shared = &platform.settings;
     let mut cluster = ClusterState::new(&shared.zones, &shared.teams, operator.shards_per_zone);
     cluster.cancellation_watermark =
@@ -163,8 +163,8 @@
 impl Controller {
     /// A controller that knows nothing yet.
     pub fn new(
-        platform: Platform,
-        operator: Operator,
+        platform: PlatformSettings,
+        operator: OperatorSettings,
         features: Features,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Controller {
--- a/src/coordination/failover/bound.rs
+++ b/src/coordination/failover/bound.rs
@@ -1,6 +1,6 @@
 //! How long a failover may take, from the times of a deployment.
 
-use crate::settings::Workers;
+use crate::settings::WorkerSettings;
 use crate::state::units::millis_from_seconds;
 use standby::failover_bound::FailoverBound;
 
@@ -26,7 +26,7 @@
 }
 
 /// How long a failover may take with these times of workers.
-pub fn bound(workers: &Workers) -> FailoverBound {
+pub fn bound(workers: &WorkerSettings) -> FailoverBound {
     let lease_ms = membership_lease_ms(millis_from_seconds(workers.lease_s));
     FailoverBound {
         lease_ms: lease_ms + LEASE_EXPIRY_DELAY_MS,
--- a/src/features.rs
+++ b/src/features.rs
@@ -84,7 +84,7 @@
 
     /// The standby's settings if the feature is on.
     pub fn standby(&self) -> Option<&StandbySettings> {
-        self.standby.as_ref().filter(|s| s.enabled)
+        self.standby.as_ref().filter(|settings| settings.enabled)
     }
 
     /// The JSON schema of the file.
@@ -102,24 +102,24 @@
 
 /// One line for a key: the cause and, where the schema has them, the allowed values.
 fn describe(key: &str, cause: &str) -> String {
-    match allowed(key) {
+    match allowed_values(key) {
         Some(allowed) => format!("{key}: {cause}; allowed: {allowed}"),
         None => format!("{key}: {cause}"),
     }
 }
 
 /// What the schema allows at a key, for people.
-fn allowed(key: &str) -> Option<String> {
+fn allowed_values(key: &str) -> Option<String> {
     let schema = Features::schema();
-    let mut at = &schema;
+    let mut node = &schema;
     for name in key.split('.') {
-        at = property(at, name)?;
+        node = property(node, name)?;
     }
-    let bound = |name: &str| at.get(name).and_then(Value::as_u64);
-    if let (Some(least), Some(most)) = (bound("minimum"), bound("maximum")) {
-        return Some(format!("{least} to {most}"));
+    let bound = |name: &str| node.get(name).and_then(Value::as_u64);
+    if let (Some(min), Some(max)) = (bound("minimum"), bound("maximum")) {
+        return Some(format!("{min} to {max}"));
     }
-    match at.get("type").and_then(Value::as_str)? {
+    match node.get("type").and_then(Value::as_str)? {
         "boolean" => Some("true or false".to_string()),
         kind => Some(kind.to_string()),
     }
--- a/src/job_command.rs
+++ b/src/job_command.rs
@@ -96,25 +96,25 @@
     Transport(#[from] TransportError),
     /// 400.
     #[error("job {job}: the controller takes the job for malformed")]
-    Refused {
+    Rejected {
         /// The job.
         job: String,
     },
     /// 404.
     #[error("job {job}: no job has this id")]
-    Unknown {
+    NotFound {
         /// The job.
         job: String,
     },
     /// 422.
     #[error("job {job}: the job can never run here, or a dependency of it was never accepted")]
-    Impossible {
+    Unschedulable {
         /// The job.
         job: String,
     },
     /// 429 or 503.
     #[error("job {job}: can't be taken now, try again later")]
-    Later {
+    Unavailable {
         /// The job.
         job: String,
     },
@@ -210,10 +210,10 @@
     match answer.status {
         200 | 201 => rmp_serde::from_slice(&answer.body)
             .map_err(|source| JobCommandError::Decode { job, source }),
-        400 => Err(JobCommandError::Refused { job }),
-        404 => Err(JobCommandError::Unknown { job }),
-        422 => Err(JobCommandError::Impossible { job }),
-        429 | 503 => Err(JobCommandError::Later { job }),
+        400 => Err(JobCommandError::Rejected { job }),
+        404 => Err(JobCommandError::NotFound { job }),
+        422 => Err(JobCommandError::Unschedulable { job }),
+        429 | 503 => Err(JobCommandError::Unavailable { job }),
         status => Err(JobCommandError::Status { job, status }),
     }
 }
--- a/src/observe_command.rs
+++ b/src/observe_command.rs
@@ -16,12 +16,12 @@
 #[derive(Subcommand)]
 pub enum Subject {
     /// Shards, their owners and their standbys
-    Standby(Target),
+    Standby(ObserveOptions),
 }
 
 /// Who is asked, and how the answer is printed.
 #[derive(Args)]
-pub struct Target {
+pub struct ObserveOptions {
     /// Address for peers of the controller that is asked (`cluster_listen`)
     #[arg(long, value_name = "ADDR")]
     server: SocketAddr,
@@ -38,7 +38,7 @@
     Transport(#[from] TransportError),
     /// Another answer than the one that was asked for.
     #[error("{server}: no answer to this question; is it an older version?")]
-    Unexpected {
+    UnexpectedResponse {
         /// The controller that was asked.
         server: SocketAddr,
     },
@@ -49,9 +49,9 @@
 
 /// Runs the command.
 pub fn run(subject: &Subject) -> Result<(), ObserveError> {
-    let Subject::Standby(target) = subject;
-    let shards = shard_statuses(target.server)?;
-    if target.json {
+    let Subject::Standby(options) = subject;
+    let shards = shard_statuses(options.server)?;
+    if options.json {
         println!("{}", serde_json::to_string_pretty(&shards)?);
     } else {
         print!("{}", table(&shards));
@@ -64,7 +64,7 @@
     let answer = async_io::block_on(client.call(&PeerRequest::ShardStatuses, TIMEOUT_MS));
     match answer? {
         PeerResponse::ShardStatuses { shards } => Ok(shards),
-        _ => Err(ObserveError::Unexpected { server }),
+        _ => Err(ObserveError::UnexpectedResponse { server }),
     }
 }
 
--- a/src/settings/errors.rs
+++ b/src/settings/errors.rs
@@ -68,57 +68,63 @@
         field: &'static str,
     },
     /// A number is too small for the program to work.
-    #[error("{field} must be at least {least}")]
+    #[error("{field} must be at least {min}")]
     TooSmall {
         /// The field.
         field: &'static str,
         /// The least allowed.
-        least: usize,
+        min: usize,
     },
     /// A number is larger than the program is made for.
-    #[error("{field} must be at most {most}")]
+    #[error("{field} must be at most {max}")]
     TooLarge {
         /// The field.
         field: &'static str,
         /// The most allowed.
-        most: usize,
+        max: usize,
     },
     /// A number is outside its range.
-    #[error("{field} must be {least} to {most}")]
+    #[error("{field} must be {min} to {max}")]
     OutOfRange {
         /// The field.
         field: &'static str,
         /// The least allowed.
-        least: usize,
+        min: usize,
         /// The most allowed.
-        most: usize,
+        max: usize,
     },
 }
 
 /// A field's name and its value.
 pub(super) type Field = (&'static str, f64);
 
-pub(super) fn positive(fields: &[Field]) -> Result<(), InvalidSetting> {
-    match fields.iter().find(|(_, x)| !(x.is_finite() && *x > 0.0)) {
+pub(super) fn check_positive(fields: &[Field]) -> Result<(), InvalidSetting> {
+    match fields
+        .iter()
+        .find(|(_, value)| !(value.is_finite() && *value > 0.0))
+    {
         Some((field, _)) => Err(InvalidSetting::NotPositive { field }),
         None => Ok(()),
     }
 }
 
-pub(super) fn not_negative(fields: &[Field]) -> Result<(), InvalidSetting> {
-    match fields.iter().find(|(_, x)| !(x.is_finite() && *x >= 0.0)) {
+pub(super) fn check_not_negative(fields: &[Field]) -> Result<(), InvalidSetting> {
+    match fields
+        .iter()
+        .find(|(_, value)| !(value.is_finite() && *value >= 0.0))
+    {
         Some((field, _)) => Err(InvalidSetting::Negative { field }),
         None => Ok(()),
     }
 }
 
-pub(super) fn at_most(
+pub(super) fn check_at_most(
     field: &'static str,
     value: usize,
-    most: usize,
+    max: usize,
 ) -> Result<(), InvalidSetting> {
-    if value > most {
-        return Err(InvalidSetting::TooLarge { field, most });
+    if value > max {
+        return Err(InvalidSetting::TooLarge { field, max });
     }
     Ok(())
 }
--- a/src/settings/files.rs
+++ b/src/settings/files.rs
@@ -9,7 +9,7 @@
     let text = read_file(path)?;
     toml::from_str(&text).map_err(|source| SettingsError::Syntax {
         path: path.into(),
-        line: line_of(&text, &source),
+        line: line_number(&text, &source),
         source: Box::new(source),
     })
 }
@@ -22,7 +22,7 @@
     })
 }
 
-fn line_of(text: &str, error: &toml::de::Error) -> usize {
+fn line_number(text: &str, error: &toml::de::Error) -> usize {
     error
         .span()
         .map_or(0, |span| text[..span.start.min(text.len())].lines().count())
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -12,8 +12,8 @@
 mod platform;
 
 pub use errors::{InvalidSetting, SettingsError};
-pub use operator::Operator;
+pub use operator::OperatorSettings;
 pub use platform::{
-    CloudLimits, ClusterSettings, KvLimits, NextLimits, Objective, PeerSettings, Platform,
-    ProcessLimits, ServiceAddresses, Team, Workers, WorkersWarning, MAX_PEER_CONNECTIONS,
+    CancelTimeWarning, CloudLimits, ClusterSettings, KvLimits, NextLimits, Objective, PeerSettings,
+    PlatformSettings, ProcessLimits, ServiceAddresses, Team, WorkerSettings, MAX_PEER_CONNECTIONS,
 };
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,6 +1,6 @@
 //! The operators' own settings file: what they may tune.
 
-use super::errors::{at_most, not_negative, InvalidSetting, SettingsError};
+use super::errors::{check_at_most, check_not_negative, InvalidSetting, SettingsError};
 use super::files::read_toml;
 use serde::Deserialize;
 use std::path::Path;
@@ -8,14 +8,14 @@
 /// Most shards of a zone.
 const MAX_SHARDS_PER_ZONE: usize = 64;
 /// Most machines that an idle one polls.
-const MAX_POLLS: usize = 64;
+const MAX_POLLED_MACHINES: usize = 64;
 /// Most tasks in a machine's queue.
 const MAX_QUEUE_CAP: usize = 64;
 
 /// The operators' own file. Unknown fields are refused.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields, default)]
-pub struct Operator {
+pub struct OperatorSettings {
     /// Machines polled by an idle one.
     pub polls: usize,
     /// Tasks in a machine's queue at most.
@@ -40,9 +40,9 @@
     pub shards_per_zone: usize,
 }
 
-impl Default for Operator {
+impl Default for OperatorSettings {
     fn default() -> Self {
-        Operator {
+        OperatorSettings {
             polls: 5,
             queue_cap: 2,
             gang_reservation_after_s: 10.0,
@@ -56,10 +56,10 @@
     }
 }
 
-impl Operator {
+impl OperatorSettings {
     /// Reads and checks the operators' file.
-    pub fn load(path: &Path) -> Result<Operator, SettingsError> {
-        let operator: Operator = read_toml(path)?;
+    pub fn load(path: &Path) -> Result<OperatorSettings, SettingsError> {
+        let operator: OperatorSettings = read_toml(path)?;
         match operator.check() {
             Ok(()) => Ok(operator),
             Err(source) => Err(SettingsError::Value {
@@ -73,13 +73,13 @@
         if !(1..=MAX_SHARDS_PER_ZONE).contains(&self.shards_per_zone) {
             return Err(InvalidSetting::OutOfRange {
                 field: "shards_per_zone",
-                least: 1,
-                most: MAX_SHARDS_PER_ZONE,
+                min: 1,
+                max: MAX_SHARDS_PER_ZONE,
             });
         }
-        at_most("polls", self.polls, MAX_POLLS)?;
-        at_most("queue_cap", self.queue_cap, MAX_QUEUE_CAP)?;
-        not_negative(&[
+        check_at_most("polls", self.polls, MAX_POLLED_MACHINES)?;
+        check_at_most("queue_cap", self.queue_cap, MAX_QUEUE_CAP)?;
+        check_not_negative(&[
             ("gang_hold_s", self.gang_reservation_after_s),
             ("steal_after_s", self.steal_after_s),
             ("idle_return_s", self.scale_in_after_idle_s),
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,6 +1,6 @@
 //! The platform's settings file: what the deployment fixes.
 
-use super::errors::{positive, InvalidSetting, SettingsError};
+use super::errors::{check_positive, InvalidSetting, SettingsError};
 use super::files::read_toml;
 use crate::protocol::kv::Limits;
 use crate::state::units::millis_from_seconds;
@@ -46,7 +46,7 @@
 
 /// Workers' times.
 #[derive(Deserialize, Clone, Debug)]
-pub struct Workers {
+pub struct WorkerSettings {
     /// Between heartbeats.
     #[serde(rename = "report_s")]
     pub heartbeat_s: f64,
@@ -61,27 +61,27 @@
 }
 
 /// How late a lease may expire: timers of workers, delivery.
-const LEASE_EXPIRY_DELAY_S: f64 = 1.5;
+const LEASE_EXPIRY_MARGIN_S: f64 = 1.5;
 /// Clocks drift by up to 0.05%, so two of them by up to 0.1% against each other.
-const CLOCK_DRIFT: f64 = 0.001;
+const MAX_CLOCK_DRIFT: f64 = 0.001;
 /// Least watermark age up to which leases are renewed. Less would take leases away whenever the
 /// key-value store answers slowly.
-const MIN_WATERMARK_AGE_S: f64 = 6.5;
+const MIN_WATERMARK_AGE_LIMIT_S: f64 = 6.5;
 
-impl Workers {
+impl WorkerSettings {
     /// What is left of the time for cancellations after a lease.
-    fn watermark_age_s(&self) -> f64 {
-        self.cancel_s * (1.0 - CLOCK_DRIFT)
-            - self.lease_s * (1.0 + CLOCK_DRIFT)
-            - LEASE_EXPIRY_DELAY_S
+    fn watermark_age_limit_s(&self) -> f64 {
+        self.cancel_s * (1.0 - MAX_CLOCK_DRIFT)
+            - self.lease_s * (1.0 + MAX_CLOCK_DRIFT)
+            - LEASE_EXPIRY_MARGIN_S
     }
     /// Age of the cancellation watermark up to which leases are renewed, ms.
-    pub fn renew_ms(&self) -> u64 {
-        millis_from_seconds(self.watermark_age_s().max(MIN_WATERMARK_AGE_S))
+    pub fn max_watermark_age_ms(&self) -> u64 {
+        millis_from_seconds(self.watermark_age_limit_s().max(MIN_WATERMARK_AGE_LIMIT_S))
     }
     /// What an operator should know of these times.
-    pub fn warning(&self) -> Option<WorkersWarning> {
-        (self.watermark_age_s() < MIN_WATERMARK_AGE_S).then_some(WorkersWarning {
+    pub fn warning(&self) -> Option<CancelTimeWarning> {
+        (self.watermark_age_limit_s() < MIN_WATERMARK_AGE_LIMIT_S).then_some(CancelTimeWarning {
             cancel_s: self.cancel_s,
             lease_s: self.lease_s,
         })
@@ -90,12 +90,12 @@
 
 /// Times of workers that are valid but don't keep what `cancel_s` says in each case.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WorkersWarning {
+pub struct CancelTimeWarning {
     cancel_s: f64,
     lease_s: f64,
 }
 
-impl fmt::Display for WorkersWarning {
+impl fmt::Display for CancelTimeWarning {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -157,10 +157,10 @@
 }
 
 /// Part of the allowed size of a value that is used: sizes are estimated, not measured.
-const USABLE_PART_OF_VALUE: f64 = 0.9;
+const USABLE_VALUE_FRACTION: f64 = 0.9;
 
 fn usable_bytes(value_kb: f64) -> usize {
-    (value_kb * 1024.0 * USABLE_PART_OF_VALUE) as usize
+    (value_kb * 1024.0 * USABLE_VALUE_FRACTION) as usize
 }
 
 /// Limits of the cloud.
@@ -213,7 +213,7 @@
     #[serde(default)]
     pub objectives: Vec<Objective>,
     /// Workers.
-    pub workers: Workers,
+    pub workers: WorkerSettings,
     /// Key-value store.
     #[serde(rename = "state")]
     pub kv: KvLimits,
@@ -249,7 +249,7 @@
 
 /// The platform's file. Unknown fields are ignored.
 #[derive(Deserialize, Clone, Debug)]
-pub struct Platform {
+pub struct PlatformSettings {
     /// Name of this controller.
     #[serde(rename = "node")]
     pub name: String,
@@ -270,10 +270,10 @@
     pub settings: ClusterSettings,
 }
 
-impl Platform {
+impl PlatformSettings {
     /// Reads and checks the platform's file.
-    pub fn load(path: &Path) -> Result<Platform, SettingsError> {
-        let platform: Platform = read_toml(path)?;
+    pub fn load(path: &Path) -> Result<PlatformSettings, SettingsError> {
+        let platform: PlatformSettings = read_toml(path)?;
         match platform.check() {
             Ok(()) => Ok(platform),
             Err(source) => Err(SettingsError::Value {
@@ -297,7 +297,7 @@
         if !zones.contains(&self.zone) {
             return Err(InvalidSetting::UnknownZone);
         }
-        positive(&[
+        check_positive(&[
             ("settings.workers.report_s", workers.heartbeat_s),
             ("settings.workers.lease_s", workers.lease_s),
             ("settings.workers.gang_wait_s", workers.gang_wait_s),
@@ -311,7 +311,7 @@
         if kv.txn_ops < MIN_TXN_OPS {
             return Err(InvalidSetting::TooSmall {
                 field: "settings.state.txn_ops",
-                least: MIN_TXN_OPS,
+                min: MIN_TXN_OPS,
             });
         }
         Ok(())
--- a/tests/boundary_errors.rs
+++ b/tests/boundary_errors.rs
@@ -1,6 +1,6 @@
 //! Errors at the edges of the program: each names what failed and on what, and keeps its cause.
 
-use pointhook::settings::{InvalidSetting, Operator, Platform, SettingsError};
+use pointhook::settings::{InvalidSetting, OperatorSettings, PlatformSettings, SettingsError};
 use pointhook::transport::http::{listen, Client};
 use pointhook::transport::TransportError;
 use std::error::Error;
@@ -19,11 +19,11 @@
 fn platform_fault(name: &str, from: &str, to: &str) -> (InvalidSetting, String) {
     assert!(PLATFORM.contains(from), "{from}");
     let path = file(name, &PLATFORM.replace(from, to));
-    fault(Platform::load(&path).unwrap_err())
+    fault(PlatformSettings::load(&path).unwrap_err())
 }
 
 fn operator_fault(name: &str, text: &str) -> (InvalidSetting, String) {
-    fault(Operator::load(&file(name, text)).unwrap_err())
+    fault(OperatorSettings::load(&file(name, text)).unwrap_err())
 }
 
 fn fault(error: SettingsError) -> (InvalidSetting, String) {
@@ -58,12 +58,12 @@
 #[test]
 fn values_of_operators_out_of_range_are_refused_by_name_and_range() {
     let (found, line) = operator_fault("shards.toml", "shards_per_zone = 65\n");
-    let (field, least, most) = ("shards_per_zone", 1, 64);
-    assert_eq!(found, InvalidSetting::OutOfRange { field, least, most });
+    let (field, min, max) = ("shards_per_zone", 1, 64);
+    assert_eq!(found, InvalidSetting::OutOfRange { field, min, max });
     assert!(line.ends_with("shards_per_zone must be 1 to 64"), "{line}");
     let (found, _) = operator_fault("polls.toml", "polls = 65\n");
     let field = "polls";
-    assert_eq!(found, InvalidSetting::TooLarge { field, most });
+    assert_eq!(found, InvalidSetting::TooLarge { field, max });
     let (found, _) = operator_fault("headroom.toml", "headroom_ordinary = -0.5\n");
     let field = "headroom_ordinary";
     assert_eq!(found, InvalidSetting::Negative { field });
@@ -72,7 +72,7 @@
 #[test]
 fn a_settings_file_that_is_no_toml_is_refused_by_line_with_the_parsers_error() {
     let path = file("syntax.toml", "polls = 3\nqueue_cap = x\n");
-    let error = Operator::load(&path).unwrap_err();
+    let error = OperatorSettings::load(&path).unwrap_err();
     assert!(matches!(error, SettingsError::Syntax { line: 2, .. }));
     assert!(error.source().is_some());
     assert!(!error.to_string().contains('\n'), "{error}");
--- a/tests/cancellations.rs
+++ b/tests/cancellations.rs
@@ -254,7 +254,7 @@
 
 #[test]
 fn the_cancellation_deadline_is_validated_against_the_lease() {
-    let workers = |lease_s, cancel_s| pointhook::settings::Workers {
+    let workers = |lease_s, cancel_s| pointhook::settings::WorkerSettings {
         heartbeat_s: 3.0,
         lease_s,
         gang_wait_s: 30.0,
@@ -263,13 +263,13 @@
     };
     let cluster = workers(30.0, 55.0);
     assert!(cluster.warning().is_none());
-    assert!((23_000..24_000).contains(&cluster.renew_ms()));
+    assert!((23_000..24_000).contains(&cluster.max_watermark_age_ms()));
     // A lease that leaves no time for cancellations: a warning, and work still runs.
     let cluster = workers(30.0, 30.0);
     assert!(cluster.warning().unwrap().to_string().contains("cancel_s"));
-    assert!(cluster.renew_ms() > 6000);
+    assert!(cluster.max_watermark_age_ms() > 6000);
     let (lease_s, cancel_s) = (LEASE_MS as f64 / 1000.0, CANCEL_MS as f64 / 1000.0);
-    assert_eq!(workers(lease_s, cancel_s).renew_ms(), RENEW_MS);
+    assert_eq!(workers(lease_s, cancel_s).max_watermark_age_ms(), RENEW_MS);
 }
 
 #[test]
--- a/tests/golden_settings_and_commands.rs
+++ b/tests/golden_settings_and_commands.rs
@@ -3,7 +3,7 @@
 
 use pointhook::features::Features;
 use pointhook::protocol::peers::{self, PeerResponse};
-use pointhook::settings::{Operator, Platform};
+use pointhook::settings::{OperatorSettings, PlatformSettings};
 use serde_json::json;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -93,14 +93,14 @@
 #[test]
 fn keys_of_settings_files() {
     let mut g = Group::new("settings.txt");
-    settings_keys(&mut g, "platform", PLATFORM, Platform::load);
-    settings_keys(&mut g, "operator", OPERATOR, Operator::load);
+    settings_keys(&mut g, "platform", PLATFORM, PlatformSettings::load);
+    settings_keys(&mut g, "operator", OPERATOR, OperatorSettings::load);
     settings_keys(&mut g, "features", FEATURES, Features::load);
     g.compare();
 }
 
 /// The controller's name, zone, addresses and peers.
-fn platform_of_its_own(p: &Platform) {
+fn platform_of_its_own(p: &PlatformSettings) {
     assert_eq!((p.name.as_str(), p.zone.as_str()), ("stoker-1", "a"));
     let ports = [
         p.bind,
@@ -118,7 +118,7 @@
 }
 
 /// What all controllers of a platform share.
-fn platform_in_common(p: &Platform) {
+fn platform_in_common(p: &PlatformSettings) {
     let s = &p.settings;
     assert_eq!(s.zones, ["a", "b"]);
     let t = &s.teams[0];
@@ -154,7 +154,7 @@
 }
 
 fn operator_in_full() {
-    let o = Operator::load(&file("operators.toml", OPERATOR)).expect("good");
+    let o = OperatorSettings::load(&file("operators.toml", OPERATOR)).expect("good");
     assert_eq!((o.polls, o.queue_cap, o.shards_per_zone), (11, 12, 19));
     assert_eq!(
         (
@@ -175,7 +175,7 @@
 }
 
 fn operator_without_keys() {
-    let o = Operator::load(&file("operators.toml", "")).expect("good");
+    let o = OperatorSettings::load(&file("operators.toml", "")).expect("good");
     assert_eq!((o.polls, o.queue_cap, o.shards_per_zone), (5, 2, 2));
     assert_eq!(
         (
@@ -206,7 +206,7 @@
 
 #[test]
 fn settings_files_say_what_they_mean() {
-    let p = Platform::load(&file("whole.toml", PLATFORM)).expect("good");
+    let p = PlatformSettings::load(&file("whole.toml", PLATFORM)).expect("good");
     platform_of_its_own(&p);
     platform_in_common(&p);
     operator_in_full();
--- a/tests/http_api.rs
+++ b/tests/http_api.rs
@@ -5,7 +5,7 @@
 use pointhook::protocol::peers::{decode_request, encode, PeerRequest, TaskRef};
 use pointhook::protocol::users::{parse_job, JobKind, JobSpec};
 use pointhook::protocol::workers::{parse_task_name, Heartbeat};
-use pointhook::settings::{Operator, Platform};
+use pointhook::settings::{OperatorSettings, PlatformSettings};
 use pointhook::state::cluster_state::ClusterState;
 use pointhook::state::names::{Interner, MachineIndex};
 use pointhook::state::task_ranges::TaskRanges;
@@ -212,34 +212,34 @@
 #[test]
 fn the_platform_file_may_have_unknown_fields_but_lack_none() {
     let good = file("good.toml", &format!("novelty = 1\n{PLATFORM}"));
-    assert_eq!(Platform::load(&good).unwrap().name, "controller-0");
+    assert_eq!(PlatformSettings::load(&good).unwrap().name, "controller-0");
     for lost in ["cluster_listen", "lease_s", "txn_ops"] {
         let text: Vec<&str> = PLATFORM.lines().filter(|l| !l.starts_with(lost)).collect();
         let path = file(&format!("no-{lost}.toml"), &text.join("\n"));
-        let line = Platform::load(&path).unwrap_err().to_string();
+        let line = PlatformSettings::load(&path).unwrap_err().to_string();
         assert!(line.contains(lost) && !line.contains('\n'), "{line}");
     }
     let wrong = file(
         "wrong.toml",
         &PLATFORM.replace("lease_s = 10.0", "lease_s = -1.0"),
     );
-    assert!(Platform::load(&wrong).is_err());
+    assert!(PlatformSettings::load(&wrong).is_err());
     let zone = file(
         "zone.toml",
         &PLATFORM.replace("domain = \"north\"", "domain = \"east\""),
     );
-    assert!(Platform::load(&zone).is_err());
+    assert!(PlatformSettings::load(&zone).is_err());
 }
 
 #[test]
 fn the_operator_file_may_have_no_unknown_fields() {
     let good = file("op.toml", "polls = 3\nqueue_cap = 4\n");
-    assert_eq!(Operator::load(&good).unwrap().polls, 3);
+    assert_eq!(OperatorSettings::load(&good).unwrap().polls, 3);
     let bad = file("op-bad.toml", "polls = 3\npols = 4\n");
-    assert!(Operator::load(&bad)
+    assert!(OperatorSettings::load(&bad)
         .unwrap_err()
         .to_string()
         .contains("pols"));
     let range = file("op-range.toml", "shards_per_zone = 0\n");
-    assert!(Operator::load(&range).is_err());
+    assert!(OperatorSettings::load(&range).is_err());
 }
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -14,7 +14,7 @@
 use pointhook::protocol::peers::{self, PeerResponse, ShardStatus};
 use pointhook::protocol::users::{JobKind, JobSpec};
 use pointhook::protocol::workers::FencingToken;
-use pointhook::settings::Workers;
+use pointhook::settings::WorkerSettings;
 use pointhook::state::cluster_state::ROOT;
 use pointhook::state::machine::QueuedTask;
 use pointhook::state::names::ShardIndex;
@@ -351,7 +351,7 @@
 
 #[test]
 fn the_failover_bound_names_its_terms() {
-    let workers = |lease_s| Workers {
+    let workers = |lease_s| WorkerSettings {
         heartbeat_s: 1.5,
         lease_s,
         gang_wait_s: 35.0,
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -10,7 +10,7 @@
 use pointhook::features::Features;
 use pointhook::protocol::cloud::MachineTypeCatalog;
 use pointhook::protocol::users::{JobSpec, MAX_DEPENDENCIES};
-use pointhook::settings::{Operator, Platform};
+use pointhook::settings::{OperatorSettings, PlatformSettings};
 use pointhook::state::job::JobRecord;
 use pointhook::transport::http::{ServerRequest, ServerResponse};
 use std::rc::Rc;
@@ -30,11 +30,11 @@
 /// A controller that knows the records and the machine types; nothing listens at the address of its key-value store.
 fn controller(second_form: bool) -> Rc<Controller> {
     let settings = include_str!("../examples/local_cluster.toml").replace("7483", "1");
-    let platform: Platform = toml::from_str(&settings).expect("settings");
+    let platform: PlatformSettings = toml::from_str(&settings).expect("settings");
     let executor = Rc::new(LocalExecutor::new());
     let node = Rc::new(Controller::new(
         platform,
-        Operator::default(),
+        OperatorSettings::default(),
         Features::default(),
         executor,
     ));
