--- a/src/transport/deadlines.rs
+++ b/src/transport/deadlines.rs
@@ -1,10 +1,12 @@
-//! Deadlines and pauses of all tasks behind one timer of the reactor.
+//! Deadlines and sleeps of all tasks, multiplexed on a single reactor timer.
 //!
-//! Most deadlines never pass: an answer comes first. Setting a timer wakes the reactor, which
-//! costs half a dozen system calls, so all deadlines share one timer. It is set anew only for a
-//! deadline that is earlier than the one it is set to.
+//! Most deadlines are dropped before they pass, because the awaited response arrives first. Setting
+//! a reactor timer wakes the reactor, which costs about six system calls, so all deadlines of the
+//! process share one timer. It is set again only when a deadline earlier than its current setting
+//! is added.
 //!
-//! Invariant: while the table holds a deadline, the timer is set to the earliest or an earlier one.
+//! Invariant: while the table holds a deadline, the timer is set to fire no later than the earliest
+//! one.
 
 use async_io::Timer;
 use std::collections::BTreeMap;
@@ -14,14 +16,17 @@
 use std::task::{Context, Poll, Wake, Waker};
 use std::time::{Duration, Instant};
 
-/// Identifies a waiting deadline; ordered by the time at which it is due.
+/// Key of a pending deadline in a [`DeadlineTable`], ordered by due time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct DeadlineKey {
     due_ms: u64,
     number: u64,
 }
 
-/// Who waits until when. Pure: times come from the caller, in ms since the process started.
+/// Pending deadlines and the wakers of the tasks that wait for them.
+///
+/// The table reads no clock and sets no timer: the caller passes all times, in ms since the process
+/// started.
 #[derive(Default)]
 pub struct DeadlineTable {
     waiting: BTreeMap<DeadlineKey, Waker>,
@@ -30,17 +35,18 @@
 }
 
 impl DeadlineTable {
-    /// When a deadline in `ms` from now is due: at most an eighth later, so that what is due at
-    /// about the same time is due together.
+    /// Due time of a deadline `delay_ms` after `now_ms`, rounded up by at most an eighth of the delay
+    /// so that deadlines close to each other share one timer setting.
     pub fn due_at(now_ms: u64, delay_ms: u64) -> u64 {
         let step = 1u64 << (delay_ms / 8).max(1).ilog2();
         (now_ms + delay_ms).div_ceil(step) * step
     }
-    /// The next tick of `ms`: background tasks of the same interval run in one round.
+    /// The next multiple of `interval_ms` after `now_ms`. Background tasks with the same interval wake
+    /// at the same time.
     pub fn next_tick(now_ms: u64, interval_ms: u64) -> u64 {
         (now_ms / interval_ms.max(1) + 1) * interval_ms.max(1)
     }
-    /// Adds a waiting task.
+    /// Adds a deadline whose task is woken through `waker`.
     pub fn add(&mut self, due_ms: u64, waker: Waker) -> DeadlineKey {
         self.last_number += 1;
         let key = DeadlineKey {
@@ -50,7 +56,7 @@
         self.waiting.insert(key, waker);
         key
     }
-    /// True if the deadline has not passed; `waker` replaces the one to be woken.
+    /// True if the deadline is still pending; in that case `waker` replaces its registered waker.
     pub fn is_waiting(&mut self, key: DeadlineKey, waker: &Waker) -> bool {
         match self.waiting.get_mut(&key) {
             Some(registered) => {
@@ -60,11 +66,12 @@
             None => false,
         }
     }
-    /// Removes a deadline that nobody waits for any more.
+    /// Removes a deadline that no task waits for any longer.
     pub fn remove(&mut self, key: DeadlineKey) {
         self.waiting.remove(&key);
     }
-    /// The time that the timer has to be set to, if it is not set early enough already.
+    /// The time to set the timer to, which the table then takes as set; `None` if there is no
+    /// deadline or the timer is already set early enough.
     pub fn arm_earliest(&mut self) -> Option<u64> {
         let earliest = self.waiting.keys().next()?.due_ms;
         if self.armed_for_ms.is_some_and(|armed| armed <= earliest) {
@@ -73,7 +80,7 @@
         self.armed_for_ms = Some(earliest);
         Some(earliest)
     }
-    /// Removes the deadlines that are due; the timer is no longer set.
+    /// Removes the deadlines that are due and returns their wakers. Marks the timer as not set.
     pub fn take_due(&mut self, now_ms: u64) -> Vec<Waker> {
         self.armed_for_ms = None;
         let first_later = DeadlineKey {
@@ -87,15 +94,15 @@
     }
 }
 
-/// The table of this process and the timer that serves it.
+/// The deadline table of this process with its timer.
 #[derive(Default)]
 struct ArmedTable {
     table: DeadlineTable,
-    /// Kept so that it runs; a new one replaces it.
+    /// The timer that is currently set. Dropping a timer cancels it.
     timer: Option<Timer>,
 }
 
-/// The deadlines of this process.
+/// The deadline table of this process and the process start, from which its times count.
 struct ProcessDeadlines {
     started: Instant,
     armed: Mutex<ArmedTable>,
@@ -116,7 +123,7 @@
     fn lock(&self) -> MutexGuard<'_, ArmedTable> {
         self.armed.lock().unwrap_or_else(PoisonError::into_inner)
     }
-    /// Sets the timer if something is due earlier than it is set to.
+    /// Sets the timer to the earliest deadline if that is earlier than its current setting.
     fn arm(&self) {
         loop {
             let mut armed = self.lock();
@@ -130,16 +137,16 @@
                 armed.timer = Some(timer);
                 return;
             }
-            // It is due by now: wake those who wait and arm for the next.
+            // The earliest deadline has already passed: wake its tasks, then arm for the next one.
             let due = armed.table.take_due(self.now_ms());
-            // A woken task may set a deadline of its own.
+            // Unlock before waking: a woken task may add a deadline.
             drop(armed);
             due.into_iter().for_each(Waker::wake);
         }
     }
 }
 
-/// Wakes what is due when the timer has run out, in whichever thread the reactor runs.
+/// Wakes the tasks whose deadlines are due when the timer fires, on the reactor's current thread.
 struct TimerFired;
 
 impl Wake for TimerFired {
@@ -151,30 +158,30 @@
     }
 }
 
-/// When a [`Deadline`] passes.
+/// Rule for the due time of a [`Deadline`].
 #[derive(Clone, Copy)]
 enum Due {
-    /// So many ms after it is first polled; see [`DeadlineTable::due_at`] for how exactly.
+    /// This many ms after the first poll, rounded as in [`DeadlineTable::due_at`].
     After(u64),
-    /// At the next multiple of so many ms since the process started.
+    /// The next multiple of this many ms since the process started.
     NextTick(u64),
 }
 
-/// A future that completes after some time.
+/// A future that completes when its deadline passes.
 pub struct Deadline {
     due: Due,
     key: Option<DeadlineKey>,
 }
 
 impl Deadline {
-    /// A deadline in `ms` from the moment it is first waited for.
+    /// A deadline `ms` milliseconds after it is first polled.
     pub fn after(ms: u64) -> Deadline {
         Deadline {
             due: Due::After(ms),
             key: None,
         }
     }
-    /// A deadline at the next multiple of `ms`, counted from the start of the process.
+    /// A deadline at the next multiple of `ms` milliseconds since the process started.
     pub fn next_tick(ms: u64) -> Deadline {
         Deadline {
             due: Due::NextTick(ms),
--- a/src/transport/executor_priorities.rs
+++ b/src/transport/executor_priorities.rs
@@ -1,39 +1,41 @@
-//! Which task runs next when there is more to do than time for it.
+//! Task priorities of a controller under load.
 //!
-//! All tasks of a controller share one thread. `cli` runs them here, on three executors of
-//! falling urgency.
+//! All tasks of a controller share one thread. `cli` runs them on three executors of descending
+//! priority: background tasks, users and workers.
 //!
-//! Invariant: background tasks that are ready run before any request is looked at.
+//! Invariant: no round of request polls starts while a background task is ready to run.
 
 use async_executor::LocalExecutor;
 use futures_lite::future::{or, yield_now};
 use std::rc::Rc;
 
-/// Executors of one thread, by urgency.
+/// The executors of one thread, by priority.
 ///
-/// A controller that falls behind must above all renew its lease and follow the records: one that
-/// loses its shards for its own lateness sends all of their machines to others that are late
-/// too, and none of them recovers.
+/// An overloaded controller must above all renew its lease and follow the records. If it loses its
+/// shards because it is late, all machines of those shards move to other overloaded controllers,
+/// and none of them recovers.
 #[derive(Clone, Default)]
 pub struct ExecutorPriorities {
-    /// Background tasks: lease, records, planning, peers. What they do is bounded.
+    /// Background tasks with a bounded amount of work: lease, records, planning, peers.
     pub background: Rc<LocalExecutor<'static>>,
-    /// New connections, health checks and users.
+    /// Connections of users and health checks, and all connections whose sender is not yet known.
     pub users: Rc<LocalExecutor<'static>>,
-    /// Workers that have sent a heartbeat on their connection before.
+    /// Connections on which a worker has already sent a heartbeat.
     pub workers: Rc<LocalExecutor<'static>>,
 }
 
-/// Polls of users' and of workers' tasks before background tasks and sockets are looked at again.
+/// Polls of the user executor, and as many of the worker executor, before background tasks and
+/// sockets are polled again.
 const REQUEST_POLLS_PER_ROUND: usize = 4;
-/// Rounds in a row that found requests, after which the process rests.
+/// Consecutive rounds with requests after which the thread sleeps for [`SLEEP_MS`].
 const BUSY_ROUNDS_BEFORE_SLEEP: usize = 4;
-/// Length of that rest, ms: a core of which the process has a small share charges what came
-/// before in small parts, so that no background task is late by all of a burst.
+/// Sleep between bursts of requests, ms. On a core of which the process has only a small share, the
+/// operating system then charges the CPU time in small parts, and no background task is delayed by
+/// the CPU time of a whole burst.
 const SLEEP_MS: u64 = 1;
 
 impl ExecutorPriorities {
-    /// Runs all tasks until `end` is done.
+    /// Runs all tasks until the future `until` completes.
     pub async fn run<T>(&self, until: impl std::future::Future<Output = T>) -> T {
         or(until, self.run_forever()).await
     }
@@ -48,8 +50,8 @@
                 busy_rounds = 0;
                 super::pause(SLEEP_MS).await;
             } else if found_requests {
-                // The sockets are looked at now, so that an answer to a background task is not
-                // late.
+                // Let the reactor poll the sockets, so that a response to a background task is
+                // not delayed.
                 yield_now().await;
             } else {
                 self.wait_for_any().await;
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Polls a few tasks of users and workers in turn; false if none was ready.
+    /// Polls a few user and worker tasks in turn; false if none was ready.
     fn poll_requests(&self) -> bool {
         let mut found = false;
         for _ in 0..REQUEST_POLLS_PER_ROUND {
@@ -67,7 +69,7 @@
         found
     }
 
-    /// Waits for a task to become ready and polls it; the most urgent if there are several.
+    /// Waits until a task is ready and polls it; if several are, the one of the highest priority.
     async fn wait_for_any(&self) {
         let requests = or(self.users.tick(), self.workers.tick());
         or(self.background.tick(), requests).await;
--- a/src/transport/frames.rs
+++ b/src/transport/frames.rs
@@ -1,9 +1,10 @@
-//! Length-prefixed frames between controllers.
+//! Length-prefixed request and response frames between controllers.
 //!
-//! A frame is its length (four bytes, big-endian), one byte of version and the body that
-//! [`crate::protocol::peers`] encodes. `cli` starts [`serve`]; each peer has [`PeerClient`]s.
+//! A frame consists of its length (four bytes, big-endian, counting version and body), one version
+//! byte and a body encoded by [`crate::protocol::peers`]. `cli` starts [`serve`]; a controller has
+//! several [`PeerClient`]s for each peer.
 //!
-//! Invariant: nothing is allocated for a frame before its length has been checked.
+//! Invariant: the length of a received frame is checked before memory for its body is allocated.
 
 use super::{disable_nagle, within, ConnectionSlot, ExchangeError, TransportError};
 use crate::protocol::peers::{self, PeerRequest, PeerResponse, MAX_FRAME, VERSION};
@@ -16,13 +17,14 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// A connection without a request for this long is closed.
+/// Time without a request after which a peer's connection is closed, ms.
 const IDLE_TIMEOUT_MS: u64 = 60_000;
-/// Time for a response to be written.
+/// Longest time to write a response, ms.
 const WRITE_TIMEOUT_MS: u64 = 2000;
-/// Pause after a failed accept: out of sockets, wait for some to close instead of spinning.
+/// Delay after a failed accept, ms: when the process is out of sockets, it waits for some to close
+/// instead of retrying in a busy loop.
 const ACCEPT_RETRY_MS: u64 = 100;
-/// Length and version.
+/// Size of the frame header: length and version.
 const HEADER_BYTES: usize = 5;
 
 async fn write_frame(mut stream: &Async<TcpStream>, body: &[u8]) -> IoResult<()> {
@@ -40,17 +42,18 @@
     let [length @ .., version] = header;
     let length = u32::from_be_bytes(length) as usize;
     if length == 0 || length > MAX_FRAME {
-        return Err(invalid("frame size"));
+        return Err(invalid("invalid frame length"));
     }
     if version != VERSION {
-        return Err(invalid("frame version"));
+        return Err(invalid("unsupported frame version"));
     }
     let mut body = vec![0; length - 1];
     stream.read_exact(&mut body).await?;
     Ok(body)
 }
 
-/// Accepts connections of peers and answers their requests; one task for each connection.
+/// Accepts connections of peers and responds to their requests, in one task per connection. Closes
+/// a new connection at once if [`MAX_PEER_CONNECTIONS`] are open.
 pub async fn serve<F>(
     executor: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
@@ -81,7 +84,8 @@
     }
 }
 
-/// Answers requests on one connection until it ends, is idle for too long or breaks the protocol.
+/// Responds to the requests on one connection until it is closed, idle for too long or sends a
+/// malformed frame.
 async fn answer_requests<F>(stream: &Async<TcpStream>, peer: SocketAddr, handler: F)
 where
     F: Fn(PeerRequest) -> PeerResponse,
@@ -101,14 +105,14 @@
     }
 }
 
-/// Sends requests to one peer over a connection that is kept between them.
+/// Client for one peer, which keeps its connection open between requests.
 pub struct PeerClient {
     address: SocketAddr,
     idle: RefCell<Option<Async<TcpStream>>>,
 }
 
 impl PeerClient {
-    /// A client of the peer at `address`; connects with the first request.
+    /// A client for the peer at `address`. It connects when the first request is sent.
     pub fn new(address: SocketAddr) -> PeerClient {
         PeerClient {
             address,
@@ -116,7 +120,8 @@
         }
     }
 
-    /// Sends a request and waits for the response, `timeout_ms` in all.
+    /// Sends a request and waits for the response. `timeout_ms` covers connecting, sending and
+    /// receiving.
     pub async fn call(
         &self,
         request: &PeerRequest,
@@ -135,8 +140,8 @@
             }))
     }
 
-    /// Sends one request. The connection is kept only after a good response: a response that
-    /// comes late on a kept one would be taken for the next request's.
+    /// Sends one request and reads its response. The connection is kept only after a valid response:
+    /// on a kept connection, a late response would be taken for that of the next request.
     async fn exchange(&self, body: &[u8]) -> Result<PeerResponse, TransportError> {
         let idle = self.idle.borrow_mut().take();
         let stream = match idle {
--- a/src/transport/http/client.rs
+++ b/src/transport/http/client.rs
@@ -1,8 +1,7 @@
-//! The HTTP client: towards the key-value store, the cloud, workers and, from the command line,
-//! controllers.
+//! HTTP client for the key-value store, the cloud, workers and, on the command line, controllers.
 //!
-//! Invariant: a connection is kept only after a complete answer, so that no late answer is taken
-//! for the next one.
+//! Invariant: a connection is kept only after a complete response, so that a late response is never
+//! taken for that of the next request.
 
 use super::message::{requests_close, send, Stream, MESSAGE_PACK};
 use crate::transport::{disable_nagle, within, ExchangeError, TransportError};
@@ -12,25 +11,25 @@
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpStream};
 
-/// Connections that are kept open between requests.
+/// Idle connections that a client keeps open at most.
 const MAX_IDLE_CONNECTIONS: usize = 4;
 
-/// A client of one address with kept-alive connections.
+/// HTTP client for one address, with keep-alive connections.
 pub struct Client {
     address: SocketAddr,
     idle: RefCell<Vec<Stream>>,
 }
 
-/// The answer to a request.
+/// Response to a request of a [`Client`].
 pub struct ClientResponse {
-    /// Status.
+    /// HTTP status code.
     pub status: u16,
-    /// Body.
+    /// MessagePack body; may be empty.
     pub body: Vec<u8>,
 }
 
 impl Client {
-    /// A client of `address`; connects with the first request.
+    /// A client for the server at `address`. It connects when the first request is sent.
     pub fn new(address: SocketAddr) -> Client {
         Client {
             address,
@@ -38,7 +37,8 @@
         }
     }
 
-    /// Sends a request and waits for the answer, `timeout_ms` in all.
+    /// Sends a request and waits for the response. `timeout_ms` covers connecting, sending and
+    /// receiving.
     pub async fn call(
         &self,
         method: Method,
@@ -46,7 +46,7 @@
         body: Vec<u8>,
         timeout_ms: u64,
     ) -> Result<ClientResponse, TransportError> {
-        // Boxed, so that whoever waits for an answer need not hold it inline.
+        // Boxed to keep the caller's future small.
         within(timeout_ms, Box::pin(self.exchange(method, path, body)))
             .await
             .unwrap_or(Err(TransportError::Timeout {
@@ -55,7 +55,7 @@
             }))
     }
 
-    /// Drops kept connections, for example after a failure.
+    /// Closes the idle connections, for example after a failure.
     pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
@@ -97,7 +97,7 @@
     ) -> Result<ClientResponse, ExchangeError> {
         let request = self.request(method, path, body)?;
         send(&stream, async_h1::client::Encoder::new(request)).await?;
-        // The answer is waited for before it is read: a try at once would find nothing.
+        // Wait until there is data: a read right after sending would always find none.
         stream.readable().await?;
         let mut response = async_h1::client::decode(stream.clone()).await?;
         let closes = requests_close(response.header("Connection"));
--- a/src/transport/http/message.rs
+++ b/src/transport/http/message.rs
@@ -1,4 +1,4 @@
-//! What server and client share: connections, bodies and the sending of a whole message.
+//! Connections, body type and sending of whole messages, shared by HTTP server and client.
 
 use async_dup::Arc;
 use async_io::Async;
@@ -6,16 +6,16 @@
 use http_types::headers::HeaderValues;
 use std::net::TcpStream;
 
-/// A connection that its task and the HTTP library share.
+/// A connection, shared by the task that handles it and the HTTP library.
 pub(super) type Stream = Arc<Async<TcpStream>>;
 
-/// The type of all bodies.
+/// Content type of all request and response bodies.
 pub(super) const MESSAGE_PACK: &str = "application/msgpack";
 
-/// Usual size of a message with its head.
+/// Typical size of a message including its headers; the initial size of the send buffer.
 const TYPICAL_MESSAGE_BYTES: usize = 512;
 
-/// Sends head and body of a message as one.
+/// Sends the headers and body of a message in one write.
 pub(super) async fn send(
     stream: &Stream,
     mut message: impl AsyncRead + Unpin,
@@ -25,7 +25,7 @@
     (&**stream).write_all(&bytes).await
 }
 
-/// True if the `Connection` header asks for the connection to be closed.
+/// True if the value of the `Connection` header is `close`.
 pub(super) fn requests_close(connection: Option<&HeaderValues>) -> bool {
     connection.is_some_and(|value| value.as_str().eq_ignore_ascii_case("close"))
 }
--- a/src/transport/http/mod.rs
+++ b/src/transport/http/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 with MessagePack bodies, server and client.
+//! HTTP/1.1 server and client with MessagePack bodies.
 
 mod client;
 mod message;
@@ -8,7 +8,8 @@
 pub use client::{Client, ClientResponse};
 pub use server::{listen, serve, serve_prioritized, ServerRequest, ServerResponse, MAX_BODY_BYTES};
 
-/// A length for a pause, in ms, a little random so that controllers do not act in step.
+/// A random delay between half of `ms` and one and a half times `ms`, in ms, so that controllers do
+/// not retry in lockstep.
 pub fn jittered(ms: u64) -> u64 {
     ms / 2 + fastrand::u64(0..=ms.max(1))
 }
--- a/src/transport/http/request_reading.rs
+++ b/src/transport/http/request_reading.rs
@@ -1,6 +1,6 @@
-//! The first bytes of a request, and whether anyone still waits for its answer.
+//! Prefetching of a request's first bytes, which detects clients that have already disconnected.
 //!
-//! The HTTP server reads each request through [`PrefetchedStream`].
+//! The HTTP server reads each request through a [`PrefetchedStream`].
 
 use super::message::Stream;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite};
@@ -9,17 +9,17 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll};
 
-/// Bytes read before the rest is judged; nearly all requests are smaller.
+/// Maximum number of prefetched bytes; nearly all requests are smaller.
 const PREFETCH_BYTES: usize = 2048;
 
-/// Bytes that were read ahead, and how many of them were given out.
+/// Prefetched bytes, and the position of the first one not yet read from the buffer.
 struct PrefetchBuffer {
     bytes: Vec<u8>,
     position: usize,
 }
 
 impl PrefetchBuffer {
-    /// Copies what is left, as far as it fits; 0 if nothing is left.
+    /// Copies unread bytes into `buf` and returns their number; 0 if none are left.
     fn read_into(&mut self, buf: &mut [u8]) -> usize {
         let remaining = &self.bytes[self.position..];
         let count = buf.len().min(remaining.len());
@@ -33,7 +33,8 @@
     }
 }
 
-/// A stream whose first bytes have been read already. They are given out first.
+/// A connection whose first bytes have been prefetched. Reads return those bytes first, then read
+/// from the connection.
 #[derive(Clone)]
 pub struct PrefetchedStream {
     prefetched: Arc<Mutex<PrefetchBuffer>>,
@@ -41,11 +42,11 @@
 }
 
 impl PrefetchedStream {
-    /// Reads the first bytes of a request; `None` if there is none, or if whoever sent it has
-    /// closed the connection since.
+    /// Prefetches the first bytes of a request; `None` if the connection has ended without one, or if
+    /// the client has closed it after sending the request.
     ///
-    /// A controller that falls behind finds requests in its sockets whose senders have long
-    /// turned to another controller. To parse and answer them would keep it behind.
+    /// The sockets of an overloaded controller hold requests of clients that have already moved on to
+    /// another controller. Parsing and handling them would keep it overloaded.
     pub async fn read(stream: &Stream) -> Result<Option<PrefetchedStream>> {
         let mut bytes = vec![0; PREFETCH_BYTES];
         let count = (&**stream).read(&mut bytes).await?;
@@ -60,7 +61,7 @@
     }
 }
 
-/// True if the other end has closed the connection.
+/// True if the client has closed the connection.
 fn is_closed(stream: &Stream) -> bool {
     match stream.get_ref().peek(&mut [0]) {
         Ok(count) => count == 0,
--- a/src/transport/http/server.rs
+++ b/src/transport/http/server.rs
@@ -1,10 +1,11 @@
-//! The HTTP server for users, workers and health checks.
+//! HTTP server for users, workers and health checks.
 //!
-//! `cli` starts it with `job_api` as handler; the rehearsal crate serves its simulated services
-//! with it.
+//! `cli` starts it with `job_api` as its handler; the testkit crate runs its simulated services on
+//! it.
 //!
-//! Invariant: a connection at rest holds a socket and a deadline only. What a request needs is
-//! set up when there is one, so that hundreds of connections fit into a small machine.
+//! Invariant: an idle connection holds only a socket and a deadline. Memory for a request is
+//! allocated when one arrives, so that hundreds of connections fit into the memory of a small
+//! machine.
 
 use super::message::{requests_close, send, Stream, MESSAGE_PACK};
 use super::request_reading::PrefetchedStream;
@@ -21,45 +22,46 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 
-/// Longest rest of a connection between requests.
+/// Time without a request after which a connection is closed, ms.
 const IDLE_TIMEOUT_MS: u64 = 75_000;
-/// Longest time for a request, its answer included.
+/// Longest time to receive, handle and respond to a request, ms.
 const REQUEST_TIMEOUT_MS: u64 = 15_000;
-/// Longest time for the body of a request.
+/// Longest time to receive the body of a request, ms.
 const BODY_TIMEOUT_MS: u64 = 4000;
-/// Pause after a failed accept: out of sockets, wait for some to close instead of spinning.
+/// Delay after a failed accept, ms: when the process is out of sockets, it waits for some to close
+/// instead of retrying in a busy loop.
 const ACCEPT_RETRY_MS: u64 = 100;
-/// Largest request body taken.
+/// Maximum size of a request body; handlers receive a larger one as `None`.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
 const BAD_REQUEST: u16 = 400;
 const INTERNAL_ERROR: u16 = 500;
 const UNAVAILABLE: u16 = 503;
 
-/// A request as handlers see it.
+/// A received request, as passed to handlers.
 pub struct ServerRequest {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
-    /// Path.
+    /// Path of the URL, without the query.
     pub path: String,
-    /// Query, without the question mark.
+    /// Query string without the question mark; empty if there is none.
     pub query: String,
-    /// Body; `None` if it is too large, late or broken.
+    /// Body; `None` if it was too large, timed out or could not be read.
     pub body: Option<Vec<u8>>,
 }
 
-/// A handler's answer.
+/// The response of a handler.
 pub struct ServerResponse {
-    /// Status.
+    /// HTTP status code; one that the HTTP library does not know is sent as 500.
     pub status: u16,
-    /// MessagePack body.
+    /// MessagePack body; may be empty.
     pub body: Vec<u8>,
-    /// Seconds after which to try again.
+    /// Value of the `Retry-After` header, s; `None`: no such header.
     pub retry_after_s: Option<u32>,
 }
 
 impl ServerResponse {
-    /// An answer without a body.
+    /// A response without a body.
     pub fn empty(status: u16) -> ServerResponse {
         ServerResponse {
             status,
@@ -67,7 +69,7 @@
             retry_after_s: None,
         }
     }
-    /// An answer with a body.
+    /// A response with `value` as its MessagePack body; an empty 500 if `value` can't be encoded.
     pub fn with_body<T: serde::Serialize>(status: u16, value: &T) -> ServerResponse {
         match rmp_serde::to_vec_named(value) {
             Ok(body) => ServerResponse {
@@ -76,12 +78,12 @@
                 retry_after_s: None,
             },
             Err(e) => {
-                log::error!("answer not encoded: status={status} error={e}");
+                log::error!("response could not be encoded: status={status} error={e}");
                 ServerResponse::empty(INTERNAL_ERROR)
             }
         }
     }
-    /// Can't be taken now; try again after `seconds`.
+    /// A response with status 503, which tells the client to retry after this many seconds.
     pub fn unavailable(retry_after_s: u32) -> ServerResponse {
         ServerResponse {
             status: UNAVAILABLE,
@@ -91,12 +93,12 @@
     }
 }
 
-/// Binds a listener.
+/// Binds a TCP listener to `address`; port 0 lets the operating system choose a port.
 pub fn listen(address: SocketAddr) -> std::io::Result<Async<TcpListener>> {
     Async::<TcpListener>::bind(address)
 }
 
-/// Accepts connections for good; one task for each, all of one urgency.
+/// Accepts connections forever and handles each in a task of its own, all with the same priority.
 pub async fn serve<F, Fut>(
     executor: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
@@ -114,8 +116,9 @@
     serve_prioritized(executors, |_| false, listener, max_connections, handler).await;
 }
 
-/// Accepts connections for good. A connection begins among the users' tasks and moves to the
-/// workers' once a request on it was a worker's, by its path.
+/// Accepts connections forever and handles each in a task of its own. A connection starts on the
+/// user executor and moves to the worker executor after the first request whose path is a worker's.
+/// A new connection is closed at once if `max_connections` are open.
 pub async fn serve_prioritized<F, Fut>(
     executors: ExecutorPriorities,
     is_worker_path: fn(&str) -> bool,
@@ -156,18 +159,19 @@
     }
 }
 
-/// Why a task stops answering requests of a connection.
+/// Reason why a task no longer handles a connection.
 #[derive(PartialEq, Eq)]
 enum ConnectionEnd {
-    /// The connection is over.
+    /// The connection is closed or has to be closed.
     Closed,
-    /// The last request was a worker's.
+    /// The path of the last request was a worker's: the worker executor takes the connection over.
     HandedOver,
 }
 
-/// Answers requests until the connection ends, or until the path of one is `wanted`.
+/// Responds to requests until the connection ends, or until `is_handover_path` holds for the path
+/// of one.
 ///
-/// Half-open and slow peers end by the deadlines.
+/// The timeouts end half-open and slow connections.
 async fn answer_requests<F, Fut>(
     stream: &Stream,
     handler: &F,
@@ -178,7 +182,7 @@
     Fut: Future<Output = ServerResponse>,
 {
     while let Some(Ok(())) = within(IDLE_TIMEOUT_MS, stream.readable()).await {
-        // Boxed, so that a connection at rest does not hold it inline.
+        // Boxed so that an idle connection does not hold this future's memory.
         let exchange = Box::pin(exchange(stream, handler, is_handover_path));
         match within(REQUEST_TIMEOUT_MS, exchange).await {
             Some(Ok(AfterResponse::KeepAlive)) => {}
@@ -189,19 +193,19 @@
     ConnectionEnd::Closed
 }
 
-/// What becomes of a connection after an answer.
+/// Next state of a connection after a response.
 enum AfterResponse {
     KeepAlive,
     HandOver,
     Close,
 }
 
-/// Takes one request from a connection and answers it.
+/// Receives one request from a connection, handles it and sends the response.
 ///
-/// The library's parts are put together here instead of by its own server: that one sets a
-/// timer for each request's headers in a second reactor, which has a thread of its own, and
-/// sends head and body of an answer apart. What reading needs, some 40 KB, is freed before the
-/// answer is worked on, so that hundreds of requests that wait fit into a small machine.
+/// This replaces the server loop of the HTTP library, which sets a timer for each request's headers
+/// in a second reactor with its own thread, and sends the headers and the body of a response
+/// separately. The buffers for reading, about 40 KB, are freed before the handler runs, so that
+/// hundreds of waiting requests fit into the memory of a small machine.
 async fn exchange<F, Fut>(
     stream: &Stream,
     handler: &F,
@@ -215,7 +219,7 @@
         Ok(Some(received)) => received,
         Ok(None) => return Ok(AfterResponse::Close),
         Err(e) => {
-            // A broken connection takes no answer; a malformed request deserves one.
+            // A malformed request is answered with 400; on an I/O error no response can be sent.
             if e.downcast_ref::<std::io::Error>().is_none() {
                 let refusal = to_response(ServerResponse::empty(BAD_REQUEST), true);
                 send(stream, Encoder::new(refusal, Method::Get)).await?;
@@ -235,15 +239,15 @@
     })
 }
 
-/// A request that was read.
+/// A received request, and whether it is the last one on its connection.
 struct ReceivedRequest {
     request: ServerRequest,
-    /// The connection is to be closed after the answer.
+    /// Whether to close the connection after the response.
     close: bool,
 }
 
-/// Reads one request; `None` at the end of the stream, or if nobody waits for the answer any
-/// more.
+/// Reads one request; `None` if the client has closed the connection, even after a complete
+/// request.
 async fn receive(stream: &Stream) -> Result<Option<ReceivedRequest>, http_types::Error> {
     let Some(prefetched) = PrefetchedStream::read(stream).await? else {
         return Ok(None);
@@ -254,7 +258,7 @@
     let body = within(BODY_TIMEOUT_MS, read_body(&mut request))
         .await
         .flatten();
-    // The rest of a body that was not read is not worth draining.
+    // The unread remainder of a body is not drained; the connection is closed instead.
     let close = body.is_none() || requests_close(request.header("Connection"));
     let request = ServerRequest {
         method: request.method(),
@@ -265,13 +269,13 @@
     Ok(Some(ReceivedRequest { request, close }))
 }
 
-/// The body; `None` if it is too large or can't be read.
+/// Reads the body of a request; `None` if it is too large or can't be read.
 async fn read_body(request: &mut Request) -> Option<Vec<u8>> {
     if request.len().is_some_and(|length| length > MAX_BODY_BYTES) {
         return None;
     }
     let mut bytes = Vec::with_capacity(request.len().unwrap_or(0));
-    // One byte more than allowed tells a body that is too large from one that just fits.
+    // Reads one byte more than allowed, to tell a body that is too large from one that just fits.
     let mut body = request.take_body().take(MAX_BODY_BYTES as u64 + 1);
     body.read_to_end(&mut bytes).await.ok()?;
     (bytes.len() <= MAX_BODY_BYTES).then_some(bytes)
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -1,8 +1,8 @@
-//! Everything that touches a socket: HTTP towards users, workers, the key-value store and the
-//! cloud, framed messages between controllers, and the deadlines and connection limits of both.
+//! Network I/O: HTTP for users, workers, the key-value store and the cloud, framed messages between
+//! controllers, and the deadlines and connection limits of both.
 //!
-//! Invariant: each exchange has a deadline and each open connection counts against a limit, so
-//! that slow and half-open peers can't exhaust the process.
+//! Invariant: each exchange has a deadline, and each accepted connection counts against a limit, so
+//! that slow and half-open connections can't exhaust the process.
 
 pub mod deadlines;
 pub mod executor_priorities;
@@ -19,47 +19,47 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 
-/// Why a request to another process has no answer.
+/// Error of a request to another process that got no valid response.
 #[derive(Debug, thiserror::Error)]
 pub enum TransportError {
-    /// No connection was made, so the request has certainly not been executed.
+    /// The connection could not be established, so the request has certainly not been executed.
     #[error("no connection to {address}: {source}")]
     Connect {
         /// Address that was tried.
         address: SocketAddr,
-        /// What the operating system said.
+        /// Error of the operating system.
         #[source]
         source: std::io::Error,
     },
-    /// The deadline passed; the request may have been executed.
-    #[error("no answer from {address} within {timeout_ms} ms")]
+    /// The deadline passed before the response arrived; the request may have been executed.
+    #[error("no response from {address} within {timeout_ms} ms")]
     Timeout {
         /// Address of the server.
         address: SocketAddr,
-        /// The time allowed.
+        /// Timeout of the whole exchange.
         timeout_ms: u64,
     },
     /// The exchange failed on an open connection; the request may have been executed.
-    #[error("exchange with {address} failed: {source}")]
+    #[error("request to {address} failed: {source}")]
     ExchangeFailed {
         /// Address of the server.
         address: SocketAddr,
-        /// What failed.
+        /// Cause of the failure.
         #[source]
         source: ExchangeError,
     },
 }
 
 impl TransportError {
-    /// True if the host of the server answered that nothing listens there: the network path is
-    /// open, and only the process is down.
+    /// True if the server's host refused the connection because no process listens at the address:
+    /// the network path works, and only the process is down.
     pub fn is_connection_refused(&self) -> bool {
         matches!(self, TransportError::Connect { source, .. }
             if source.kind() == ErrorKind::ConnectionRefused)
     }
 }
 
-/// What failed in an exchange on an open connection.
+/// Failure of a request or its response on an open connection.
 #[derive(Debug, thiserror::Error)]
 pub enum ExchangeError {
     /// Reading or writing failed, or the connection was closed.
@@ -68,13 +68,13 @@
     /// The request can't be encoded.
     #[error("the request can't be encoded")]
     EncodeRequest,
-    /// The bytes received are no response.
+    /// The received bytes are not a valid response.
     #[error("malformed response")]
     DecodeResponse,
-    /// The path of the request gives no valid URL.
+    /// The request's path does not form a valid URL.
     #[error("invalid URL: {0}")]
     Url(#[from] http_types::url::ParseError),
-    /// The answer is not valid HTTP.
+    /// The response is not valid HTTP.
     #[error("{0}")]
     Http(#[source] Box<dyn Error + Send + Sync>),
 }
@@ -85,12 +85,13 @@
     }
 }
 
-/// Runs `work` for `ms` milliseconds at most; `None` if the deadline passed first.
+/// Runs `work` for at most `ms` milliseconds; `None` if the time ran out first.
 pub async fn within<T>(ms: u64, work: impl Future<Output = T>) -> Option<T> {
     until(Deadline::after(ms), work).await
 }
 
-/// Runs `work` until the next tick of `ms` milliseconds at most; `None` if the tick came first.
+/// Runs `work` at most until the next multiple of `ms` milliseconds since the process started;
+/// `None` if that time came first.
 pub async fn within_tick<T>(ms: u64, work: impl Future<Output = T>) -> Option<T> {
     until(Deadline::next_tick(ms), work).await
 }
@@ -109,11 +110,11 @@
     Deadline::after(ms).await;
 }
 
-/// A slot of a listener's connection limit, given back when dropped.
+/// One slot of a listener's connection limit, released when dropped.
 struct ConnectionSlot(Rc<Cell<usize>>);
 
 impl ConnectionSlot {
-    /// Takes a slot; `None` if `limit` connections are open already.
+    /// Takes a slot; `None` if `limit` connections are already open.
     fn acquire(open: &Rc<Cell<usize>>, limit: usize) -> Option<ConnectionSlot> {
         (open.get() < limit).then(|| {
             open.set(open.get() + 1);
@@ -128,9 +129,9 @@
     }
 }
 
-/// Sends small messages at once instead of collecting them (Nagle's algorithm).
+/// Disables Nagle's algorithm, which would delay small messages to merge them.
 ///
-/// A connection on which that can't be set is slower and still good, so a failure is only logged.
+/// A failure is only logged: without the option the connection is slower but works.
 fn disable_nagle(stream: &Async<TcpStream>) {
     if let Err(e) = stream.get_ref().set_nodelay(true) {
         log::debug!("TCP_NODELAY not set: error={e}");
