--- a/src/transport/frames.rs
+++ b/src/transport/frames.rs
@@ -77,7 +77,7 @@
         disable_nagle(&stream);
         let handler = handler.clone();
         let connection = async move {
-            answer_requests(&stream, peer, handler).await;
+            handle_requests(&stream, peer, handler).await;
             drop(slot);
         };
         executor.spawn(connection).detach();
@@ -86,7 +86,7 @@
 
 /// Responds to the requests on one connection until it is closed, idle for too long or sends a
 /// malformed frame.
-async fn answer_requests<F>(stream: &Async<TcpStream>, peer: SocketAddr, handler: F)
+async fn handle_requests<F>(stream: &Async<TcpStream>, peer: SocketAddr, handler: F)
 where
     F: Fn(PeerRequest) -> PeerResponse,
 {
--- a/src/transport/http/server.rs
+++ b/src/transport/http/server.rs
@@ -146,10 +146,10 @@
         let stream: Stream = Arc::new(stream);
         let (handler, workers) = (handler.clone(), executors.workers.clone());
         let connection = async move {
-            if answer_requests(&stream, &handler, is_worker_path).await == ConnectionEnd::HandedOver
+            if handle_requests(&stream, &handler, is_worker_path).await == ConnectionEnd::HandedOver
             {
                 let worker_connection = async move {
-                    answer_requests(&stream, &handler, |_| false).await;
+                    handle_requests(&stream, &handler, |_| false).await;
                     drop(slot);
                 };
                 workers.spawn(worker_connection).detach();
@@ -172,7 +172,7 @@
 /// of one.
 ///
 /// The timeouts end half-open and slow connections.
-async fn answer_requests<F, Fut>(
+async fn handle_requests<F, Fut>(
     stream: &Stream,
     handler: &F,
     is_handover_path: fn(&str) -> bool,
@@ -183,8 +183,8 @@
 {
     while let Some(Ok(())) = within(IDLE_TIMEOUT_MS, stream.readable()).await {
         // Boxed so that an idle connection does not hold this future's memory.
-        let exchange = Box::pin(exchange(stream, handler, is_handover_path));
-        match within(REQUEST_TIMEOUT_MS, exchange).await {
+        let handled = Box::pin(handle_request(stream, handler, is_handover_path));
+        match within(REQUEST_TIMEOUT_MS, handled).await {
             Some(Ok(AfterResponse::KeepAlive)) => {}
             Some(Ok(AfterResponse::HandOver)) => return ConnectionEnd::HandedOver,
             _ => return ConnectionEnd::Closed,
@@ -206,7 +206,7 @@
 /// in a second reactor with its own thread, and sends the headers and the body of a response
 /// separately. The buffers for reading, about 40 KB, are freed before the handler runs, so that
 /// hundreds of waiting requests fit into the memory of a small machine.
-async fn exchange<F, Fut>(
+async fn handle_request<F, Fut>(
     stream: &Stream,
     handler: &F,
     is_handover_path: fn(&str) -> bool,
@@ -221,8 +221,8 @@
         Err(e) => {
             // A malformed request is answered with 400; on an I/O error no response can be sent.
             if e.downcast_ref::<std::io::Error>().is_none() {
-                let refusal = to_response(ServerResponse::empty(BAD_REQUEST), true);
-                send(stream, Encoder::new(refusal, Method::Get)).await?;
+                let bad_request = to_http_response(ServerResponse::empty(BAD_REQUEST), true);
+                send(stream, Encoder::new(bad_request, Method::Get)).await?;
             }
             return Ok(AfterResponse::Close);
         }
@@ -230,7 +230,7 @@
     let ReceivedRequest { request, close } = received;
     let method = request.method;
     let hand_over = is_handover_path(&request.path);
-    let response = to_response(handler(request).await, close);
+    let response = to_http_response(handler(request).await, close);
     send(stream, Encoder::new(response, method)).await?;
     Ok(match (close, hand_over) {
         (true, _) => AfterResponse::Close,
@@ -281,17 +281,17 @@
     (bytes.len() <= MAX_BODY_BYTES).then_some(bytes)
 }
 
-fn to_response(answer: ServerResponse, close: bool) -> Response {
-    let status = StatusCode::try_from(answer.status).unwrap_or(StatusCode::InternalServerError);
-    let mut response = Response::new(status);
-    if let Some(seconds) = answer.retry_after_s {
-        response.insert_header("Retry-After", seconds.to_string());
+fn to_http_response(response: ServerResponse, close: bool) -> Response {
+    let status = StatusCode::try_from(response.status).unwrap_or(StatusCode::InternalServerError);
+    let mut http_response = Response::new(status);
+    if let Some(seconds) = response.retry_after_s {
+        http_response.insert_header("Retry-After", seconds.to_string());
     }
     if close {
-        response.insert_header("Connection", "close");
+        http_response.insert_header("Connection", "close");
     }
-    let mut body = Body::from_bytes(answer.body);
+    let mut body = Body::from_bytes(response.body);
     body.set_mime(MESSAGE_PACK);
-    response.set_body(body);
-    response
+    http_response.set_body(body);
+    http_response
 }
