--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,7 @@
-//! The command line: reads the arguments, and starts a controller or runs one command.
+//! Command line: parses the arguments, then starts a controller or runs one command.
 //!
-//! This is the only place that knows all background tasks of a controller. They run until the
-//! process is stopped; all that must survive is in the key-value store.
+//! This module starts all background tasks of a controller. They run until the process is stopped;
+//! all state that must survive a restart is in the key-value store.
 
 use crate::coordination::controller::tasks::spawn_supervised;
 use crate::coordination::controller::Controller;
@@ -24,7 +24,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-/// Schedules jobs on machines of a cloud. Without a command it serves as one controller.
+/// Cluster scheduler for jobs on cloud machines. Without a command, runs a controller.
 #[derive(Parser)]
 #[command(name = "pointhook", version, args_conflicts_with_subcommands = true)]
 struct Cli {
@@ -36,22 +36,22 @@
 
 #[derive(Args)]
 struct SettingsFiles {
-    /// Settings file of the platform (TOML)
+    /// Platform settings file (TOML)
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
-    /// The operators' own settings (TOML)
+    /// Operator settings file (TOML)
     #[arg(long, value_name = "FILE")]
     operator: Option<PathBuf>,
-    /// Optional features that are switched on (TOML); see the command `schema`
+    /// Features file (TOML) that enables optional features; see the command `schema`
     #[arg(long, value_name = "FILE")]
     features: Option<PathBuf>,
 }
 
 #[derive(Subcommand)]
 enum CliCommand {
-    /// Checks settings files without starting
+    /// Checks settings files without starting a controller
     Check(SettingsFiles),
-    /// Shows what a running controller sees
+    /// Shows the state of the cluster as a running controller sees it
     Observe {
         #[command(subcommand)]
         subject: Subject,
@@ -65,7 +65,7 @@
     },
 }
 
-/// Why the program ends with a failure.
+/// Error with which the program exits.
 #[derive(Debug, thiserror::Error)]
 enum CliError {
     #[error(transparent)]
@@ -84,7 +84,8 @@
     Observe(#[from] ObserveError),
 }
 
-/// Runs the program.
+/// Entry point of the program: parses the command line and runs the command. On an error, prints it
+/// to standard error and returns a failure.
 pub fn main() -> ExitCode {
     match run(Cli::parse()) {
         Ok(()) => ExitCode::SUCCESS,
@@ -113,11 +114,11 @@
     if let Some(warning) = settings.platform.settings.workers.warning() {
         println!("warning: {warning}");
     }
-    println!("settings are good");
+    println!("settings are valid");
     Ok(())
 }
 
-/// All that a controller is started with.
+/// All settings of a controller, loaded from their files.
 struct Settings {
     platform: PlatformSettings,
     operator: OperatorSettings,
@@ -144,7 +145,7 @@
     }
 }
 
-/// Logs to standard error, filtered by `LOG_LEVEL`, without the lines of the I/O libraries.
+/// Initializes logging to standard error, filtered by `LOG_LEVEL`, without the I/O libraries' logs.
 fn init_logging() {
     let env = env_logger::Env::new().filter("LOG_LEVEL");
     env_logger::Builder::from_env(env)
@@ -155,11 +156,11 @@
         .init();
 }
 
-/// The sockets of a controller.
+/// The listening sockets of a controller.
 struct Listeners {
-    /// Users, workers and health checks.
+    /// For users, workers and health checks.
     public: Async<TcpListener>,
-    /// The other controllers.
+    /// For the other controllers.
     peers: Async<TcpListener>,
 }
 
@@ -176,12 +177,12 @@
     http::listen(address).map_err(|source| CliError::Listen { address, source })
 }
 
-/// Serves as one controller until the process is stopped.
+/// Runs a controller until the process is stopped.
 fn serve(settings: Settings) -> Result<(), CliError> {
     init_logging();
     let executors = ExecutorPriorities::default();
     async_io::block_on(async {
-        // Bound before anything is started, so that a port in use ends the program at once.
+        // Bind first, so that the program exits immediately if a port is in use.
         let listeners = Listeners::bind(&settings.platform)?;
         log_start(&settings.platform);
         let Settings {
@@ -209,7 +210,7 @@
     }
 }
 
-/// Starts all that a controller does on its own. Tasks of the same tick run in this order.
+/// Starts the background tasks of a controller. Tasks that wake at the same tick run in this order.
 fn spawn_background_tasks(controller: &Rc<Controller>) {
     spawn_supervised(controller, "kv watch", kv::watch::run);
     spawn_supervised(controller, "fresh reads", kv::fresh_reads::run);
@@ -222,14 +223,14 @@
         let bound = failover::bound(&controller.platform.settings.workers);
         log::info!("warm standby enabled: settings={standby:?} failover_bound={bound}");
         if !bound.meets_goal() {
-            log::warn!("failover may take longer than 10 s with the times of this deployment");
+            log::warn!("failover may take longer than 10 s with the configured worker lease");
         }
         spawn_supervised(controller, "replication", replication::run);
     }
     spawn_supervised(controller, "autoscaler", autoscaler::run);
 }
 
-/// Answers peers, users and workers.
+/// Handles the requests of peers, users and workers.
 async fn serve_requests(
     controller: &Rc<Controller>,
     executors: &ExecutorPriorities,
@@ -249,7 +250,7 @@
         controller.platform.settings.process.listener_connections(),
         move |request| job_api::handle(public_controller.clone(), request),
     );
-    // A task of its own: what `run` is given is polled each time any task is.
+    // Spawned as a task, because the future given to `run` is polled again with each task that runs.
     let public_server = background.spawn(public_server);
     executors.run(public_server).await;
 }
--- a/src/features.rs
+++ b/src/features.rs
@@ -1,31 +1,31 @@
-//! Optional features, switched by a file of their own.
+//! Optional features, enabled by the features file.
 //!
-//! Each feature has a table. A table that is absent means that the feature is off and the program
-//! behaves as it did before the feature existed. The types below are the only source of the
-//! allowed keys, types and ranges: parsing, validation and the printed JSON schema derive from
-//! them.
+//! Each feature has a table in the file. Without its table a feature is off, and the program behaves
+//! as it did before the feature existed. The types below are the only definition of the allowed keys,
+//! types and ranges: parsing, validation and the printed JSON schema are derived from them.
 
 use garde::Validate;
 use schemars::JsonSchema;
 use serde::Deserialize;
 use serde_json::Value;
 
-/// Why the text of a features file is refused; one line that names the key and what is allowed.
+/// Error in the text of a features file; its message is one line that names the key and the allowed
+/// values.
 #[derive(Debug, thiserror::Error)]
 pub enum FeaturesError {
-    /// No TOML, an unknown key or a value of the wrong type.
+    /// The text is not valid TOML, or has an unknown key or a value of the wrong type.
     #[error("{}", describe(key, &source.message().replace('\n', " ")))]
     Syntax {
-        /// The key, with those of the tables around it.
+        /// Path of the key: the names of the enclosing tables and the key, separated by dots.
         key: String,
-        /// What the parser said.
+        /// Error of the parser.
         #[source]
         source: Box<toml::de::Error>,
     },
-    /// A value out of its range.
+    /// A value is outside its allowed range.
     #[error("{}", first_violation(source))]
     Value {
-        /// All violations.
+        /// All violations; the message shows the first one.
         #[source]
         source: garde::Report,
     },
@@ -68,7 +68,7 @@
 }
 
 impl Features {
-    /// Parses and validates the text of a file.
+    /// Parses and validates the text of a features file.
     pub fn parse(text: &str) -> Result<Features, FeaturesError> {
         let document = toml::Deserializer::new(text);
         let features: Features =
@@ -82,12 +82,12 @@
         }
     }
 
-    /// The standby's settings if the feature is on.
+    /// Settings of the warm standby; `None` if the feature is off.
     pub fn standby(&self) -> Option<&StandbySettings> {
         self.standby.as_ref().filter(|settings| settings.enabled)
     }
 
-    /// The JSON schema of the file.
+    /// The JSON schema of the features file.
     pub fn schema() -> Value {
         schemars::schema_for!(Features).to_value()
     }
@@ -100,7 +100,7 @@
     }
 }
 
-/// One line for a key: the cause and, where the schema has them, the allowed values.
+/// Error message for a key: the cause and, if the schema defines them, the allowed values.
 fn describe(key: &str, cause: &str) -> String {
     match allowed_values(key) {
         Some(allowed) => format!("{key}: {cause}; allowed: {allowed}"),
@@ -108,7 +108,8 @@
     }
 }
 
-/// What the schema allows at a key, for people.
+/// Human-readable description of the values that the schema allows for a key; `None` if the schema
+/// gives neither range nor type.
 fn allowed_values(key: &str) -> Option<String> {
     let schema = Features::schema();
     let mut node = &schema;
@@ -125,8 +126,8 @@
     }
 }
 
-/// The schema of a property. An optional table is a choice (`anyOf`) of a table and null: the
-/// property is looked for behind it.
+/// Schema of a property. The schema of an optional table may be a choice (`anyOf`) between the table
+/// and null; the property is then searched for in all choices.
 fn property<'a>(schema: &'a Value, name: &str) -> Option<&'a Value> {
     let direct = schema.get("properties").and_then(|p| p.get(name));
     direct.or_else(|| {
--- a/src/job_command.rs
+++ b/src/job_command.rs
@@ -1,6 +1,6 @@
-//! `pointhook job`: submits, shows and cancels jobs through any controller.
+//! Command `pointhook job`: submits, shows and cancels jobs through any controller.
 //!
-//! `cli` calls [`run`]; the requests are those of [`crate::protocol::users`].
+//! `cli` calls [`run`]; requests and responses are those of [`crate::protocol::users`].
 
 use crate::protocol::users::{InvalidJob, JobSpec, JobStatus};
 use crate::transport::http::{Client, ClientResponse};
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Time that a controller has to answer.
+/// Timeout of a request to a controller, ms.
 const TIMEOUT_MS: u64 = 5000;
 
-/// What to do with a job.
+/// Subcommands of `pointhook job`.
 #[derive(Subcommand)]
 pub enum JobAction {
     /// Submits a job described in a TOML file
@@ -21,10 +21,10 @@
         /// Address of a controller
         #[arg(long)]
         server: SocketAddr,
-        /// Description, with the field names of the protocol
+        /// Job description (TOML), with the field names of the HTTP API
         file: PathBuf,
     },
-    /// Shows where a job stands
+    /// Shows the status of a job
     Show {
         /// Address of a controller
         #[arg(long)]
@@ -32,7 +32,7 @@
         /// Job id
         id: String,
     },
-    /// Cancels a job, and with it all that depend on it
+    /// Cancels a job and all jobs that depend on it
     #[command(alias = "withdraw")]
     Cancel {
         /// Address of a controller
@@ -43,92 +43,95 @@
     },
 }
 
-/// Why a job command failed.
+/// Error of a job command.
 #[derive(Debug, thiserror::Error)]
 pub enum JobCommandError {
-    /// The description can't be read.
+    /// The file with the job description can't be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         #[source]
         source: std::io::Error,
     },
-    /// The description is no TOML, or lacks a field.
+    /// The job description is not valid TOML, or a field is missing or of the wrong type.
     #[error("{}: {}", path.display(), source.message())]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// What the parser said.
+        /// Error of the parser.
         #[source]
         source: Box<toml::de::Error>,
     },
-    /// A field of the description has a value that no job may have.
+    /// A field of the job description has a value that is never allowed.
     #[error("{}: {source}", path.display())]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// The field and what is allowed.
+        /// The field and its allowed values.
         #[source]
         source: InvalidJob,
     },
     /// The request can't be encoded.
     #[error("job {job}: the request can't be encoded: {source}")]
     Encode {
-        /// The job.
+        /// Job id.
         job: String,
-        /// Cause.
+        /// Error of the encoder.
         #[source]
         source: rmp_serde::encode::Error,
     },
-    /// The answer is not of the protocol.
-    #[error("job {job}: unreadable answer: {source}")]
+    /// The controller's response can't be decoded.
+    #[error("job {job}: malformed response: {source}")]
     Decode {
-        /// The job.
+        /// Job id.
         job: String,
-        /// Cause.
+        /// Error of the decoder.
         #[source]
         source: rmp_serde::decode::Error,
     },
-    /// The controller did not answer.
+    /// The controller sent no valid response.
     #[error(transparent)]
     Transport(#[from] TransportError),
-    /// 400.
-    #[error("job {job}: the controller takes the job for malformed")]
+    /// The controller responded with status 400.
+    #[error("job {job}: the controller rejected the job as malformed")]
     Rejected {
-        /// The job.
+        /// Job id.
         job: String,
     },
-    /// 404.
+    /// The controller responded with status 404.
     #[error("job {job}: no job has this id")]
     NotFound {
-        /// The job.
+        /// Job id.
         job: String,
     },
-    /// 422.
-    #[error("job {job}: the job can never run here, or a dependency of it was never accepted")]
+    /// The controller responded with status 422.
+    #[error(
+        "job {job}: the job can never run on this cluster, or one of its dependencies was never \
+         accepted"
+    )]
     Unschedulable {
-        /// The job.
+        /// Job id.
         job: String,
     },
-    /// 429 or 503.
-    #[error("job {job}: can't be taken now, try again later")]
+    /// The controller responded with status 429 or 503.
+    #[error("job {job}: the controller can't handle the request now; try again later")]
     Unavailable {
-        /// The job.
+        /// Job id.
         job: String,
     },
-    /// Any other status.
-    #[error("job {job}: answered with status {status}")]
+    /// The controller responded with any other status.
+    #[error("job {job}: unexpected response status {status}")]
     Status {
-        /// The job.
+        /// Job id.
         job: String,
-        /// The status.
+        /// HTTP status code.
         status: u16,
     },
 }
 
-/// A request about one job.
+/// An HTTP request about one job.
 struct JobRequest {
     server: SocketAddr,
     job: String,
@@ -137,7 +140,7 @@
     body: Vec<u8>,
 }
 
-/// Carries out a job command and prints what the controller answers.
+/// Runs a job command and prints the status of the job from the controller's response.
 pub fn run(action: JobAction) -> Result<(), JobCommandError> {
     let JobRequest {
         server,
@@ -147,8 +150,8 @@
         body,
     } = request(action)?;
     let client = Client::new(server);
-    let answer = async_io::block_on(client.call(method, &path, body, TIMEOUT_MS))?;
-    print_status(&status(job, &answer)?);
+    let response = async_io::block_on(client.call(method, &path, body, TIMEOUT_MS))?;
+    print_status(&parse_status(job, &response)?);
     Ok(())
 }
 
@@ -181,7 +184,7 @@
     })
 }
 
-/// Reads and checks the description of a job, so that a mistake is named with its file.
+/// Reads and validates a job description, so that errors name the file.
 fn read_spec(path: &Path) -> Result<JobSpec, JobCommandError> {
     let text = std::fs::read_to_string(path).map_err(|source| JobCommandError::Unreadable {
         path: path.into(),
@@ -205,10 +208,10 @@
     })
 }
 
-/// The status of a job from a controller's answer.
-fn status(job: String, answer: &ClientResponse) -> Result<JobStatus, JobCommandError> {
-    match answer.status {
-        200 | 201 => rmp_serde::from_slice(&answer.body)
+/// Decodes the status of a job from a controller's response.
+fn parse_status(job: String, response: &ClientResponse) -> Result<JobStatus, JobCommandError> {
+    match response.status {
+        200 | 201 => rmp_serde::from_slice(&response.body)
             .map_err(|source| JobCommandError::Decode { job, source }),
         400 => Err(JobCommandError::Rejected { job }),
         404 => Err(JobCommandError::NotFound { job }),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,11 @@
 //! pointhook: a cluster scheduler.
 //!
-//! Controllers keep a short queue of waiting tasks for each machine; a machine with free capacity
-//! steals work from the others' queues. All durable state is in a consensus-backed key-value
-//! store; see `docs/architecture.md` for a map of the modules.
+//! Users submit jobs, controllers assign their tasks to machines, and the workers on the machines run
+//! them. Controllers keep a short queue of waiting tasks for each machine; a machine with free
+//! capacity steals work from the queues of others. All durable state is in a consensus-backed
+//! key-value store. `docs/architecture.md` has a map of the modules.
 
-// Input never ends the process: tests may unwrap, the service may not.
+// No input may end the process, so the service must not panic; tests may unwrap.
 #![deny(clippy::unwrap_used, clippy::expect_used, clippy::panic)]
 
 pub mod cli;
--- a/src/observe_command.rs
+++ b/src/observe_command.rs
@@ -1,7 +1,7 @@
-//! `pointhook observe`: what a running controller sees, for operators.
+//! Command `pointhook observe`: shows operators the cluster as a running controller sees it.
 //!
-//! `cli` calls [`run`]. The question goes to the controller's address for peers, as a peer's
-//! would.
+//! `cli` calls [`run`]. The request goes to the address at which the controller accepts its peers,
+//! in the format of the messages between controllers.
 
 use crate::protocol::peers::{PeerRequest, PeerResponse, ShardStatus};
 use crate::transport::frames::PeerClient;
@@ -9,20 +9,20 @@
 use clap::{Args, Subcommand};
 use std::net::SocketAddr;
 
-/// Time for an answer.
+/// Timeout of a request to a controller, ms.
 const TIMEOUT_MS: u64 = 3000;
 
-/// What is observed.
+/// Subcommands of `pointhook observe`.
 #[derive(Subcommand)]
 pub enum Subject {
-    /// Shards, their owners and their standbys
+    /// Shows all shards with their owners and standbys
     Standby(ObserveOptions),
 }
 
-/// Who is asked, and how the answer is printed.
+/// Options of `pointhook observe`.
 #[derive(Args)]
 pub struct ObserveOptions {
-    /// Address for peers of the controller that is asked (`cluster_listen`)
+    /// Peer address of the controller (`cluster_listen` in its settings)
     #[arg(long, value_name = "ADDR")]
     server: SocketAddr,
     /// Print JSON
@@ -30,24 +30,24 @@
     json: bool,
 }
 
-/// Why nothing can be shown.
+/// Error of an observe command.
 #[derive(Debug, thiserror::Error)]
 pub enum ObserveError {
-    /// No answer.
+    /// The controller sent no valid response.
     #[error(transparent)]
     Transport(#[from] TransportError),
-    /// Another answer than the one that was asked for.
-    #[error("{server}: no answer to this question; is it an older version?")]
+    /// The controller's response is not that of the request.
+    #[error("{server}: unexpected response; the controller may run an older version")]
     UnexpectedResponse {
-        /// The controller that was asked.
+        /// Peer address of the controller.
         server: SocketAddr,
     },
-    /// The answer can't be written as JSON.
+    /// The response can't be converted to JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
 }
 
-/// Runs the command.
+/// Runs an observe command and prints the controller's response.
 pub fn run(subject: &Subject) -> Result<(), ObserveError> {
     let Subject::Standby(options) = subject;
     let shards = shard_statuses(options.server)?;
@@ -61,14 +61,14 @@
 
 fn shard_statuses(server: SocketAddr) -> Result<Vec<ShardStatus>, ObserveError> {
     let client = PeerClient::new(server);
-    let answer = async_io::block_on(client.call(&PeerRequest::ShardStatuses, TIMEOUT_MS));
-    match answer? {
+    let response = async_io::block_on(client.call(&PeerRequest::ShardStatuses, TIMEOUT_MS));
+    match response? {
         PeerResponse::ShardStatuses { shards } => Ok(shards),
         _ => Err(ObserveError::UnexpectedResponse { server }),
     }
 }
 
-/// One line for each shard, for people.
+/// Formats the shards as a text table with a header and one line per shard.
 pub fn table(shards: &[ShardStatus]) -> String {
     let header = [
         "shard",
@@ -92,7 +92,8 @@
     out
 }
 
-/// How far the standby is, seen from the owner's or from its own end.
+/// Replication progress of a shard's standby. The owner knows the lag of the standby; the standby
+/// knows of which owner's token it holds the complete state.
 fn replication_progress(shard: &ShardStatus) -> String {
     match (shard.replication_lag, shard.replica_of_token) {
         (Some(0), _) => "up to date".to_string(),
--- a/src/settings/errors.rs
+++ b/src/settings/errors.rs
@@ -1,9 +1,9 @@
-//! Why settings can't be used, and the checks that say so.
+//! Errors of settings files, and checks of field values.
 
 use crate::features::FeaturesError;
 use std::path::PathBuf;
 
-/// Why a settings file can't be used; one line, naming file and field.
+/// Error of a settings file; its message is one line that names the file and, if known, the field.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -11,18 +11,18 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error of the operating system.
         #[source]
         source: std::io::Error,
     },
-    /// The file is no TOML, or a field is missing or of the wrong type.
+    /// The file is not valid TOML, or a field is missing, unknown or of the wrong type.
     #[error("{}: line {line}: {}", path.display(), source.message().replace('\n', " "))]
     Syntax {
         /// The file.
         path: PathBuf,
-        /// The line, counted from 1; 0 if it is not known.
+        /// Line number, counted from 1; 0 if it is not known.
         line: usize,
-        /// What the parser said.
+        /// Error of the parser.
         #[source]
         source: Box<toml::de::Error>,
     },
@@ -31,71 +31,71 @@
     Value {
         /// The file.
         path: PathBuf,
-        /// The field and what is allowed.
+        /// The field and its allowed values.
         #[source]
         source: InvalidSetting,
     },
-    /// The features file is not what its schema says.
+    /// The features file does not conform to its schema.
     #[error("{}: {source}", path.display())]
     Features {
         /// The file.
         path: PathBuf,
-        /// The key and what is allowed.
+        /// The key and its allowed values.
         #[source]
         source: FeaturesError,
     },
 }
 
-/// A field with a value that is not allowed.
+/// Setting with a value that is not allowed. Fields go by their keys in the file.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidSetting {
-    /// No zone at all.
+    /// The list of zones is empty.
     #[error("settings.zones is empty")]
     NoZones,
-    /// The controller's own zone is not one of the cluster's.
+    /// The controller's own zone is not in the cluster's list of zones.
     #[error("domain is not among settings.zones")]
     UnknownZone,
-    /// A time or a rate is 0, negative or no number.
+    /// A duration, rate or size is 0, negative, infinite or not a number.
     #[error("{field} must be above 0")]
     NotPositive {
-        /// The field.
+        /// Key of the field.
         field: &'static str,
     },
-    /// A time or a part is negative or no number.
+    /// A duration or fraction is negative, infinite or not a number.
     #[error("{field} must not be negative")]
     Negative {
-        /// The field.
+        /// Key of the field.
         field: &'static str,
     },
     /// A number is too small for the program to work.
     #[error("{field} must be at least {min}")]
     TooSmall {
-        /// The field.
+        /// Key of the field.
         field: &'static str,
-        /// The least allowed.
+        /// Smallest allowed value.
         min: usize,
     },
-    /// A number is larger than the program is made for.
+    /// A number is larger than the program supports.
     #[error("{field} must be at most {max}")]
     TooLarge {
-        /// The field.
+        /// Key of the field.
         field: &'static str,
-        /// The most allowed.
+        /// Largest allowed value.
         max: usize,
     },
-    /// A number is outside its range.
+    /// A number is outside its allowed range.
     #[error("{field} must be {min} to {max}")]
     OutOfRange {
-        /// The field.
+        /// Key of the field.
         field: &'static str,
-        /// The least allowed.
+        /// Smallest allowed value.
         min: usize,
-        /// The most allowed.
+        /// Largest allowed value.
         max: usize,
     },
 }
 
-/// A field's name and its value.
+/// Key and value of a field.
 pub(super) type Field = (&'static str, f64);
 
 pub(super) fn check_positive(fields: &[Field]) -> Result<(), InvalidSetting> {
--- a/src/settings/files.rs
+++ b/src/settings/files.rs
@@ -1,10 +1,10 @@
-//! Reading of settings files.
+//! Reading and parsing of settings files.
 
 use super::errors::SettingsError;
 use serde::de::DeserializeOwned;
 use std::path::Path;
 
-/// Reads a file of settings in TOML.
+/// Reads and parses a settings file in TOML.
 pub(super) fn read_toml<T: DeserializeOwned>(path: &Path) -> Result<T, SettingsError> {
     let text = read_file(path)?;
     toml::from_str(&text).map_err(|source| SettingsError::Syntax {
@@ -14,7 +14,7 @@
     })
 }
 
-/// Reads a settings file.
+/// Reads a settings file as text.
 pub(super) fn read_file(path: &Path) -> Result<String, SettingsError> {
     std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
         path: path.into(),
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,9 +1,10 @@
-//! The platform's settings file, the operators' own and the features file.
+//! Platform settings, operator settings and the features file.
 //!
-//! `cli` loads them before anything starts; the controller keeps them unchanged for as long as it
-//! runs. Keys of the files are the fields' names, or stand in `serde(rename)`.
+//! `cli` loads the files before it starts a controller; the settings don't change while the
+//! controller runs. The keys in the files are the field names, unless `serde(rename)` gives another
+//! one.
 //!
-//! Invariant: settings that were loaded have been checked, so their readers need not.
+//! Invariant: loaded settings are valid, so code that uses them need not check them.
 
 mod errors;
 mod features_file;
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -1,42 +1,44 @@
-//! The operators' own settings file: what they may tune.
+//! Operator settings: parameters that operators of a cluster may tune.
 
 use super::errors::{check_at_most, check_not_negative, InvalidSetting, SettingsError};
 use super::files::read_toml;
 use serde::Deserialize;
 use std::path::Path;
 
-/// Most shards of a zone.
+/// Upper limit of `shards_per_zone`.
 const MAX_SHARDS_PER_ZONE: usize = 64;
-/// Most machines that an idle one polls.
+/// Upper limit of `polls`.
 const MAX_POLLED_MACHINES: usize = 64;
-/// Most tasks in a machine's queue.
+/// Upper limit of `queue_cap`.
 const MAX_QUEUE_CAP: usize = 64;
 
-/// The operators' own file. Unknown fields are refused.
+/// Contents of the operator settings file. A missing field gets its default; an unknown one is an
+/// error.
 #[derive(Deserialize, Clone, Debug)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorSettings {
-    /// Machines polled by an idle one.
+    /// Number of randomly chosen machines whose queues an idle machine polls for work.
     pub polls: usize,
-    /// Tasks in a machine's queue at most.
+    /// Maximum number of tasks in a machine's queue.
     pub queue_cap: usize,
-    /// A gang waiting longer has machines reserved for it.
+    /// Wait of a gang after which machines are reserved for it, s.
     #[serde(rename = "gang_hold_s")]
     pub gang_reservation_after_s: f64,
-    /// A queued task waiting longer may be taken by any idle machine.
+    /// Wait of a task in a machine's queue after which any machine may claim it, s.
     pub steal_after_s: f64,
-    /// An idle machine is deleted after this time.
+    /// Idle time after which a machine is deleted, s.
     #[serde(rename = "idle_return_s")]
     pub scale_in_after_idle_s: f64,
-    /// Work for spot machines takes empty on-demand ones after this wait.
+    /// Longest wait of work that may use spot machines before it takes an empty on-demand one, s.
     pub spot_patience_s: f64,
-    /// Part of the spot work expected during a boot that capacity is kept free for.
+    /// Fraction of the spot work expected during a machine's boot for which free capacity is kept;
+    /// may exceed 1.
     #[serde(rename = "headroom")]
     pub capacity_buffer_spot: f64,
-    /// The same for work that may not use spot machines.
+    /// The same fraction for work that must not use spot machines.
     #[serde(rename = "headroom_ordinary")]
     pub capacity_buffer_on_demand: f64,
-    /// Shards per zone.
+    /// Number of shards per zone, 1 to 64.
     pub shards_per_zone: usize,
 }
 
@@ -57,7 +59,7 @@
 }
 
 impl OperatorSettings {
-    /// Reads and checks the operators' file.
+    /// Reads and validates the operator settings file at `path`.
     pub fn load(path: &Path) -> Result<OperatorSettings, SettingsError> {
         let operator: OperatorSettings = read_toml(path)?;
         match operator.check() {
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's settings file: what the deployment fixes.
+//! Platform settings: parameters that the deployment of a cluster determines.
 
 use super::errors::{check_positive, InvalidSetting, SettingsError};
 use super::files::read_toml;
@@ -9,77 +9,77 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// Fewest changes in a transaction that the scheduler can work with.
+/// Smallest limit of writes per transaction that the scheduler can work with.
 const MIN_TXN_OPS: usize = 2;
 
-/// A team's guarantee and limit; 0 means none.
+/// A team with its guaranteed resources and its quota. 0 means no guarantee or no limit.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Team {
-    /// Name.
+    /// Name by which jobs refer to their team.
     pub name: String,
-    /// Guaranteed processors.
+    /// Guaranteed CPUs.
     #[serde(default)]
     pub cpus: f64,
-    /// Most processors.
+    /// Maximum CPUs.
     #[serde(default)]
     pub cpus_max: f64,
-    /// Guaranteed graphics processors.
+    /// Guaranteed GPUs.
     #[serde(default)]
     pub gpus: f64,
-    /// Most graphics processors.
+    /// Maximum GPUs.
     #[serde(default)]
     pub gpus_max: f64,
 }
 
-/// What is expected of a class of jobs.
+/// A service-level objective for a class of jobs. The scheduler uses only those of kind `finished`.
 #[derive(Deserialize, Clone, Debug)]
 pub struct Objective {
     /// `wait`, `finished`, `deadline` or `guarantee`.
     pub kind: String,
-    /// Class.
+    /// Class of the jobs to which the objective applies.
     #[serde(default)]
     pub class: Option<String>,
-    /// Time allowed.
+    /// Time within which the objective has to be met, s.
     #[serde(default)]
     pub within_s: Option<f64>,
 }
 
-/// Workers' times.
+/// Intervals and timeouts of workers.
 #[derive(Deserialize, Clone, Debug)]
 pub struct WorkerSettings {
-    /// Between heartbeats.
+    /// Interval between heartbeats, s.
     #[serde(rename = "report_s")]
     pub heartbeat_s: f64,
-    /// Lease.
+    /// Duration of a worker's lease, s; a worker whose lease expires kills its tasks.
     pub lease_s: f64,
-    /// A gang's wait for its tasks.
+    /// Time that a gang's tasks wait for each other to start, s.
     pub gang_wait_s: f64,
-    /// Time in which a gang's tasks notice that one of them has failed.
+    /// Time within which a gang's tasks notice that one of them has failed, s.
     pub gang_peer_s: f64,
-    /// Time for a cancellation.
+    /// Time within which the tasks of a cancelled job have to be stopped, s.
     pub cancel_s: f64,
 }
 
-/// How late a lease may expire: timers of workers, delivery.
+/// Longest delay of a lease's expiry, due to workers' timers and message delivery, s.
 const LEASE_EXPIRY_MARGIN_S: f64 = 1.5;
-/// Clocks drift by up to 0.05%, so two of them by up to 0.1% against each other.
+/// Relative drift between two clocks, each of which drifts by up to 0.05%.
 const MAX_CLOCK_DRIFT: f64 = 0.001;
-/// Least watermark age up to which leases are renewed. Less would take leases away whenever the
-/// key-value store answers slowly.
+/// Lower bound, in s, of the watermark age up to which leases are renewed. With a smaller one,
+/// leases would expire whenever the key-value store responds slowly.
 const MIN_WATERMARK_AGE_LIMIT_S: f64 = 6.5;
 
 impl WorkerSettings {
-    /// What is left of the time for cancellations after a lease.
+    /// Part of `cancel_s` that remains after a worker's lease has expired in the worst case, s.
     fn watermark_age_limit_s(&self) -> f64 {
         self.cancel_s * (1.0 - MAX_CLOCK_DRIFT)
             - self.lease_s * (1.0 + MAX_CLOCK_DRIFT)
             - LEASE_EXPIRY_MARGIN_S
     }
-    /// Age of the cancellation watermark up to which leases are renewed, ms.
+    /// Largest age of the cancellation watermark at which leases are still renewed, ms.
     pub fn max_watermark_age_ms(&self) -> u64 {
         millis_from_seconds(self.watermark_age_limit_s().max(MIN_WATERMARK_AGE_LIMIT_S))
     }
-    /// What an operator should know of these times.
+    /// Warning for operators if `cancel_s` leaves too little time after a lease; `None` if not.
     pub fn warning(&self) -> Option<CancelTimeWarning> {
         (self.watermark_age_limit_s() < MIN_WATERMARK_AGE_LIMIT_S).then_some(CancelTimeWarning {
             cancel_s: self.cancel_s,
@@ -88,7 +88,7 @@
     }
 }
 
-/// Times of workers that are valid but don't keep what `cancel_s` says in each case.
+/// Warning that `cancel_s` is valid but too short to be met in all cases with this `lease_s`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CancelTimeWarning {
     cancel_s: f64,
@@ -99,32 +99,32 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "settings.workers: cancel_s ({}) leaves too little beyond lease_s ({}): tasks on \
-             machines of a controller that is cut off from all others may stay longer than \
-             cancel_s after their job was cancelled",
+            "settings.workers: cancel_s ({}) is too short for lease_s ({}): if a controller is \
+             cut off from all others, tasks on its machines may run for longer than cancel_s \
+             after their job was cancelled",
             self.cancel_s, self.lease_s
         )
     }
 }
 
-/// Limits of the key-value store.
+/// Limits that the key-value store enforces.
 #[derive(Deserialize, Clone, Debug)]
 pub struct KvLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     pub write_rps: f64,
-    /// Size of a value.
+    /// Maximum size of a value, KiB.
     pub value_kb: f64,
-    /// Changes in a transaction.
+    /// Maximum number of writes in a transaction.
     pub txn_ops: usize,
-    /// Limits that hold from some moment on, without notice.
+    /// Limits that will take effect at an unknown time, without notice; `None`: no change is planned.
     #[serde(default)]
     pub next: Option<NextLimits>,
 }
 
 impl KvLimits {
-    /// The limits as the scheduler uses them.
+    /// The limits in the scheduler's units, with a margin for the size of values.
     pub fn limits(&self) -> Limits {
         Limits {
             txn_ops: self.txn_ops,
@@ -134,19 +134,19 @@
     }
 }
 
-/// Limits of the key-value store to come; what is left out stays.
+/// Coming limits of the key-value store. A limit that is left out does not change.
 #[derive(Deserialize, Clone, Debug, Default)]
 pub struct NextLimits {
-    /// Puts and deletes a second.
+    /// Puts and deletes per second.
     pub write_rps: Option<f64>,
-    /// Size of a value.
+    /// Maximum size of a value, KiB.
     pub value_kb: Option<f64>,
-    /// Changes in a transaction.
+    /// Maximum number of writes in a transaction.
     pub txn_ops: Option<usize>,
 }
 
 impl NextLimits {
-    /// The limits as the scheduler uses them.
+    /// The limits in the scheduler's units; one that is left out is unlimited.
     pub fn limits(&self) -> Limits {
         Limits {
             txn_ops: self.txn_ops.unwrap_or(usize::MAX),
@@ -156,43 +156,43 @@
     }
 }
 
-/// Part of the allowed size of a value that is used: sizes are estimated, not measured.
+/// Fraction of the allowed size of a value that is used, because sizes are estimated, not measured.
 const USABLE_VALUE_FRACTION: f64 = 0.9;
 
 fn usable_bytes(value_kb: f64) -> usize {
     (value_kb * 1024.0 * USABLE_VALUE_FRACTION) as usize
 }
 
-/// Limits of the cloud.
+/// Limits of the cloud provider.
 #[derive(Deserialize, Clone, Debug)]
 pub struct CloudLimits {
-    /// Requests a second.
+    /// Requests per second.
     pub rps: f64,
-    /// Lag of the machine list.
+    /// Time by which the list of machines may lag behind the cloud's state, s.
     pub list_lag_s: f64,
 }
 
-/// Limits of this controller.
+/// Limits of a controller process.
 #[derive(Deserialize, Clone, Debug)]
 pub struct ProcessLimits {
-    /// Sockets.
+    /// Maximum number of open sockets.
     pub max_connections: usize,
 }
 
-/// Connections that peers may open here.
+/// Maximum number of connections that peers may open to this controller.
 pub const MAX_PEER_CONNECTIONS: usize = 64;
-/// Connections to peers, the key-value store and the cloud, and some to spare.
+/// Sockets reserved for connections to peers, the key-value store and the cloud, with some spare.
 const OWN_CLIENT_CONNECTIONS: usize = 36;
-/// Connections that users and workers may open at least.
+/// Lower bound of the number of connections that users and workers may open.
 const MIN_LISTENER_CONNECTIONS: usize = 16;
 
 impl ProcessLimits {
-    /// Connections to workers that may be open at a time.
+    /// Maximum number of open connections to workers.
     pub fn worker_connections(&self) -> usize {
         (self.max_connections / 20).clamp(8, 160)
     }
-    /// Connections that users and workers may open: the rest is kept for direct commands, the
-    /// peers, the key-value store and the cloud.
+    /// Maximum number of connections that users and workers may open. The other sockets are reserved
+    /// for direct commands to workers, the peers, the key-value store and the cloud.
     pub fn listener_connections(&self) -> usize {
         let reserved = self.worker_connections() + MAX_PEER_CONNECTIONS + OWN_CLIENT_CONNECTIONS;
         self.max_connections
@@ -201,77 +201,77 @@
     }
 }
 
-/// What all controllers share.
+/// Settings that are the same for all controllers of a cluster.
 #[derive(Deserialize, Clone, Debug)]
 pub struct ClusterSettings {
-    /// Zones.
+    /// Names of all zones; not empty.
     pub zones: Vec<String>,
-    /// Teams.
+    /// Teams with guarantees or quotas.
     #[serde(default)]
     pub teams: Vec<Team>,
-    /// Objectives.
+    /// Service-level objectives.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Workers.
+    /// Intervals and timeouts of workers.
     pub workers: WorkerSettings,
-    /// Key-value store.
+    /// Limits of the key-value store.
     #[serde(rename = "state")]
     pub kv: KvLimits,
-    /// Cloud.
+    /// Limits of the cloud provider.
     pub cloud: CloudLimits,
-    /// This controller.
+    /// Limits of each controller process.
     #[serde(rename = "machine_limits")]
     pub process: ProcessLimits,
 }
 
-/// Another controller.
+/// Another controller of the cluster.
 #[derive(Deserialize, Clone, Debug)]
 pub struct PeerSettings {
-    /// Name.
+    /// Name of the peer.
     #[serde(rename = "node")]
     pub name: String,
-    /// Zone.
+    /// Zone of the peer.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Address for peers.
+    /// Address at which the peer accepts other controllers.
     pub addr: SocketAddr,
 }
 
-/// Services outside.
+/// Addresses of external services.
 #[derive(Deserialize, Clone, Debug)]
 pub struct ServiceAddresses {
-    /// Cloud.
+    /// Address of the cloud's HTTP API.
     pub cloud: SocketAddr,
-    /// Key-value store.
+    /// Address of the key-value store.
     #[serde(rename = "state")]
     pub kv: SocketAddr,
 }
 
-/// The platform's file. Unknown fields are ignored.
+/// Contents of the platform settings file. Unknown fields are ignored.
 #[derive(Deserialize, Clone, Debug)]
 pub struct PlatformSettings {
     /// Name of this controller.
     #[serde(rename = "node")]
     pub name: String,
-    /// Its zone.
+    /// Zone of this controller; one of `settings.zones`.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Address for users, workers and health checks.
+    /// Listen address for users, workers and health checks.
     pub bind: SocketAddr,
-    /// Address for the other controllers.
+    /// Listen address for the other controllers.
     pub cluster_listen: SocketAddr,
-    /// The other controllers.
+    /// The other controllers of the cluster; empty if there is only one.
     #[serde(rename = "siblings", default)]
     pub peers: Vec<PeerSettings>,
-    /// Services outside.
+    /// Addresses of external services.
     #[serde(rename = "outside")]
     pub services: ServiceAddresses,
-    /// What all controllers share.
+    /// Settings that are the same for all controllers.
     pub settings: ClusterSettings,
 }
 
 impl PlatformSettings {
-    /// Reads and checks the platform's file.
+    /// Reads and validates the platform settings file at `path`.
     pub fn load(path: &Path) -> Result<PlatformSettings, SettingsError> {
         let platform: PlatformSettings = read_toml(path)?;
         match platform.check() {
