--- a/tests/features.rs
+++ b/tests/features.rs
@@ -1,4 +1,4 @@
-//! The features file: what is accepted, what is refused, and the line that says why.
+//! Parsing and validation of the features file, and the error messages of invalid files.
 
 use pointhook::features::{Features, StandbySettings};
 
@@ -9,23 +9,24 @@
     serde_json::to_value(document).expect("JSON")
 }
 
-/// Refused by the parser and by the printed schema; the parser's line.
-fn refused(text: &str) -> String {
+/// Asserts that both the printed schema and the parser reject the text, and returns the parser's
+/// one-line error message.
+fn rejection_message(text: &str) -> String {
     let schema = jsonschema::validator_for(&Features::schema()).expect("a schema");
     assert!(!schema.is_valid(&as_json(text)), "the schema allows {text}");
-    let line = Features::parse(text).expect_err(text).to_string();
-    assert!(!line.contains('\n'), "{line}");
-    line
+    let message = Features::parse(text).expect_err(text).to_string();
+    assert!(!message.contains('\n'), "{message}");
+    message
 }
 
 #[test]
-fn an_empty_file_switches_nothing_on() {
+fn an_empty_file_enables_no_feature() {
     assert_eq!(Features::parse("").unwrap(), Features::default());
     assert!(Features::default().standby().is_none());
 }
 
 #[test]
-fn a_table_may_switch_its_feature_off() {
+fn a_table_can_disable_its_feature() {
     let off = Features::parse("[standby]\nenabled = false\n").unwrap();
     assert!(off.standby().is_none());
     let on = Features::parse("[standby]\n").unwrap();
@@ -42,31 +43,31 @@
 
 #[test]
 fn unknown_keys_are_refused_by_name() {
-    let line = refused("[standby]\nenabeld = true\n");
+    let message = rejection_message("[standby]\nenabeld = true\n");
     assert!(
-        line.contains("standby") && line.contains("enabeld"),
-        "{line}"
+        message.contains("standby") && message.contains("enabeld"),
+        "{message}"
     );
-    let line = refused("[warm]\nenabled = true\n");
-    assert!(line.contains("warm"), "{line}");
+    let message = rejection_message("[warm]\nenabled = true\n");
+    assert!(message.contains("warm"), "{message}");
 }
 
 #[test]
 fn wrong_types_name_the_key_and_what_is_allowed() {
-    let line = refused("[standby]\nenabled = 1\n");
-    assert!(line.starts_with("standby.enabled: "), "{line}");
-    assert!(line.ends_with("allowed: true or false"), "{line}");
-    let line = refused("[standby]\nsettle_ms = \"soon\"\n");
-    assert!(line.starts_with("standby.settle_ms: "), "{line}");
-    assert!(line.ends_with("allowed: 0 to 60000"), "{line}");
+    let message = rejection_message("[standby]\nenabled = 1\n");
+    assert!(message.starts_with("standby.enabled: "), "{message}");
+    assert!(message.ends_with("allowed: true or false"), "{message}");
+    let message = rejection_message("[standby]\nsettle_ms = \"soon\"\n");
+    assert!(message.starts_with("standby.settle_ms: "), "{message}");
+    assert!(message.ends_with("allowed: 0 to 60000"), "{message}");
 }
 
 #[test]
 fn values_out_of_range_name_the_key_and_the_range() {
     for value in ["60001", "-1"] {
-        let line = refused(&format!("[standby]\nsettle_ms = {value}\n"));
-        assert!(line.starts_with("standby.settle_ms: "), "{line}");
-        assert!(line.ends_with("allowed: 0 to 60000"), "{line}");
+        let message = rejection_message(&format!("[standby]\nsettle_ms = {value}\n"));
+        assert!(message.starts_with("standby.settle_ms: "), "{message}");
+        assert!(message.ends_with("allowed: 0 to 60000"), "{message}");
     }
     assert!(Features::parse("[standby]\nsettle_ms = 60000\n").is_ok());
 }
@@ -77,8 +78,11 @@
     std::fs::create_dir_all(&dir).unwrap();
     let path = dir.join("features.toml");
     std::fs::write(&path, "[standby]\nsettle_ms = 70000\n").unwrap();
-    let line = Features::load(&path).unwrap_err().to_string();
-    assert!(line.starts_with(&path.display().to_string()), "{line}");
+    let message = Features::load(&path).unwrap_err().to_string();
+    assert!(
+        message.starts_with(&path.display().to_string()),
+        "{message}"
+    );
     let missing = Features::load(&dir.join("none.toml")).unwrap_err();
     assert!(missing.to_string().contains("none.toml"));
 }
--- a/tests/transport_costs.rs
+++ b/tests/transport_costs.rs
@@ -1,4 +1,5 @@
-//! Memory and work that connections, heartbeats and planning may cost, by counts that repeat exactly.
+//! Upper bounds on the memory and work of connections, requests and deadlines, in counts that are the
+//! same in every run.
 
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -16,204 +17,223 @@
 #[global_allocator]
 static HEAP: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// Counts are the process': one test at a time.
-fn alone() -> MutexGuard<'static, ()> {
-    static ALONE: Mutex<()> = Mutex::new(());
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+/// Lets one test run at a time, because the allocator's counts are those of the whole process.
+fn run_exclusively() -> MutexGuard<'static, ()> {
+    static EXCLUSIVE: Mutex<()> = Mutex::new(());
+    EXCLUSIVE.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Bytes allocated and not given back since.
-fn held(since: &Region<System>) -> usize {
-    let s = since.change();
-    s.bytes_allocated.saturating_sub(s.bytes_deallocated)
+/// Bytes allocated since the start of the region and not freed.
+fn held_bytes(since: &Region<System>) -> usize {
+    let change = since.change();
+    change
+        .bytes_allocated
+        .saturating_sub(change.bytes_deallocated)
 }
 
 const CONNECTIONS: usize = 150;
 
-/// An executor, and a listener on loopback with its address.
-fn open_door() -> (Rc<LocalExecutor<'static>>, Async<TcpListener>, SocketAddr) {
-    let door = listen(([127, 0, 0, 1], 0).into()).unwrap();
-    let addr = door.get_ref().local_addr().unwrap();
-    (Rc::new(LocalExecutor::new()), door, addr)
+/// An executor, and a loopback listener with its address.
+fn executor_and_listener() -> (Rc<LocalExecutor<'static>>, Async<TcpListener>, SocketAddr) {
+    let listener = listen(([127, 0, 0, 1], 0).into()).unwrap();
+    let address = listener.get_ref().local_addr().unwrap();
+    (Rc::new(LocalExecutor::new()), listener, address)
 }
 
-async fn ask(mut stream: &Async<TcpStream>, path: &str) {
+/// Sends a GET request without waiting for the response.
+async fn send_get(mut stream: &Async<TcpStream>, path: &str) {
     let head = format!("GET {path} HTTP/1.1\r\nHost: here\r\nContent-Length: 0\r\n\r\n");
     stream.write_all(head.as_bytes()).await.unwrap();
 }
 
-/// The status line's code.
-async fn status(mut stream: &Async<TcpStream>) -> String {
-    let mut buf = [0; 1024];
-    let n = stream.read(&mut buf).await.unwrap();
-    String::from_utf8_lossy(&buf[..n])
+/// Reads a response and returns the status code of its first line.
+async fn read_status(mut stream: &Async<TcpStream>) -> String {
+    let mut buffer = [0; 1024];
+    let length = stream.read(&mut buffer).await.unwrap();
+    String::from_utf8_lossy(&buffer[..length])
         .split(' ')
         .nth(1)
         .unwrap_or_default()
         .to_string()
 }
 
-// A busy controller on a small machine was killed for memory at 837 connections of 51 KB each.
+// Guards against a controller that runs out of memory: one on a small machine was killed at 837
+// connections of 51 KB each.
 #[test]
 fn idle_connections_and_waiting_requests_hold_a_few_kilobytes() {
-    let _alone = alone();
-    let (ex, door, addr) = open_door();
-    let entered = Rc::new(Cell::new(0));
-    let (go, wait) = async_channel::bounded::<()>(1);
-    let (count, gate) = (entered.clone(), wait.clone());
-    let serving = serve(ex.clone(), door, 1000, move |req: ServerRequest| {
-        let (count, gate) = (count.clone(), gate.clone());
-        async move {
-            if req.path == "/wait" {
-                count.set(count.get() + 1);
-                let _ = gate.recv().await;
+    let _exclusive = run_exclusively();
+    let (executor, listener, address) = executor_and_listener();
+    let waiting_requests = Rc::new(Cell::new(0));
+    // Closing the sender lets all waiting requests complete.
+    let (release, released) = async_channel::bounded::<()>(1);
+    let count = waiting_requests.clone();
+    let server = serve(
+        executor.clone(),
+        listener,
+        1000,
+        move |request: ServerRequest| {
+            let (count, released) = (count.clone(), released.clone());
+            async move {
+                if request.path == "/wait" {
+                    count.set(count.get() + 1);
+                    let _ = released.recv().await;
+                }
+                ServerResponse::empty(200)
             }
-            ServerResponse::empty(200)
-        }
-    });
-    ex.spawn(serving).detach();
-    async_io::block_on(ex.run(async {
+        },
+    );
+    executor.spawn(server).detach();
+    async_io::block_on(executor.run(async {
         let mut clients = Vec::with_capacity(CONNECTIONS);
-        let first = Async::<TcpStream>::connect(addr).await.unwrap();
-        ask(&first, "/").await;
-        assert_eq!(status(&first).await, "200");
+        let first = Async::<TcpStream>::connect(address).await.unwrap();
+        send_get(&first, "/").await;
+        assert_eq!(read_status(&first).await, "200");
         let region = Region::new(HEAP);
         for _ in 0..CONNECTIONS {
-            let c = Async::<TcpStream>::connect(addr).await.unwrap();
-            ask(&c, "/").await;
-            assert_eq!(status(&c).await, "200");
-            clients.push(c);
+            let client = Async::<TcpStream>::connect(address).await.unwrap();
+            send_get(&client, "/").await;
+            assert_eq!(read_status(&client).await, "200");
+            clients.push(client);
         }
-        let at_rest = held(&region) / CONNECTIONS;
-        assert!(at_rest < 5 * 1024, "{at_rest} bytes a connection at rest");
-        for c in &clients {
-            ask(c, "/wait").await;
+        let idle = held_bytes(&region) / CONNECTIONS;
+        assert!(idle < 5 * 1024, "{idle} bytes per idle connection");
+        for client in &clients {
+            send_get(client, "/wait").await;
         }
-        while entered.get() < CONNECTIONS {
+        while waiting_requests.get() < CONNECTIONS {
             futures_lite::future::yield_now().await;
         }
-        let waiting = held(&region) / CONNECTIONS;
-        assert!(waiting < 8 * 1024, "{waiting} bytes a request that waits");
-        go.close();
-        for c in &clients {
-            assert_eq!(status(c).await, "200");
+        let waiting = held_bytes(&region) / CONNECTIONS;
+        assert!(waiting < 8 * 1024, "{waiting} bytes per waiting request");
+        release.close();
+        for client in &clients {
+            assert_eq!(read_status(client).await, "200");
         }
     }));
 }
 
 #[test]
 fn a_request_that_is_not_http_gets_400_and_its_connection_is_closed() {
-    let _alone = alone();
-    let (ex, door, addr) = open_door();
-    let serving = serve(ex.clone(), door, 10, |_| async {
+    let _exclusive = run_exclusively();
+    let (executor, listener, address) = executor_and_listener();
+    let server = serve(executor.clone(), listener, 10, |_| async {
         ServerResponse::empty(200)
     });
-    ex.spawn(serving).detach();
-    async_io::block_on(ex.run(async {
-        for junk in [
+    executor.spawn(server).detach();
+    async_io::block_on(executor.run(async {
+        for bytes in [
             "\x16\x03\x01 junk\r\n\r\n",
             "GET / HTTP/3.7\r\n\r\n",
             "GET\r\n\r\n",
         ] {
-            let c = Async::<TcpStream>::connect(addr).await.unwrap();
-            (&c).write_all(junk.as_bytes()).await.unwrap();
-            assert_eq!(status(&c).await, "400", "{junk:?}");
-            assert_eq!((&c).read(&mut [0; 8]).await.unwrap(), 0, "{junk:?}");
+            let client = Async::<TcpStream>::connect(address).await.unwrap();
+            (&client).write_all(bytes.as_bytes()).await.unwrap();
+            assert_eq!(read_status(&client).await, "400", "{bytes:?}");
+            let after_response = (&client).read(&mut [0; 8]).await.unwrap();
+            assert_eq!(after_response, 0, "{bytes:?}");
         }
     }));
 }
 
-struct Nobody;
+/// A waker without effect.
+struct NoopWake;
 
-impl std::task::Wake for Nobody {
+impl std::task::Wake for NoopWake {
     fn wake(self: std::sync::Arc<Self>) {}
 }
 
-// Every deadline had a timer of its own, and setting one woke the reactor.
+// Guards against a reactor that wakes for each new deadline, as it does if each has its own timer.
 #[test]
 fn the_timer_is_reset_only_for_earlier_deadlines() {
-    let nobody = || std::task::Waker::from(std::sync::Arc::new(Nobody));
-    let mut t = DeadlineTable::default();
-    let first = t.add(DeadlineTable::due_at(0, 1000), nobody());
-    assert_eq!(t.arm_earliest(), Some(1024), "an eighth later at most");
-    let mut answered = Vec::new();
-    for i in 0..100 {
-        answered.push(t.add(DeadlineTable::due_at(i, 1500), nobody()));
-        assert_eq!(t.arm_earliest(), None, "request {i}");
+    let waker = || std::task::Waker::from(std::sync::Arc::new(NoopWake));
+    let mut table = DeadlineTable::default();
+    let first = table.add(DeadlineTable::due_at(0, 1000), waker());
+    assert_eq!(table.arm_earliest(), Some(1024), "an eighth later at most");
+    let mut completed = Vec::new();
+    for now_ms in 0..100 {
+        completed.push(table.add(DeadlineTable::due_at(now_ms, 1500), waker()));
+        assert_eq!(table.arm_earliest(), None, "request at {now_ms} ms");
     }
-    for key in answered {
-        t.remove(key);
+    for key in completed {
+        table.remove(key);
     }
-    let early = t.add(DeadlineTable::due_at(5, 60), nobody());
-    assert_eq!(t.arm_earliest(), Some(68));
-    assert!(t.is_waiting(early, &nobody()));
-    assert_eq!(t.take_due(67).len(), 0);
-    assert_eq!(t.take_due(68).len(), 1);
-    assert!(!t.is_waiting(early, &nobody()) && t.is_waiting(first, &nobody()));
-    assert_eq!(t.arm_earliest(), Some(1024), "the next one");
-    // Background tasks of one rate tick together, whenever each of them ended.
+    let early = table.add(DeadlineTable::due_at(5, 60), waker());
+    assert_eq!(table.arm_earliest(), Some(68));
+    assert!(table.is_waiting(early, &waker()));
+    assert_eq!(table.take_due(67).len(), 0);
+    assert_eq!(table.take_due(68).len(), 1);
+    assert!(!table.is_waiting(early, &waker()) && table.is_waiting(first, &waker()));
+    assert_eq!(table.arm_earliest(), Some(1024), "the next one");
+    // Background tasks with the same interval wake together, whenever their last rounds ended.
     let ticks: Vec<u64> = [7000, 7001, 7999]
-        .map(|t| DeadlineTable::next_tick(t, 1000))
+        .map(|now_ms| DeadlineTable::next_tick(now_ms, 1000))
         .into();
     assert_eq!(ticks, [8000, 8000, 8000]);
 }
 
-// A controller that fell behind read the response to its lease's renewal after hundreds of
-// heartbeats, lost the lease, and its shards went from one slow controller to the next.
+// Guards against the loss of shards under load: an overloaded controller read the response to its
+// lease renewal only after hundreds of heartbeats and lost the lease, and its shards moved from one
+// overloaded controller to the next.
 #[test]
 fn a_response_to_a_background_task_is_read_amid_hundreds_of_requests() {
-    let _alone = alone();
+    let _exclusive = run_exclusively();
     let executors = ExecutorPriorities::default();
-    let door = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-    let addr = door.local_addr().unwrap();
+    let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
+    let address = listener.local_addr().unwrap();
     async_io::block_on(executors.run(async {
-        let ours = Async::<TcpStream>::connect(addr).await.unwrap();
-        let (mut theirs, _) = door.accept().unwrap();
-        let turns = Rc::new(Cell::new(0));
-        let when = turns.clone();
-        let duty = executors.background.spawn(async move {
-            (&ours).read_exact(&mut [0; 2]).await.unwrap();
-            when.get()
+        let client = Async::<TcpStream>::connect(address).await.unwrap();
+        let (mut server, _) = listener.accept().unwrap();
+        let handled_requests = Rc::new(Cell::new(0));
+        let count = handled_requests.clone();
+        let background_task = executors.background.spawn(async move {
+            (&client).read_exact(&mut [0; 2]).await.unwrap();
+            count.get()
         });
-        // The answer comes while requests are worked on, so that only a look at the sockets
-        // shows it.
-        let answer = async move { std::io::Write::write_all(&mut theirs, b"ok").unwrap() };
-        executors.users.spawn(answer).detach();
+        // The response arrives while requests are being handled, so that only polling the sockets
+        // can reveal it.
+        let response = async move { std::io::Write::write_all(&mut server, b"ok").unwrap() };
+        executors.users.spawn(response).detach();
         for executor in [&executors.users, &executors.workers] {
             for _ in 0..150 {
-                let turns = turns.clone();
-                let work = async move { turns.set(turns.get() + 1) };
+                let count = handled_requests.clone();
+                let work = async move { count.set(count.get() + 1) };
                 executor.spawn(work).detach();
             }
         }
-        let before = duty.await;
-        assert!(before <= 32, "{before} turns of requests came first");
-        while turns.get() < 300 {
+        let before = background_task.await;
+        assert!(before <= 32, "{before} requests were handled first");
+        while handled_requests.get() < 300 {
             futures_lite::future::yield_now().await;
         }
     }));
 }
 
 #[test]
-fn a_request_of_a_disconnected_client_costs_its_handler_nothing() {
-    let _alone = alone();
-    let (ex, door, addr) = open_door();
-    // Sent and closed before the controller gets to it.
-    let mut gone = TcpStream::connect(addr).unwrap();
-    std::io::Write::write_all(&mut gone, b"GET /gone HTTP/1.1\r\nHost: here\r\n\r\n").unwrap();
-    drop(gone);
+fn a_request_of_a_disconnected_client_does_not_reach_the_handler() {
+    let _exclusive = run_exclusively();
+    let (executor, listener, address) = executor_and_listener();
+    // The client sends its request and disconnects before the server accepts the connection.
+    let mut disconnected = TcpStream::connect(address).unwrap();
+    let request = b"GET /gone HTTP/1.1\r\nHost: here\r\n\r\n";
+    std::io::Write::write_all(&mut disconnected, request).unwrap();
+    drop(disconnected);
     let handled = Rc::new(Cell::new(0));
     let count = handled.clone();
-    let serving = serve(ex.clone(), door, 10, move |req: ServerRequest| {
-        count.set(count.get() + u32::from(req.path == "/gone"));
-        async { ServerResponse::empty(200) }
-    });
-    ex.spawn(serving).detach();
-    async_io::block_on(ex.run(async {
+    let server = serve(
+        executor.clone(),
+        listener,
+        10,
+        move |request: ServerRequest| {
+            count.set(count.get() + u32::from(request.path == "/gone"));
+            async { ServerResponse::empty(200) }
+        },
+    );
+    executor.spawn(server).detach();
+    async_io::block_on(executor.run(async {
         for _ in 0..3 {
-            let c = Async::<TcpStream>::connect(addr).await.unwrap();
-            ask(&c, "/").await;
-            assert_eq!(status(&c).await, "200");
+            let client = Async::<TcpStream>::connect(address).await.unwrap();
+            send_get(&client, "/").await;
+            assert_eq!(read_status(&client).await, "200");
         }
     }));
     assert_eq!(handled.get(), 0);
