--- a/tests/golden_settings_and_commands.rs
+++ b/tests/golden_settings_and_commands.rs
@@ -1,4 +1,4 @@
-//! Settings files, the command line and printed JSON to the letter, see
+//! Golden tests of the keys of settings files, the command line and printed JSON; see
 //! `tests/support/golden.rs`.
 
 use pointhook::features::Features;
@@ -16,55 +16,55 @@
     pub mod golden_samples;
 }
 
-/// Runs the program to its end.
+/// Runs the program with these arguments until it exits.
 fn run(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_pointhook"));
     command.args(args).output().expect("the program runs")
 }
 
-fn code(output: &Output) -> String {
+fn exit_code(output: &Output) -> String {
     output.status.code().expect("an exit code").to_string()
 }
 
 #[test]
 fn json_that_the_program_prints() {
-    let mut g = Group::new("printed.txt");
+    let mut golden = Group::new("printed.txt");
     let schema = run(&["schema"]);
-    g.line(
+    golden.line(
         "schema",
         &json!(String::from_utf8_lossy(&schema.stdout)).to_string(),
     );
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let addr = listener.local_addr().expect("an address").to_string();
-    let served = std::thread::spawn(move || {
+    let address = listener.local_addr().expect("an address").to_string();
+    let server = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("a connection");
-        let mut head = [0; 4];
-        stream.read_exact(&mut head).expect("a head");
-        let mut rest = vec![0; u32::from_be_bytes(head) as usize];
-        stream.read_exact(&mut rest).expect("a frame");
+        let mut length = [0; 4];
+        stream.read_exact(&mut length).expect("a frame length");
+        let mut request = vec![0; u32::from_be_bytes(length) as usize];
+        stream.read_exact(&mut request).expect("a frame");
         let body = peers::encode(&PeerResponse::ShardStatuses {
             shards: standings(),
         });
-        let body = body.expect("a reply");
+        let body = body.expect("an encoded response");
         let mut frame = (body.len() as u32 + 1).to_be_bytes().to_vec();
         frame.push(3);
         frame.extend(body);
-        stream.write_all(&frame).expect("sent");
-        [head.to_vec(), rest].concat()
+        stream.write_all(&frame).expect("a sent response");
+        [length.to_vec(), request].concat()
     });
-    let seen = run(&["observe", "standby", "--server", &addr, "--json"]);
-    // Ends the wait for a request if the program has sent none.
-    drop(TcpStream::connect(&addr));
-    g.line(
+    let output = run(&["observe", "standby", "--server", &address, "--json"]);
+    // If the program sent no request, this connection ends the server's wait for one.
+    drop(TcpStream::connect(&address));
+    golden.line(
         "observe standby",
-        &json!(String::from_utf8_lossy(&seen.stdout)).to_string(),
+        &json!(String::from_utf8_lossy(&output.stdout)).to_string(),
     );
-    g.line(
+    golden.line(
         "observe standby, frame sent",
-        &hex(&served.join().expect("asked")),
+        &hex(&server.join().expect("a received request")),
     );
-    g.line("observe standby, exit code", &code(&seen));
-    g.compare();
+    golden.line("observe standby, exit code", &exit_code(&output));
+    golden.compare();
 }
 
 const PLATFORM: &str = r#"
@@ -92,131 +92,153 @@
 
 #[test]
 fn keys_of_settings_files() {
-    let mut g = Group::new("settings.txt");
-    settings_keys(&mut g, "platform", PLATFORM, PlatformSettings::load);
-    settings_keys(&mut g, "operator", OPERATOR, OperatorSettings::load);
-    settings_keys(&mut g, "features", FEATURES, Features::load);
-    g.compare();
+    let mut golden = Group::new("settings.txt");
+    settings_keys(&mut golden, "platform", PLATFORM, PlatformSettings::load);
+    settings_keys(&mut golden, "operator", OPERATOR, OperatorSettings::load);
+    settings_keys(&mut golden, "features", FEATURES, Features::load);
+    golden.compare();
 }
 
-/// The controller's name, zone, addresses and peers.
-fn platform_of_its_own(p: &PlatformSettings) {
-    assert_eq!((p.name.as_str(), p.zone.as_str()), ("stoker-1", "a"));
-    let ports = [
-        p.bind,
-        p.cluster_listen,
-        p.peers[0].addr,
-        p.services.cloud,
-        p.services.kv,
-    ];
-    assert_eq!(ports.map(|a| a.port()), [1001, 1002, 1003, 1004, 1005]);
-    let sibling = &p.peers[0];
+/// Checks the name, zone, addresses and peers of the controller.
+fn check_controller_settings(platform: &PlatformSettings) {
     assert_eq!(
-        (sibling.name.as_str(), sibling.zone.as_str()),
-        ("stoker-2", "b")
+        (platform.name.as_str(), platform.zone.as_str()),
+        ("stoker-1", "a")
     );
+    let addresses = [
+        platform.bind,
+        platform.cluster_listen,
+        platform.peers[0].addr,
+        platform.services.cloud,
+        platform.services.kv,
+    ];
+    let ports = addresses.map(|address| address.port());
+    assert_eq!(ports, [1001, 1002, 1003, 1004, 1005]);
+    let peer = &platform.peers[0];
+    assert_eq!((peer.name.as_str(), peer.zone.as_str()), ("stoker-2", "b"));
 }
 
-/// What all controllers of a platform share.
-fn platform_in_common(p: &PlatformSettings) {
-    let s = &p.settings;
-    assert_eq!(s.zones, ["a", "b"]);
-    let t = &s.teams[0];
+/// Checks the settings that all controllers of a cluster share.
+fn check_cluster_settings(platform: &PlatformSettings) {
+    let cluster = &platform.settings;
+    assert_eq!(cluster.zones, ["a", "b"]);
+    let team = &cluster.teams[0];
     assert_eq!(
-        (t.cpus, t.cpus_max, t.gpus, t.gpus_max),
+        (team.cpus, team.cpus_max, team.gpus, team.gpus_max),
         (1.5, 2.5, 3.5, 4.5)
     );
-    let o = &s.objectives[0];
+    let objective = &cluster.objectives[0];
     assert_eq!(
-        (o.kind.as_str(), o.class.as_deref(), o.within_s),
+        (
+            objective.kind.as_str(),
+            objective.class.as_deref(),
+            objective.within_s
+        ),
         ("wait", Some("train"), Some(60.5))
     );
-    let w = &s.workers;
-    assert_eq!((w.heartbeat_s, w.lease_s, w.gang_wait_s), (1.5, 12.5, 13.5));
+    let workers = &cluster.workers;
+    assert_eq!(
+        (workers.heartbeat_s, workers.lease_s, workers.gang_wait_s),
+        (1.5, 12.5, 13.5)
+    );
     assert_eq!(
-        (w.gang_peer_s, w.cancel_s, t.name.as_str()),
+        (workers.gang_peer_s, workers.cancel_s, team.name.as_str()),
         (4.5, 60.5, "vision")
     );
-    let x = &s.kv;
+    let kv = &cluster.kv;
     assert_eq!(
-        (x.rps, x.write_rps, x.value_kb, x.txn_ops),
+        (kv.rps, kv.write_rps, kv.value_kb, kv.txn_ops),
         (101.0, 102.0, 103.0, 104)
     );
-    let n = x.next.as_ref().expect("limits to come");
+    let next = kv.next.as_ref().expect("the next limits");
     assert_eq!(
-        (n.write_rps, n.value_kb, n.txn_ops),
+        (next.write_rps, next.value_kb, next.txn_ops),
         (Some(51.0), Some(52.0), Some(53))
     );
+    let (cloud, process) = (&cluster.cloud, &cluster.process);
     assert_eq!(
-        (s.cloud.rps, s.cloud.list_lag_s, s.process.max_connections),
+        (cloud.rps, cloud.list_lag_s, process.max_connections),
         (5.5, 6.5, 900)
     );
 }
 
-fn operator_in_full() {
-    let o = OperatorSettings::load(&file("operators.toml", OPERATOR)).expect("good");
-    assert_eq!((o.polls, o.queue_cap, o.shards_per_zone), (11, 12, 19));
+/// Checks operator settings whose file sets every key.
+fn check_operator_settings() {
+    let operator = OperatorSettings::load(&file("operators.toml", OPERATOR)).expect("valid");
+    assert_eq!(
+        (operator.polls, operator.queue_cap, operator.shards_per_zone),
+        (11, 12, 19)
+    );
     assert_eq!(
         (
-            o.gang_reservation_after_s,
-            o.steal_after_s,
-            o.scale_in_after_idle_s
+            operator.gang_reservation_after_s,
+            operator.steal_after_s,
+            operator.scale_in_after_idle_s
         ),
         (13.5, 14.5, 15.5)
     );
     assert_eq!(
         (
-            o.spot_patience_s,
-            o.capacity_buffer_spot,
-            o.capacity_buffer_on_demand
+            operator.spot_patience_s,
+            operator.capacity_buffer_spot,
+            operator.capacity_buffer_on_demand
         ),
         (16.5, 17.5, 18.5)
     );
 }
 
-fn operator_without_keys() {
-    let o = OperatorSettings::load(&file("operators.toml", "")).expect("good");
-    assert_eq!((o.polls, o.queue_cap, o.shards_per_zone), (5, 2, 2));
+/// Checks the defaults of the operator settings.
+fn check_operator_defaults() {
+    let operator = OperatorSettings::load(&file("operators.toml", "")).expect("valid");
+    assert_eq!(
+        (operator.polls, operator.queue_cap, operator.shards_per_zone),
+        (5, 2, 2)
+    );
     assert_eq!(
         (
-            o.gang_reservation_after_s,
-            o.steal_after_s,
-            o.scale_in_after_idle_s
+            operator.gang_reservation_after_s,
+            operator.steal_after_s,
+            operator.scale_in_after_idle_s
         ),
         (10.0, 2.0, 10.0)
     );
     assert_eq!(
         (
-            o.spot_patience_s,
-            o.capacity_buffer_spot,
-            o.capacity_buffer_on_demand
+            operator.spot_patience_s,
+            operator.capacity_buffer_spot,
+            operator.capacity_buffer_on_demand
         ),
         (45.0, 1.0, 1.2)
     );
 }
 
-fn features_in_full() {
-    let f = Features::load(&file("features-whole.toml", FEATURES)).expect("good");
-    let f = f.standby.expect("a table");
+/// Checks a features file that sets every key.
+fn check_features() {
+    let features = Features::load(&file("features-whole.toml", FEATURES)).expect("valid");
+    let standby = features.standby.expect("a table");
     assert_eq!(
-        (f.enabled, f.prefer_other_zone, f.settle_ms),
+        (
+            standby.enabled,
+            standby.prefer_other_zone,
+            standby.settle_ms
+        ),
         (false, true, 1234)
     );
 }
 
 #[test]
-fn settings_files_say_what_they_mean() {
-    let p = PlatformSettings::load(&file("whole.toml", PLATFORM)).expect("good");
-    platform_of_its_own(&p);
-    platform_in_common(&p);
-    operator_in_full();
-    operator_without_keys();
-    features_in_full();
+fn settings_are_loaded_from_their_keys() {
+    let platform = PlatformSettings::load(&file("whole.toml", PLATFORM)).expect("valid");
+    check_controller_settings(&platform);
+    check_cluster_settings(&platform);
+    check_operator_settings();
+    check_operator_defaults();
+    check_features();
 }
 
-/// Command lines: `GOOD`, `OP`, `FEAT` and `BAD` stand for files, `ADDR` for an address at which
-/// nobody listens.
-const LINES: &[&str] = &[
+/// Command lines. `GOOD`, `OP`, `FEAT`, `JOB` and `BAD` stand for files, `ADDR` for an address at
+/// which no process listens.
+const COMMAND_LINES: &[&str] = &[
     "--help",
     "--version",
     "-V",
@@ -268,100 +290,105 @@
     "job abort --server ADDR job-1",
 ];
 
-/// A description of a job as people write it.
-fn job_file() -> String {
+/// A job description in TOML, as a user writes it.
+fn job_description() -> String {
     toml::to_string(&described()).expect("TOML")
 }
 
 #[test]
 fn commands_options_and_exit_codes() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let at = taken.local_addr().expect("an address").to_string();
-    let nobody = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let addr = nobody.local_addr().expect("an address").to_string();
-    drop(nobody);
-    // With its address taken a controller that is started ends at once.
-    let good = file("good.toml", &PLATFORM.replace("127.0.0.1:1001", &at));
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let occupied_address = occupied.local_addr().expect("an address").to_string();
+    let closed = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let closed_address = closed.local_addr().expect("an address").to_string();
+    drop(closed);
+    // A controller whose listen address is occupied exits at once.
+    let platform = PLATFORM.replace("127.0.0.1:1001", &occupied_address);
+    let good = file("good.toml", &platform);
     let files = [
         ("GOOD", good),
         ("OP", file("op.toml", OPERATOR)),
         ("FEAT", file("feat.toml", FEATURES)),
-        ("JOB", file("job.toml", &job_file())),
+        ("JOB", file("job.toml", &job_description())),
         ("BAD", file("bad.toml", "nonsense = 1\n")),
     ];
-    let mut g = Group::new("commands.txt");
-    for line in LINES {
-        let word = |w: &str| match files.iter().find(|(name, _)| *name == w) {
+    let mut golden = Group::new("commands.txt");
+    for line in COMMAND_LINES {
+        let argument = |word: &str| match files.iter().find(|(name, _)| *name == word) {
             Some((_, path)) => path.display().to_string(),
-            None if w == "ADDR" => addr.clone(),
-            None => w.to_string(),
+            None if word == "ADDR" => closed_address.clone(),
+            None => word.to_string(),
         };
-        let args: Vec<String> = line.split_whitespace().map(word).collect();
-        let args: Vec<&str> = args.iter().map(String::as_str).collect();
-        g.line(&format!("pointhook {line}"), &code(&run(&args)));
+        let arguments: Vec<String> = line.split_whitespace().map(argument).collect();
+        let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+        golden.line(&format!("pointhook {line}"), &exit_code(&run(&arguments)));
     }
-    g.compare();
+    golden.compare();
 }
 
-/// Takes one request, answers it, and tells the request: its first line, type and body.
-fn one_request(listener: &TcpListener, status: u16, body: &[u8]) -> String {
+/// Receives one request, responds to it, and returns the request's first line, content type and
+/// body.
+fn serve_one_request(listener: &TcpListener, status: u16, body: &[u8]) -> String {
     let (mut stream, _) = listener.accept().expect("a connection");
-    let (mut got, mut buf) = (Vec::new(), [0; 4096]);
+    let (mut received, mut buffer) = (Vec::new(), [0; 4096]);
     loop {
-        let n = stream.read(&mut buf).expect("a request");
-        assert!(n > 0, "the program asked for nothing");
-        got.extend_from_slice(&buf[..n]);
-        let Some(end) = got.windows(4).position(|w| w == b"\r\n\r\n") else {
+        let count = stream.read(&mut buffer).expect("a request");
+        assert!(count > 0, "the program sent no request");
+        received.extend_from_slice(&buffer[..count]);
+        let Some(head_end) = received.windows(4).position(|bytes| bytes == b"\r\n\r\n") else {
             continue;
         };
-        let head = String::from_utf8_lossy(&got[..end]).to_string();
-        let field = |name: &str| {
-            let line = head.lines().find_map(|l| l.strip_prefix(name));
-            line.unwrap_or_default().trim().to_string()
+        let head = String::from_utf8_lossy(&received[..head_end]).to_string();
+        let header = |name: &str| {
+            let value = head.lines().find_map(|line| line.strip_prefix(name));
+            value.unwrap_or_default().trim().to_string()
         };
-        let len: usize = field("content-length:").parse().unwrap_or(0);
-        if got.len() < end + 4 + len {
+        let body_length: usize = header("content-length:").parse().unwrap_or(0);
+        let body_start = head_end + 4;
+        if received.len() < body_start + body_length {
             continue;
         }
-        let answer = format!(
+        let response = format!(
             "HTTP/1.1 {status} X\r\ncontent-length: {}\r\n\r\n",
             body.len()
         );
         stream
-            .write_all(&[answer.as_bytes(), body].concat())
-            .expect("sent");
-        let first = head.lines().next().unwrap_or_default();
+            .write_all(&[response.as_bytes(), body].concat())
+            .expect("a sent response");
+        let first_line = head.lines().next().unwrap_or_default();
         return format!(
-            "{first} | {} | {}",
-            field("content-type:"),
-            hex(&got[end + 4..])
+            "{first_line} | {} | {}",
+            header("content-type:"),
+            hex(&received[body_start..])
         );
     }
 }
 
 #[test]
 fn requests_and_exit_codes_of_job_commands() {
-    let mut g = Group::new("job_commands.txt");
-    let job = file("submitted.toml", &job_file()).display().to_string();
+    let mut golden = Group::new("job_commands.txt");
+    let description = file("submitted.toml", &job_description());
+    let description = description.display().to_string();
     let body = packed(&json!({"uid": "job-7", "status": "running", "done": 1, "running": 2}));
-    let mut exchange = |action: &str, what: &str, status: u16| {
+    let mut exchange = |action: &str, job: &str, status: u16| {
         let name = format!("job {action} {status}");
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let addr = listener.local_addr().expect("an address").to_string();
-        std::thread::scope(|s| {
-            let asked = s.spawn(|| one_request(&listener, status, &body));
-            let output = run(&["job", action, "--server", &addr, what]);
-            // Ends the wait for a request if the program has sent none.
-            drop(TcpStream::connect(&addr));
-            g.line(&name, &code(&output));
-            g.line(&format!("{name}, request"), &asked.join().expect("asked"));
+        let address = listener.local_addr().expect("an address").to_string();
+        std::thread::scope(|scope| {
+            let server = scope.spawn(|| serve_one_request(&listener, status, &body));
+            let output = run(&["job", action, "--server", &address, job]);
+            // If the program sent no request, this connection ends the server's wait for one.
+            drop(TcpStream::connect(&address));
+            golden.line(&name, &exit_code(&output));
+            let request = server.join().expect("a received request");
+            golden.line(&format!("{name}, request"), &request);
         });
     };
-    exchange("submit", &job, 201);
+    exchange("submit", &description, 201);
     exchange("cancel", "job-7", 200);
     exchange("withdraw", "job-7", 200);
     for status in [200, 400, 404, 422, 429, 500, 503] {
         exchange("show", "job-7", status);
     }
-    g.compare();
+    golden.compare();
 }
