--- a/src/job_command.rs
+++ b/src/job_command.rs
@@ -49,7 +49,7 @@
     /// The file with the job description can't be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the job description.
         path: PathBuf,
         /// Error of the operating system.
         #[source]
@@ -58,7 +58,7 @@
     /// The job description is not valid TOML, or a field is missing or of the wrong type.
     #[error("{}: {}", path.display(), source.message())]
     Malformed {
-        /// The file.
+        /// Path of the job description.
         path: PathBuf,
         /// Error of the parser.
         #[source]
@@ -67,7 +67,7 @@
     /// A field of the job description has a value that is never allowed.
     #[error("{}: {source}", path.display())]
     Invalid {
-        /// The file.
+        /// Path of the job description.
         path: PathBuf,
         /// The field and its allowed values.
         #[source]
--- a/src/observe_command.rs
+++ b/src/observe_command.rs
@@ -36,7 +36,7 @@
     /// The controller sent no valid response.
     #[error(transparent)]
     Transport(#[from] TransportError),
-    /// The controller's response is not that of the request.
+    /// The controller's response does not match the request.
     #[error("{server}: unexpected response; the controller may run an older version")]
     UnexpectedResponse {
         /// Peer address of the controller.
--- a/src/settings/errors.rs
+++ b/src/settings/errors.rs
@@ -9,7 +9,7 @@
     /// The file can't be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
         /// Error of the operating system.
         #[source]
@@ -18,7 +18,7 @@
     /// The file is not valid TOML, or a field is missing, unknown or of the wrong type.
     #[error("{}: line {line}: {}", path.display(), source.message().replace('\n', " "))]
     Syntax {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
         /// Line number, counted from 1; 0 if it is not known.
         line: usize,
@@ -29,7 +29,7 @@
     /// A field has a value that is not allowed.
     #[error("{}: {source}", path.display())]
     Value {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
         /// The field and its allowed values.
         #[source]
@@ -38,7 +38,7 @@
     /// The features file does not conform to its schema.
     #[error("{}: {source}", path.display())]
     Features {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
         /// The key and its allowed values.
         #[source]
@@ -46,7 +46,7 @@
     },
 }
 
-/// Setting with a value that is not allowed. Fields go by their keys in the file.
+/// Setting with a value that is not allowed. Its `field` is the key in the file.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidSetting {
     /// The list of zones is empty.
--- a/src/settings/operator.rs
+++ b/src/settings/operator.rs
@@ -5,11 +5,11 @@
 use serde::Deserialize;
 use std::path::Path;
 
-/// Upper limit of `shards_per_zone`.
+/// Largest allowed value of `shards_per_zone`.
 const MAX_SHARDS_PER_ZONE: usize = 64;
-/// Upper limit of `polls`.
+/// Largest allowed value of `polls`.
 const MAX_POLLED_MACHINES: usize = 64;
-/// Upper limit of `queue_cap`.
+/// Largest allowed value of `queue_cap`.
 const MAX_QUEUE_CAP: usize = 64;
 
 /// Contents of the operator settings file. A missing field gets its default; an unknown one is an
@@ -35,7 +35,8 @@
     /// may exceed 1.
     #[serde(rename = "headroom")]
     pub capacity_buffer_spot: f64,
-    /// The same fraction for work that must not use spot machines.
+    /// Fraction of the other work expected during a machine's boot, which must not use spot machines,
+    /// for which free capacity is kept; may exceed 1.
     #[serde(rename = "headroom_ordinary")]
     pub capacity_buffer_on_demand: f64,
     /// Number of shards per zone, 1 to 64.
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -64,8 +64,8 @@
 const LEASE_EXPIRY_MARGIN_S: f64 = 1.5;
 /// Relative drift between two clocks, each of which drifts by up to 0.05%.
 const MAX_CLOCK_DRIFT: f64 = 0.001;
-/// Lower bound, in s, of the watermark age up to which leases are renewed. With a smaller one,
-/// leases would expire whenever the key-value store responds slowly.
+/// Lower bound, in s, of the age of the cancellation watermark up to which leases are renewed. With a
+/// smaller one, leases would expire whenever the key-value store responds slowly.
 const MIN_WATERMARK_AGE_LIMIT_S: f64 = 6.5;
 
 impl WorkerSettings {
--- a/src/transport/deadlines.rs
+++ b/src/transport/deadlines.rs
@@ -70,8 +70,8 @@
     pub fn remove(&mut self, key: DeadlineKey) {
         self.waiting.remove(&key);
     }
-    /// The time to set the timer to, which the table then takes as set; `None` if there is no
-    /// deadline or the timer is already set early enough.
+    /// Returns the time to which the caller has to set the timer, and records it as set; `None` if
+    /// there is no deadline or the timer is already set early enough.
     pub fn arm_earliest(&mut self) -> Option<u64> {
         let earliest = self.waiting.keys().next()?.due_ms;
         if self.armed_for_ms.is_some_and(|armed| armed <= earliest) {
--- a/src/transport/http/client.rs
+++ b/src/transport/http/client.rs
@@ -11,7 +11,7 @@
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpStream};
 
-/// Idle connections that a client keeps open at most.
+/// Maximum number of idle connections that a client keeps open.
 const MAX_IDLE_CONNECTIONS: usize = 4;
 
 /// HTTP client for one address, with keep-alive connections.
