--- a/src/cli.rs
+++ b/src/cli.rs
@@ -12,7 +12,7 @@
 };
 use crate::features::Features;
 use crate::job_command::{self, JobAction, JobCommandError};
-use crate::observe_command::{self, ObserveError, Subject};
+use crate::observe_command::{self, ObserveAction, ObserveError};
 use crate::settings::{OperatorSettings, PlatformSettings, SettingsError};
 use crate::transport::executor_priorities::ExecutorPriorities;
 use crate::transport::{frames, http};
@@ -54,7 +54,7 @@
     /// Shows the state of the cluster as a running controller sees it
     Observe {
         #[command(subcommand)]
-        subject: Subject,
+        action: ObserveAction,
     },
     /// Prints the JSON schema of the features file
     Schema,
@@ -100,7 +100,7 @@
     match cli.command {
         None => serve(Settings::load(&cli.files)?),
         Some(CliCommand::Check(files)) => check(&files),
-        Some(CliCommand::Observe { subject }) => Ok(observe_command::run(&subject)?),
+        Some(CliCommand::Observe { action }) => Ok(observe_command::run(&action)?),
         Some(CliCommand::Schema) => {
             println!("{:#}", Features::schema());
             Ok(())
--- a/src/observe_command.rs
+++ b/src/observe_command.rs
@@ -14,7 +14,7 @@
 
 /// Subcommands of `pointhook observe`.
 #[derive(Subcommand)]
-pub enum Subject {
+pub enum ObserveAction {
     /// Shows all shards with their owners and standbys
     Standby(ObserveOptions),
 }
@@ -48,8 +48,8 @@
 }
 
 /// Runs an observe command and prints the controller's response.
-pub fn run(subject: &Subject) -> Result<(), ObserveError> {
-    let Subject::Standby(options) = subject;
+pub fn run(action: &ObserveAction) -> Result<(), ObserveError> {
+    let ObserveAction::Standby(options) = action;
     let shards = shard_statuses(options.server)?;
     if options.json {
         println!("{}", serde_json::to_string_pretty(&shards)?);
--- a/tests/golden_settings_and_commands.rs
+++ b/tests/golden_settings_and_commands.rs
@@ -68,11 +68,11 @@
 }
 
 const PLATFORM: &str = r#"
-node = "stoker-1"
+node = "controller-1"
 domain = "a"
 bind = "127.0.0.1:1001"
 cluster_listen = "127.0.0.1:1002"
-siblings = [{node = "stoker-2", domain = "b", addr = "127.0.0.1:1003"}]
+siblings = [{node = "controller-2", domain = "b", addr = "127.0.0.1:1003"}]
 outside = {cloud = "127.0.0.1:1004", state = "127.0.0.1:1005"}
 [settings]
 zones = ["a", "b"]
@@ -103,7 +103,7 @@
 fn check_controller_settings(platform: &PlatformSettings) {
     assert_eq!(
         (platform.name.as_str(), platform.zone.as_str()),
-        ("stoker-1", "a")
+        ("controller-1", "a")
     );
     let addresses = [
         platform.bind,
@@ -115,7 +115,10 @@
     let ports = addresses.map(|address| address.port());
     assert_eq!(ports, [1001, 1002, 1003, 1004, 1005]);
     let peer = &platform.peers[0];
-    assert_eq!((peer.name.as_str(), peer.zone.as_str()), ("stoker-2", "b"));
+    assert_eq!(
+        (peer.name.as_str(), peer.zone.as_str()),
+        ("controller-2", "b")
+    );
 }
 
 /// Checks the settings that all controllers of a cluster share.
