--- a/src/coordination/reconciliation/reconcile.rs
+++ b/src/coordination/reconciliation/reconcile.rs
@@ -51,7 +51,7 @@
 /// Every controller derives these cancellations without the write, so it can wait; a large
 /// dependency graph must not cause a burst of writes.
 fn write_cascaded_cancellations(pass: &PassContext, draft: &mut DraftTransaction) {
-    let unwritten = pass.cluster.dependency_graph.unwritten.iter();
+    let unwritten = pass.cluster.dependency_graph.unwritten_cancellations.iter();
     let own = unwritten.filter(|job| {
         let job = &pass.cluster.jobs[job.at()];
         pass.planning_permit(job).is_some()
