--- a/src/coordination/scheduler/binding.rs
+++ b/src/coordination/scheduler/binding.rs
@@ -1,16 +1,16 @@
-//! Binding: the tasks of a job just accepted get a place in machines' queues.
+//! Binding: decides in which machines' queues the tasks of a newly accepted job wait.
 //!
-//! A pure decision on a view that may be stale, for machines of any owner; `queues` carries it
-//! out. Tasks that find all queues full stay unbound, and the next machine with free capacity
-//! claims them.
+//! The decision uses the cached cluster state, which may be stale, and covers machines of any
+//! owner; `queues` carries it out. If all queues are full, a task stays unbound and is claimed
+//! later for any machine with free capacity.
 
 use crate::coordination::scheduler::bin_packing::bin_packing_cost;
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::coordination::scheduler::free_capacity::{free_capacity, FreeCapacity};
 use crate::coordination::scheduler::placement_rules::{
-    is_allowed, is_empty, is_reserved_for_on_demand, JobRef, MachineRef, OfferedMachine, SpotWork,
-    TasksByZone,
+    is_allowed, is_empty, should_wait_for_spot, JobRef, MachineRef, OfferedMachine, TasksByZone,
+    WaitingTask,
 };
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::Spec;
@@ -18,20 +18,22 @@
 use crate::state::units::{MonotonicMillis, Resources};
 use std::collections::HashMap;
 
-/// Machines looked at when there are more: a sample in place of a full search.
-const SAMPLE: usize = 64;
+/// Maximum number of machines that binding considers from each of two groups: machines that can
+/// start a task at once, and all others. From a larger group a random sample is taken, to avoid a
+/// full search.
+const SAMPLE_SIZE: usize = 64;
 
-/// A task, and the machine in whose queue it is to wait.
+/// A task and the machine in whose queue it should wait.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct QueueBinding {
-    /// Number of the task.
+    /// Task number.
     pub task: u32,
-    /// The machine.
+    /// Machine with the queue.
     pub machine: MachineIndex,
 }
 
-/// Binds a job's waiting tasks: to the machine in the stale view that suits best, else to the
-/// shortest queue under the cap.
+/// Binds a job's waiting tasks to machines: each task to the lowest-cost machine with free
+/// capacity, else to the machine with the shortest queue, unless all queues are at the cap.
 pub fn bind(
     cluster: &ClusterState,
     config: &SchedulerConfig,
@@ -49,12 +51,12 @@
         job,
         spec,
     };
-    let free = free_capacity_beside_queues(cluster);
+    let free = free_capacity_after_queues(cluster);
     let machines = sample_machines(cluster, config, job_ref, &free, now);
     let mut binder = Binder {
         cluster,
         config,
-        work: SpotWork {
+        waiting: WaitingTask {
             spec,
             priority: job.dependency_state.priority,
             waited_ms: job.waited_ms(wall_ms),
@@ -66,18 +68,20 @@
     };
     let mut bound = Vec::new();
     for task in job.waiting_tasks() {
-        let Some(on) = binder.choose() else { break };
-        binder.take(on);
+        let Some(candidate) = binder.choose() else {
+            break;
+        };
+        binder.record_binding(candidate);
         bound.push(QueueBinding {
             task,
-            machine: on.index,
+            machine: candidate.index,
         });
     }
     bound
 }
 
-/// Free capacity once all that waits in queues has started where it waits.
-fn free_capacity_beside_queues(cluster: &ClusterState) -> FreeCapacity {
+/// Free capacity of all machines, less the needs of the tasks that wait in their queues.
+fn free_capacity_after_queues(cluster: &ClusterState) -> FreeCapacity {
     let mut free = free_capacity(cluster, &DraftTransaction::default());
     for (machine_index, machine) in cluster.all_machines() {
         for queued in &machine.queue {
@@ -93,10 +97,10 @@
     free
 }
 
-/// A sample of the machines that may run the job.
+/// A random sample of the machines that may run the job.
 ///
-/// Machines with free capacity and the image are few, and a sample of hundreds misses most of
-/// them: so they are sampled apart from the others.
+/// Machines that have both free capacity and the image are few, and a common sample of hundreds
+/// would miss most of them. So they are sampled separately.
 fn sample_machines<'a>(
     cluster: &'a ClusterState,
     config: &SchedulerConfig,
@@ -105,18 +109,22 @@
     now: MonotonicMillis,
 ) -> Vec<MachineRef<'a>> {
     let machines = cluster.all_machines().map(MachineRef::from);
-    let candidates = machines.filter(|on| {
-        on.machine.is_schedulable(now, config.unresponsive_ms)
-            && on.machine.decisions.reservation.is_none()
-            && is_allowed(cluster, job, *on)
+    let candidates = machines.filter(|candidate| {
+        candidate
+            .machine
+            .is_schedulable(now, config.unresponsive_ms)
+            && candidate.machine.decisions.reservation.is_none()
+            && is_allowed(cluster, job, *candidate)
     });
-    let (mut ready, mut others): (Vec<_>, Vec<_>) = candidates.partition(|on| {
-        on.machine.has_image(job.spec.image)
-            && free.get(on.index).is_some_and(|f| job.spec.need.fits(f))
+    let (mut ready, mut others): (Vec<_>, Vec<_>) = candidates.partition(|candidate| {
+        candidate.machine.has_image(job.spec.image)
+            && free
+                .get(candidate.index)
+                .is_some_and(|f| job.spec.need.fits(f))
     });
-    for list in [&mut ready, &mut others] {
-        while list.len() > SAMPLE {
-            list.swap_remove(fastrand::usize(..list.len()));
+    for group in [&mut ready, &mut others] {
+        while group.len() > SAMPLE_SIZE {
+            group.swap_remove(fastrand::usize(..group.len()));
         }
     }
     ready.extend(others);
@@ -124,18 +132,21 @@
 }
 
 fn queue_lengths(machines: &[MachineRef]) -> HashMap<MachineIndex, usize> {
-    let length = |on: &MachineRef| {
-        let told_by_owner = on.machine.owner_status.queue_length.into();
-        on.machine.queue.len().max(told_by_owner)
+    let length = |candidate: &MachineRef| {
+        let reported_by_owner = candidate.machine.owner_status.queue_length.into();
+        candidate.machine.queue.len().max(reported_by_owner)
     };
-    machines.iter().map(|on| (on.index, length(on))).collect()
+    machines
+        .iter()
+        .map(|candidate| (candidate.index, length(candidate)))
+        .collect()
 }
 
 /// Chooses machines for the tasks of one job, one after another.
 struct Binder<'a> {
     cluster: &'a ClusterState,
     config: &'a SchedulerConfig,
-    work: SpotWork<'a>,
+    waiting: WaitingTask<'a>,
     machines: Vec<MachineRef<'a>>,
     free: FreeCapacity,
     queue_lengths: HashMap<MachineIndex, usize>,
@@ -143,55 +154,57 @@
 }
 
 impl<'a> Binder<'a> {
-    /// The machine for the next task; `None` if no queue takes it.
+    /// Chooses the machine for the next task; `None` if no machine has free capacity and no queue
+    /// may take the task.
     fn choose(&self) -> Option<MachineRef<'a>> {
         self.best_fitting().or_else(|| self.shortest_queue())
     }
 
-    /// The machine with free capacity that suits the task best.
+    /// The lowest-cost machine with free capacity for the task.
     fn best_fitting(&self) -> Option<MachineRef<'a>> {
-        let costs = self.machines.iter().filter_map(|on| {
-            let free = self.free.get(on.index)?;
-            self.fits(*on, free).then(|| {
-                let cost = bin_packing_cost(self.cluster, self.spec(), on.machine, free);
-                (cost, *on)
+        let costs = self.machines.iter().filter_map(|candidate| {
+            let free = self.free.get(candidate.index)?;
+            self.fits(*candidate, free).then(|| {
+                let cost = bin_packing_cost(self.cluster, self.spec(), candidate.machine, free);
+                (cost, *candidate)
             })
         });
-        let best = costs.min_by_key(|(cost, on)| (*cost, on.index));
-        best.map(|(_, on)| on)
+        let best = costs.min_by_key(|(cost, candidate)| (*cost, candidate.index));
+        best.map(|(_, candidate)| candidate)
     }
 
-    fn fits(&self, on: MachineRef, free: Resources) -> bool {
+    fn fits(&self, candidate: MachineRef, free: Resources) -> bool {
         let offered = OfferedMachine {
-            machine_type: on.machine.machine_type,
-            spot: on.machine.spot,
-            is_empty: is_empty(self.cluster, on.machine, free),
+            machine_type: candidate.machine.machine_type,
+            spot: candidate.machine.spot,
+            is_empty: is_empty(self.cluster, candidate.machine, free),
         };
-        self.zone_has_capacity(on)
+        self.zone_has_capacity(candidate)
             && self.spec().need.fits(free)
-            && !is_reserved_for_on_demand(self.cluster, self.config, self.work, offered)
+            && !should_wait_for_spot(self.cluster, self.config, self.waiting, offered)
     }
 
     fn shortest_queue(&self) -> Option<MachineRef<'a>> {
         let machines = self.machines.iter().copied();
         machines
-            .filter(|on| {
-                self.zone_has_capacity(*on) && self.queue_lengths[&on.index] < self.config.queue_cap
+            .filter(|candidate| {
+                self.zone_has_capacity(*candidate)
+                    && self.queue_lengths[&candidate.index] < self.config.queue_cap
             })
-            .min_by_key(|on| self.queue_lengths[&on.index])
+            .min_by_key(|candidate| self.queue_lengths[&candidate.index])
     }
 
-    fn zone_has_capacity(&self, on: MachineRef) -> bool {
-        self.by_zone.count(on.machine.zone) < self.spec().zone_cap()
+    fn zone_has_capacity(&self, candidate: MachineRef) -> bool {
+        self.by_zone.count(candidate.machine.zone) < self.spec().zone_cap()
     }
 
-    fn take(&mut self, on: MachineRef) {
-        self.free.take(on.index, self.work.spec.need);
-        *self.queue_lengths.entry(on.index).or_default() += 1;
-        self.by_zone.add(on.machine.zone);
+    fn record_binding(&mut self, candidate: MachineRef) {
+        self.free.take(candidate.index, self.waiting.spec.need);
+        *self.queue_lengths.entry(candidate.index).or_default() += 1;
+        self.by_zone.add(candidate.machine.zone);
     }
 
     fn spec(&self) -> &'a Spec {
-        self.work.spec
+        self.waiting.spec
     }
 }
--- a/src/coordination/scheduler/claims.rs
+++ b/src/coordination/scheduler/claims.rs
@@ -1,8 +1,8 @@
-//! Claims: waiting tasks get owned machines with free capacity.
+//! Claims: assigns waiting tasks to owned machines with free capacity.
 //!
-//! The second step of a scheduling pass. Gangs go first, then each priority in turn: the machines'
-//! own queues, then the waiting jobs in the order of service. What is claimed is only a draft; a
-//! start goes out once the transaction is committed.
+//! Claiming is the second step of a scheduling pass. Gangs are placed first, then each priority in
+//! turn: the tasks in the machines' queues, then the other waiting tasks in scheduling order. A
+//! claim is only part of the draft; the start command is sent after the transaction is committed.
 
 use crate::coordination::scheduler::bin_packing::bin_packing_cost;
 use crate::coordination::scheduler::draft::DraftTransaction;
@@ -10,11 +10,11 @@
     free_capacity, machines_with_capacity, smallest_need, FreeCapacity,
 };
 use crate::coordination::scheduler::gangs::claim_gangs;
-use crate::coordination::scheduler::job_order::{is_backed_off, waiting_jobs, Waiting};
+use crate::coordination::scheduler::job_order::{is_backed_off, waiting_jobs, WaitingJob};
 use crate::coordination::scheduler::pass::PassContext;
 use crate::coordination::scheduler::placement::{place, PlacementRequest, TaskOnMachine};
 use crate::coordination::scheduler::placement_rules::{
-    is_allowed, is_empty, is_reserved_for_on_demand, JobRef, MachineRef, OfferedMachine, SpotWork,
+    is_allowed, is_empty, should_wait_for_spot, JobRef, MachineRef, OfferedMachine, WaitingTask,
 };
 use crate::coordination::scheduler::starved_gangs::StarvedGangs;
 use crate::protocol::users::{JobKind, Priority};
@@ -26,11 +26,11 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap, HashSet};
 
-/// Most tasks of a job that a pass considers for each machine with free capacity.
+/// Maximum number of tasks of one job that a pass considers per machine with free capacity.
 const MAX_TASKS_PER_MACHINE: usize = 8;
 
-/// Claims waiting tasks for owned machines with free capacity; returns the machines that found
-/// nothing.
+/// Claims waiting tasks for owned machines with free capacity. Returns the machines that have free
+/// capacity left and for which the pass claimed nothing.
 pub fn claim(pass: &PassContext, draft: &mut DraftTransaction) -> Vec<MachineIndex> {
     let mut free = free_capacity(pass.cluster, draft);
     claim_gangs(pass, draft, &mut free);
@@ -42,9 +42,9 @@
         return Vec::new();
     };
     let permits = pass.permits_by_shard();
-    // Those without capacity are most of a busy fleet.
+    // In a busy fleet most machines have no free capacity and are skipped here.
     let machines: Vec<MachineRef> = machines_with_capacity(pass, &free, smallest)
-        .filter(|on| permits[on.machine.shard.at()].is_some())
+        .filter(|candidate| permits[candidate.machine.shard.at()].is_some())
         .collect();
     if machines.is_empty() {
         return Vec::new();
@@ -53,7 +53,7 @@
         pass: *pass,
         machines,
         permits,
-        queued: freshly_queued(pass),
+        queued: recently_queued(pass),
         starved_gangs: StarvedGangs::find(pass),
         free,
         claimed_for: HashSet::new(),
@@ -65,16 +65,18 @@
             claims.claim_for_job(draft, waiting);
         }
     }
-    claims.found_nothing(smallest)
+    claims.machines_without_claim(smallest)
 }
 
-/// True for tasks that are claimed many at a time while changes are scarce.
+/// True for array tasks below high priority: while the key-value store is near its write limit,
+/// they are claimed in batches.
 fn can_be_batched(spec: &Spec, priority: Priority) -> bool {
     spec.wire.kind == JobKind::Array && priority > Priority::High
 }
 
-/// Tasks that wait in a machine's queue and may not be claimed for any other machine yet.
-fn freshly_queued(pass: &PassContext) -> HashSet<(JobIndex, u32)> {
+/// Tasks that have been in a machine's queue for less than `steal_after_ms`, so that no other
+/// machine may claim them yet.
+fn recently_queued(pass: &PassContext) -> HashSet<(JobIndex, u32)> {
     let queues = pass.cluster.all_machines().map(|(_, m)| &m.queue);
     queues
         .flatten()
@@ -83,27 +85,27 @@
         .collect()
 }
 
-/// The claims of a pass, in which each priority is served in turn.
+/// State of the claim step of one pass.
 struct ClaimPass<'a> {
     pass: PassContext<'a>,
     /// Owned machines with free capacity.
     machines: Vec<MachineRef<'a>>,
-    /// By shard: the permit to decide for it.
+    /// Permits by shard index; `None` for a shard that this controller may not decide for.
     permits: Vec<Option<&'a Permit>>,
-    /// Tasks left to the machines in whose queues they wait.
+    /// Queued tasks that only the machine with the queue may claim.
     queued: HashSet<(JobIndex, u32)>,
     starved_gangs: StarvedGangs,
     free: FreeCapacity,
-    /// Machines for which something was claimed.
+    /// Machines for which this pass has claimed a task.
     claimed_for: HashSet<MachineIndex>,
 }
 
-/// How well a machine suits a job's next task; the least cost first, then by index.
+/// A machine ranked for a job's next task: by lowest cost, then by machine index.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RankedMachine {
     cost: i64,
     index: MachineIndex,
-    /// Position among the machines of the pass.
+    /// Position in `ClaimPass::machines`.
     position: usize,
 }
 
@@ -112,45 +114,48 @@
         self.pass.cluster
     }
 
-    /// True if the machine may take a task of the job now.
-    fn fits(&self, job: JobRef, on: MachineRef, free: Resources) -> bool {
+    /// True if a task of the job may be placed on the machine now: it fits into the free capacity,
+    /// the placement rules allow it, and the machine is not reserved for a gang. Production tasks
+    /// may use reserved machines as well.
+    fn fits(&self, job: JobRef, candidate: MachineRef, free: Resources) -> bool {
         let state = &job.job.dependency_state;
-        let reserved = on
+        let reserved = candidate
             .machine
             .decisions
             .reservation
             .is_some_and(|reservation| reservation.is_active(self.pass.now));
         job.spec.need.fits(free)
             && (!reserved || state.priority == Priority::Production)
-            && is_allowed(self.cluster(), job, on)
-            && !is_reserved_for_on_demand(
+            && is_allowed(self.cluster(), job, candidate)
+            && !should_wait_for_spot(
                 self.cluster(),
                 self.pass.config,
-                SpotWork {
+                WaitingTask {
                     spec: job.spec,
                     priority: state.priority,
                     waited_ms: job.job.waited_ms(self.pass.wall_ms),
                 },
                 OfferedMachine {
-                    machine_type: on.machine.machine_type,
-                    spot: on.machine.spot,
-                    is_empty: is_empty(self.cluster(), on.machine, free),
+                    machine_type: candidate.machine.machine_type,
+                    spot: candidate.machine.spot,
+                    is_empty: is_empty(self.cluster(), candidate.machine, free),
                 },
             )
     }
 
-    /// True if the job leaves its team's limit to a gang.
+    /// True if the job must not use more of its team's limit because a gang of the team waits for
+    /// it.
     fn would_starve_gang(&self, draft: &DraftTransaction, job: &Job, spec: &Spec) -> bool {
         self.starved_gangs
             .would_starve(&self.pass, draft, job, spec)
     }
 
-    /// Each machine's own queue, first in first out among those of one priority.
+    /// Claims the queued tasks of one priority for the machines that hold them, in FIFO order.
     fn claim_from_queues(&mut self, draft: &mut DraftTransaction, priority: Priority) {
         for position in 0..self.machines.len() {
-            let on = self.machines[position];
-            for queued in &on.machine.queue {
-                // What has waited here for long is unbound again, and served in that order.
+            let candidate = self.machines[position];
+            for queued in &candidate.machine.queue {
+                // After `steal_after_ms` any machine may claim the task, in scheduling order.
                 if self.pass.now.since(queued.queued_at) >= self.pass.config.steal_after_ms {
                     continue;
                 }
@@ -166,36 +171,37 @@
                     job,
                     spec: &spec,
                 };
-                if self.may_claim_queued(draft, job, queued.task, on) {
-                    self.place(draft, queued.job, &spec, queued.task, on);
+                if self.may_claim_queued(draft, job, queued.task, candidate) {
+                    self.place(draft, queued.job, &spec, queued.task, candidate);
                 }
             }
         }
     }
 
-    /// True if a task may be claimed now for the machine in whose queue it waits.
+    /// True if a queued task may be claimed now for the machine that holds it.
     fn may_claim_queued(
         &self,
         draft: &DraftTransaction,
         job: JobRef,
         task: u32,
-        on: MachineRef,
+        candidate: MachineRef,
     ) -> bool {
         let priority = job.job.dependency_state.priority;
         let waits_for_batch = draft.batch_array_updates && can_be_batched(job.spec, priority);
-        let free = self.free.get(on.index).unwrap_or_default();
+        let free = self.free.get(candidate.index).unwrap_or_default();
         !waits_for_batch
             && job.job.is_waiting(task)
             && !is_backed_off(self.cluster(), job.index, self.pass.now)
             && !self.would_starve_gang(draft, job.job, job.spec)
-            && self.fits(job, on, free)
+            && self.fits(job, candidate, free)
     }
 
-    /// The job's next unbound tasks, each by the machine that suits it best.
+    /// Claims the job's next unbound tasks, each for the machine with the lowest cost.
     ///
-    /// What a task takes changes its machine alone, and placements only ever rule more out, so
-    /// each machine is looked at once and once a task.
-    fn claim_for_job(&mut self, draft: &mut DraftTransaction, waiting: &Waiting) {
+    /// A claim changes the free capacity of its own machine only, and more placements can only
+    /// exclude machines, never allow new ones. So each machine is ranked once at the start, and
+    /// again only after a task has been placed on it.
+    fn claim_for_job(&mut self, draft: &mut DraftTransaction, waiting: &WaitingJob) {
         let positions = 0..self.machines.len();
         let mut best: BinaryHeap<Reverse<RankedMachine>> = positions
             .filter_map(|position| self.rank(draft, waiting, position))
@@ -210,18 +216,19 @@
             if self.would_starve_gang(draft, job, spec) {
                 return;
             }
-            let Some(position) = self.pop_usable(&mut best, draft, waiting) else {
+            let Some(position) = self.pop_best_usable(&mut best, draft, waiting) else {
                 return;
             };
-            let on = self.machines[position];
-            if !self.place(draft, waiting.job_index, spec, task, on) {
+            let candidate = self.machines[position];
+            if !self.place(draft, waiting.job_index, spec, task, candidate) {
                 return;
             }
             best.extend(self.rank(draft, waiting, position).map(Reverse));
         }
     }
 
-    /// The job's waiting tasks that no machine's queue holds, as many as may be claimed.
+    /// The job's waiting tasks that are not held by a machine's queue, up to
+    /// `MAX_TASKS_PER_MACHINE` per machine.
     fn unbound_tasks(&self, draft: &DraftTransaction, job_index: JobIndex) -> Vec<u32> {
         let job = draft.job(self.cluster(), job_index);
         job.waiting_tasks()
@@ -230,12 +237,12 @@
             .collect()
     }
 
-    /// The best machine that can still take a task of the job.
-    fn pop_usable(
+    /// Pops the position of the lowest-cost machine that can still run a task of the job.
+    fn pop_best_usable(
         &self,
         best: &mut BinaryHeap<Reverse<RankedMachine>>,
         draft: &DraftTransaction,
-        waiting: &Waiting,
+        waiting: &WaitingJob,
     ) -> Option<usize> {
         while let Some(Reverse(ranked)) = best.pop() {
             if self.rank(draft, waiting, ranked.position).is_some() {
@@ -245,57 +252,58 @@
         None
     }
 
-    /// How well a machine suits the job's next task; `None` if it can't take it.
+    /// Ranks a machine for the job's next task; `None` if the machine can't run it.
     fn rank(
         &self,
         draft: &DraftTransaction,
-        waiting: &Waiting,
+        waiting: &WaitingJob,
         position: usize,
     ) -> Option<RankedMachine> {
-        let on = self.machines[position];
-        let free = self.free.get(on.index)?;
+        let candidate = self.machines[position];
+        let free = self.free.get(candidate.index)?;
         let job = JobRef {
             index: waiting.job_index,
             job: draft.job(self.cluster(), waiting.job_index),
             spec: &waiting.spec,
         };
-        self.fits(job, on, free).then(|| RankedMachine {
-            cost: bin_packing_cost(self.cluster(), job.spec, on.machine, free),
-            index: on.index,
+        self.fits(job, candidate, free).then(|| RankedMachine {
+            cost: bin_packing_cost(self.cluster(), job.spec, candidate.machine, free),
+            index: candidate.index,
             position,
         })
     }
 
-    /// Drafts one placement; false if neither the transaction nor the team's limit allows it.
+    /// Drafts one placement; false if the transaction is full or the team's limit is reached.
     fn place(
         &mut self,
         draft: &mut DraftTransaction,
         job_index: JobIndex,
         spec: &Spec,
         task: u32,
-        on: MachineRef,
+        target: MachineRef,
     ) -> bool {
-        let Some(permit) = self.permits[on.machine.shard.at()] else {
+        let Some(permit) = self.permits[target.machine.shard.at()] else {
             return false;
         };
         let request = PlacementRequest {
             job_index,
             spec,
-            tasks: &[TaskOnMachine { task, on }],
+            tasks: &[TaskOnMachine { task, target }],
             permit,
         };
         let placed = place(&self.pass, draft, &request);
         if placed {
-            self.free.take(on.index, spec.need);
-            self.claimed_for.insert(on.index);
+            self.free.take(target.index, spec.need);
+            self.claimed_for.insert(target.index);
         }
         placed
     }
 
-    /// Machines that have free capacity left and for which nothing was claimed.
-    fn found_nothing(&self, smallest: Resources) -> Vec<MachineIndex> {
+    /// Machines that still have free capacity for the smallest need and for which this pass
+    /// claimed nothing.
+    fn machines_without_claim(&self, smallest: Resources) -> Vec<MachineIndex> {
         let has_capacity = |index| self.free.get(index).is_some_and(|f| smallest.fits(f));
-        let indices = self.machines.iter().map(|on| on.index);
+        let indices = self.machines.iter().map(|candidate| candidate.index);
         indices
             .filter(|index| !self.claimed_for.contains(index) && has_capacity(*index))
             .collect()
--- a/src/coordination/scheduler/gangs.rs
+++ b/src/coordination/scheduler/gangs.rs
@@ -1,8 +1,9 @@
-//! Gang scheduling: gangs of more than one task skip the queues, and all their tasks are claimed
-//! in one transaction.
+//! Gang scheduling: gangs of more than one task are not queued; all their tasks are claimed in one
+//! transaction.
 //!
-//! The owner of the shard that a gang's name maps to gathers machines of any owner; the owners see
-//! the placements by the watch and start them.
+//! A gang is placed by the owner of the shard that the gang's id hashes to, on machines of any
+//! owner. The owners of those machines learn of the placements through the watch on the key-value
+//! store and start the tasks.
 
 use crate::coordination::scheduler::bin_packing::image_pull_ms;
 use crate::coordination::scheduler::draft::DraftTransaction;
@@ -22,18 +23,19 @@
 use std::collections::BTreeMap;
 
 /// A waiting gang that this controller may place.
-struct OwnGang<'a> {
+struct OwnedGang<'a> {
     job: JobRef<'a>,
     permit: &'a Permit,
 }
 
-/// Places gangs whose shard this controller owns, all tasks in one claim.
+/// Places the gangs whose planning shard this controller owns, each with all its tasks or not at
+/// all.
 pub(super) fn claim_gangs(
     pass: &PassContext,
     draft: &mut DraftTransaction,
     free: &mut FreeCapacity,
 ) {
-    let gangs = own_gangs(pass);
+    let gangs = owned_gangs(pass);
     let Some(smallest) = smallest_need(gangs.iter().map(|gang| gang.job.spec)) else {
         return;
     };
@@ -44,7 +46,10 @@
         };
         let numbered = (0..).zip(&chosen);
         let tasks: Vec<TaskOnMachine> = numbered
-            .map(|(task, on)| TaskOnMachine { task, on: *on })
+            .map(|(task, target)| TaskOnMachine {
+                task,
+                target: *target,
+            })
             .collect();
         let request = PlacementRequest {
             job_index: gang.job.index,
@@ -53,14 +58,14 @@
             permit: gang.permit,
         };
         if place(pass, draft, &request) {
-            for on in chosen {
-                free.take(on.index, gang.job.spec.need);
+            for candidate in chosen {
+                free.take(candidate.index, gang.job.spec.need);
             }
         }
     }
 }
 
-fn own_gangs<'a>(pass: &PassContext<'a>) -> Vec<OwnGang<'a>> {
+fn owned_gangs<'a>(pass: &PassContext<'a>) -> Vec<OwnedGang<'a>> {
     let cluster = pass.cluster;
     let gangs = waiting_gangs(cluster, pass.now).into_iter();
     gangs
@@ -69,20 +74,20 @@
             let permit = pass.planning_permit(job)?;
             let spec = job.spec.as_deref()?;
             let job = JobRef { index, job, spec };
-            Some(OwnGang { job, permit })
+            Some(OwnedGang { job, permit })
         })
         .collect()
 }
 
-/// Capacity for one task of a gang.
+/// Free capacity on a machine for one task of a gang.
 struct Slot<'a> {
-    on: MachineRef<'a>,
-    /// Time that the machine needs to pull the image.
+    candidate: MachineRef<'a>,
+    /// Time that the machine needs to pull the gang's image, ms; 0 if it is cached.
     pull_ms: u64,
 }
 
-/// Machines for all tasks of a gang, in one zone if it must be; the choice that begins first.
-/// `None` if there is no such choice.
+/// Selects a machine for each task of a gang, all in one zone if the job requires it. Among the
+/// zones, the one where the gang can start first is chosen. `None` if the gang fits nowhere.
 fn select_gang_machines<'a>(
     pass: &PassContext<'a>,
     gang: JobRef,
@@ -94,16 +99,17 @@
         let Some(slots) = fastest_slots(gang.spec, slots) else {
             continue;
         };
-        // A gang begins with the last of its image pulls.
-        let begins_ms = slots.iter().map(|slot| slot.pull_ms).max().unwrap_or(0);
-        if best.as_ref().is_none_or(|(ms, _)| begins_ms < *ms) {
-            best = Some((begins_ms, slots));
+        // A gang can start only when its slowest image pull is finished.
+        let start_delay_ms = slots.iter().map(|slot| slot.pull_ms).max().unwrap_or(0);
+        if best.as_ref().is_none_or(|(ms, _)| start_delay_ms < *ms) {
+            best = Some((start_delay_ms, slots));
         }
     }
-    best.map(|(_, slots)| slots.into_iter().map(|slot| slot.on).collect())
+    best.map(|(_, slots)| slots.into_iter().map(|slot| slot.candidate).collect())
 }
 
-/// All slots for tasks of a gang, by zone if the gang must be in one, else all together.
+/// All slots for tasks of a gang: grouped by zone if the gang must run in one zone, else all under
+/// the same key.
 fn slots_by_zone<'a>(
     pass: &PassContext<'a>,
     gang: JobRef,
@@ -112,24 +118,24 @@
 ) -> BTreeMap<ZoneIndex, Vec<Slot<'a>>> {
     let need = gang.spec.need;
     let mut zones: BTreeMap<ZoneIndex, Vec<Slot>> = BTreeMap::new();
-    for on in machines.iter().copied() {
-        let mut free = free.get(on.index).unwrap_or_default();
+    for candidate in machines.iter().copied() {
+        let mut free = free.get(candidate.index).unwrap_or_default();
         if !need.fits(free)
-            || is_reserved_for_other(pass, gang, on)
-            || !is_allowed(pass.cluster, gang, on)
+            || is_reserved_for_other(pass, gang, candidate)
+            || !is_allowed(pass.cluster, gang, candidate)
         {
             continue;
         }
         let zone = match gang.spec.wire.one_zone {
-            true => on.machine.zone,
+            true => candidate.machine.zone,
             false => ZoneIndex(0),
         };
-        let pull_ms = image_pull_ms(pass.cluster, gang.spec, on.machine);
+        let pull_ms = image_pull_ms(pass.cluster, gang.spec, candidate.machine);
         let slots = zones.entry(zone).or_default();
         while need.fits(free) {
-            slots.push(Slot { on, pull_ms });
+            slots.push(Slot { candidate, pull_ms });
             free = free.minus(need);
-            // Tasks that need nothing would fit for ever.
+            // A task that requests no resources always fits: stop after one slot.
             if need == Resources::default() {
                 break;
             }
@@ -138,20 +144,26 @@
     zones
 }
 
-fn is_reserved_for_other(pass: &PassContext, gang: JobRef, on: MachineRef) -> bool {
-    let reservation = on.machine.decisions.reservation;
+fn is_reserved_for_other(pass: &PassContext, gang: JobRef, candidate: MachineRef) -> bool {
+    let reservation = candidate.machine.decisions.reservation;
     reservation.is_some_and(|reserved| reserved.gang != gang.index && reserved.is_active(pass.now))
 }
 
-/// As many slots as the gang has tasks, those that pull the image in the shortest time, spot
-/// machines first; `None` if there are too few.
+/// Selects one slot per task of the gang: the shortest image pull first, then spot machines before
+/// on-demand ones. `None` if there are too few slots.
 fn fastest_slots<'a>(spec: &Spec, mut slots: Vec<Slot<'a>>) -> Option<Vec<Slot<'a>>> {
-    slots.sort_by_key(|slot| (slot.pull_ms, !slot.on.machine.spot, slot.on.index));
+    slots.sort_by_key(|slot| {
+        (
+            slot.pull_ms,
+            !slot.candidate.machine.spot,
+            slot.candidate.index,
+        )
+    });
     if spec.wire.spread {
         let mut by_zone = TasksByZone::default();
         slots.retain(|slot| {
-            by_zone.add(slot.on.machine.zone);
-            by_zone.count(slot.on.machine.zone) <= spec.zone_cap()
+            by_zone.add(slot.candidate.machine.zone);
+            by_zone.count(slot.candidate.machine.zone) <= spec.zone_cap()
         });
     }
     let tasks = spec.tasks() as usize;
