--- a/crates/testkit/src/failover_measurement/batch.rs
+++ b/crates/testkit/src/failover_measurement/batch.rs
@@ -1,4 +1,4 @@
-//! Simulated users: they submit jobs at a steady rate and ask for them until they are done.
+//! Simulated users that submit jobs at a steady rate and poll their status until they are done.
 
 use super::{poll_until, TIMEOUT_MS};
 use crate::history::Event;
@@ -14,28 +14,28 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Tasks of a job of the batch.
-const TASKS: u32 = 8;
-/// Time between two jobs of the batch.
+/// Number of tasks of each job.
+const TASKS_PER_JOB: u32 = 8;
+/// Time between the submissions of two jobs.
 const SUBMIT_INTERVAL_MS: u64 = 500;
 const SUBMIT_TIMEOUT_MS: u64 = 5000;
 const SUBMIT_RETRY_MS: u64 = 1000;
 const STATUS_TIMEOUT_MS: u64 = 2000;
 const STATUS_POLL_INTERVAL_MS: u64 = 100;
 
-/// A steady batch of jobs.
+/// Jobs that are submitted during a measurement.
 pub(super) struct Batch {
     cluster: Rc<LoopbackCluster>,
     controllers: Vec<SocketAddr>,
     rng: RefCell<fastrand::Rng>,
     submitted: Cell<u32>,
-    /// Submissions that are not accepted yet.
+    /// Number of jobs that are submitted and not accepted yet.
     pending: Cell<u32>,
     accepted: RefCell<Vec<String>>,
 }
 
 impl Batch {
-    /// A batch that is submitted to any of these controllers.
+    /// Creates a batch without jobs; each request goes to a random one of the controllers.
     pub(super) fn new(
         cluster: Rc<LoopbackCluster>,
         controllers: &[ControllerProcess],
@@ -51,12 +51,12 @@
         }
     }
 
-    fn client_of_any_controller(&self) -> Client {
+    fn client_of_random_controller(&self) -> Client {
         let index = self.rng.borrow_mut().usize(..self.controllers.len());
         Client::new(self.controllers[index])
     }
 
-    /// Submits jobs until this is cancelled.
+    /// Submits a job every `SUBMIT_INTERVAL_MS`, until the async task is cancelled.
     pub(super) async fn submit_jobs(self: Rc<Self>, executor: Rc<LocalExecutor<'static>>) {
         loop {
             let number = self.submitted.get() + 1;
@@ -67,12 +67,12 @@
         }
     }
 
-    /// Submits one job, repeatedly under the same id until it is accepted.
+    /// Submits one job; retries under the same id until it is accepted.
     async fn submit(self: Rc<Self>, number: u32) {
-        let spec = job_of_batch(number);
+        let spec = job_spec(number);
         let body = rmp_serde::to_vec_named(&spec).unwrap_or_default();
         loop {
-            let client = self.client_of_any_controller();
+            let client = self.client_of_random_controller();
             let answer = client.call(Method::Post, "/v1/jobs", body.clone(), SUBMIT_TIMEOUT_MS);
             let answer = answer.await;
             if answer.is_ok_and(|answer| matches!(answer.status, 200 | 201)) {
@@ -80,7 +80,7 @@
             }
             pause(SUBMIT_RETRY_MS).await;
         }
-        self.record(Event::Accepted {
+        self.record(Event::JobAccepted {
             job: spec.id.clone(),
             tasks: spec.tasks,
         });
@@ -88,8 +88,8 @@
         self.pending.set(self.pending.get() - 1);
     }
 
-    /// Waits until all jobs are reported as done, and asks for each once more; false if that takes
-    /// too long.
+    /// Waits until all jobs are reported as done, then queries each status once more, so that the
+    /// checker sees a status that changes after done. False on timeout.
     pub(super) async fn wait_until_done(&self) -> bool {
         let all_accepted = || (self.pending.get() == 0).then_some(());
         let accepted = poll_until(&self.cluster, TIMEOUT_MS, all_accepted).await;
@@ -97,10 +97,10 @@
             return false;
         }
         let jobs = self.accepted.borrow().clone();
-        let deadline = self.cluster.now() + 2 * TIMEOUT_MS;
+        let deadline = self.cluster.now_ms() + 2 * TIMEOUT_MS;
         for job in &jobs {
             while self.query_status(job).await.as_deref() != Some("done") {
-                if self.cluster.now() > deadline {
+                if self.cluster.now_ms() > deadline {
                     return false;
                 }
                 pause(STATUS_POLL_INTERVAL_MS).await;
@@ -114,11 +114,11 @@
 
     async fn query_status(&self, job: &str) -> Option<String> {
         let path = format!("/v1/jobs/{job}");
-        let client = self.client_of_any_controller();
+        let client = self.client_of_random_controller();
         let answer = client.call(Method::Get, &path, Vec::new(), STATUS_TIMEOUT_MS);
         let answer = answer.await.ok().filter(|answer| answer.status == 200)?;
         let status: JobStatus = rmp_serde::from_slice(&answer.body).ok()?;
-        self.record(Event::Answered {
+        self.record(Event::JobStatusReported {
             job: job.to_string(),
             status: status.status.clone(),
         });
@@ -127,15 +127,15 @@
 
     fn record(&self, event: Event) {
         let mut recorder = self.cluster.recorder.borrow_mut();
-        recorder.record(self.cluster.now(), event);
+        recorder.record(self.cluster.now_ms(), event);
     }
 }
 
-/// Jobs of the batch are bound to the zones in turn.
-fn job_of_batch(number: u32) -> JobSpec {
+/// Specification of the job with this number; jobs are bound to the two zones in turn.
+fn job_spec(number: u32) -> JobSpec {
     let zone = ["north", "south"][number as usize % 2];
     JobSpec {
         zone: Some(zone.into()),
-        ..job(&format!("job-{number:06}"), TASKS)
+        ..job(&format!("job-{number:06}"), TASKS_PER_JOB)
     }
 }
--- a/crates/testkit/src/failover_measurement/interruption.rs
+++ b/crates/testkit/src/failover_measurement/interruption.rs
@@ -1,4 +1,5 @@
-//! One interruption of the owner of a busy shard, and the time until another controller decides.
+//! Interrupts the owner of a busy shard and measures the time until another controller decides for
+//! the shard.
 
 use super::{poll_until, Interruption, MeasurementError, TIMEOUT_MS};
 use crate::history::{Entry, Event};
@@ -7,25 +8,25 @@
 use pointhook::protocol::workers::FencingToken;
 use pointhook::transport::pause;
 
-/// A shard counts as busy if a decision for it was recorded within this time.
+/// Age of the last recorded decision up to which a shard counts as busy.
 const BUSY_WINDOW_MS: u64 = 1500;
-/// Time given to a controller that was started again, before the next interruption.
+/// Time for an interrupted controller to recover before the next interruption.
 const RECOVERY_MS: u64 = 1500;
-/// Each interruption comes after a random wait below this.
+/// Upper bound of the random delay before each interruption.
 const MAX_INITIAL_DELAY_MS: u64 = 1000;
-/// Newest events among which the first decision of a new owner is searched.
-const SEARCHED_EVENTS: usize = 4096;
+/// Number of newest events that are searched for the first decision of a new owner.
+const MAX_SEARCHED_EVENTS: usize = 4096;
 
-/// The busy shard whose owner is interrupted.
+/// Busy shard whose owner is interrupted.
 struct Target {
     shard: u32,
     fencing_token: FencingToken,
-    /// Index of its owner among the controllers.
+    /// Index of the shard's owner among the controllers.
     owner: usize,
 }
 
-/// Interrupts the owner of a busy shard; the time to the first decision of the next owner, or
-/// `None` if the owner was paused and kept the shard.
+/// Interrupts the owner of a busy shard. Returns the milliseconds until the first decision of the
+/// next owner, or `None` if the owner was paused and kept the shard.
 pub(super) async fn interrupt(
     cluster: &LoopbackCluster,
     controllers: &mut [ControllerProcess],
@@ -38,25 +39,25 @@
     let target = target.ok_or(MeasurementError::Timeout("a busy shard"))?;
     let owner = &mut controllers[target.owner];
     let failover_time = match interruption {
-        Interruption::Kill => Some(kill(cluster, owner, &target).await?),
+        Interruption::Kill => Some(kill_owner(cluster, owner, &target).await?),
         Interruption::Pause { ms } => pause_owner(cluster, owner, &target, ms).await?,
     };
     pause(RECOVERY_MS).await;
     Ok(failover_time)
 }
 
-async fn kill(
+async fn kill_owner(
     cluster: &LoopbackCluster,
     owner: &mut ControllerProcess,
     target: &Target,
 ) -> Result<u64, MeasurementError> {
-    let began = cluster.now();
+    let interrupted_at_ms = cluster.now_ms();
     owner.kill()?;
     let decided = || first_decision_of_next_owner(cluster, target);
-    let decided_at = poll_until(cluster, TIMEOUT_MS, decided).await;
-    let decided_at = decided_at.ok_or(MeasurementError::Timeout("a failover"))?;
+    let decided_at_ms = poll_until(cluster, TIMEOUT_MS, decided).await;
+    let decided_at_ms = decided_at_ms.ok_or(MeasurementError::Timeout("a failover"))?;
     owner.restart()?;
-    Ok(decided_at - began)
+    Ok(decided_at_ms - interrupted_at_ms)
 }
 
 async fn pause_owner(
@@ -65,13 +66,13 @@
     target: &Target,
     pause_ms: u64,
 ) -> Result<Option<u64>, MeasurementError> {
-    let began = cluster.now();
+    let interrupted_at_ms = cluster.now_ms();
     owner.pause()?;
     let decided = || first_decision_of_next_owner(cluster, target);
-    let decided_at = poll_until(cluster, pause_ms, decided).await;
-    pause(pause_ms.saturating_sub(cluster.now() - began)).await;
+    let decided_at_ms = poll_until(cluster, pause_ms, decided).await;
+    pause(pause_ms.saturating_sub(cluster.now_ms() - interrupted_at_ms)).await;
     owner.resume()?;
-    Ok(decided_at.map(|at| at - began))
+    Ok(decided_at_ms.map(|at| at - interrupted_at_ms))
 }
 
 fn choose_busy_shard(
@@ -80,7 +81,7 @@
     rng: &mut fastrand::Rng,
 ) -> Option<Target> {
     let recorder = cluster.recorder.borrow();
-    let since = cluster.now().saturating_sub(BUSY_WINDOW_MS);
+    let since = cluster.now_ms().saturating_sub(BUSY_WINDOW_MS);
     let newest_first = recorder.entries().iter().rev();
     let recent = newest_first.take_while(|entry| entry.at_ms >= since);
     let mut busy: Vec<u32> = recent.filter_map(decided_shard).collect();
@@ -98,23 +99,23 @@
 
 fn decided_shard(entry: &Entry) -> Option<u32> {
     match entry.event {
-        Event::Decided { shard, .. } => Some(shard),
+        Event::DecisionRecorded { shard, .. } => Some(shard),
         _ => None,
     }
 }
 
-/// When a decision for the shard was first recorded under a higher fencing token.
+/// Time of the first recorded decision for the shard under a higher fencing token.
 fn first_decision_of_next_owner(cluster: &LoopbackCluster, target: &Target) -> Option<u64> {
     let recorder = cluster.recorder.borrow();
     let is_of_next_owner = |entry: &&Entry| match entry.event {
-        Event::Decided {
+        Event::DecisionRecorded {
             shard,
             fencing_token,
         } => shard == target.shard && fencing_token > target.fencing_token,
         _ => false,
     };
-    // This is called every few milliseconds: the newest events are enough.
-    let mut newest_first = recorder.entries().iter().rev().take(SEARCHED_EVENTS);
+    // The newest events are enough, as this function is polled every few milliseconds.
+    let mut newest_first = recorder.entries().iter().rev().take(MAX_SEARCHED_EVENTS);
     let first = newest_first.rfind(is_of_next_owner)?;
     Some(first.at_ms)
 }
