--- a/src/coordination/job_api/answers.rs
+++ b/src/coordination/job_api/answers.rs
@@ -4,7 +4,7 @@
 use crate::protocol::users::JobStatus;
 use crate::state::cluster_state::ClusterState;
 use crate::state::job::Job;
-use crate::transport::http::Answer;
+use crate::transport::http::ServerResponse;
 
 /// HTTP status codes of responses.
 pub(super) mod status {
@@ -29,12 +29,12 @@
 
 /// The response to a request that can't be served at present; a retry, here or at another
 /// controller, may succeed.
-pub(super) fn retry_later() -> Answer {
-    Answer::later(RETRY_AFTER_S)
+pub(super) fn retry_later() -> ServerResponse {
+    ServerResponse::unavailable(RETRY_AFTER_S)
 }
 
 /// A response with the state of a job.
-pub(super) fn job_state(status: u16, job: &Job) -> Answer {
+pub(super) fn job_state(status: u16, job: &Job) -> ServerResponse {
     let (job_status, done, running) = ClusterState::job_status(job);
     let state = JobStatus {
         id: job.id.to_string(),
@@ -42,23 +42,23 @@
         done: Some(done),
         running: Some(running),
     };
-    Answer::of(status, &state)
+    ServerResponse::with_body(status, &state)
 }
 
 /// The response to the submission of a job that was just accepted and of which nothing else is
 /// known.
-pub(super) fn pending(id: &str) -> Answer {
+pub(super) fn pending(id: &str) -> ServerResponse {
     let state = JobStatus {
         id: id.to_string(),
         status: "pending".into(),
         done: None,
         running: None,
     };
-    Answer::of(status::CREATED, &state)
+    ServerResponse::with_body(status::CREATED, &state)
 }
 
 /// A response with the cached state of a job; `None` if the job is not known.
-pub(super) fn current_state(controller: &Controller, id: &str) -> Option<Answer> {
+pub(super) fn current_state(controller: &Controller, id: &str) -> Option<ServerResponse> {
     let cluster = controller.cluster.borrow();
     let (_, job) = cluster.job(id)?;
     Some(job_state(status::OK, job))
@@ -68,7 +68,7 @@
 ///
 /// A final state never changes again, so it needs no fresh read. Any other cached state could be
 /// older than the state that another controller has already returned to a user.
-pub(super) fn final_state(controller: &Controller, id: &str) -> Option<Answer> {
+pub(super) fn final_state(controller: &Controller, id: &str) -> Option<ServerResponse> {
     let cluster = controller.cluster.borrow();
     let (_, job) = cluster.job(id)?;
     (!job.is_open()).then(|| job_state(status::OK, job))
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -10,9 +10,9 @@
 use pointhook::features::Features;
 use pointhook::protocol::cloud::MachineTypeCatalog;
 use pointhook::protocol::users::{JobSpec, MAX_DEPENDENCIES};
-use pointhook::settings::{Operator, Platform};
+use pointhook::settings::{OperatorSettings, PlatformSettings};
 use pointhook::state::job::JobRecord;
-use pointhook::transport::http::{Answer, Incoming};
+use pointhook::transport::http::{ServerRequest, ServerResponse};
 use std::rc::Rc;
 use support::{cloud, job};
 
@@ -31,11 +31,11 @@
 /// address of its key-value store.
 fn controller(record_format_v2: bool) -> Rc<Controller> {
     let settings = include_str!("../examples/local_cluster.toml").replace("7483", "1");
-    let platform: Platform = toml::from_str(&settings).expect("settings");
+    let platform: PlatformSettings = toml::from_str(&settings).expect("settings");
     let executor = Rc::new(LocalExecutor::new());
     let controller = Rc::new(Controller::new(
         platform,
-        Operator::default(),
+        OperatorSettings::default(),
         Features::default(),
         executor,
     ));
@@ -50,7 +50,7 @@
 }
 
 /// Serves fresh reads as scripted, for as long as it is polled.
-async fn serve_reads(controller: &Controller, read: FreshRead) -> Answer {
+async fn serve_reads(controller: &Controller, read: FreshRead) -> ServerResponse {
     loop {
         controller.fresh_reads.notified(60_000).await;
         if let FreshRead::Job(id) = read {
@@ -63,8 +63,8 @@
     }
 }
 
-fn submit(controller: &Rc<Controller>, spec: &JobSpec, read: FreshRead) -> Answer {
-    let request = Incoming {
+fn submit(controller: &Rc<Controller>, spec: &JobSpec, read: FreshRead) -> ServerResponse {
+    let request = ServerRequest {
         method: Method::Post,
         path: "/v1/jobs".into(),
         query: String::new(),
@@ -93,7 +93,7 @@
     );
     let answer = submit(&controller, &unknown, FreshRead::Fails);
     assert_eq!(answer.status, 503);
-    assert!(answer.retry_after.is_some());
+    assert!(answer.retry_after_s.is_some());
     // Another controller has accepted the dependency: only the write fails now, and a client may
     // retry that.
     let known = submit(&controller, &unknown, FreshRead::Job("job-1"));
@@ -108,7 +108,7 @@
     for read in [FreshRead::Nothing, FreshRead::Job("job-1")] {
         let answer = submit(&format_v1, &spec, read);
         assert_eq!(answer.status, 503);
-        assert!(answer.retry_after.is_some());
+        assert!(answer.retry_after_s.is_some());
     }
     let format_v2 = controller(true);
     let ids: Vec<String> = (1..=MAX_DEPENDENCIES + 1)
