--- a/src/transport/http/request_reading.rs
+++ b/src/transport/http/request_reading.rs
@@ -1,6 +1,6 @@
-//! The first bytes of a request, and whether anyone still waits for its answer.
+//! Prefetching of a request's first bytes, which detects clients that have already disconnected.
 //!
-//! The HTTP server reads each request through [`OpenedStream`].
+//! The HTTP server reads each request through a [`PrefetchedStream`].
 
 use super::message::Stream;
 use futures_lite::{AsyncRead, AsyncReadExt, AsyncWrite};
@@ -9,58 +9,59 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::task::{Context, Poll};
 
-/// Bytes read before the rest is judged; nearly all requests are smaller.
-const FIRST_BYTES: usize = 2048;
+/// Maximum number of prefetched bytes; nearly all requests are smaller.
+const PREFETCH_BYTES: usize = 2048;
 
-/// Bytes that were read ahead, and how many of them were given out.
-struct ReadAhead {
+/// Prefetched bytes, and the position of the first one not yet read from the buffer.
+struct PrefetchBuffer {
     bytes: Vec<u8>,
     position: usize,
 }
 
-impl ReadAhead {
-    /// Copies what is left, as far as it fits; 0 if nothing is left.
-    fn copy_to(&mut self, buf: &mut [u8]) -> usize {
-        let rest = &self.bytes[self.position..];
-        let count = buf.len().min(rest.len());
-        buf[..count].copy_from_slice(&rest[..count]);
+impl PrefetchBuffer {
+    /// Copies unread bytes into `buf` and returns their number; 0 if none are left.
+    fn read_into(&mut self, buf: &mut [u8]) -> usize {
+        let remaining = &self.bytes[self.position..];
+        let count = buf.len().min(remaining.len());
+        buf[..count].copy_from_slice(&remaining[..count]);
         self.position += count;
         count
     }
 
-    fn is_used_up(&self) -> bool {
+    fn is_consumed(&self) -> bool {
         self.position >= self.bytes.len()
     }
 }
 
-/// A stream whose first bytes have been read already. They are given out first.
+/// A connection whose first bytes have been prefetched. Reads return those bytes first, then read
+/// from the connection.
 #[derive(Clone)]
-pub struct OpenedStream {
-    read_ahead: Arc<Mutex<ReadAhead>>,
+pub struct PrefetchedStream {
+    prefetched: Arc<Mutex<PrefetchBuffer>>,
     stream: Stream,
 }
 
-impl OpenedStream {
-    /// Reads the first bytes of a request; `None` if there is none, or if whoever sent it has
-    /// closed the connection since.
+impl PrefetchedStream {
+    /// Prefetches the first bytes of a request; `None` if the connection has ended without one, or if
+    /// the client has closed it after sending the request.
     ///
-    /// A controller that falls behind finds requests in its sockets whose senders have long
-    /// turned to another controller. To parse and answer them would keep it behind.
-    pub async fn read(stream: &Stream) -> Result<Option<OpenedStream>> {
-        let mut bytes = vec![0; FIRST_BYTES];
+    /// The sockets of an overloaded controller hold requests of clients that have already moved on to
+    /// another controller. Parsing and handling them would keep it overloaded.
+    pub async fn read(stream: &Stream) -> Result<Option<PrefetchedStream>> {
+        let mut bytes = vec![0; PREFETCH_BYTES];
         let count = (&**stream).read(&mut bytes).await?;
         bytes.truncate(count);
         if count == 0 || is_closed(stream) {
             return Ok(None);
         }
-        Ok(Some(OpenedStream {
-            read_ahead: Arc::new(Mutex::new(ReadAhead { bytes, position: 0 })),
+        Ok(Some(PrefetchedStream {
+            prefetched: Arc::new(Mutex::new(PrefetchBuffer { bytes, position: 0 })),
             stream: stream.clone(),
         }))
     }
 }
 
-/// True if the other end has closed the connection.
+/// True if the client has closed the connection.
 fn is_closed(stream: &Stream) -> bool {
     match stream.get_ref().peek(&mut [0]) {
         Ok(count) => count == 0,
@@ -68,26 +69,26 @@
     }
 }
 
-impl AsyncRead for OpenedStream {
+impl AsyncRead for PrefetchedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<Result<usize>> {
         {
-            let mut read_ahead = self
-                .read_ahead
+            let mut prefetched = self
+                .prefetched
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            if !read_ahead.is_used_up() {
-                return Poll::Ready(Ok(read_ahead.copy_to(buf)));
+            if !prefetched.is_consumed() {
+                return Poll::Ready(Ok(prefetched.read_into(buf)));
             }
         }
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for OpenedStream {
+impl AsyncWrite for PrefetchedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/tests/golden_http_bodies.rs
+++ b/tests/golden_http_bodies.rs
@@ -11,7 +11,7 @@
 use pointhook::state::cluster_state::ClusterState;
 use pointhook::state::records::ControllerRecord;
 use pointhook::state::units::Incarnation;
-use pointhook::transport::http::{self, Answer};
+use pointhook::transport::http::{self, ServerResponse};
 use serde_json::{json, Value};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -468,11 +468,11 @@
         let addr = listener.get_ref().local_addr().expect("an address");
         sender.send(addr).expect("the test waits for it");
         let executor = Rc::new(async_executor::LocalExecutor::new());
-        let answer = |incoming: http::Incoming| async move {
+        let answer = |incoming: http::ServerRequest| async move {
             match incoming.path.as_str() {
-                "/later" => Answer::later(1),
-                "/status" => Answer::of(201, &json!({"uid": "job-1"})),
-                path => Answer::bare(path[1..].parse().expect("a status")),
+                "/later" => ServerResponse::unavailable(1),
+                "/status" => ServerResponse::with_body(201, &json!({"uid": "job-1"})),
+                path => ServerResponse::empty(path[1..].parse().expect("a status")),
             }
         };
         let serving = http::serve(executor.clone(), listener, 8, answer);
@@ -480,7 +480,7 @@
     });
     let addr = receiver.recv().expect("a server");
     let mut group = Group::new("http.txt");
-    group.line("largest body", &http::MAX_BODY.to_string());
+    group.line("largest body", &http::MAX_BODY_BYTES.to_string());
     for path in [
         "/later", "/status", "/200", "/400", "/404", "/405", "/421", "/422", "/503",
     ] {
--- a/tests/http_api.rs
+++ b/tests/http_api.rs
@@ -7,7 +7,7 @@
 use pointhook::protocol::peers::{decode_request, encode, PeerRequest, TaskRef};
 use pointhook::protocol::users::{parse_job, JobKind, JobSpec};
 use pointhook::protocol::workers::{parse_task_name, Heartbeat};
-use pointhook::settings::{Operator, Platform};
+use pointhook::settings::{OperatorSettings, PlatformSettings};
 use pointhook::state::cluster_state::ClusterState;
 use pointhook::state::names::{Interner, MachineIndex};
 use pointhook::state::task_ranges::TaskRanges;
@@ -219,35 +219,38 @@
 #[test]
 fn the_platform_file_may_have_unknown_fields_but_must_have_all_required_ones() {
     let unknown_field = write_temp_file("good.toml", &format!("novelty = 1\n{PLATFORM}"));
-    assert_eq!(Platform::load(&unknown_field).unwrap().name, "controller-0");
+    assert_eq!(
+        PlatformSettings::load(&unknown_field).unwrap().name,
+        "controller-0"
+    );
     for missing in ["cluster_listen", "lease_s", "txn_ops"] {
         let remaining = PLATFORM.lines().filter(|line| !line.starts_with(missing));
         let text: Vec<&str> = remaining.collect();
         let path = write_temp_file(&format!("no-{missing}.toml"), &text.join("\n"));
-        let error = Platform::load(&path).unwrap_err().to_string();
+        let error = PlatformSettings::load(&path).unwrap_err().to_string();
         assert!(error.contains(missing) && !error.contains('\n'), "{error}");
     }
     let negative_lease = write_temp_file(
         "wrong.toml",
         &PLATFORM.replace("lease_s = 10.0", "lease_s = -1.0"),
     );
-    assert!(Platform::load(&negative_lease).is_err());
+    assert!(PlatformSettings::load(&negative_lease).is_err());
     let unknown_zone = write_temp_file(
         "zone.toml",
         &PLATFORM.replace("domain = \"north\"", "domain = \"east\""),
     );
-    assert!(Platform::load(&unknown_zone).is_err());
+    assert!(PlatformSettings::load(&unknown_zone).is_err());
 }
 
 #[test]
 fn the_operator_file_may_have_no_unknown_fields() {
     let valid = write_temp_file("op.toml", "polls = 3\nqueue_cap = 4\n");
-    assert_eq!(Operator::load(&valid).unwrap().polls, 3);
+    assert_eq!(OperatorSettings::load(&valid).unwrap().polls, 3);
     let unknown_field = write_temp_file("op-bad.toml", "polls = 3\npols = 4\n");
-    assert!(Operator::load(&unknown_field)
+    assert!(OperatorSettings::load(&unknown_field)
         .unwrap_err()
         .to_string()
         .contains("pols"));
     let out_of_range = write_temp_file("op-range.toml", "shards_per_zone = 0\n");
-    assert!(Operator::load(&out_of_range).is_err());
+    assert!(OperatorSettings::load(&out_of_range).is_err());
 }
