--- a/src/coordination/job_api/cancellation.rs
+++ b/src/coordination/job_api/cancellation.rs
@@ -1,6 +1,6 @@
 //! Handler of users' requests to cancel a job.
 
-use super::answers::{self, status};
+use super::responses::{self, status};
 use super::retries::{prepare_retry, COMMIT_TIME_LIMIT_MS};
 use crate::coordination::cancellations;
 use crate::coordination::controller::Controller;
@@ -21,8 +21,8 @@
     let began = controller.now();
     let mut newest_read = false;
     while controller.now().since(began) < COMMIT_TIME_LIMIT_MS {
-        if let Some(answer) = answers::final_state(controller, id) {
-            return answer;
+        if let Some(response) = responses::final_state(controller, id) {
+            return response;
         }
         if let Some(draft) = draft_cancellation(controller, id) {
             if !commit_cancellation(controller, id, &draft).await {
@@ -38,7 +38,7 @@
             }
         }
     }
-    answers::final_state(controller, id).unwrap_or_else(answers::retry_later)
+    responses::final_state(controller, id).unwrap_or_else(responses::retry_later)
 }
 
 /// A draft that cancels the job; `None` if the job is not in the cached state.
--- a/src/coordination/job_api/mod.rs
+++ b/src/coordination/job_api/mod.rs
@@ -2,13 +2,13 @@
 //!
 //! `cli` passes every request to [`handle`], which resolves its `Route`, calls the handler and
 //! measures its duration. Users' requests are handled by `submission`, `cancellation` and
-//! `job_status`; `answers` builds their responses, and `retries` limits their retries.
+//! `job_status`; `responses` builds the responses to them, and `retries` limits their retries.
 //!
 //! Invariant: a state that is not final is returned only after a fresh read of the key-value store,
 //! so that a user who queries another controller never sees an earlier state of a job than before.
 
-mod answers;
 mod cancellation;
+mod responses;
 mod retries;
 mod submission;
 
@@ -17,8 +17,8 @@
 use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::protocol::users::valid_id;
 use crate::transport::http::{ServerRequest, ServerResponse};
-use answers::status;
 use http_types::Method;
+use responses::status;
 use std::rc::Rc;
 
 pub use submission::accepted;
@@ -101,11 +101,11 @@
     if !valid_id(id) {
         return ServerResponse::empty(status::NOT_FOUND);
     }
-    if let Some(answer) = answers::final_state(controller, id) {
-        return answer;
+    if let Some(response) = responses::final_state(controller, id) {
+        return response;
     }
     if !controller.refresh(REFRESH_TIMEOUT_MS).await {
-        return answers::retry_later();
+        return responses::retry_later();
     }
-    answers::current_state(controller, id).unwrap_or(ServerResponse::empty(status::NOT_FOUND))
+    responses::current_state(controller, id).unwrap_or(ServerResponse::empty(status::NOT_FOUND))
 }
--- a/src/coordination/job_api/submission.rs
+++ b/src/coordination/job_api/submission.rs
@@ -7,7 +7,7 @@
 //! - A job is refused as impossible only after a fresh read that shows that no controller has
 //!   accepted it.
 
-use super::answers::{self, status};
+use super::responses::{self, status};
 use super::retries::{is_known, prepare_retry, COMMIT_TIME_LIMIT_MS};
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
@@ -53,15 +53,15 @@
         return ServerResponse::empty(status::BAD_REQUEST);
     };
     if !controller.cluster.borrow().loaded {
-        return answers::retry_later();
+        return responses::retry_later();
     }
-    if let Some(answer) = answers::final_state(controller, &spec.id) {
-        return answer;
+    if let Some(response) = responses::final_state(controller, &spec.id) {
+        return response;
     }
     match admit(controller, &spec).await {
         Admission::Admitted => store_job(controller, spec).await,
         Admission::Impossible => ServerResponse::empty(status::UNPROCESSABLE),
-        Admission::Undecided => answers::retry_later(),
+        Admission::Undecided => responses::retry_later(),
     }
 }
 
@@ -139,11 +139,11 @@
         return accept(controller, &id, revision, &record);
     }
     if is_known(controller, &id) && controller.refresh(REFRESH_TIMEOUT_MS).await {
-        if let Some(answer) = answers::current_state(controller, &id) {
-            return answer;
+        if let Some(response) = responses::current_state(controller, &id) {
+            return response;
         }
     }
-    answers::retry_later()
+    responses::retry_later()
 }
 
 /// Commits a submission and returns its revision; `None` if the job was known already or could not
@@ -203,8 +203,8 @@
 pub fn accepted(cluster: &ClusterState, id: &str, revision: u64) -> ServerResponse {
     match cluster.job(id) {
         Some((_, job)) if job.version > revision || !job.is_open() => {
-            answers::job_state(status::CREATED, job)
+            responses::job_state(status::CREATED, job)
         }
-        _ => answers::pending(id),
+        _ => responses::pending(id),
     }
 }
