--- a/src/coordination/cancellations/exchange.rs
+++ b/src/coordination/cancellations/exchange.rs
@@ -15,7 +15,7 @@
 use crate::transport::TransportError;
 use std::rc::Rc;
 
-/// Time that a peer has to respond.
+/// Timeout of a peer's response.
 const RESPONSE_TIMEOUT_MS: u64 = 900;
 /// Value of `watermark_age_ms` in the response of a controller that has no watermark.
 const NO_WATERMARK: u32 = u32::MAX;
@@ -24,7 +24,7 @@
 ///
 /// Called as soon as a cancellation is confirmed, and by each round of the background task. An
 /// exchange that failed is retried by the next round, as long as tasks of the job may remain.
-pub fn broadcast(controller: &Rc<Controller>) {
+pub fn exchange_with_peers(controller: &Rc<Controller>) {
     for (peer_index, peer) in controller.peers.iter().enumerate() {
         if peer.begin_cancellation_exchange(controller.now()) {
             let exchanges = exchange_until_done(controller.clone(), peer_index);
@@ -33,7 +33,7 @@
     }
 }
 
-/// Repeats the exchange with one peer until nothing new is left to send, or until it does not
+/// Repeats the exchange with one peer until nothing new is left to send, or until the peer does not
 /// respond.
 async fn exchange_until_done(controller: Rc<Controller>, peer_index: usize) {
     let peer = &controller.peers[peer_index];
@@ -41,7 +41,7 @@
     peer.end_cancellation_exchange();
 }
 
-/// One exchange with a peer; false if it did not respond.
+/// One exchange with a peer; false if the peer did not respond.
 async fn exchange(controller: &Rc<Controller>, peer_index: usize) -> bool {
     let peer = &controller.peers[peer_index];
     // The response proves what the peer knew when the request was sent. It may be delayed in
@@ -61,7 +61,7 @@
             return false;
         }
     };
-    peer.record_cancellation_answer();
+    peer.record_cancellation_response();
     let new_jobs = apply_peer_response(
         &mut controller.cluster.borrow_mut(),
         peer_index,
@@ -69,7 +69,7 @@
         controller.now(),
         &response,
     );
-    announce_new_cancellations(controller, &new_jobs);
+    handle_new_cancellations(controller, &new_jobs);
     true
 }
 
@@ -77,14 +77,14 @@
 /// controller.
 pub fn handle_cancelled_jobs(controller: &Rc<Controller>, jobs: &[String]) -> PeerResponse {
     let new_jobs = record_cancellations(&mut controller.cluster.borrow_mut(), jobs);
-    announce_new_cancellations(controller, &new_jobs);
+    handle_new_cancellations(controller, &new_jobs);
     let now = controller.now();
     attestation_response(&controller.cluster.borrow(), now, now.0)
 }
 
 /// Logs the jobs whose cancellation was not known before, and wakes the planner to stop their
 /// tasks.
-fn announce_new_cancellations(controller: &Controller, new_jobs: &[&String]) {
+fn handle_new_cancellations(controller: &Controller, new_jobs: &[&String]) {
     for id in new_jobs {
         log::info!("job cancelled by a peer's message: job={id}");
     }
--- a/src/coordination/job_api/cancellation.rs
+++ b/src/coordination/job_api/cancellation.rs
@@ -1,11 +1,11 @@
 //! Handler of users' requests to cancel a job.
 
-use super::answers::{self, status};
-use super::attempts::{prepare_retry, COMMIT_TIME_LIMIT_MS};
+use super::responses::{self, status};
+use super::retries::{prepare_retry, COMMIT_TIME_LIMIT_MS};
 use crate::coordination::cancellations;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
-use crate::coordination::kv::fresh_reads::REFRESH_MS;
+use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::coordination::kv::transactions::commit_draft;
 use crate::coordination::scheduler::draft::DraftTransaction;
 use crate::protocol::users::valid_id;
@@ -21,8 +21,8 @@
     let began = controller.now();
     let mut newest_read = false;
     while controller.now().since(began) < COMMIT_TIME_LIMIT_MS {
-        if let Some(answer) = answers::final_state(controller, id) {
-            return answer;
+        if let Some(response) = responses::final_state(controller, id) {
+            return response;
         }
         if let Some(draft) = draft_cancellation(controller, id) {
             if !commit_cancellation(controller, id, &draft).await {
@@ -32,13 +32,13 @@
             return ServerResponse::empty(status::NOT_FOUND);
         } else {
             // Another controller may have accepted the job since the last read.
-            newest_read = controller.refresh(REFRESH_MS).await;
+            newest_read = controller.refresh(REFRESH_TIMEOUT_MS).await;
             if !newest_read {
                 break;
             }
         }
     }
-    answers::final_state(controller, id).unwrap_or_else(answers::retry_later)
+    responses::final_state(controller, id).unwrap_or_else(responses::retry_later)
 }
 
 /// A draft that cancels the job; `None` if the job is not in the cached state.
@@ -52,7 +52,7 @@
     Some(draft)
 }
 
-/// Commits a cancellation; false if it could not be committed and a retry would not help now.
+/// Commits a cancellation; false if the commit failed and an immediate retry would not help.
 async fn commit_cancellation(
     controller: &Rc<Controller>,
     id: &str,
@@ -61,7 +61,7 @@
     match commit_draft(controller, draft).await {
         CommitOutcome::Committed(revision) => {
             log::info!("job cancelled: job={id} revision={revision}");
-            cancellations::broadcast(controller);
+            cancellations::exchange_with_peers(controller);
             controller.scheduling.notify();
             true
         }
--- a/src/coordination/job_api/answers.rs
+++ b/src/coordination/job_api/responses.rs
@@ -45,8 +45,8 @@
     ServerResponse::with_body(status, &state)
 }
 
-/// The response to the submission of a job that was just accepted and of which nothing else is
-/// known.
+/// The response to the submission of a job that was just accepted: status `pending`, without task
+/// counts.
 pub(super) fn pending(id: &str) -> ServerResponse {
     let state = JobStatus {
         id: id.to_string(),
@@ -57,14 +57,15 @@
     ServerResponse::with_body(status::CREATED, &state)
 }
 
-/// A response with the cached state of a job; `None` if the job is not known.
+/// A response with the cached state of a job; `None` if the job is not cached.
 pub(super) fn current_state(controller: &Controller, id: &str) -> Option<ServerResponse> {
     let cluster = controller.cluster.borrow();
     let (_, job) = cluster.job(id)?;
     Some(job_state(status::OK, job))
 }
 
-/// A response with the state of a job that has ended; `None` if it has not or is not known.
+/// A response with the state of a job that has ended; `None` if the job has not ended or is not
+/// cached.
 ///
 /// A final state never changes again, so it needs no fresh read. Any other cached state could be
 /// older than the state that another controller has already returned to a user.
--- a/src/coordination/job_api/submission.rs
+++ b/src/coordination/job_api/submission.rs
@@ -7,12 +7,12 @@
 //! - A job is refused as impossible only after a fresh read that shows that no controller has
 //!   accepted it.
 
-use super::answers::{self, status};
-use super::attempts::{is_known, prepare_retry, COMMIT_TIME_LIMIT_MS};
+use super::responses::{self, status};
+use super::retries::{is_known, prepare_retry, COMMIT_TIME_LIMIT_MS};
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
-use crate::coordination::kv::fresh_reads::REFRESH_MS;
+use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::coordination::kv::transactions::set;
 use crate::coordination::scheduler::queues;
 use crate::protocol::kv::{Condition, Transaction};
@@ -30,7 +30,8 @@
 enum Admission {
     /// The job can run, or was accepted before.
     Admitted,
-    /// The job can never run, or depends on a job that was never accepted.
+    /// The job can never run, depends on a job that was never accepted, or has too many
+    /// dependencies.
     Impossible,
     /// The controller lacks the information to decide at present.
     Undecided,
@@ -46,27 +47,27 @@
     NotSupportedByAll,
 }
 
-/// Accepts a job, or responds with the status that tells why it was not accepted.
+/// Accepts a job, or responds with the HTTP status for the reason why it was not accepted.
 pub(super) async fn submit(controller: &Rc<Controller>, body: Option<Vec<u8>>) -> ServerResponse {
     let Some(spec) = body.as_deref().and_then(parse_job) else {
         return ServerResponse::empty(status::BAD_REQUEST);
     };
     if !controller.cluster.borrow().loaded {
-        return answers::retry_later();
+        return responses::retry_later();
     }
-    if let Some(answer) = answers::final_state(controller, &spec.id) {
-        return answer;
+    if let Some(response) = responses::final_state(controller, &spec.id) {
+        return response;
     }
     match admit(controller, &spec).await {
         Admission::Admitted => store_job(controller, spec).await,
         Admission::Impossible => ServerResponse::empty(status::UNPROCESSABLE),
-        Admission::Undecided => answers::retry_later(),
+        Admission::Undecided => responses::retry_later(),
     }
 }
 
 async fn admit(controller: &Controller, spec: &JobSpec) -> Admission {
-    // For a known job the response is its state, whatever the machine types and dependencies are
-    // now.
+    // The response for a known job is its state, regardless of the current machine types and
+    // dependencies.
     if is_known(controller, &spec.id) {
         return Admission::Admitted;
     }
@@ -78,7 +79,7 @@
     }
 }
 
-/// True if a job can ever run; `None` while this controller knows no machine types.
+/// True if a job can ever run; `None` while this controller has read no machine types.
 fn can_run(cluster: &mut ClusterState, spec: &JobSpec) -> Option<bool> {
     let machine_types_known = !cluster.machine_types.is_empty();
     let interned = cluster.intern_spec(spec);
@@ -88,7 +89,7 @@
 /// Decides about a job that can't run: it is impossible, unless another controller has accepted it
 /// before.
 async fn admit_if_accepted_elsewhere(controller: &Controller, id: &str) -> Admission {
-    if !controller.refresh(REFRESH_MS).await {
+    if !controller.refresh(REFRESH_TIMEOUT_MS).await {
         Admission::Undecided
     } else if is_known(controller, id) {
         Admission::Admitted
@@ -100,7 +101,7 @@
 /// Decides about a job that can run, by its dependencies.
 ///
 /// Another controller may have accepted a dependency that is missing from the cached state, so only
-/// a fresh read shows that it does not exist. If the read fails, the answer is undecided.
+/// a fresh read shows that it does not exist. If the read fails, the result is undecided.
 async fn admit_dependencies(controller: &Controller, dependencies: &[String]) -> Admission {
     if dependencies.is_empty() {
         return Admission::Admitted;
@@ -109,7 +110,7 @@
         return Admission::Impossible;
     }
     let known_before_read = find_dependencies(controller, dependencies) == Dependencies::Known;
-    if !known_before_read && !controller.refresh(REFRESH_MS).await {
+    if !known_before_read && !controller.refresh(REFRESH_TIMEOUT_MS).await {
         return Admission::Undecided;
     }
     match find_dependencies(controller, dependencies) {
@@ -137,12 +138,12 @@
     if let Some(revision) = commit_submission(controller, &id, &record).await {
         return accept(controller, &id, revision, &record);
     }
-    if is_known(controller, &id) && controller.refresh(REFRESH_MS).await {
-        if let Some(answer) = answers::current_state(controller, &id) {
-            return answer;
+    if is_known(controller, &id) && controller.refresh(REFRESH_TIMEOUT_MS).await {
+        if let Some(response) = responses::current_state(controller, &id) {
+            return response;
         }
     }
-    answers::retry_later()
+    responses::retry_later()
 }
 
 /// Commits a submission and returns its revision; `None` if the job was known already or could not
@@ -196,14 +197,14 @@
 
 /// The response to the submission of a job that was accepted at this revision.
 ///
-/// It has the cached state if that is newer than the submission, because another controller may
-/// have returned that state already. The state may also be final from the start: a job that depends
-/// on a cancelled one is cancelled too.
+/// The response has the cached state if that is newer than the submission, because another
+/// controller may have returned that state already. The state may also be final from the start: a
+/// job that depends on a cancelled one is cancelled too.
 pub fn accepted(cluster: &ClusterState, id: &str, revision: u64) -> ServerResponse {
     match cluster.job(id) {
         Some((_, job)) if job.version > revision || !job.is_open() => {
-            answers::job_state(status::CREATED, job)
+            responses::job_state(status::CREATED, job)
         }
-        _ => answers::pending(id),
+        _ => responses::pending(id),
     }
 }
--- a/src/coordination/kv/watch.rs
+++ b/src/coordination/kv/watch.rs
@@ -14,11 +14,11 @@
 use std::collections::HashSet;
 use std::rc::Rc;
 
-/// Longest time that the store waits for a change before it answers a watch.
+/// Longest time that the store waits for a change before it responds to a watch.
 const WATCH_WAIT_MS: u64 = 5000;
 /// Delay after a failed watch or read, before jitter.
 const RETRY_DELAY_MS: u64 = 300;
-/// Age of the cached state above which a controller first asks how many changes it has missed.
+/// Age of the cached state above which a controller first queries how many changes it has missed.
 const STALE_AFTER_MS: u64 = 20_000;
 /// Largest number of missed changes that is read by a watch; if there are more, all records are
 /// read in pages.
@@ -30,7 +30,7 @@
 /// HTTP status of a watch from a revision whose changes the store has discarded.
 const COMPACTED: u16 = 410;
 
-/// Background task: reads all records, then watches them.
+/// Background task: reads all records, then watches for changes.
 pub async fn run(controller: Rc<Controller>) {
     loop {
         let loaded = controller.cluster.borrow().loaded;
@@ -66,12 +66,12 @@
     }
     let began = controller.now();
     let from = controller.cluster.borrow().revision;
-    let Ok(answer) = call_watch(controller, from, wait_ms).await else {
+    let Ok(response) = call_watch(controller, from, wait_ms).await else {
         controller.kv.reset_watches();
         return false;
     };
-    match answer.status {
-        CHANGES => apply_changes(controller, from, began, &answer),
+    match response.status {
+        CHANGES => apply_changes(controller, from, began, &response),
         COMPACTED => {
             log::warn!("watch revision compacted, reading all records: revision={from}");
             read_all_records(controller).await
@@ -99,9 +99,9 @@
     controller: &Controller,
     from: u64,
     began: MonotonicMillis,
-    answer: &ClientResponse,
+    response: &ClientResponse,
 ) -> bool {
-    let Ok(changes) = rmp_serde::from_slice::<Changes>(&answer.body) else {
+    let Ok(changes) = rmp_serde::from_slice::<Changes>(&response.body) else {
         log::warn!("malformed watch response: revision={from}");
         return false;
     };
@@ -127,19 +127,19 @@
     matches!(kind, Some(("node" | "shard", _)))
 }
 
-/// Number of changes that the cached state lacks; `None` if the store does not answer.
+/// Number of changes that the cached state lacks; `None` if the store does not respond.
 async fn missed_changes(controller: &Controller) -> Option<u64> {
     // This key never exists, so the response has only the store's current revision.
     let path = format!("/keys/{ROOT}none");
-    let answer = controller.kv.call(Method::Get, &path, Vec::new()).await;
-    let newest = rmp_serde::from_slice::<CommitResponse>(&answer.ok()?.body).ok()?;
+    let response = controller.kv.call(Method::Get, &path, Vec::new()).await;
+    let newest = rmp_serde::from_slice::<CommitResponse>(&response.ok()?.body).ok()?;
     let revision = controller.cluster.borrow().revision;
     Some(newest.revision.saturating_sub(revision))
 }
 
 /// Reads all records in pages; false if a page could not be read.
 ///
-/// The cached state then counts as that of the first page's revision. A watch from there repeats
+/// The cached state then gets the revision of the first page. A watch from that revision repeats
 /// changes that later pages may already include.
 async fn read_all_records(controller: &Controller) -> bool {
     let began = controller.now();
@@ -178,6 +178,6 @@
 async fn read_page(controller: &Controller, after: Option<&str>) -> Option<Page> {
     let from = after.map_or(String::new(), |key| format!("&from={key}"));
     let path = format!("/keys?prefix={ROOT}&most={RECORDS_PER_PAGE}{from}");
-    let answer = controller.kv.call(Method::Get, &path, Vec::new()).await;
-    rmp_serde::from_slice(&answer.ok()?.body).ok()
+    let response = controller.kv.call(Method::Get, &path, Vec::new()).await;
+    rmp_serde::from_slice(&response.ok()?.body).ok()
 }
--- a/src/coordination/membership/lease.rs
+++ b/src/coordination/membership/lease.rs
@@ -4,7 +4,7 @@
 use super::transfer::{controller_key, controller_unchanged};
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::client::CommitOutcome;
-use crate::coordination::kv::fresh_reads::REFRESH_MS;
+use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::coordination::kv::transactions::set;
 use crate::protocol::kv::Transaction;
 use crate::state::cluster_state::{ClusterState, ControllerRecord};
@@ -57,12 +57,12 @@
 }
 
 /// Writes this controller's record under a lease, and returns the lease; `None` if the key-value
-/// store refuses it as invalid, so that a new one is needed.
+/// store refuses the write as invalid, so that a new lease is needed.
 async fn register(controller: &Controller, lease: LeaseId) -> Option<LeaseId> {
     let transaction = registration(controller, lease)?;
     match controller.kv.commit(&transaction).await {
         CommitOutcome::Committed(_) | CommitOutcome::Conflict(_) => {
-            controller.refresh(REFRESH_MS).await;
+            controller.refresh(REFRESH_TIMEOUT_MS).await;
             Some(lease)
         }
         CommitOutcome::REFUSED_AS_INVALID => None,
--- a/src/coordination/membership/transfer.rs
+++ b/src/coordination/membership/transfer.rs
@@ -4,7 +4,7 @@
 use crate::coordination::controller::Controller;
 use crate::coordination::failover;
 use crate::coordination::kv::client::CommitOutcome;
-use crate::coordination::kv::fresh_reads::REFRESH_MS;
+use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::coordination::kv::transactions::set;
 use crate::protocol::kv::{Condition, Transaction};
 use crate::state::cluster_state::{ClusterState, ShardRecord, ROOT};
@@ -79,14 +79,15 @@
             }
             CommitOutcome::Conflict(_) => {
                 failover::apply_fence_event(controller, planned.shard, Failovers::fence_refused);
-                controller.refresh(REFRESH_MS).await;
+                controller.refresh(REFRESH_TIMEOUT_MS).await;
                 return false;
             }
             CommitOutcome::Refused(_) => {
                 failover::apply_fence_event(controller, planned.shard, Failovers::fence_refused);
                 return false;
             }
-            // The transaction may have been applied, or may be later: the records will show it.
+            // The transaction may have been applied, or may still be applied; later reads of the
+            // records show its effect.
             CommitOutcome::Unknown => return false,
         }
     }
--- a/tests/shard_ownership.rs
+++ b/tests/shard_ownership.rs
@@ -114,8 +114,8 @@
         limits.limit_ms(&controller.cluster, &controller.config, machine)
     };
     assert_eq!(limit_ms(&old), 10_000);
-    // The new owner knows the machine from status updates; the worker still sends its heartbeats to
-    // the old owner.
+    // The new owner has learned of the machine from status updates; the worker still sends its
+    // heartbeats to the old owner.
     store.revoke_lease(old.lease);
     let mut new = SimulatedController::start("s1", 2, &mut store, 5000);
     let known = new
@@ -158,33 +158,34 @@
 #[test]
 fn unreachable_machines_do_not_delay_the_announcement_of_the_fencing_token_to_others() {
     let (_, mut controller) = start_single_controller();
-    for i in 0..300 {
-        let name = format!("m{i:03}");
+    for number in 0..300 {
+        let name = format!("m{number:03}");
         let machine = controller
             .cluster
             .learn_machine(&name, "oven", "north", true, MonotonicMillis(0))
             .unwrap();
         controller.cluster.machine_mut(machine).unwrap().addr = "127.0.0.1:1".into();
     }
-    // No machine answers, and sixty connections can be open at the same time.
-    let mut last_attempts = HashMap::new();
-    let mut attempted = HashSet::new();
+    // No machine responds, and sixty connections can be open at the same time.
+    let mut last_announcements = HashMap::new();
+    let mut announced_to = HashSet::new();
     for now in [10_000u64, 11_500, 13_000, 14_500, 16_000] {
         let due = announce_ownership::machines_with_stale_token(
             &controller.cluster,
             &controller.config,
-            &mut last_attempts,
+            &mut last_announcements,
             MonotonicMillis(now),
             |_| true,
         );
         for stale in due.into_iter().take(60) {
             let machine = stale.machine;
-            last_attempts.insert(machine, MonotonicMillis(now));
-            attempted.insert(machine);
+            last_announcements.insert(machine, MonotonicMillis(now));
+            announced_to.insert(machine);
         }
     }
-    assert_eq!(attempted.len(), 300);
-    // A machine that has shown the fencing token is skipped. One that failed is tried again later.
+    assert_eq!(announced_to.len(), 300);
+    // A machine that has shown the fencing token is skipped. A machine that failed to respond is
+    // tried again later.
     let machine = controller.machine("m299");
     controller
         .cluster
@@ -198,7 +199,7 @@
     let due = announce_ownership::machines_with_stale_token(
         &controller.cluster,
         &controller.config,
-        &mut last_attempts,
+        &mut last_announcements,
         MonotonicMillis(16_500),
         |_| true,
     );
@@ -290,7 +291,8 @@
     let first_seen = HashMap::from(
         [("n1", 1), ("s1", 2)].map(|(n, i)| ((n.to_string(), Incarnation(i)), MonotonicMillis(0))),
     );
-    // n1 has just acquired the shard, and does not know yet that no worker reaches s1.
+    // n1 has just acquired the shard, and has not yet received the status update that shows that no
+    // worker reaches s1.
     let south = ZoneIndex(1);
     assert_eq!(controller.cluster.shard_zone(ShardIndex(1)), Some(south));
     let moves = |controller: &SimulatedController, now: u64| {
