--- a/src/coordination/autoscaler/placement.rs
+++ b/src/coordination/autoscaler/placement.rs
@@ -179,7 +179,7 @@
         let is_eligible = |pool: &Pool| {
             self.allows(pool)
                 && !self.backed_off.contains(pool)
-                && !self.reserved_for_on_demand(pool, true)
+                && !self.should_wait_for_spot(pool, true)
                 && !self.too_expensive_for_expected_tasks(pool)
         };
         let need = self.demand.spec.need;
@@ -194,7 +194,7 @@
         self.demand.spec.need.fits(supply.free)
             && self.allows(&supply.pool)
             && !(self.too_expensive_for_expected_tasks(&supply.pool) && empty)
-            && !self.reserved_for_on_demand(&supply.pool, empty)
+            && !self.should_wait_for_spot(&supply.pool, empty)
             && self.scheduler_allows(supply)
     }
 
@@ -237,8 +237,8 @@
 
     /// True for an empty on-demand machine that is kept for now for jobs that must not use spot
     /// machines.
-    fn reserved_for_on_demand(&self, pool: &Pool, empty: bool) -> bool {
-        let work = WaitingTask {
+    fn should_wait_for_spot(&self, pool: &Pool, empty: bool) -> bool {
+        let task = WaitingTask {
             spec: &self.demand.spec,
             priority: self.priority,
             waited_ms: self.waited_ms,
@@ -248,7 +248,7 @@
             spot: pool.spot,
             is_empty: empty,
         };
-        should_wait_for_spot(self.cluster, self.config, work, offered)
+        should_wait_for_spot(self.cluster, self.config, task, offered)
     }
 
     /// True for on-demand pools if the tasks are only expected and may run on spot machines:
--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -288,7 +288,7 @@
     /// True if there is a worker from which a reachable controller would receive heartbeats.
     fn expects_worker_contact(&self, now: MonotonicMillis) -> bool {
         let cluster = self.cluster.borrow();
-        let owned = self.config.owned(&cluster);
+        let owned = self.config.ownership_by_shard(&cluster);
         // Machines of this controller's shards appear silent when it is unreachable, so any that
         // has ever sent a heartbeat counts.
         let should_be_in_contact = |machine: &Machine| {
--- a/src/coordination/peer_messages/status_updates.rs
+++ b/src/coordination/peer_messages/status_updates.rs
@@ -91,7 +91,7 @@
     now: MonotonicMillis,
     observing_since: impl Fn(ShardIndex) -> Option<MonotonicMillis>,
 ) -> Vec<MachineStatus> {
-    let owned = config.owned(cluster);
+    let owned = config.ownership_by_shard(cluster);
     cluster
         .all_machines()
         .filter(|(_, machine)| owned[machine.shard.at()])
--- a/src/coordination/scheduler/binding.rs
+++ b/src/coordination/scheduler/binding.rs
@@ -56,7 +56,7 @@
     let mut binder = Binder {
         cluster,
         config,
-        waiting: WaitingTask {
+        task: WaitingTask {
             spec,
             priority: job.dependency_state.priority,
             waited_ms: job.waited_ms(wall_ms),
@@ -90,7 +90,7 @@
                 continue;
             }
             if let Some(spec) = &job.spec {
-                free.take(machine_index, spec.need);
+                free.allocate(machine_index, spec.need);
             }
         }
     }
@@ -146,7 +146,7 @@
 struct Binder<'a> {
     cluster: &'a ClusterState,
     config: &'a SchedulerConfig,
-    waiting: WaitingTask<'a>,
+    task: WaitingTask<'a>,
     machines: Vec<MachineRef<'a>>,
     free: FreeCapacity,
     queue_lengths: HashMap<MachineIndex, usize>,
@@ -181,7 +181,7 @@
         };
         self.zone_has_capacity(candidate)
             && self.spec().need.fits(free)
-            && !should_wait_for_spot(self.cluster, self.config, self.waiting, offered)
+            && !should_wait_for_spot(self.cluster, self.config, self.task, offered)
     }
 
     fn shortest_queue(&self) -> Option<MachineRef<'a>> {
@@ -199,12 +199,12 @@
     }
 
     fn record_binding(&mut self, candidate: MachineRef) {
-        self.free.take(candidate.index, self.waiting.spec.need);
+        self.free.allocate(candidate.index, self.task.spec.need);
         *self.queue_lengths.entry(candidate.index).or_default() += 1;
         self.by_zone.add(candidate.machine.zone);
     }
 
     fn spec(&self) -> &'a Spec {
-        self.waiting.spec
+        self.task.spec
     }
 }
--- a/src/coordination/scheduler/claims.rs
+++ b/src/coordination/scheduler/claims.rs
@@ -36,9 +36,9 @@
     claim_gangs(pass, draft, &mut free);
     let mut jobs = waiting_jobs(pass, draft);
     if draft.batch_array_updates {
-        jobs.retain(|waiting| !can_be_batched(&waiting.spec, waiting.priority));
+        jobs.retain(|waiting_job| !can_be_batched(&waiting_job.spec, waiting_job.priority));
     }
-    let Some(smallest) = smallest_need(jobs.iter().map(|waiting| &*waiting.spec)) else {
+    let Some(smallest) = smallest_need(jobs.iter().map(|waiting_job| &*waiting_job.spec)) else {
         return Vec::new();
     };
     let permits = pass.permits_by_shard();
@@ -58,11 +58,14 @@
         free,
         claimed_for: HashSet::new(),
     };
-    let priorities: BTreeSet<Priority> = jobs.iter().map(|waiting| waiting.priority).collect();
+    let priorities: BTreeSet<Priority> = jobs
+        .iter()
+        .map(|waiting_job| waiting_job.priority)
+        .collect();
     for priority in priorities {
         claims.claim_from_queues(draft, priority);
-        for waiting in jobs.iter().filter(|w| w.priority == priority) {
-            claims.claim_for_job(draft, waiting);
+        for waiting_job in jobs.iter().filter(|w| w.priority == priority) {
+            claims.claim_for_job(draft, waiting_job);
         }
     }
     claims.machines_without_claim(smallest)
@@ -201,29 +204,29 @@
     /// A claim changes the free capacity of its own machine only, and more placements can only
     /// exclude machines, never allow new ones. So each machine is ranked once at the start, and
     /// again only after a task has been placed on it.
-    fn claim_for_job(&mut self, draft: &mut DraftTransaction, waiting: &WaitingJob) {
+    fn claim_for_job(&mut self, draft: &mut DraftTransaction, waiting_job: &WaitingJob) {
         let positions = 0..self.machines.len();
         let mut best: BinaryHeap<Reverse<RankedMachine>> = positions
-            .filter_map(|position| self.rank(draft, waiting, position))
+            .filter_map(|position| self.rank(draft, waiting_job, position))
             .map(Reverse)
             .collect();
         if best.is_empty() {
             return;
         }
-        let spec = &*waiting.spec;
-        for task in self.unbound_tasks(draft, waiting.job_index) {
-            let job = draft.job(self.cluster(), waiting.job_index);
+        let spec = &*waiting_job.spec;
+        for task in self.unbound_tasks(draft, waiting_job.job_index) {
+            let job = draft.job(self.cluster(), waiting_job.job_index);
             if self.would_starve_gang(draft, job, spec) {
                 return;
             }
-            let Some(position) = self.pop_best_usable(&mut best, draft, waiting) else {
+            let Some(position) = self.pop_best_usable(&mut best, draft, waiting_job) else {
                 return;
             };
             let candidate = self.machines[position];
-            if !self.place(draft, waiting.job_index, spec, task, candidate) {
+            if !self.place(draft, waiting_job.job_index, spec, task, candidate) {
                 return;
             }
-            best.extend(self.rank(draft, waiting, position).map(Reverse));
+            best.extend(self.rank(draft, waiting_job, position).map(Reverse));
         }
     }
 
@@ -242,10 +245,10 @@
         &self,
         best: &mut BinaryHeap<Reverse<RankedMachine>>,
         draft: &DraftTransaction,
-        waiting: &WaitingJob,
+        waiting_job: &WaitingJob,
     ) -> Option<usize> {
         while let Some(Reverse(ranked)) = best.pop() {
-            if self.rank(draft, waiting, ranked.position).is_some() {
+            if self.rank(draft, waiting_job, ranked.position).is_some() {
                 return Some(ranked.position);
             }
         }
@@ -256,15 +259,15 @@
     fn rank(
         &self,
         draft: &DraftTransaction,
-        waiting: &WaitingJob,
+        waiting_job: &WaitingJob,
         position: usize,
     ) -> Option<RankedMachine> {
         let candidate = self.machines[position];
         let free = self.free.get(candidate.index)?;
         let job = JobRef {
-            index: waiting.job_index,
-            job: draft.job(self.cluster(), waiting.job_index),
-            spec: &waiting.spec,
+            index: waiting_job.job_index,
+            job: draft.job(self.cluster(), waiting_job.job_index),
+            spec: &waiting_job.spec,
         };
         self.fits(job, candidate, free).then(|| RankedMachine {
             cost: bin_packing_cost(self.cluster(), job.spec, candidate.machine, free),
@@ -293,7 +296,7 @@
         };
         let placed = place(&self.pass, draft, &request);
         if placed {
-            self.free.take(target.index, spec.need);
+            self.free.allocate(target.index, spec.need);
             self.claimed_for.insert(target.index);
         }
         placed
--- a/src/coordination/scheduler/direct_starts.rs
+++ b/src/coordination/scheduler/direct_starts.rs
@@ -74,7 +74,7 @@
     let machine = cluster.machine(machine_index)?;
     let fencing_token = permits[machine.shard.at()]?.fencing_token();
     let ready = machine.is_schedulable(now, config.unresponsive_ms)
-        && takes_direct_commands(machine, fencing_token);
+        && accepts_direct_commands(machine, fencing_token);
     if !ready {
         return None;
     }
@@ -97,7 +97,7 @@
 
 /// True if the worker has confirmed this owner's fencing token, its address and agent epoch are
 /// known, and no heartbeat response to it is in progress.
-fn takes_direct_commands(machine: &Machine, fencing_token: FencingToken) -> bool {
+fn accepts_direct_commands(machine: &Machine, fencing_token: FencingToken) -> bool {
     machine.heartbeat.responses_in_progress == 0
         && machine.heartbeat.fencing_token == fencing_token
         && machine.heartbeat.message_version.agent_epoch.is_known()
--- a/src/coordination/scheduler/free_capacity.rs
+++ b/src/coordination/scheduler/free_capacity.rs
@@ -20,11 +20,11 @@
         self.0.get(machine.at()).copied().flatten()
     }
     /// Subtracts resources from a machine's free capacity, which may become negative.
-    pub fn take(&mut self, machine: MachineIndex, need: Resources) {
+    pub fn allocate(&mut self, machine: MachineIndex, need: Resources) {
         self.change(machine, |free| free.minus(need));
     }
     /// Adds resources to a machine's free capacity.
-    pub fn give(&mut self, machine: MachineIndex, need: Resources) {
+    pub fn release(&mut self, machine: MachineIndex, need: Resources) {
         self.change(machine, |free| free.plus(need));
     }
     fn change(&mut self, machine: MachineIndex, by: impl FnOnce(Resources) -> Resources) {
@@ -42,11 +42,11 @@
         let Some(spec) = &drafted.spec else { continue };
         let stored = &cluster.jobs[job_index.at()];
         for placement in placements_only_in(drafted, stored) {
-            free.take(placement.machine, spec.need);
+            free.allocate(placement.machine, spec.need);
         }
         for placement in placements_only_in(stored, drafted) {
             if frees_capacity(cluster, *job_index, placement) {
-                free.give(placement.machine, spec.need);
+                free.release(placement.machine, spec.need);
             }
         }
     }
--- a/src/coordination/scheduler/gangs.rs
+++ b/src/coordination/scheduler/gangs.rs
@@ -59,7 +59,7 @@
         };
         if place(pass, draft, &request) {
             for candidate in chosen {
-                free.take(candidate.index, gang.job.spec.need);
+                free.allocate(candidate.index, gang.job.spec.need);
             }
         }
     }
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -15,7 +15,7 @@
 use std::rc::Rc;
 
 /// Period in which late jobs go first for one second, s.
-const LATE_JOBS_TURN_PERIOD_S: u64 = 5;
+const LATE_JOBS_FIRST_INTERVAL_S: u64 = 5;
 
 /// Waiting time after which a job without any placed or finished task goes before others of its
 /// priority, ms.
@@ -90,10 +90,10 @@
     // At least two fifths of the time for the last target have passed.
     let last_target_at_risk =
         targets.last_ms > targets.first_ms && age_ms * 5 >= targets.last_ms * 2;
-    let is_late_jobs_turn = (wall_ms / 1000).is_multiple_of(LATE_JOBS_TURN_PERIOD_S);
+    let late_jobs_are_first = (wall_ms / 1000).is_multiple_of(LATE_JOBS_FIRST_INTERVAL_S);
     match can_meet_last {
         true if last_target_at_risk => SchedulingTier::First,
-        _ if is_late_jobs_turn => SchedulingTier::First,
+        _ if late_jobs_are_first => SchedulingTier::First,
         true => SchedulingTier::MissesFirstTarget,
         false => SchedulingTier::MissesAllTargets,
     }
--- a/src/coordination/scheduler/ownership.rs
+++ b/src/coordination/scheduler/ownership.rs
@@ -42,7 +42,7 @@
             .collect()
     }
     /// Whether this incarnation owns each shard, by shard index.
-    pub fn owned(&self, cluster: &ClusterState) -> Vec<bool> {
+    pub fn ownership_by_shard(&self, cluster: &ClusterState) -> Vec<bool> {
         let shards = (0..cluster.shards.len()).map(ShardIndex::new);
         shards.map(|shard| self.owns(cluster, shard)).collect()
     }
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -48,21 +48,25 @@
     }
     let no_draft = DraftTransaction::default();
     let mut free = free_capacity_after_stops(pass.cluster);
-    for waiting in waiting_jobs(pass, &no_draft) {
-        let job = &pass.cluster.jobs[waiting.job_index.at()];
-        if victims.len() >= MAX_VICTIMS_PER_ROUND || !may_preempt(pass, job, &waiting) {
+    for waiting_job in waiting_jobs(pass, &no_draft) {
+        let job = &pass.cluster.jobs[waiting_job.job_index.at()];
+        if victims.len() >= MAX_VICTIMS_PER_ROUND || !may_preempt(pass, job, &waiting_job) {
             continue;
         }
-        let preemptor = Preemptor { pass, job, waiting };
-        let need = preemptor.waiting.spec.need;
+        let preemptor = Preemptor {
+            pass,
+            job,
+            waiting_job,
+        };
+        let need = preemptor.waiting_job.spec.need;
         if let Some(machine_index) = preemptor.machine_with_capacity(&free) {
-            free.take(machine_index, need);
+            free.allocate(machine_index, need);
             continue;
         }
         if let Some(choice) = preemptor.cheapest_machine(&free, shard, &victims) {
-            free.take(choice.machine, need);
+            free.allocate(choice.machine, need);
             for candidate in &choice.candidates {
-                free.give(choice.machine, candidate.need);
+                free.release(choice.machine, candidate.need);
             }
             victims.extend(choice.into_victims());
         }
@@ -77,7 +81,7 @@
         for attempt in machine.decisions.stopping.keys() {
             let spec = cluster.jobs[attempt.job.at()].spec.as_ref();
             if let (Some(spec), Some(_)) = (spec, machine.observed(*attempt)) {
-                free.give(machine_index, spec.need);
+                free.release(machine_index, spec.need);
             }
         }
     }
@@ -86,8 +90,8 @@
 
 /// True if a production or high-priority job has waited long enough and its team's limit allows
 /// one more task.
-fn may_preempt(pass: &PassContext, job: &Job, waiting: &WaitingJob) -> bool {
-    let delay_ms = match waiting.priority {
+fn may_preempt(pass: &PassContext, job: &Job, waiting_job: &WaitingJob) -> bool {
+    let delay_ms = match waiting_job.priority {
         Priority::Production => PRODUCTION_PREEMPTION_DELAY_MS,
         Priority::High => HIGH_PREEMPTION_DELAY_MS,
         _ => return false,
@@ -95,7 +99,7 @@
     if job.waited_ms(pass.wall_ms) < delay_ms {
         return false;
     }
-    let (team, need) = (waiting.spec.team, waiting.spec.need);
+    let (team, need) = (waiting_job.spec.team, waiting_job.spec.need);
     let used = used_by_team(pass.cluster, &DraftTransaction::default(), team);
     pass.cluster.team_limits[team.at()].allows(used.plus(need.quota()))
 }
@@ -104,7 +108,7 @@
 struct Preemptor<'a> {
     pass: &'a PassContext<'a>,
     job: &'a Job,
-    waiting: WaitingJob,
+    waiting_job: WaitingJob,
 }
 
 /// The attempts to stop on one machine to make room for a task.
@@ -134,11 +138,11 @@
 
 impl Preemptor<'_> {
     fn may_run_on(&self, index: MachineIndex, machine: &Machine) -> bool {
-        let (pass, waiting) = (self.pass, &self.waiting);
+        let (pass, waiting_job) = (self.pass, &self.waiting_job);
         let job = JobRef {
-            index: waiting.job_index,
+            index: waiting_job.job_index,
             job: self.job,
-            spec: &waiting.spec,
+            spec: &waiting_job.spec,
         };
         machine.is_schedulable(pass.now, pass.config.unresponsive_ms)
             && is_allowed(pass.cluster, job, MachineRef { index, machine })
@@ -146,7 +150,7 @@
 
     /// A machine of any owner with enough free capacity, so that nothing has to be stopped.
     fn machine_with_capacity(&self, free: &FreeCapacity) -> Option<MachineIndex> {
-        let need = self.waiting.spec.need;
+        let need = self.waiting_job.spec.need;
         let mut machines = self.pass.cluster.all_machines();
         let found = machines.find(|(machine_index, machine)| {
             free.get(*machine_index).is_some_and(|f| need.fits(f))
@@ -190,9 +194,9 @@
         mut free: Resources,
         chosen: &[PreemptionVictim],
     ) -> Option<Vec<PreemptionCandidate>> {
-        let (cluster, need) = (self.pass.cluster, self.waiting.spec.need);
+        let (cluster, need) = (self.pass.cluster, self.waiting_job.spec.need);
         let mut candidates = Vec::new();
-        for attempt in stoppable_attempts(cluster, machine, self.waiting.priority) {
+        for attempt in stoppable_attempts(cluster, machine, self.waiting_job.priority) {
             if need.fits(free) {
                 break;
             }
@@ -221,7 +225,7 @@
     /// Little is lost: the task writes a checkpoint before it stops.
     Checkpoint,
     /// All progress is lost: accepted only for production jobs.
-    Work,
+    AllProgress,
 }
 
 /// Attempts on a machine that a job of the given priority may preempt: the cheapest to stop first,
@@ -242,11 +246,11 @@
             let cost = stop_cost(task, spec.wire.checkpoint_s > 0.0, priority)?;
             // The priority includes that of dependent jobs: a dependency of a more urgent job is
             // not stopped.
-            let own = job.dependency_state.priority;
-            let may_stop = own > priority
+            let task_priority = job.dependency_state.priority;
+            let may_stop = task_priority > priority
                 && !spec.is_wide_gang()
                 && !machine.decisions.stopping.contains_key(&attempt);
-            may_stop.then_some((cost, Reverse(own), attempt))
+            may_stop.then_some((cost, Reverse(task_priority), attempt))
         })
         .collect();
     stoppable.sort();
@@ -262,7 +266,7 @@
     match task.state {
         TaskState::PullingImage => Some(StopCost::Nothing),
         TaskState::Running if checkpoints => Some(StopCost::Checkpoint),
-        TaskState::Running if priority == Priority::Production => Some(StopCost::Work),
+        TaskState::Running if priority == Priority::Production => Some(StopCost::AllProgress),
         _ => None,
     }
 }
--- a/src/coordination/scheduler/starved_gangs.rs
+++ b/src/coordination/scheduler/starved_gangs.rs
@@ -88,8 +88,8 @@
         let Some(gang) = self.0.iter().find(|gang| gang.team == spec.team) else {
             return false;
         };
-        let goes_first = priority_and_age(job) < gang.priority_and_age;
-        if goes_first || may_bypass_gangs(job, pass.wall_ms) {
+        let precedes_gang = priority_and_age(job) < gang.priority_and_age;
+        if precedes_gang || may_bypass_gangs(job, pass.wall_ms) {
             return false;
         }
         let used = used_by_team(pass.cluster, draft, spec.team);
--- a/src/coordination/scheduler/write_budget.rs
+++ b/src/coordination/scheduler/write_budget.rs
@@ -78,7 +78,7 @@
 
 fn batch_window_ms(changes_per_second: f64, limit_per_second: f64) -> u64 {
     let utilization = changes_per_second / limit_per_second.max(MIN_CHANGES_PER_SECOND);
-    let scarcity = (utilization - BATCHING_FROM_UTILIZATION)
+    let batching_fraction = (utilization - BATCHING_FROM_UTILIZATION)
         / (FULL_BATCHING_AT_UTILIZATION - BATCHING_FROM_UTILIZATION);
-    (scarcity.clamp(0.0, 1.0) * MAX_BATCH_WINDOW_MS) as u64
+    (batching_fraction.clamp(0.0, 1.0) * MAX_BATCH_WINDOW_MS) as u64
 }
--- a/src/coordination/worker_connectivity/announce_ownership.rs
+++ b/src/coordination/worker_connectivity/announce_ownership.rs
@@ -88,7 +88,7 @@
     is_announcing: impl Fn(ShardIndex) -> bool,
 ) -> Vec<StaleTokenMachine> {
     let announcing: Vec<bool> = config
-        .owned(cluster)
+        .ownership_by_shard(cluster)
         .into_iter()
         .enumerate()
         .map(|(shard, owned)| owned && is_announcing(ShardIndex::new(shard)))
--- a/src/coordination/worker_connectivity/probes.rs
+++ b/src/coordination/worker_connectivity/probes.rs
@@ -80,7 +80,7 @@
     lease_ms: u64,
     now: MonotonicMillis,
 ) -> Vec<ProbeTarget> {
-    let owned = config.owned(cluster);
+    let owned = config.ownership_by_shard(cluster);
     let mut targets = Vec::new();
     for machine_index in (0..cluster.machines.len()).map(MachineIndex::new) {
         let Some(machine) = cluster.machine_mut(machine_index) else {
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn among_jobs_that_can_meet_their_deadline_the_smaller_goes_first() {
+fn among_jobs_that_can_meet_their_deadline_the_smaller_is_scheduled_first() {
     let (mut store, mut controller) = start_single_controller();
     controller.submit(&mut store, job_due_within("job-1", 100, 100.0), 0);
     controller.submit(&mut store, job_due_within("job-2", 5, 100.0), 1000);
