--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -4,7 +4,7 @@
 //! Pure functions of the cluster state, called by `placement`.
 //!
 //! Invariant: the demand of a team's waiting tasks never exceeds what is left of the team's quota,
-//! so that no machine is requested for tasks that may not start.
+//! so that no machine is requested for tasks that the quota does not allow to start.
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::coordination::scheduler::draft::DraftTransaction;
@@ -23,15 +23,15 @@
 /// Length of the sliding window over which the submission rate is computed.
 const RATE_WINDOW_MS: u64 = 150_000;
 
-/// Minimum time that the submission rate is computed over, however short the window is.
+/// Minimum time by which the submissions in the window are divided, however short the window is.
 const MIN_RATE_WINDOW_MS: u64 = 60_000;
 
-/// Jobs submitted within this time after the first one are the backlog from before the service
+/// Jobs submitted within this time after the first job are the backlog from before the service
 /// started, and are left out of the submission rate.
 const INITIAL_BACKLOG_MS: u64 = 10_000;
 
-/// Maximum number of expected tasks of one class; a fleet with more than four times as many
-/// machines is allowed a quarter of its machine count instead.
+/// Maximum number of expected tasks of one class. In a fleet with more than four times as many
+/// machines, the maximum is a quarter of the machine count instead.
 const MAX_EXPECTED_TASKS: u32 = 256;
 
 /// A number of tasks with the same spec that need capacity.
--- a/src/coordination/autoscaler/machine_list.rs
+++ b/src/coordination/autoscaler/machine_list.rs
@@ -23,13 +23,13 @@
 pub(super) const PAGE_SIZE: usize = 500;
 
 /// Minimum interval between lists, in requests: the interval is at least the time in which the
-/// cloud's rate limit allows this many, within 1.5 s to 4 s.
+/// cloud's rate limit allows this many requests, clamped to between 1.5 s and 4 s.
 const MIN_INTERVAL_REQUESTS: f64 = 4.0;
 
 /// Interval between the end of one machine list and the start of the next, ms.
 ///
-/// It grows with the number of pages, so that reading a large list uses at most a fixed fraction of
-/// the cloud's rate limit and leaves the rest to scaling out and in.
+/// The interval grows with the number of pages, so that reading a large list uses at most a fixed
+/// fraction of the cloud's rate limit and leaves the rest to scaling out and in.
 pub fn list_interval_ms(requests_per_s: f64, pages: usize) -> u64 {
     let min_interval_ms =
         ((MIN_INTERVAL_REQUESTS * 1000.0 / requests_per_s) as u64).clamp(1500, 4000);
--- a/src/coordination/autoscaler/machine_list_refresh.rs
+++ b/src/coordination/autoscaler/machine_list_refresh.rs
@@ -12,7 +12,7 @@
 use http_types::Method;
 use std::rc::Rc;
 
-/// Delay before a page is requested again after an error or a refusal.
+/// Delay before a page is requested again after an error or a refusal, ms.
 const RETRY_MS: u64 = 500;
 
 /// Reads as many pages of the machine list as the cloud's rate limit allows now. Once the list is
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -1,9 +1,9 @@
 //! The autoscaler: requests machines from the cloud for waiting and expected tasks, and deletes
 //! machines that are idle or have failed.
 //!
-//! It runs as a background task on each controller, but only the owner of the autoscaler's shard
-//! acts. Each round reads the list of machines, repeats unanswered requests, removes the records of
-//! completed ones, scales out and scales in.
+//! The autoscaler runs as a background task on each controller, but only the owner of the
+//! autoscaler's shard acts. Each round reads the list of machines, repeats unanswered requests,
+//! removes the records of completed requests, scales out and scales in.
 //!
 //! | module | responsibility |
 //! | --- | --- |
@@ -57,7 +57,7 @@
 /// Time between rounds on the owner of the autoscaler's shard.
 const ROUND_INTERVAL_MS: u64 = 250;
 /// Maximum time between ownership checks on a controller that does not own the autoscaler's shard.
-/// A change of owner wakes it earlier.
+/// A change of owner wakes the task earlier.
 const OWNERSHIP_CHECK_INTERVAL_MS: u64 = 1000;
 
 /// Background task that scales out and in while this controller owns the autoscaler's shard.
@@ -105,8 +105,8 @@
 /// The shard's fencing token if this controller owns the autoscaler's shard and has a permit to
 /// decide for it.
 ///
-/// A new owner gets no permit before it knows the previous owner's provisioning requests, which it
-/// would make a second time otherwise.
+/// A new owner gets no permit before it has read the previous owner's provisioning requests;
+/// otherwise it would request the same machines a second time.
 fn owned_fencing_token(controller: &Controller) -> Option<FencingToken> {
     let permits = failover::permits(controller);
     let cluster = controller.cluster.borrow();
@@ -177,7 +177,8 @@
 
 async fn run_round(controller: &Rc<Controller>, state: &mut AutoscalerState) {
     if !controller.kv.is_reachable() {
-        // Without the store, ownership of the shard can't be confirmed and no intent recorded.
+        // Without the store, ownership of the shard can't be confirmed and intents can't be
+        // recorded.
         return;
     }
     let list_lag_ms = millis_from_seconds(controller.platform.settings.cloud.list_lag_s);
--- a/src/coordination/autoscaler/placement.rs
+++ b/src/coordination/autoscaler/placement.rs
@@ -24,7 +24,7 @@
 /// Maximum number of tasks among which the cost of one machine is divided.
 const MAX_TASKS_PER_MACHINE: u32 = 64;
 
-/// Boot time, in seconds, that doubles the cost at which a machine is compared with others.
+/// Boot time that doubles the cost by which the pools are compared, s.
 const BOOT_S_THAT_DOUBLES_COST: f64 = 300.0;
 
 /// Maximum random increase of a cost, as a fraction of it. It spreads requests over zones whose
@@ -42,11 +42,11 @@
 
 /// Plans which machines to request; holds the input of one plan.
 pub struct ScaleOutPlanner<'a> {
-    /// Cluster state as this controller knows it.
+    /// The cached cluster state of this controller.
     pub cluster: &'a ClusterState,
     /// Scheduling parameters, the same as the scheduler's.
     pub config: &'a SchedulerConfig,
-    /// Pools that recently had fewer machines than requested; none is requested from them.
+    /// Pools that recently had fewer machines than requested; no machine is requested from them.
     pub backed_off: &'a HashSet<Pool>,
     /// Current monotonic time, against which job failure backoffs are checked.
     pub now: MonotonicMillis,
@@ -112,8 +112,9 @@
 
     /// Chooses the zone of a one-zone gang; does nothing for other jobs.
     ///
-    /// Zones in which the whole gang fits, or machines for it can be requested, come first; among
-    /// them the zone with the most machines that have free capacity for a task now.
+    /// Zones in which the whole gang fits, or in which machines for the gang can be requested, are
+    /// preferred; among them the zone with the most machines that have free capacity for a task
+    /// now.
     fn choose_zone(&mut self, supply: &[Supply]) {
         let spec = &self.demand.spec;
         if !self.one_zone() || !spec.is_wide_gang() {
@@ -235,8 +236,8 @@
         tasks_in_zone < cap && (!self.one_zone() || self.tasks_by_zone.are_all_in(zone))
     }
 
-    /// True for an empty on-demand machine that is kept for now for jobs that must not use spot
-    /// machines.
+    /// True if the scheduler would not place the tasks on this machine yet, because they may run on
+    /// spot machines and an empty on-demand machine is left to other jobs for a while.
     fn should_wait_for_spot(&self, pool: &Pool, empty: bool) -> bool {
         let task = WaitingTask {
             spec: &self.demand.spec,
--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -5,8 +5,8 @@
 //!
 //! Invariant: a provisioning request is recorded, under the fencing token of the autoscaler's
 //! shard, before it is sent, and the record is kept until its machines are in the cloud's list or
-//! should long have been. The next owner of the shard finds the record and repeats the request
-//! under the same name.
+//! have been missing from it for too long. The next owner of the shard finds the record and repeats
+//! the request under the same name.
 
 use super::placement::ScaleOutPlanner;
 use super::state::{AutoscalerState, Backoff, CLOUD_TIMEOUT_MS};
@@ -27,17 +27,17 @@
 
 /// Maximum number of machines in one request, set by the cloud's protocol.
 const MAX_MACHINES_PER_REQUEST: u32 = 50;
-/// Time after which an unanswered request is sent again.
+/// Time after which an unanswered request is sent again, ms.
 const RETRY_AFTER_MS: u64 = 2000;
-/// Half of a pool's first backoff; each backoff is twice the previous one.
+/// Half of a pool's first backoff, ms; each backoff is twice as long as the previous one.
 const BASE_BACKOFF_MS: u64 = 3000;
-/// Longest backoff of a pool.
+/// Longest backoff of a pool, ms.
 const MAX_BACKOFF_MS: u64 = 20_000;
 /// Number of requests within the cloud's rate limit that scale-out leaves to scale-in while
 /// machines are to be deleted.
 const RESERVED_FOR_SCALE_IN: f64 = 1.0;
 /// Time, in addition to four times the list's lag, after which a record is removed although some of
-/// its machines are not in the list.
+/// its machines are not in the list, ms.
 const MISSING_MACHINES_GRACE_MS: u64 = 10_000;
 /// Maximum number of provisioning requests that are sent concurrently.
 const MAX_CONCURRENT_REQUESTS: usize = 4;
@@ -300,8 +300,8 @@
     }
 }
 
-/// Removes the records of requests whose machines are all in the cloud's list, or should long have
-/// been.
+/// Removes the records of requests whose machines are all in the cloud's list or have been missing
+/// from it for too long.
 pub(super) async fn remove_completed(
     controller: &Rc<Controller>,
     state: &mut AutoscalerState,
@@ -375,7 +375,8 @@
     }
 }
 
-/// Plans the machines to request in this round, and stores the needed ones for scale-in.
+/// Plans the machines to request in this round, and stores which existing machines are needed, so
+/// that scale-in keeps them.
 fn plan(controller: &Controller, state: &mut AutoscalerState) -> BTreeMap<Pool, u32> {
     let now = controller.now();
     let cluster = controller.cluster.borrow();
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -22,12 +22,12 @@
 
 /// Maximum number of machines in one deletion request, set by the cloud's protocol.
 const MAX_MACHINES_PER_DELETION: usize = 100;
-/// Time after a change of owner during which no machine is deleted, because the new owner knows too
-/// little about the machines yet.
+/// Time after a change of owner during which no machine is deleted, ms: the new owner's view of the
+/// machines may still be incomplete.
 const OWNER_WARM_UP_MS: u64 = 3000;
-/// Timeout of a request to a peer to cordon machines.
+/// Timeout of a request to a peer to cordon machines, ms.
 const CORDON_TIMEOUT_MS: u64 = 800;
-/// Timeout of the announcement of deleted machines to a peer.
+/// Timeout of the announcement of deleted machines to a peer, ms.
 const ANNOUNCE_TIMEOUT_MS: u64 = 500;
 
 /// Deletes machines that can't be used or that nothing needs.
@@ -60,7 +60,8 @@
     delete(controller, state, deletions).await;
 }
 
-/// Updates since when each machine has been idle, with no placements and an empty queue.
+/// Updates `idle_since` of each machine: a machine that has ever sent a heartbeat is idle while it
+/// has no placements and an empty queue.
 fn update_idle_since(cluster: &mut ClusterState, now: MonotonicMillis) {
     for machine_index in (0..cluster.machines.len()).map(MachineIndex::new) {
         let has_placements = !cluster.placed_on(machine_index).is_empty();
@@ -91,8 +92,8 @@
     controller.config.owns(&cluster, shard)
 }
 
-/// Cordons idle machines through their owners, so that no new task starts on them. Returns the
-/// machines that are now cordoned.
+/// Requests the owners of idle machines to cordon them, so that no new task starts on them. Returns
+/// the machines that are now cordoned.
 async fn cordon_idle(controller: &Rc<Controller>, idle: &[String]) -> Vec<String> {
     let by_owner = group_by_owner(&controller.cluster.borrow(), idle);
     let mut cordoned = Vec::new();
--- a/src/coordination/autoscaler/scale_in_plan.rs
+++ b/src/coordination/autoscaler/scale_in_plan.rs
@@ -17,35 +17,37 @@
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 
-/// Multiple of its type's usual boot time after which a machine that still boots is deleted.
+/// Multiple of its type's usual boot time after which a machine that is still booting is deleted.
 const STUCK_BOOT_FACTOR: f64 = 2.5;
-/// Time, in addition to that multiple, that allows for the lag of the machine list.
+/// Time, in addition to `STUCK_BOOT_FACTOR` times the usual boot time, that allows for the lag of
+/// the machine list, s.
 const STUCK_BOOT_GRACE_S: f64 = 10.0;
-/// Boot time assumed for a machine of unknown type.
+/// Boot time assumed for a machine of unknown type, s.
 const DEFAULT_BOOT_S: f64 = 60.0;
-/// Time after which the deletion of a machine that is still listed is requested again.
+/// Time after which the deletion of a machine that is still listed is requested again, ms.
 const DELETION_RETRY_MS: u64 = 5000;
-/// Maximum age of the last status update from a machine's owner for its silence to count.
+/// Maximum age of the last status update from a machine's owner at which the machine's silence is
+/// acted on, ms.
 const MAX_OWNER_STATUS_AGE_MS: u64 = 3000;
 /// Number of heartbeat intervals that a machine may miss.
 const MAX_MISSED_HEARTBEATS: f64 = 4.0;
-/// Time, in addition to the missed heartbeats, after which a machine counts as silent.
+/// Time, in addition to the missed heartbeats, after which a machine counts as silent, ms.
 const SILENCE_GRACE_MS: u64 = 4000;
 
 /// Why a machine is deleted.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ScaleInReason {
-    /// The cloud lists it as failed.
+    /// The cloud lists the machine as failed.
     Failed,
-    /// Tasks of different jobs failed on it.
+    /// Tasks of different jobs failed on the machine.
     Quarantined,
-    /// It is still booting, long after the usual boot time of its type.
+    /// The machine is still booting, long after the usual boot time of its type.
     NeverBooted,
-    /// Its owner has received no heartbeat for longer than its limit.
+    /// The machine's owner has received no heartbeat for longer than the machine's limit.
     Silent,
-    /// It has placements, but is silent and not in the cloud's list.
+    /// The machine has placements, but is silent and not in the cloud's list.
     PresumedLost,
-    /// No task runs on it or needs it, or it is cordoned and empty.
+    /// No task runs on the machine or needs it, or the machine is cordoned and has no placements.
     Idle,
 }
 
@@ -227,7 +229,7 @@
     fn is_silent_or_unknown(&self, machine_index: MachineIndex) -> bool {
         match self.cluster.machine(machine_index) {
             Some(machine) => self.is_silent(machine),
-            // No status update has contained it since this controller became the owner.
+            // No status update has contained the machine since this controller became the owner.
             None => self.now.since(self.state.owner_since) > self.limits.unconfirmed_ms(),
         }
     }
@@ -237,7 +239,7 @@
 ///
 /// The cloud deleted them while no owner was running that had received their heartbeats. Only a
 /// confirmed deletion proves that their tasks have ended; without it their jobs would wait forever.
-/// The cloud confirms the deletion of a name that it does not know, too.
+/// The cloud also confirms the deletion of a machine that it does not have.
 pub fn presumed_lost(
     cluster: &ClusterState,
     listed: &HashMap<String, ListedMachine>,
--- a/src/coordination/autoscaler/silence.rs
+++ b/src/coordination/autoscaler/silence.rs
@@ -1,11 +1,11 @@
 //! Limits on how long a machine may send no heartbeat before it is presumed failed, and detection
-//! of zones that are partitioned from the network instead.
+//! of zones whose machines are silent because the zone is partitioned from the network.
 //!
 //! Used by `scale_in_plan`.
 //!
 //! Invariant: the limit is longer for a machine that may still send heartbeats to a previous owner,
-//! and for one in a zone that is likely partitioned, than for one with which its current owner has
-//! surely lost contact.
+//! and for a machine in a zone that is likely partitioned, than for any other machine that has sent
+//! a heartbeat under its current owner's fencing token.
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::state::cluster_state::ClusterState;
@@ -18,7 +18,7 @@
 const MIN_MACHINES_OF_PARTITIONED_ZONE: u32 = 12;
 /// A zone is presumed partitioned if more than one in this many of its machines are silent.
 const SILENT_MACHINES_DIVISOR: u32 = 3;
-/// Time, in addition to the lease, within which a machine must send its first heartbeat.
+/// Time, in addition to the lease, within which a machine must send its first heartbeat, ms.
 const FIRST_HEARTBEAT_GRACE_MS: u64 = 20_000;
 
 /// Limits on how long a machine may send no heartbeat before it is deleted.
@@ -43,8 +43,8 @@
     }
 
     /// Limit for one machine, ms. After a change of owner, the machine may still send heartbeats to
-    /// the previous owner, which does not know of the change. Until the machine has the new fencing
-    /// token, its silence towards the new owner proves little, so its limit is longer.
+    /// the previous owner, which has not yet learned of the change. Until the machine has the new
+    /// fencing token, its silence towards the new owner proves little, so its limit is longer.
     pub fn limit_ms(
         &self,
         cluster: &ClusterState,
--- a/src/coordination/autoscaler/state.rs
+++ b/src/coordination/autoscaler/state.rs
@@ -12,13 +12,14 @@
 use standby::ids::FencingToken;
 use std::collections::{HashMap, HashSet};
 
-/// Timeout of a request to the cloud.
+/// Timeout of a request to the cloud, ms.
 pub(super) const CLOUD_TIMEOUT_MS: u64 = 3000;
 
-/// Backoff of a pool that had too few machines; none is requested from it until the backoff ends.
+/// Backoff of a pool that had too few machines; no machine is requested from the pool until the
+/// backoff ends.
 pub(super) struct Backoff {
     pub(super) until: MonotonicMillis,
-    /// Length of this backoff; the next one of the pool is twice as long.
+    /// Length of this backoff, ms; the pool's next backoff is twice as long.
     pub(super) delay_ms: u64,
 }
 
--- a/src/coordination/autoscaler/supply.rs
+++ b/src/coordination/autoscaler/supply.rs
@@ -50,8 +50,8 @@
 ) -> Vec<Supply> {
     let mut machines = named_machines(cluster, listed, unresponsive_ms, now);
     machines.extend(unanswered_requests(cluster));
-    // Spot machines first, as in the scheduler's planner. Then those with the least free capacity,
-    // so that other machines become idle.
+    // Spot machines are used first, as in the scheduler. Within each kind, machines with less free
+    // capacity are used first, so that other machines become idle.
     machines.sort_by_key(|s| (!s.pool.spot, s.free.gpu, s.free.cpu));
     machines
 }
--- a/src/coordination/scheduler/bin_packing.rs
+++ b/src/coordination/scheduler/bin_packing.rs
@@ -9,7 +9,7 @@
 const STRANDED_CAPACITY_COST_S: f64 = 20.0;
 /// Cost of an on-demand machine for a task that may run on a spot machine, in seconds of waiting.
 const ON_DEMAND_COST_S: f64 = 10.0;
-/// Cost of leaving all of a machine's capacity free, in seconds of waiting. It prefers fuller
+/// Cost of leaving all of a machine's capacity free, in seconds of waiting. The cost favors fuller
 /// machines, so that others stay empty for large tasks or for scale-in.
 const SPARE_CAPACITY_COST_S: f64 = 3.0;
 /// Lower bound of the image pull rate in an estimate of the pull time, GB per second.
--- a/src/coordination/scheduler/binding.rs
+++ b/src/coordination/scheduler/binding.rs
@@ -100,7 +100,7 @@
 /// A random sample of the machines that may run the job.
 ///
 /// Machines that have both free capacity and the image are few, and a common sample of hundreds
-/// would miss most of them. So they are sampled separately.
+/// would miss most of them. So these machines and all others are sampled separately.
 fn sample_machines<'a>(
     cluster: &'a ClusterState,
     config: &SchedulerConfig,
--- a/src/coordination/scheduler/commands.rs
+++ b/src/coordination/scheduler/commands.rs
@@ -1,5 +1,5 @@
-//! Commands: what a worker is told to start, stop and acknowledge in response to its newest
-//! heartbeat.
+//! Commands: the starts, stops and acknowledgements of exits that a worker receives in response to
+//! its newest heartbeat.
 //!
 //! The handler of heartbeats calls [`heartbeat_commands`] for machines that this controller owns
 //! under a permit. Invariants: an exit is acknowledged only after the placement has been removed
@@ -19,7 +19,7 @@
 use standby::ids::FencingToken;
 use standby::permit::Permits;
 
-/// Time that a stopped task gets in addition to its job's checkpoint grace period, s.
+/// Time added to a job's checkpoint grace period in the stop commands for its tasks, s.
 const CHECKPOINT_GRACE_MARGIN_S: f64 = 1.0;
 
 /// Commands for a machine in response to its newest heartbeat. Records the start commands in
@@ -88,9 +88,10 @@
     /// Acknowledges an exit that the job's record reflects; the worker reports it until then.
     ///
     /// The exit is not acknowledged while a direct start of the attempt may still be delivered,
-    /// late or twice: the worker would have forgotten the attempt and run it, although the task may
-    /// be on another machine by then. A repeated start of an attempt that exited as done is
-    /// harmless, since its only effect is that the worker reports the attempt once more.
+    /// late or twice: a worker forgets an attempt whose exit is acknowledged, so it would run the
+    /// attempt again, although the task may be on another machine by then. A repeated start of an
+    /// attempt that exited as done is harmless, since its only effect is that the worker reports
+    /// the attempt once more.
     fn acknowledge_exit(&mut self, task: &ObservedTask) {
         let may_run_again = task.task_attempt().is_some_and(|attempt| {
             unacknowledged_start(self.machine, self.fencing_token, attempt)
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Starts the attempts that the records place on the machine and that its heartbeat lacks.
+    /// Starts the attempts that the records place on the machine but that are missing from its
+    /// heartbeat.
     fn start_missing(&mut self, machine_index: MachineIndex) {
         if !self.may_start {
             return;
@@ -169,7 +171,8 @@
     }
 }
 
-/// Attempts that are placed on a machine, do not show in its newest message and should be started.
+/// Attempts that are placed on a machine, are missing from its newest message and should be
+/// started.
 pub(super) fn missing_starts(
     cluster: &ClusterState,
     machine_index: MachineIndex,
--- a/src/coordination/scheduler/config.rs
+++ b/src/coordination/scheduler/config.rs
@@ -22,16 +22,17 @@
     /// Waiting time after which machines are reserved for a gang, ms.
     pub gang_reservation_after_ms: u64,
     /// Waiting time after which a task that may run on spot machines may use an empty on-demand
-    /// machine, ms. It applies in full to machine types whose on-demand price is at least four
-    /// times the spot price.
+    /// machine, ms. This time applies in full to machine types whose on-demand price is at least
+    /// four times the spot price.
     pub spot_patience_ms: u64,
     /// Capacity to keep free for tasks that may run on spot machines, as a factor of the tasks
     /// expected while a machine boots.
     pub capacity_buffer_spot: f64,
     /// The same factor for tasks that must not run on spot machines.
     pub capacity_buffer_on_demand: f64,
-    /// Time without a heartbeat or response after which a worker has killed its tasks, ms. It
-    /// holds only if this owner alone has responded to the worker.
+    /// Time without a heartbeat or response after which a worker has killed its tasks, ms. This proves
+    /// the tasks dead only if the worker has accepted this owner's fencing token, so that no other
+    /// owner has renewed its lease.
     pub lease_expiry_ms: u64,
     /// Maximum age of the cancellation watermark at which the lease of a machine with tasks is
     /// still renewed, ms.
@@ -40,13 +41,13 @@
     pub cancel_ms: u64,
     /// Completion targets by job class: times within which a job should finish, ms, ascending.
     pub completion_targets: HashMap<String, Vec<u64>>,
-    /// Limits of the key-value store that hold now according to the settings.
+    /// Limits of the key-value store that are in force now according to the settings.
     pub limits_now: Limits,
     /// Limits of the key-value store that may take effect at any time, without notice; unlimited
     /// where the settings announce none.
     pub limits_next: Limits,
-    /// Limits derived from transactions that the key-value store has refused; unlimited until one
-    /// is refused for its size.
+    /// Limits derived from transactions that the key-value store has refused; unlimited until a
+    /// transaction is refused for its size.
     pub limits_observed: Cell<Limits>,
 }
 
--- a/src/coordination/scheduler/direct_start_delivery.rs
+++ b/src/coordination/scheduler/direct_start_delivery.rs
@@ -1,5 +1,5 @@
 //! Delivery of direct starts: sends start commands to workers and processes their responses. The
-//! planner calls it after its passes; `direct_starts` decides what to send.
+//! planner calls `send_direct_starts` after its passes; `direct_starts` decides what to send.
 
 use crate::coordination::controller::worker_connections::WorkerConnectionSlot;
 use crate::coordination::controller::Controller;
--- a/src/coordination/scheduler/direct_starts.rs
+++ b/src/coordination/scheduler/direct_starts.rs
@@ -22,9 +22,9 @@
     pub machine: MachineIndex,
     /// Address of the machine's worker.
     pub addr: String,
-    /// Fencing token of the commands; a worker that has seen a higher one refuses them.
+    /// Fencing token of the commands; a worker that has received a higher token refuses them.
     pub fencing_token: FencingToken,
-    /// Agent epoch that the commands are meant for; the worker refuses them in any other.
+    /// Agent epoch that the commands are meant for; the worker refuses them in any other epoch.
     pub agent_epoch: AgentEpoch,
     /// Attempts to start.
     pub attempts: Vec<TaskAttempt>,
@@ -33,8 +33,8 @@
 }
 
 /// Selects the attempts for which no start command has been sent yet, on machines to which no
-/// heartbeat response is in progress, and marks them as in flight. `reserve_connection` is called
-/// once per machine and returns whether a connection is available for it.
+/// heartbeat response is in progress, and marks these attempts as in flight. `reserve_connection`
+/// is called once per machine and returns whether a connection is available for it.
 pub fn direct_starts(
     cluster: &mut ClusterState,
     config: &SchedulerConfig,
@@ -62,8 +62,8 @@
     starts
 }
 
-/// The direct start commands for one machine. `None` if there are none, or if the machine is not
-/// owned, not schedulable or does not accept direct commands.
+/// The direct start commands for one machine. `None` if there is nothing to start, or if the
+/// machine is not owned, not schedulable or does not accept direct commands.
 fn direct_start_for(
     cluster: &ClusterState,
     config: &SchedulerConfig,
@@ -95,8 +95,8 @@
     })
 }
 
-/// True if the worker has confirmed this owner's fencing token, its address and agent epoch are
-/// known, and no heartbeat response to it is in progress.
+/// True if the worker has confirmed this owner's fencing token, the worker's address and agent
+/// epoch are known, and no heartbeat response to the worker is in progress.
 fn accepts_direct_commands(machine: &Machine, fencing_token: FencingToken) -> bool {
     machine.heartbeat.responses_in_progress == 0
         && machine.heartbeat.fencing_token == fencing_token
--- a/src/coordination/scheduler/draft.rs
+++ b/src/coordination/scheduler/draft.rs
@@ -12,7 +12,7 @@
 use standby::permit::Permit;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Size of the drafted job records from which on no further record is added, bytes.
+/// Total size of the drafted job records at which no further record is added, bytes.
 const MAX_TRANSACTION_BYTES: usize = 48 * 1024;
 
 /// A placement that a draft adds to a job.
@@ -43,7 +43,8 @@
     /// Maximum number of jobs that this pass may write as cancelled because a dependency was
     /// cancelled.
     pub cascade_budget: usize,
-    /// True if a change was left out because the transaction was full or a team's limit reached.
+    /// True if a change was left out because the transaction was full or a team's limit was
+    /// reached.
     pub truncated: bool,
     bytes: usize,
 }
@@ -81,7 +82,7 @@
         keys + additional_keys <= config.limits(cluster).txn_ops
             && self.bytes < MAX_TRANSACTION_BYTES
     }
-    /// Adds an overflow record of a job to the changed ones; false if the transaction is full.
+    /// Adds an overflow record of a job to the changed records; false if the transaction is full.
     /// For index 0, the job's own record, nothing is added.
     pub(crate) fn include_overflow(
         &mut self,
--- a/src/coordination/scheduler/gang_reservations.rs
+++ b/src/coordination/scheduler/gang_reservations.rs
@@ -1,4 +1,5 @@
-//! Gang reservations: decides which machines are kept free for gangs that have waited for long.
+//! Gang reservations: decides which machines are kept free for gangs that have waited for a long
+//! time.
 //!
 //! This module only decides; the status broadcast task carries out the reservations. All
 //! controllers derive the same order of gangs, and a machine is reserved for the first gang that
@@ -46,7 +47,8 @@
         let Some(chosen) = least_loaded_machines(cluster, gang, &machines) else {
             continue;
         };
-        // Excluded for all later gangs, even if another controller makes this reservation.
+        // The chosen machines are excluded for all later gangs, even if another controller makes
+        // this reservation.
         machines.retain(|loaded| !chosen.contains(&loaded.candidate.index));
         if config.owns(cluster, cluster.planning_shard(&job.id)) {
             reservations.push(GangReservation {
--- a/src/coordination/scheduler/gangs.rs
+++ b/src/coordination/scheduler/gangs.rs
@@ -150,7 +150,7 @@
 }
 
 /// Selects one slot per task of the gang: the shortest image pull first, then spot machines before
-/// on-demand ones. `None` if there are too few slots.
+/// on-demand machines. `None` if there are too few slots.
 fn fastest_slots<'a>(spec: &Spec, mut slots: Vec<Slot<'a>>) -> Option<Vec<Slot<'a>>> {
     slots.sort_by_key(|slot| {
         (
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -14,11 +14,12 @@
 use crate::state::units::{millis_from_seconds, MonotonicMillis};
 use std::rc::Rc;
 
-/// Period in which late jobs go first for one second, s.
+/// Interval at which there is a second in which late jobs are scheduled before others of their
+/// priority, s.
 const LATE_JOBS_FIRST_INTERVAL_S: u64 = 5;
 
-/// Waiting time after which a job without any placed or finished task goes before others of its
-/// priority, ms.
+/// Waiting time after which a job without any placed or finished task is scheduled before others of
+/// its priority, ms.
 const MAX_WAIT_FOR_FIRST_TASK_MS: u64 = 120_000;
 
 /// True if no task of a job may be placed for now: a write of the job's record with unknown outcome
@@ -41,11 +42,11 @@
     pub(crate) spec: Rc<Spec>,
 }
 
-/// Position of a job within its priority; the smaller one is scheduled first.
+/// Position of a job within its priority; jobs of a smaller tier are scheduled first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum SchedulingTier {
-    /// The job has waited too long, can only just meet its last target, or is late and late jobs
-    /// have their turn.
+    /// The job has waited too long for its first task, is at risk of missing its last target, or is
+    /// late and this is the second in which late jobs are scheduled first.
     First,
     /// The job can meet its first target, or has no targets.
     OnTime,
@@ -57,16 +58,16 @@
 
 /// Returns the position of a job within its priority.
 ///
-/// A job that has missed its targets, or is certain to miss them, goes after those that can still
-/// meet theirs. Under overload some jobs are late in any case, and it is better that it is always
-/// the same ones. A class may have several targets, and a job that has missed the first may still
-/// meet the last: it waits until two fifths of the time for the last target have passed, and then
-/// goes first.
+/// A job that has missed its targets, or is certain to miss them, is scheduled after jobs that can
+/// still meet theirs. Under overload some jobs are late in any case, and it is better that these
+/// are always the same jobs. A class may have several targets, and a job that has missed the first
+/// may still meet the last: it waits until two fifths of the time for the last target have passed,
+/// and is then scheduled first.
 ///
 /// Two rules keep younger or smaller jobs from starving any job. After two minutes, or two and a
-/// half times the first target if that is less, a job without any placed or finished task goes
-/// first. And in one second out of five, all jobs that are late for a target go first, the oldest
-/// before the others.
+/// half times the first target if that is less, a job without any placed or finished task is
+/// scheduled first. And in one second out of five, all jobs that are late for a target are
+/// scheduled first, in order of age.
 pub fn scheduling_tier(
     config: &SchedulerConfig,
     job: &Job,
@@ -122,7 +123,8 @@
     Some(CompletionTargets { first_ms, last_ms })
 }
 
-/// Age from which a job without any placed or finished task goes first within its priority, ms.
+/// Age at which a job without any placed or finished task is scheduled first within its priority,
+/// ms.
 fn max_wait_for_first_task_ms(targets: Option<CompletionTargets>) -> u64 {
     targets.map_or(MAX_WAIT_FOR_FIRST_TASK_MS, |targets| {
         MAX_WAIT_FOR_FIRST_TASK_MS.min(targets.first_ms * 5 / 2)
@@ -130,12 +132,12 @@
 }
 
 /// Size of a job as the binary logarithm of its number of waiting tasks. Among jobs that can still
-/// meet a deadline of their own, the smaller one goes first: if not all can be on time, more of
-/// them are.
+/// meet a deadline of their own, the smaller one is scheduled first, so that more jobs are on time
+/// if not all can be.
 ///
-/// 0 for all other jobs, including those with only the targets of their class. For those the
-/// waiting times and the guarantees of teams matter as much, and oldest-first order suits them
-/// better.
+/// The result is 0 for all other jobs, including jobs with only the targets of their class. For
+/// these jobs, waiting times and the guarantees of teams matter as much as targets, and the
+/// oldest-first order serves both better.
 fn size_log2(job: &Job, tier: SchedulingTier) -> u32 {
     if tier != SchedulingTier::OnTime || job.dependency_state.deadline.is_none() {
         return 0;
--- a/src/coordination/scheduler/ownership.rs
+++ b/src/coordination/scheduler/ownership.rs
@@ -1,5 +1,5 @@
 //! Ownership checks: a controller decides only for shards that it owns under a permit, and starts
-//! tasks and renews leases only while its knowledge of cancellations is recent enough.
+//! tasks and renews leases only while its cancellation watermark is recent enough.
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::state::cluster_state::ClusterState;
@@ -55,8 +55,8 @@
         let age_ms = cluster.cancellation_watermark.age_ms(now);
         age_ms.is_some_and(|age| age <= self.max_watermark_age_ms)
     }
-    /// True if this controller may start tasks: its view of the jobs may be stale, but all
-    /// cancellations are known up to a recent enough time.
+    /// True if this controller may start tasks: its view of the jobs may be stale, but it has
+    /// received all cancellations up to a recent enough time.
     pub fn may_start(&self, cluster: &ClusterState, now: MonotonicMillis) -> bool {
         let max_age_ms = MAX_WATERMARK_AGE_FOR_STARTS_MS.min(self.max_watermark_age_ms);
         let age_ms = cluster.cancellation_watermark.age_ms(now);
--- a/src/coordination/scheduler/placement_rules.rs
+++ b/src/coordination/scheduler/placement_rules.rs
@@ -27,7 +27,7 @@
 pub struct JobRef<'a> {
     /// Index of the job.
     pub index: JobIndex,
-    /// The job, including the changes drafted so far.
+    /// The job; a pass that has drafted changes of the job passes the changed job.
     pub job: &'a Job,
     /// Description of the job.
     pub spec: &'a Spec,
@@ -57,7 +57,8 @@
         && zone_allowed(cluster, job.job, job.spec, candidate.machine.zone)
 }
 
-/// True if the job accepts the machine's type and zone, and spot machines if it is one.
+/// True if the job allows the type and the zone of the machine and, for a spot machine, the use of
+/// spot machines.
 fn machine_allowed(spec: &Spec, machine: &Machine) -> bool {
     let types = spec.machine_types.as_ref();
     types.is_none_or(|types| types.contains(&machine.machine_type))
@@ -65,8 +66,8 @@
         && (spec.wire.spot || !machine.spot)
 }
 
-/// True if another task in the zone keeps the job's `one_zone` and `spread` rules. All placements
-/// in the job's record count, including old attempts that are not yet proven absent.
+/// True if the job's `one_zone` and `spread` rules allow one more of its tasks in the zone. All
+/// placements in the job's record count, including old attempts that are not yet proven absent.
 fn zone_allowed(cluster: &ClusterState, job: &Job, spec: &Spec, zone: ZoneIndex) -> bool {
     let zones = || {
         let placements = job.placements.iter();
@@ -131,8 +132,8 @@
 /// on-demand machine is left for a while to tasks that must not run on spot machines.
 ///
 /// The wait grows with the price ratio of the machine type: at four times the spot price or more
-/// it is the full `spot_patience_ms`, at twice the spot price or less there is none. Production
-/// and high-priority tasks never wait.
+/// the wait is the full `spot_patience_ms`, at twice the spot price or less there is no wait.
+/// Production and high-priority tasks never wait.
 pub fn should_wait_for_spot(
     cluster: &ClusterState,
     config: &SchedulerConfig,
--- a/src/coordination/scheduler/planner.rs
+++ b/src/coordination/scheduler/planner.rs
@@ -1,9 +1,9 @@
 //! The planner: the background task that runs scheduling passes and commits their drafts.
 //!
-//! It wakes on notifications of changes and after a timeout. Each pass drafts one transaction with
-//! the pure functions of this module tree; the planner commits it and applies the outcome. It holds
-//! no cluster state of its own: after a conflict the draft is dropped, and the next pass decides
-//! again on a refreshed view.
+//! The planner wakes on notifications of changes and after a timeout. Each pass drafts one
+//! transaction with the pure functions of this module tree; the planner commits it and applies the
+//! outcome. The planner holds no cluster state of its own: after a conflict the draft is dropped,
+//! and the next pass decides again on the refreshed cluster state.
 
 use crate::coordination::controller::clock::wall_ms;
 use crate::coordination::controller::Controller;
@@ -27,7 +27,7 @@
 use standby::ids::Revision;
 use std::rc::Rc;
 
-/// Maximum number of passes in a row before direct starts and work stealing get their turn.
+/// Maximum number of passes in a row before direct starts are sent and queued tasks are stolen.
 const MAX_PASSES: usize = 12;
 /// Timeout of the fresh read after a conflict or an unknown outcome, ms.
 const REFRESH_TIMEOUT_MS: u64 = 1500;
@@ -40,7 +40,7 @@
 /// Minimum time between two passes that lower unused quota shares, ms.
 const QUOTA_LOWERING_INTERVAL_MS: u64 = 2000;
 
-/// Times of the last run of the steps that not every pass includes.
+/// Times at which the periodic steps, which only some passes include, last ran.
 #[derive(Default)]
 struct PeriodicSteps {
     quota_lowered_at: MonotonicMillis,
@@ -80,8 +80,8 @@
     write_budget.batch_array_updates(controller.now(), cluster.changes, limit)
 }
 
-/// Runs passes until no other should follow at once, at most `MAX_PASSES`. Returns the machines
-/// with free capacity for which the last pass claimed nothing.
+/// Runs passes until one has nothing to commit or requires no other pass at once, at most
+/// `MAX_PASSES`. Returns the machines with free capacity for which the last pass claimed nothing.
 async fn run_passes(
     controller: &Rc<Controller>,
     batch_array_updates: bool,
@@ -172,7 +172,7 @@
     }
 }
 
-/// Reports the fencing tokens of the shards whose records conflicted: they have another version
+/// Reports the fencing tokens of the shards whose records conflicted, that is, have another version
 /// than the draft requires.
 fn report_stale_tokens(controller: &Controller, draft: &DraftTransaction, keys: &[String]) {
     for (shard, fencing_token) in draft.shards() {
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -25,7 +25,7 @@
 const PRODUCTION_PREEMPTION_DELAY_MS: u64 = 1500;
 /// Waiting time after which a high-priority job may preempt others, ms.
 const HIGH_PREEMPTION_DELAY_MS: u64 = 4000;
-/// Number of victims in one round from which on no further job preempts.
+/// Number of victims in one round at which no further job preempts.
 const MAX_VICTIMS_PER_ROUND: usize = 8;
 
 /// A task attempt to be stopped for a task of a higher priority.
@@ -111,7 +111,7 @@
     waiting_job: WaitingJob,
 }
 
-/// The attempts to stop on one machine to make room for a task.
+/// The attempts to stop on one machine so that a task of a higher priority fits there.
 struct PreemptionChoice {
     machine: MachineIndex,
     candidates: Vec<PreemptionCandidate>,
@@ -217,12 +217,12 @@
     }
 }
 
-/// Work lost by stopping a task, the cheapest first.
+/// Progress lost by stopping a task; the variants are in order of increasing cost.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum StopCost {
-    /// Nothing is lost: the task is still pulling its image.
+    /// No progress is lost: the task is still pulling its image.
     Nothing,
-    /// Little is lost: the task writes a checkpoint before it stops.
+    /// Little progress is lost: the task writes a checkpoint before it stops.
     Checkpoint,
     /// All progress is lost: accepted only for production jobs.
     AllProgress,
@@ -244,8 +244,8 @@
             let job = &cluster.jobs[attempt.job.at()];
             let spec = job.spec.as_ref()?;
             let cost = stop_cost(task, spec.wire.checkpoint_s > 0.0, priority)?;
-            // The priority includes that of dependent jobs: a dependency of a more urgent job is
-            // not stopped.
+            // The priority includes that of dependent jobs: a dependency of a job with a higher
+            // priority is not stopped.
             let task_priority = job.dependency_state.priority;
             let may_stop = task_priority > priority
                 && !spec.is_wide_gang()
--- a/src/coordination/scheduler/queues.rs
+++ b/src/coordination/scheduler/queues.rs
@@ -65,7 +65,8 @@
     true
 }
 
-/// The requests that send bound tasks to the owner of their machines, split by the frame size.
+/// The requests that send bound tasks to the owner of their machines, each small enough for a
+/// frame.
 pub fn bind_requests(tasks: &[(String, TaskRef)]) -> Vec<PeerRequest> {
     let request = |tasks: &[(String, TaskRef)]| PeerRequest::EnqueueTasks {
         tasks: tasks.to_vec(),
--- a/src/coordination/scheduler/starved_gangs.rs
+++ b/src/coordination/scheduler/starved_gangs.rs
@@ -31,7 +31,7 @@
 
 /// True if a gang fits into its team's limit once all other jobs of the team except services have
 /// ended. A gang that does not fit can start only after a user cancels a service, so no other job
-/// may wait for it.
+/// should be delayed for this gang.
 pub(crate) fn fits_beside_services(cluster: &ClusterState, gang: &Spec) -> bool {
     let services = used_by_services(cluster, gang.team);
     let demand = gang.need.times(gang.tasks());
@@ -77,7 +77,7 @@
     }
 
     /// True if placing a task of the job would use quota that a starved gang of its team waits for.
-    /// False if the job goes before the gang by priority and age, or has waited too long itself.
+    /// False if the job precedes the gang by priority and age, or has waited too long itself.
     pub(super) fn would_starve(
         &self,
         pass: &PassContext,
--- a/src/coordination/scheduler/work_stealing.rs
+++ b/src/coordination/scheduler/work_stealing.rs
@@ -26,7 +26,7 @@
 }
 
 /// State of work stealing: the last message of each idle machine for which other machines were
-/// polled. A machine polls at most once per message.
+/// polled. Other machines are polled at most once per message of an idle machine.
 #[derive(Default)]
 pub(super) struct WorkStealing {
     last_poll: HashMap<MachineIndex, HeartbeatVersion>,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Chooses the machines to poll for an idle machine; `None` if it has polled since its last
-    /// message.
+    /// Chooses the machines to poll for an idle machine; `None` if machines have been polled for it
+    /// since its last message.
     fn choose_polled(
         &mut self,
         controller: &Controller,
@@ -141,8 +141,8 @@
     cluster.machine_names.name(machine_index).to_string()
 }
 
-/// Removes the first queued task of an owned machine that fits an idle machine of another
-/// controller, and returns it.
+/// Removes from the queue of an owned machine the first task that fits an idle machine of another
+/// controller, and returns this task.
 pub fn hand_over(
     controller: &Controller,
     source: MachineIndex,
--- a/src/coordination/scheduler/write_budget.rs
+++ b/src/coordination/scheduler/write_budget.rs
@@ -1,10 +1,10 @@
 //! Write budget: compares the rate of changes that all controllers write to the key-value store, as
 //! the watch shows it, with the write limit that they share.
 //!
-//! The planner checks it before each series of passes. Array jobs cause most of the changes: a
-//! claim and an end for each task. The closer the rate is to the limit, the longer these are
-//! batched, so that one change of a record covers several tasks. High-priority jobs, gangs and
-//! services never wait for a batch.
+//! The planner checks the budget before each series of passes. Array jobs cause most of the
+//! changes: a claim and an end for each task. The closer the rate is to the limit, the longer the
+//! changes of array jobs are batched, so that one change of a record covers several tasks.
+//! High-priority jobs, gangs and services never wait for a batch.
 
 use crate::state::units::MonotonicMillis;
 
@@ -17,7 +17,8 @@
 /// Fraction of the write limit at which the batching window reaches its maximum.
 const FULL_BATCHING_AT_UTILIZATION: f64 = 0.9;
 /// Maximum batching window for ends and claims of array tasks, ms. The end of a whole job is
-/// written at once by a controller that sees all of it, and by others no later than this.
+/// written at once by a controller that has observed the exits of all its remaining tasks, and by
+/// others no later than after this window.
 const MAX_BATCH_WINDOW_MS: f64 = 1000.0;
 /// Minimum time between two measurements of the rate of changes, ms.
 const MEASURING_INTERVAL_MS: u64 = 1000;
--- a/tests/claims_and_binding.rs
+++ b/tests/claims_and_binding.rs
@@ -129,8 +129,8 @@
 }
 
 // Guards against a failure seen when a controller was seconds late: while the removal of a
-// placement was in flight, the machine sent a heartbeat in a new agent epoch and was told to start
-// the attempt that the transaction then removed from the record.
+// placement was in flight, the machine sent a heartbeat in a new agent epoch and received a start
+// command for the attempt that the transaction then removed from the record.
 #[test]
 fn an_abandoned_attempt_is_not_started_while_its_transaction_is_in_flight() {
     let (mut store, mut controller) = start_single_controller();
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -117,7 +117,8 @@
 #[test]
 fn a_wide_job_with_time_left_starts_within_two_minutes_of_smaller_ones() {
     let (mut store, mut controller) = start_single_controller();
-    // Its deadline is so far off that it stays on time. A smaller job is submitted every second.
+    // The wide job's deadline is so far off that the job stays on time. A smaller job is submitted
+    // every second.
     controller.submit(&mut store, job_due_within("job-1", 200, 900.0), 0);
     for second in 100..130u64 {
         let smaller = job_due_within(&format!("job-{second}"), 2, 900.0);
@@ -169,9 +170,9 @@
         let ids = waiting_job_ids(&controller, second * 1000);
         seconds_first += u32::from(ids[0] == "job-1");
     }
-    // The late job goes first in one of every five seconds.
+    // The late job is scheduled first in one of every five seconds.
     assert_eq!(seconds_first, 8);
-    // After two minutes its first task goes before all other jobs in every second.
+    // After two minutes its first task is scheduled before all other jobs in every second.
     for second in 120..125u64 {
         let small = job_due_within(&format!("job-{second}"), 2, 60.0);
         controller.submit(&mut store, small, second * 1000);
@@ -414,7 +415,8 @@
     );
     let mut controller = with_started_job(controller, &mut store, "job-1", 40);
     // Ages are in seconds. The job is on time while it can finish within 150 s. After that, younger
-    // jobs that can meet their first target go before it, until its last target is in doubt.
+    // jobs that can meet their first target are scheduled before it, until its last target is at
+    // risk.
     let tier = |controller: &SimulatedController, age: u64| {
         let job = controller.job("job-1");
         job_order::scheduling_tier(
@@ -425,16 +427,16 @@
         )
     };
     assert_eq!(tier(&controller, 100), SchedulingTier::OnTime);
-    // It can't finish within 150 s any more, but still within 350 s, the last target. It goes first
-    // once two fifths of that time have passed.
+    // The job can't finish within 150 s any more, but still within 350 s, the last target. It is
+    // scheduled first once two fifths of that time have passed.
     assert_eq!(tier(&controller, 141), SchedulingTier::First);
     assert_eq!(tier(&controller, 300), SchedulingTier::First);
-    // Once it has missed the last target as well, it goes behind other jobs, except in one of every
-    // five seconds.
+    // Once the job has missed the last target as well, it is scheduled after other jobs, except in
+    // one of every five seconds.
     assert_eq!(tier(&controller, 341), SchedulingTier::MissesAllTargets);
     assert_eq!(tier(&controller, 345), SchedulingTier::First);
-    // A job that misses its own, earlier deadline goes behind others until the class's target is in
-    // doubt.
+    // A job that misses its own, earlier deadline is scheduled after others until the class's
+    // target is at risk.
     controller
         .config
         .completion_targets
