--- a/src/coordination/autoscaler/machine_list_refresh.rs
+++ b/src/coordination/autoscaler/machine_list_refresh.rs
@@ -71,23 +71,23 @@
 /// Fetches one page of the machine list. Logs a failure and returns `None`.
 async fn fetch_page(controller: &Controller, after: &str) -> Option<MachineListPage> {
     let path = format!("/hosts?from={after}&most={PAGE_SIZE}");
-    let answer = controller
+    let response = controller
         .cloud
         .call(Method::Get, &path, Vec::new(), CLOUD_TIMEOUT_MS)
         .await;
-    match answer {
-        Ok(answer) if answer.status == 200 => {
+    match response {
+        Ok(response) if response.status == 200 => {
             controller.availability.record(ExternalService::Cloud, true);
-            let page = rmp_serde::from_slice(&answer.body);
+            let page = rmp_serde::from_slice(&response.body);
             page.inspect_err(|e| log::debug!("machine list page not decoded: error={e}"))
                 .ok()
         }
-        Ok(answer) => {
-            log::debug!("machine list request refused: status={}", answer.status);
+        Ok(response) => {
+            log::debug!("machine list request refused: status={}", response.status);
             // With status 429 the cloud is available; this controller exceeded its rate limit.
             controller
                 .availability
-                .record(ExternalService::Cloud, answer.status == 429);
+                .record(ExternalService::Cloud, response.status == 429);
             None
         }
         Err(e) => {
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -133,23 +133,23 @@
 }
 
 async fn fetch_machine_types(controller: &Controller) -> Option<MachineTypeCatalog> {
-    let answer = controller
+    let response = controller
         .cloud
         .call(Method::Get, "/flavors", Vec::new(), CLOUD_TIMEOUT_MS)
         .await;
-    let answer = match answer {
-        Ok(answer) => answer,
+    let response = match response {
+        Ok(response) => response,
         Err(e) => {
             log::debug!("machine types request failed: error={e}");
             controller.cloud.reset();
             return None;
         }
     };
-    if answer.status != 200 {
-        log::debug!("machine types request refused: status={}", answer.status);
+    if response.status != 200 {
+        log::debug!("machine types request refused: status={}", response.status);
         return None;
     }
-    match rmp_serde::from_slice::<MachineTypeCatalog>(&answer.body) {
+    match rmp_serde::from_slice::<MachineTypeCatalog>(&response.body) {
         Ok(catalog) => Some(catalog).filter(|catalog| !catalog.types.is_empty()),
         Err(e) => {
             log::debug!("machine types not decoded: error={e}");
--- a/src/coordination/autoscaler/placement.rs
+++ b/src/coordination/autoscaler/placement.rs
@@ -261,8 +261,10 @@
 
 /// The number of machines in a zone that have free capacity for one task of the job.
 fn machines_that_fit(spec: &Spec, supply: &[Supply], zone: ZoneIndex) -> u32 {
-    let fits = |s: &&Supply| {
-        s.pool.zone == zone && (spec.wire.spot || !s.pool.spot) && spec.need.fits(s.free)
+    let fits = |machine: &&Supply| {
+        machine.pool.zone == zone
+            && (spec.wire.spot || !machine.pool.spot)
+            && spec.need.fits(machine.free)
     };
     supply.iter().filter(fits).count() as u32
 }
--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -145,12 +145,12 @@
             return ProvisioningResponse::Unanswered;
         }
     };
-    let answer = controller
+    let response = controller
         .cloud
         .call(Method::Post, "/hosts", body, CLOUD_TIMEOUT_MS)
         .await;
-    match answer {
-        Ok(answer) => ProvisioningResponse::new(answer.status, &answer.body),
+    match response {
+        Ok(response) => ProvisioningResponse::new(response.status, &response.body),
         Err(e) => {
             log::warn!(
                 "provisioning request unanswered, will be retried: request={request_id} error={e}"
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -161,7 +161,7 @@
             return;
         }
     };
-    let answer = controller
+    let response = controller
         .cloud
         .call(Method::Post, "/hosts/release", body, CLOUD_TIMEOUT_MS)
         .await;
@@ -170,9 +170,9 @@
             .deletion_requested_at
             .insert(name.clone(), controller.now());
     }
-    match answer {
-        Ok(answer) if answer.status == 200 => announce_deleted(controller, machines).await,
-        Ok(answer) => log::warn!("machine deletion refused: status={}", answer.status),
+    match response {
+        Ok(response) if response.status == 200 => announce_deleted(controller, machines).await,
+        Ok(response) => log::warn!("machine deletion refused: status={}", response.status),
         Err(e) => {
             log::warn!("machine deletion unanswered: error={e}");
             controller.cloud.reset();
@@ -186,8 +186,8 @@
     machine_changes::mark_machines_deleted(controller, &machines);
     let announcement = PeerRequest::MachinesDeleted { machines };
     for peer in &controller.peers {
-        let answer = peer.client.ask(&announcement, ANNOUNCE_TIMEOUT_MS).await;
-        if let Err(e) = answer {
+        let response = peer.client.ask(&announcement, ANNOUNCE_TIMEOUT_MS).await;
+        if let Err(e) = response {
             log::debug!(
                 "deleted machines not announced: peer={} error={e}",
                 peer.name
--- a/tests/gang_scheduling.rs
+++ b/tests/gang_scheduling.rs
@@ -303,9 +303,9 @@
         0,
         2000,
     );
-    for i in 0..6 {
+    for round in 0..6 {
         worker1.time_out_gang_wait();
-        let from = 2000 + i * 2000;
+        let from = 2000 + round * 2000;
         run_heartbeats(
             &mut controller,
             &mut store,
--- a/tests/scalability.rs
+++ b/tests/scalability.rs
@@ -211,9 +211,9 @@
                     .reserve_for(gang, until);
             }
         }
-        for (i, worker) in workers.iter_mut().enumerate() {
+        for (worker_number, worker) in workers.iter_mut().enumerate() {
             // Tasks end at different times, so that a machine does not become empty by chance.
-            worker.run_ms = 3000 + (now / 500 * 7 + i as u64 * 3) % 11 * 500;
+            worker.run_ms = 3000 + (now / 500 * 7 + worker_number as u64 * 3) % 11 * 500;
             controller.exchange_heartbeat(&mut store, worker, now);
         }
         let placed = controller
