--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -47,9 +47,9 @@
 /// As in the scheduler (`StarvedGangs::would_starve`), younger jobs of a team leave the quota to a
 /// gang that waits for it. The rule is implemented twice because the two count differently: the
 /// scheduler compares running tasks with the demand of one gang, while this function divides the
-/// remaining quota among all waiting jobs in order, and does so for a gang that has only begun to
-/// wait, too. `may_bypass_gangs` and `fits_beside_services` are shared because both must give
-/// the same result in both places.
+/// remaining quota among all waiting jobs in order, and does so also for a gang that has only begun
+/// to wait. `may_bypass_gangs` and `fits_beside_services` are shared because both must give the
+/// same result in both places.
 pub(super) fn waiting(cluster: &ClusterState, now: MonotonicMillis, wall_ms: u64) -> Vec<Demand> {
     let mut remaining = remaining_quotas(cluster);
     let mut teams_with_waiting_gang: HashSet<TeamIndex> = HashSet::new();
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -158,7 +158,8 @@
     }
 }
 
-/// Stores the machine types. If another controller has stored them first, reads those instead.
+/// Stores the machine types. If another controller has stored them first, reads the stored machine
+/// types instead.
 async fn store_machine_types(controller: &Controller, catalog: &MachineTypeCatalog) {
     let key = format!("{ROOT}flavors/all");
     let txn = Transaction {
--- a/src/coordination/autoscaler/placement.rs
+++ b/src/coordination/autoscaler/placement.rs
@@ -27,8 +27,8 @@
 /// Boot time that doubles the cost by which the pools are compared, s.
 const BOOT_S_THAT_DOUBLES_COST: f64 = 300.0;
 
-/// Maximum random increase of a cost, as a fraction of it. It spreads requests over zones whose
-/// pools cost the same.
+/// Maximum random increase of a cost, as a fraction of the cost. The increase spreads requests over
+/// zones whose pools cost the same.
 const COST_JITTER: f64 = 0.02;
 
 /// The result of planning: machines to request, and existing machines to keep.
@@ -79,7 +79,7 @@
     job: Option<(JobIndex, &'a Job)>,
     priority: Priority,
     waited_ms: u64,
-    /// The job's tasks in each zone: placed ones and those assigned by this plan.
+    /// The job's tasks in each zone: placed tasks and tasks assigned by this plan.
     tasks_by_zone: TasksByZone,
     /// The zone chosen for a one-zone gang; `None` for all other demand.
     gang_zone: Option<ZoneIndex>,
@@ -145,7 +145,7 @@
     }
 
     /// Assigns the demand's tasks to supply, or to machines to be requested, until all are assigned
-    /// or no pool is left for the next one.
+    /// or no pool is left for the next task.
     fn place(&mut self, supply: &mut Vec<Supply>, plan: &mut ScaleOutPlan) {
         let need = self.demand.spec.need;
         let mut supply_index = 0;
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -80,9 +80,9 @@
 /// True if a fresh read of the key-value store shows that this controller still owns the
 /// autoscaler's shard.
 ///
-/// This is the only fencing of deletions, because the cloud does not check fencing tokens. Without
-/// it, a former owner that was disconnected from the store would go on deleting machines that other
-/// controllers use by now.
+/// This check is the only fencing of deletions, because the cloud does not check fencing tokens.
+/// Without it, a former owner that was disconnected from the store would go on deleting machines
+/// that other controllers use by now.
 async fn confirm_ownership(controller: &Controller) -> bool {
     if !controller.refresh(REFRESH_MS).await {
         return false;
@@ -119,8 +119,8 @@
     by_owner
 }
 
-/// Asks a peer to cordon machines that it owns, and returns those that it has cordoned. Without an
-/// answer the result is empty, and the next round tries again.
+/// Asks a peer to cordon machines that it owns, and returns those that it has cordoned. Without a
+/// response the result is empty, and the next round retries.
 async fn ask_peer_to_cordon(
     controller: &Controller,
     owner: &str,
--- a/src/coordination/autoscaler/silence.rs
+++ b/src/coordination/autoscaler/silence.rs
@@ -16,7 +16,8 @@
 
 /// Minimum number of machines in a zone for their silence to be evidence of a partition.
 const MIN_MACHINES_OF_PARTITIONED_ZONE: u32 = 12;
-/// A zone is presumed partitioned if more than one in this many of its machines are silent.
+/// A zone is presumed partitioned if more than 1/`SILENT_MACHINES_DIVISOR` of its machines are
+/// silent.
 const SILENT_MACHINES_DIVISOR: u32 = 3;
 /// Time, in addition to the lease, within which a machine must send its first heartbeat, ms.
 const FIRST_HEARTBEAT_GRACE_MS: u64 = 20_000;
--- a/src/coordination/autoscaler/state.rs
+++ b/src/coordination/autoscaler/state.rs
@@ -23,7 +23,7 @@
     pub(super) delay_ms: u64,
 }
 
-/// In-memory state of the shard's owner. It is lost at a change of owner, which only delays
+/// In-memory state of the shard's owner. The state is lost at a change of owner, which only delays
 /// decisions.
 pub(super) struct AutoscalerState {
     pub(super) fencing_token: FencingToken,
--- a/src/coordination/autoscaler/supply.rs
+++ b/src/coordination/autoscaler/supply.rs
@@ -117,7 +117,7 @@
         .flat_map(|(count, machine)| (0..count).map(move |_| machine.clone()))
 }
 
-/// An empty machine as requested; `None` if this controller does not know its type or zone.
+/// An empty machine as requested; `None` if its type or zone is unknown to this controller.
 fn requested_machine(cluster: &ClusterState, record: &ProvisioningRecord) -> Option<Supply> {
     let machine_type = cluster.machine_type_names.find(&record.machine_type)?;
     let zone = cluster.zone_names.find(&record.zone)?;
--- a/src/coordination/scheduler/commands.rs
+++ b/src/coordination/scheduler/commands.rs
@@ -129,7 +129,7 @@
     }
 
     /// Stops a task that should no longer run. A task of an open job that the owner has decided to
-    /// stop gets its checkpoint grace period; all others get none.
+    /// stop gets its checkpoint grace period; all other tasks get no grace period.
     fn stop_unwanted(&mut self, task: &ObservedTask, attempt: TaskAttempt) {
         let job = &self.cluster.jobs[attempt.job.at()];
         if !is_unwanted(job, self.machine, attempt) {
@@ -140,7 +140,7 @@
             .copied()
             .filter(|_| job.is_open())
             .unwrap_or_default();
-        // A checkpointing task has already received its stop command; it gets another one only to
+        // A checkpointing task has already received its stop command; another one is sent only to
         // end the grace period.
         if task.state != TaskState::Checkpointing || grace_s == 0.0 {
             self.commands.push(stop_command(task, grace_s));
@@ -196,7 +196,7 @@
 
 /// Attempts that should be stopped on a machine that the cloud is about to preempt, each with the
 /// time to write a checkpoint, s. These are running tasks that write checkpoints, and tasks that
-/// lose no progress: those of services and those that still pull their image.
+/// lose no progress: tasks of services and tasks that are still pulling their image.
 pub fn checkpoint_before_preemption(
     cluster: &ClusterState,
     machine_index: MachineIndex,
--- a/src/coordination/scheduler/config.rs
+++ b/src/coordination/scheduler/config.rs
@@ -30,9 +30,9 @@
     pub capacity_buffer_spot: f64,
     /// The same factor for tasks that must not run on spot machines.
     pub capacity_buffer_on_demand: f64,
-    /// Time without a heartbeat or response after which a worker has killed its tasks, ms. This proves
-    /// the tasks dead only if the worker has accepted this owner's fencing token, so that no other
-    /// owner has renewed its lease.
+    /// Time without a heartbeat or response after which a worker has killed its tasks, ms. This
+    /// proves the tasks dead only if the worker has accepted this owner's fencing token, so that no
+    /// previous owner renews the worker's lease.
     pub lease_expiry_ms: u64,
     /// Maximum age of the cancellation watermark at which the lease of a machine with tasks is
     /// still renewed, ms.
--- a/src/coordination/scheduler/gang_reservations.rs
+++ b/src/coordination/scheduler/gang_reservations.rs
@@ -128,7 +128,7 @@
     machines: &[LoadedMachine],
 ) -> Option<Vec<MachineIndex>> {
     let zones = cluster.zone_names.len();
-    // If the gang may span zones, every zone gives the same selection: one is enough.
+    // If the gang may span zones, every zone gives the same selection: one zone is enough.
     let zones = if gang.spec.wire.one_zone {
         zones
     } else {
--- a/src/coordination/scheduler/gangs.rs
+++ b/src/coordination/scheduler/gangs.rs
@@ -87,7 +87,7 @@
 }
 
 /// Selects a machine for each task of a gang, all in one zone if the job requires it. Among the
-/// zones, the one where the gang can start first is chosen. `None` if the gang fits nowhere.
+/// zones, the zone in which the gang can start first is chosen. `None` if the gang fits nowhere.
 fn select_gang_machines<'a>(
     pass: &PassContext<'a>,
     gang: JobRef,
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -50,7 +50,7 @@
     First,
     /// The job can meet its first target, or has no targets.
     OnTime,
-    /// The job has missed or will miss its first target, but can meet its last one.
+    /// The job has missed or will miss its first target, but can meet its last target.
     MissesFirstTarget,
     /// The job has missed or will miss all its targets.
     MissesAllTargets,
--- a/src/coordination/scheduler/ownership.rs
+++ b/src/coordination/scheduler/ownership.rs
@@ -7,8 +7,8 @@
 use crate::state::units::MonotonicMillis;
 use standby::permit::{Permit, Permits};
 
-/// Maximum age of the cancellation watermark at which tasks are still started, ms. It exceeds the
-/// 5 s for which a watch request of the key-value store waits without changes.
+/// Maximum age of the cancellation watermark at which tasks are still started, ms. The maximum
+/// exceeds the 5 s for which a watch request of the key-value store waits without changes.
 const MAX_WATERMARK_AGE_FOR_STARTS_MS: u64 = 6500;
 
 impl SchedulerConfig {
--- a/src/coordination/scheduler/pass.rs
+++ b/src/coordination/scheduler/pass.rs
@@ -28,14 +28,14 @@
     pub fn permit(&self, shard: ShardIndex) -> Option<&'a Permit> {
         self.config.permit(self.cluster, self.permits, shard)
     }
-    /// The permit of the job's planning shard, the one that its id hashes to. It covers decisions
-    /// that concern the whole job, such as the placement of a gang. `None` if this controller does
-    /// not hold it.
+    /// The permit of the job's planning shard, the shard that its id hashes to. This permit covers
+    /// decisions that concern the whole job, such as the placement of a gang. `None` if this
+    /// controller does not hold it.
     pub fn planning_permit(&self, job: &Job) -> Option<&'a Permit> {
         self.permit(self.cluster.planning_shard(&job.id))
     }
-    /// The permits of all shards by shard index; `None` for those that this controller does not
-    /// hold.
+    /// The permits of all shards by shard index; `None` for a shard for which this controller holds
+    /// no permit.
     pub fn permits_by_shard(&self) -> Vec<Option<&'a Permit>> {
         self.config.permits_by_shard(self.cluster, self.permits)
     }
--- a/src/coordination/scheduler/planner.rs
+++ b/src/coordination/scheduler/planner.rs
@@ -150,7 +150,7 @@
             for line in claim_lines {
                 log::debug!("{line}");
             }
-            // Only a truncated draft leaves work that another pass can do at once.
+            // Only after a truncated draft can another pass make more changes at once.
             draft.truncated
         }
         CommitOutcome::Conflict(keys) => {
--- a/src/coordination/scheduler/quota.rs
+++ b/src/coordination/scheduler/quota.rs
@@ -48,9 +48,9 @@
     if pass.cluster.team_limits[quota_charge.team.at()].unlimited() {
         return true;
     }
-    // A transaction with unknown outcome may still be applied. It may claim quota that looks free
-    // here, or lower a share. A claim within a share is not conditional on the team's record, so
-    // it would not conflict with that transaction.
+    // A transaction with unknown outcome may still be applied. Such a transaction may claim quota
+    // that looks free here, or lower a share. A claim within a share is not conditional on the
+    // team's record, so it would not conflict with that transaction.
     let team = quota_charge.team;
     if pass.cluster.teams_with_unknown_outcome.contains(&team)
         || has_job_with_unknown_outcome(pass.cluster, team)
@@ -121,7 +121,7 @@
     // One more key for the record of the job that is placed.
     let keys = team_record + 1;
     if !limit.allows(raised.total()) || !draft.has_capacity_for(pass.cluster, pass.config, keys) {
-        // Quota released by this draft is available only after the commit: ask for another pass.
+        // Quota released by this draft is available only after the commit: request another pass.
         draft.truncated = true;
         return false;
     }
--- a/src/coordination/scheduler/starved_gangs.rs
+++ b/src/coordination/scheduler/starved_gangs.rs
@@ -18,7 +18,7 @@
 /// run must start within 90 s.
 const MAX_WAIT_FOR_GANGS_MS: u64 = 75_000;
 
-/// Part of a team's limit that its services use. It is released only when users cancel the
+/// Part of a team's limit that its services use. This part is released only when users cancel the
 /// services.
 fn used_by_services(cluster: &ClusterState, team: TeamIndex) -> QuotaUsage {
     let services = cluster.active_jobs().filter_map(|(_, job)| {
--- a/src/coordination/scheduler/work_stealing.rs
+++ b/src/coordination/scheduler/work_stealing.rs
@@ -85,8 +85,8 @@
         .collect()
 }
 
-/// Steals a task for an idle machine: from the queue of a polled machine of this controller if one
-/// fits, else by requests to the owners of the other polled machines.
+/// Steals a task for an idle machine: from the queue of a polled machine of this controller if a
+/// task there fits, else by requests to the owners of the other polled machines.
 fn poll(controller: &Rc<Controller>, idle: MachineIndex, polled: Vec<MachineWithQueue>) {
     let mut by_owner: HashMap<String, Vec<String>> = HashMap::new();
     for MachineWithQueue {
@@ -154,8 +154,8 @@
     Some(TaskRef { job, task })
 }
 
-/// Moves the first queued task that fits from one owned machine to the front of another's queue;
-/// false if none fits.
+/// Moves the first queued task that fits an idle machine from another owned machine's queue to the
+/// front of the idle machine's queue; false if no task fits.
 fn steal_locally(controller: &Controller, source: MachineIndex, idle: MachineIndex) -> bool {
     let Some((job_index, task)) = remove_first_fitting(controller, source, idle) else {
         return false;
--- a/tests/autoscaling.rs
+++ b/tests/autoscaling.rs
@@ -1,4 +1,5 @@
-//! Scale-out: which machines are requested, and that none is requested twice for the same tasks.
+//! Scale-out: which machines are requested, and that no machine is requested twice for the same
+//! tasks.
 
 mod support;
 
--- a/tests/direct_starts.rs
+++ b/tests/direct_starts.rs
@@ -35,7 +35,7 @@
         12_000,
     );
     assert_eq!(controller.job("job-1").state, JobState::Done);
-    // The exited attempt must still be known to the worker when the delayed start arrives.
+    // The worker must still list the exited attempt when the delayed start arrives.
     assert_eq!(
         worker.receive_commands(&direct_commands(&direct_start[0]), 12_000),
         200
--- a/tests/gang_scheduling.rs
+++ b/tests/gang_scheduling.rs
@@ -1,5 +1,5 @@
 //! Gang scheduling: all tasks of a gang start together or not at all, and gangs neither starve nor
-//! block other work.
+//! block other jobs.
 
 mod support;
 
@@ -18,8 +18,8 @@
     spec
 }
 
-/// A team with a quota of two tasks: a long job of the given kind uses one, while a gang that needs
-/// both waits.
+/// A controller with a team whose quota is two tasks: a long job of the given kind runs one task,
+/// and a gang of two tasks waits.
 fn gang_waiting_for_quota(kind: JobKind) -> (FakeKvStore, SimulatedController, FakeWorker) {
     let (mut store, mut controller) = start_single_controller();
     let mut worker = FakeWorker::new("m1", "north", 0);
@@ -259,7 +259,7 @@
         FakeWorker::new("m2", "north", 0),
     );
     worker1.run_ms = 1_000_000;
-    // The second machine pulls its image for longer than the first one waits.
+    // The second machine pulls its image for longer than the first machine waits.
     worker2.image_pull_ms = 1_000_000;
     run_heartbeats(
         &mut controller,
