--- a/src/coordination/autoscaler/machine_list.rs
+++ b/src/coordination/autoscaler/machine_list.rs
@@ -23,7 +23,7 @@
 pub(super) const PAGE_SIZE: usize = 500;
 
 /// Minimum interval between lists, in requests: the interval is at least the time in which the
-/// cloud's rate limit allows this many requests, clamped to between 1.5 s and 4 s.
+/// cloud's rate limit allows this many requests, clamped to the range from 1.5 s to 4 s.
 const MIN_INTERVAL_REQUESTS: f64 = 4.0;
 
 /// Interval between the end of one machine list and the start of the next, ms.
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -14,7 +14,7 @@
 use crate::state::units::{millis_from_seconds, MonotonicMillis};
 use std::rc::Rc;
 
-/// Interval at which there is a second in which late jobs are scheduled before others of their
+/// Length of the intervals in whose first second late jobs are scheduled before others of their
 /// priority, s.
 const LATE_JOBS_FIRST_INTERVAL_S: u64 = 5;
 
@@ -46,7 +46,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum SchedulingTier {
     /// The job has waited too long for its first task, is at risk of missing its last target, or is
-    /// late and this is the second in which late jobs are scheduled first.
+    /// late during a second in which late jobs are scheduled first.
     First,
     /// The job can meet its first target, or has no targets.
     OnTime,
--- a/src/coordination/scheduler/placement_rules.rs
+++ b/src/coordination/scheduler/placement_rules.rs
@@ -27,7 +27,7 @@
 pub struct JobRef<'a> {
     /// Index of the job.
     pub index: JobIndex,
-    /// The job; a pass that has drafted changes of the job passes the changed job.
+    /// The job, either as stored or with the changes of a draft.
     pub job: &'a Job,
     /// Description of the job.
     pub spec: &'a Spec,
