--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -141,7 +141,7 @@
         Ok(response) => response,
         Err(e) => {
             log::debug!("machine types request failed: error={e}");
-            controller.cloud.reset();
+            controller.cloud.close_idle();
             return None;
         }
     };
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -130,7 +130,7 @@
         return Vec::new();
     };
     let request = PeerRequest::Cordon { machines };
-    match peer.client.ask(&request, CORDON_TIMEOUT_MS).await {
+    match peer.client.call(&request, CORDON_TIMEOUT_MS).await {
         Ok(PeerResponse::Cordoned(cordoned)) => cordoned,
         Ok(_) => Vec::new(),
         Err(e) => {
@@ -175,7 +175,7 @@
         Ok(response) => log::warn!("machine deletion refused: status={}", response.status),
         Err(e) => {
             log::warn!("machine deletion unanswered: error={e}");
-            controller.cloud.reset();
+            controller.cloud.close_idle();
         }
     }
 }
@@ -186,7 +186,7 @@
     machine_changes::mark_machines_deleted(controller, &machines);
     let announcement = PeerRequest::MachinesDeleted { machines };
     for peer in &controller.peers {
-        let response = peer.client.ask(&announcement, ANNOUNCE_TIMEOUT_MS).await;
+        let response = peer.client.call(&announcement, ANNOUNCE_TIMEOUT_MS).await;
         if let Err(e) = response {
             log::debug!(
                 "deleted machines not announced: peer={} error={e}",
