--- a/src/coordination/autoscaler/placement.rs
+++ b/src/coordination/autoscaler/placement.rs
@@ -24,11 +24,11 @@
 /// Maximum number of tasks among which the cost of one machine is divided.
 const MAX_TASKS_PER_MACHINE: u32 = 64;
 
-/// Boot time, in seconds, that doubles the cost at which a machine is compared with others.
+/// Boot time that doubles the cost by which the pools are compared, s.
 const BOOT_S_THAT_DOUBLES_COST: f64 = 300.0;
 
-/// Maximum random increase of a cost, as a fraction of it. It spreads requests over zones whose
-/// pools cost the same.
+/// Maximum random increase of a cost, as a fraction of the cost. The increase spreads requests over
+/// zones whose pools cost the same.
 const COST_JITTER: f64 = 0.02;
 
 /// The result of planning: machines to request, and existing machines to keep.
@@ -42,11 +42,11 @@
 
 /// Plans which machines to request; holds the input of one plan.
 pub struct ScaleOutPlanner<'a> {
-    /// Cluster state as this controller knows it.
+    /// The cached cluster state of this controller.
     pub cluster: &'a ClusterState,
     /// Scheduling parameters, the same as the scheduler's.
     pub config: &'a SchedulerConfig,
-    /// Pools that recently had fewer machines than requested; none is requested from them.
+    /// Pools that recently had fewer machines than requested; no machine is requested from them.
     pub backed_off: &'a HashSet<Pool>,
     /// Current monotonic time, against which job failure backoffs are checked.
     pub now: MonotonicMillis,
@@ -79,7 +79,7 @@
     job: Option<(JobIndex, &'a Job)>,
     priority: Priority,
     waited_ms: u64,
-    /// The job's tasks in each zone: placed ones and those assigned by this plan.
+    /// The job's tasks in each zone: placed tasks and tasks assigned by this plan.
     tasks_by_zone: TasksByZone,
     /// The zone chosen for a one-zone gang; `None` for all other demand.
     gang_zone: Option<ZoneIndex>,
@@ -112,8 +112,9 @@
 
     /// Chooses the zone of a one-zone gang; does nothing for other jobs.
     ///
-    /// Zones in which the whole gang fits, or machines for it can be requested, come first; among
-    /// them the zone with the most machines that have free capacity for a task now.
+    /// Zones in which the whole gang fits, or in which machines for the gang can be requested, are
+    /// preferred; among them the zone with the most machines that have free capacity for a task
+    /// now.
     fn choose_zone(&mut self, supply: &[Supply]) {
         let spec = &self.demand.spec;
         if !self.one_zone() || !spec.is_wide_gang() {
@@ -144,7 +145,7 @@
     }
 
     /// Assigns the demand's tasks to supply, or to machines to be requested, until all are assigned
-    /// or no pool is left for the next one.
+    /// or no pool is left for the next task.
     fn place(&mut self, supply: &mut Vec<Supply>, plan: &mut ScaleOutPlan) {
         let need = self.demand.spec.need;
         let mut supply_index = 0;
@@ -179,7 +180,7 @@
         let is_eligible = |pool: &Pool| {
             self.allows(pool)
                 && !self.backed_off.contains(pool)
-                && !self.reserved_for_on_demand(pool, true)
+                && !self.should_wait_for_spot(pool, true)
                 && !self.too_expensive_for_expected_tasks(pool)
         };
         let need = self.demand.spec.need;
@@ -194,7 +195,7 @@
         self.demand.spec.need.fits(supply.free)
             && self.allows(&supply.pool)
             && !(self.too_expensive_for_expected_tasks(&supply.pool) && empty)
-            && !self.reserved_for_on_demand(&supply.pool, empty)
+            && !self.should_wait_for_spot(&supply.pool, empty)
             && self.scheduler_allows(supply)
     }
 
@@ -235,10 +236,10 @@
         tasks_in_zone < cap && (!self.one_zone() || self.tasks_by_zone.are_all_in(zone))
     }
 
-    /// True for an empty on-demand machine that is kept for now for jobs that must not use spot
-    /// machines.
-    fn reserved_for_on_demand(&self, pool: &Pool, empty: bool) -> bool {
-        let work = WaitingTask {
+    /// True if the scheduler would not place the tasks on this machine yet, because they may run on
+    /// spot machines and an empty on-demand machine is left to other jobs for a while.
+    fn should_wait_for_spot(&self, pool: &Pool, empty: bool) -> bool {
+        let task = WaitingTask {
             spec: &self.demand.spec,
             priority: self.priority,
             waited_ms: self.waited_ms,
@@ -248,7 +249,7 @@
             spot: pool.spot,
             is_empty: empty,
         };
-        should_wait_for_spot(self.cluster, self.config, work, offered)
+        should_wait_for_spot(self.cluster, self.config, task, offered)
     }
 
     /// True for on-demand pools if the tasks are only expected and may run on spot machines:
@@ -260,8 +261,10 @@
 
 /// The number of machines in a zone that have free capacity for one task of the job.
 fn machines_that_fit(spec: &Spec, supply: &[Supply], zone: ZoneIndex) -> u32 {
-    let fits = |s: &&Supply| {
-        s.pool.zone == zone && (spec.wire.spot || !s.pool.spot) && spec.need.fits(s.free)
+    let fits = |machine: &&Supply| {
+        machine.pool.zone == zone
+            && (spec.wire.spot || !machine.pool.spot)
+            && spec.need.fits(machine.free)
     };
     supply.iter().filter(fits).count() as u32
 }
--- a/src/coordination/autoscaler/scale_in.rs
+++ b/src/coordination/autoscaler/scale_in.rs
@@ -22,12 +22,12 @@
 
 /// Maximum number of machines in one deletion request, set by the cloud's protocol.
 const MAX_MACHINES_PER_DELETION: usize = 100;
-/// Time after a change of owner during which no machine is deleted, because the new owner knows too
-/// little about the machines yet.
+/// Time after a change of owner during which no machine is deleted, ms: the new owner's view of the
+/// machines may still be incomplete.
 const OWNER_WARM_UP_MS: u64 = 3000;
-/// Timeout of a request to a peer to cordon machines.
+/// Timeout of a request to a peer to cordon machines, ms.
 const CORDON_TIMEOUT_MS: u64 = 800;
-/// Timeout of the announcement of deleted machines to a peer.
+/// Timeout of the announcement of deleted machines to a peer, ms.
 const ANNOUNCE_TIMEOUT_MS: u64 = 500;
 
 /// Deletes machines that can't be used or that nothing needs.
@@ -60,7 +60,8 @@
     delete(controller, state, deletions).await;
 }
 
-/// Updates since when each machine has been idle, with no placements and an empty queue.
+/// Updates `idle_since` of each machine: a machine that has ever sent a heartbeat is idle while it
+/// has no placements and an empty queue.
 fn update_idle_since(cluster: &mut ClusterState, now: MonotonicMillis) {
     for machine_index in (0..cluster.machines.len()).map(MachineIndex::new) {
         let has_placements = !cluster.placed_on(machine_index).is_empty();
@@ -79,9 +80,9 @@
 /// True if a fresh read of the key-value store shows that this controller still owns the
 /// autoscaler's shard.
 ///
-/// This is the only fencing of deletions, because the cloud does not check fencing tokens. Without
-/// it, a former owner that was disconnected from the store would go on deleting machines that other
-/// controllers use by now.
+/// This check is the only fencing of deletions, because the cloud does not check fencing tokens.
+/// Without it, a former owner that was disconnected from the store would go on deleting machines
+/// that other controllers use by now.
 async fn confirm_ownership(controller: &Controller) -> bool {
     if !controller.refresh(REFRESH_TIMEOUT_MS).await {
         return false;
@@ -91,8 +92,8 @@
     controller.config.owns(&cluster, shard)
 }
 
-/// Cordons idle machines through their owners, so that no new task starts on them. Returns the
-/// machines that are now cordoned.
+/// Requests the owners of idle machines to cordon them, so that no new task starts on them. Returns
+/// the machines that are now cordoned.
 async fn cordon_idle(controller: &Rc<Controller>, idle: &[String]) -> Vec<String> {
     let by_owner = group_by_owner(&controller.cluster.borrow(), idle);
     let mut cordoned = Vec::new();
@@ -118,8 +119,8 @@
     by_owner
 }
 
-/// Asks a peer to cordon machines that it owns, and returns those that it has cordoned. Without an
-/// answer the result is empty, and the next round tries again.
+/// Asks a peer to cordon machines that it owns, and returns those that it has cordoned. Without a
+/// response the result is empty, and the next round retries.
 async fn ask_peer_to_cordon(
     controller: &Controller,
     owner: &str,
@@ -160,7 +161,7 @@
             return;
         }
     };
-    let answer = controller
+    let response = controller
         .cloud
         .call(Method::Post, "/hosts/release", body, CLOUD_TIMEOUT_MS)
         .await;
@@ -169,9 +170,9 @@
             .deletion_requested_at
             .insert(name.clone(), controller.now());
     }
-    match answer {
-        Ok(answer) if answer.status == 200 => announce_deleted(controller, machines).await,
-        Ok(answer) => log::warn!("machine deletion refused: status={}", answer.status),
+    match response {
+        Ok(response) if response.status == 200 => announce_deleted(controller, machines).await,
+        Ok(response) => log::warn!("machine deletion refused: status={}", response.status),
         Err(e) => {
             log::warn!("machine deletion unanswered: error={e}");
             controller.cloud.close_idle();
@@ -185,8 +186,8 @@
     machine_changes::mark_machines_deleted(controller, &machines);
     let announcement = PeerRequest::MachinesDeleted { machines };
     for peer in &controller.peers {
-        let answer = peer.client.call(&announcement, ANNOUNCE_TIMEOUT_MS).await;
-        if let Err(e) = answer {
+        let response = peer.client.call(&announcement, ANNOUNCE_TIMEOUT_MS).await;
+        if let Err(e) = response {
             log::debug!(
                 "deleted machines not announced: peer={} error={e}",
                 peer.name
--- a/src/coordination/autoscaler/supply.rs
+++ b/src/coordination/autoscaler/supply.rs
@@ -50,8 +50,8 @@
 ) -> Vec<Supply> {
     let mut machines = named_machines(cluster, listed, unresponsive_ms, now);
     machines.extend(unanswered_requests(cluster));
-    // Spot machines first, as in the scheduler's planner. Then those with the least free capacity,
-    // so that other machines become idle.
+    // Spot machines are used first, as in the scheduler. Within each kind, machines with less free
+    // capacity are used first, so that other machines become idle.
     machines.sort_by_key(|s| (!s.pool.spot, s.free.gpu, s.free.cpu));
     machines
 }
@@ -117,7 +117,7 @@
         .flat_map(|(count, machine)| (0..count).map(move |_| machine.clone()))
 }
 
-/// An empty machine as requested; `None` if this controller does not know its type or zone.
+/// An empty machine as requested; `None` if its type or zone is unknown to this controller.
 fn requested_machine(cluster: &ClusterState, record: &ProvisioningRecord) -> Option<Supply> {
     let machine_type = cluster.machine_type_names.find(&record.machine_type)?;
     let zone = cluster.zone_names.find(&record.zone)?;
--- a/src/coordination/scheduler/commands.rs
+++ b/src/coordination/scheduler/commands.rs
@@ -1,5 +1,5 @@
-//! Commands: what a worker is told to start, stop and acknowledge in response to its newest
-//! heartbeat.
+//! Commands: the starts, stops and acknowledgements of exits that a worker receives in response to
+//! its newest heartbeat.
 //!
 //! The handler of heartbeats calls [`heartbeat_commands`] for machines that this controller owns
 //! under a permit. Invariants: an exit is acknowledged only after the placement has been removed
@@ -19,7 +19,7 @@
 use standby::ids::FencingToken;
 use standby::permit::Permits;
 
-/// Time that a stopped task gets in addition to its job's checkpoint grace period, s.
+/// Time added to a job's checkpoint grace period in the stop commands for its tasks, s.
 const CHECKPOINT_GRACE_MARGIN_S: f64 = 1.0;
 
 /// Commands for a machine in response to its newest heartbeat. Records the start commands in
@@ -88,9 +88,10 @@
     /// Acknowledges an exit that the job's record reflects; the worker reports it until then.
     ///
     /// The exit is not acknowledged while a direct start of the attempt may still be delivered,
-    /// late or twice: the worker would have forgotten the attempt and run it, although the task may
-    /// be on another machine by then. A repeated start of an attempt that exited as done is
-    /// harmless, since its only effect is that the worker reports the attempt once more.
+    /// late or twice: a worker forgets an attempt whose exit is acknowledged, so it would run the
+    /// attempt again, although the task may be on another machine by then. A repeated start of an
+    /// attempt that exited as done is harmless, since its only effect is that the worker reports
+    /// the attempt once more.
     fn acknowledge_exit(&mut self, task: &ObservedTask) {
         let may_run_again = task.task_attempt().is_some_and(|attempt| {
             unacknowledged_start(self.machine, self.fencing_token, attempt)
@@ -115,7 +116,8 @@
         }
     }
 
-    /// Starts the attempts that the records place on the machine and that its heartbeat lacks.
+    /// Starts the attempts that the records place on the machine but that are missing from its
+    /// heartbeat.
     fn start_missing(&mut self, machine_index: MachineIndex) {
         if !self.may_start {
             return;
@@ -127,7 +129,7 @@
     }
 
     /// Stops a task that should no longer run. A task of an open job that the owner has decided to
-    /// stop gets its checkpoint grace period; all others get none.
+    /// stop gets its checkpoint grace period; all other tasks get no grace period.
     fn stop_unwanted(&mut self, task: &ObservedTask, attempt: TaskAttempt) {
         let job = &self.cluster.jobs[attempt.job.at()];
         if !is_unwanted(job, self.machine, attempt) {
@@ -138,7 +140,7 @@
             .copied()
             .filter(|_| job.is_open())
             .unwrap_or_default();
-        // A checkpointing task has already received its stop command; it gets another one only to
+        // A checkpointing task has already received its stop command; another one is sent only to
         // end the grace period.
         if task.state != TaskState::Checkpointing || grace_s == 0.0 {
             self.commands.push(stop_command(task, grace_s));
@@ -169,7 +171,8 @@
     }
 }
 
-/// Attempts that are placed on a machine, do not show in its newest message and should be started.
+/// Attempts that are placed on a machine, are missing from its newest message and should be
+/// started.
 pub(super) fn missing_starts(
     cluster: &ClusterState,
     machine_index: MachineIndex,
@@ -193,7 +196,7 @@
 
 /// Attempts that should be stopped on a machine that the cloud is about to preempt, each with the
 /// time to write a checkpoint, s. These are running tasks that write checkpoints, and tasks that
-/// lose no progress: those of services and those that still pull their image.
+/// lose no progress: tasks of services and tasks that are still pulling their image.
 pub fn checkpoint_before_preemption(
     cluster: &ClusterState,
     machine_index: MachineIndex,
--- a/src/coordination/scheduler/gangs.rs
+++ b/src/coordination/scheduler/gangs.rs
@@ -59,7 +59,7 @@
         };
         if place(pass, draft, &request) {
             for candidate in chosen {
-                free.take(candidate.index, gang.job.spec.need);
+                free.allocate(candidate.index, gang.job.spec.need);
             }
         }
     }
@@ -87,7 +87,7 @@
 }
 
 /// Selects a machine for each task of a gang, all in one zone if the job requires it. Among the
-/// zones, the one where the gang can start first is chosen. `None` if the gang fits nowhere.
+/// zones, the zone in which the gang can start first is chosen. `None` if the gang fits nowhere.
 fn select_gang_machines<'a>(
     pass: &PassContext<'a>,
     gang: JobRef,
@@ -150,7 +150,7 @@
 }
 
 /// Selects one slot per task of the gang: the shortest image pull first, then spot machines before
-/// on-demand ones. `None` if there are too few slots.
+/// on-demand machines. `None` if there are too few slots.
 fn fastest_slots<'a>(spec: &Spec, mut slots: Vec<Slot<'a>>) -> Option<Vec<Slot<'a>>> {
     slots.sort_by_key(|slot| {
         (
--- a/src/coordination/scheduler/ownership.rs
+++ b/src/coordination/scheduler/ownership.rs
@@ -1,5 +1,5 @@
 //! Ownership checks: a controller decides only for shards that it owns under a permit, and starts
-//! tasks and renews leases only while its knowledge of cancellations is recent enough.
+//! tasks and renews leases only while its cancellation watermark is recent enough.
 
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::state::cluster_state::ClusterState;
@@ -7,8 +7,8 @@
 use crate::state::units::MonotonicMillis;
 use standby::permit::{Permit, Permits};
 
-/// Maximum age of the cancellation watermark at which tasks are still started, ms. It exceeds the
-/// 5 s for which a watch request of the key-value store waits without changes.
+/// Maximum age of the cancellation watermark at which tasks are still started, ms. The maximum
+/// exceeds the 5 s for which a watch request of the key-value store waits without changes.
 const MAX_WATERMARK_AGE_FOR_STARTS_MS: u64 = 6500;
 
 impl SchedulerConfig {
@@ -42,7 +42,7 @@
             .collect()
     }
     /// Whether this incarnation owns each shard, by shard index.
-    pub fn owned(&self, cluster: &ClusterState) -> Vec<bool> {
+    pub fn ownership_by_shard(&self, cluster: &ClusterState) -> Vec<bool> {
         let shards = (0..cluster.shards.len()).map(ShardIndex::new);
         shards.map(|shard| self.owns(cluster, shard)).collect()
     }
@@ -55,8 +55,8 @@
         let age_ms = cluster.cancellation_watermark.age_ms(now);
         age_ms.is_some_and(|age| age <= self.max_watermark_age_ms)
     }
-    /// True if this controller may start tasks: its view of the jobs may be stale, but all
-    /// cancellations are known up to a recent enough time.
+    /// True if this controller may start tasks: its view of the jobs may be stale, but it has
+    /// received all cancellations up to a recent enough time.
     pub fn may_start(&self, cluster: &ClusterState, now: MonotonicMillis) -> bool {
         let max_age_ms = MAX_WATERMARK_AGE_FOR_STARTS_MS.min(self.max_watermark_age_ms);
         let age_ms = cluster.cancellation_watermark.age_ms(now);
--- a/src/coordination/scheduler/starved_gangs.rs
+++ b/src/coordination/scheduler/starved_gangs.rs
@@ -18,7 +18,7 @@
 /// run must start within 90 s.
 const MAX_WAIT_FOR_GANGS_MS: u64 = 75_000;
 
-/// Part of a team's limit that its services use. It is released only when users cancel the
+/// Part of a team's limit that its services use. This part is released only when users cancel the
 /// services.
 fn used_by_services(cluster: &ClusterState, team: TeamIndex) -> QuotaUsage {
     let services = cluster.active_jobs().filter_map(|(_, job)| {
@@ -31,7 +31,7 @@
 
 /// True if a gang fits into its team's limit once all other jobs of the team except services have
 /// ended. A gang that does not fit can start only after a user cancels a service, so no other job
-/// may wait for it.
+/// should be delayed for this gang.
 pub(crate) fn fits_beside_services(cluster: &ClusterState, gang: &Spec) -> bool {
     let services = used_by_services(cluster, gang.team);
     let demand = gang.need.times(gang.tasks());
@@ -77,7 +77,7 @@
     }
 
     /// True if placing a task of the job would use quota that a starved gang of its team waits for.
-    /// False if the job goes before the gang by priority and age, or has waited too long itself.
+    /// False if the job precedes the gang by priority and age, or has waited too long itself.
     pub(super) fn would_starve(
         &self,
         pass: &PassContext,
@@ -88,8 +88,8 @@
         let Some(gang) = self.0.iter().find(|gang| gang.team == spec.team) else {
             return false;
         };
-        let goes_first = priority_and_age(job) < gang.priority_and_age;
-        if goes_first || may_bypass_gangs(job, pass.wall_ms) {
+        let precedes_gang = priority_and_age(job) < gang.priority_and_age;
+        if precedes_gang || may_bypass_gangs(job, pass.wall_ms) {
             return false;
         }
         let used = used_by_team(pass.cluster, draft, spec.team);
--- a/src/coordination/scheduler/work_stealing.rs
+++ b/src/coordination/scheduler/work_stealing.rs
@@ -26,7 +26,7 @@
 }
 
 /// State of work stealing: the last message of each idle machine for which other machines were
-/// polled. A machine polls at most once per message.
+/// polled. Other machines are polled at most once per message of an idle machine.
 #[derive(Default)]
 pub(super) struct WorkStealing {
     last_poll: HashMap<MachineIndex, HeartbeatVersion>,
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Chooses the machines to poll for an idle machine; `None` if it has polled since its last
-    /// message.
+    /// Chooses the machines to poll for an idle machine; `None` if machines have been polled for it
+    /// since its last message.
     fn choose_polled(
         &mut self,
         controller: &Controller,
@@ -85,8 +85,8 @@
         .collect()
 }
 
-/// Steals a task for an idle machine: from the queue of a polled machine of this controller if one
-/// fits, else by requests to the owners of the other polled machines.
+/// Steals a task for an idle machine: from the queue of a polled machine of this controller if a
+/// task there fits, else by requests to the owners of the other polled machines.
 fn poll(controller: &Rc<Controller>, idle: MachineIndex, polled: Vec<MachineWithQueue>) {
     let mut by_owner: HashMap<String, Vec<String>> = HashMap::new();
     for MachineWithQueue {
@@ -141,8 +141,8 @@
     cluster.machine_names.name(machine_index).to_string()
 }
 
-/// Removes the first queued task of an owned machine that fits an idle machine of another
-/// controller, and returns it.
+/// Removes from the queue of an owned machine the first task that fits an idle machine of another
+/// controller, and returns this task.
 pub fn hand_over(
     controller: &Controller,
     source: MachineIndex,
@@ -154,8 +154,8 @@
     Some(TaskRef { job, task })
 }
 
-/// Moves the first queued task that fits from one owned machine to the front of another's queue;
-/// false if none fits.
+/// Moves the first queued task that fits an idle machine from another owned machine's queue to the
+/// front of the idle machine's queue; false if no task fits.
 fn steal_locally(controller: &Controller, source: MachineIndex, idle: MachineIndex) -> bool {
     let Some((job_index, task)) = remove_first_fitting(controller, source, idle) else {
         return false;
