--- a/src/state/cancellation_watermark.rs
+++ b/src/state/cancellation_watermark.rs
@@ -57,7 +57,7 @@
         age_ms: Option<u64>,
     ) {
         if let Some(slot) = self.peers.get_mut(peer) {
-            // Responses may arrive out of order; the one to the latest request counts.
+            // Responses may arrive out of order; the response to the latest request counts.
             if slot.is_none_or(|known| known.requested_at <= requested_at) {
                 *slot = Some(PeerAttestation {
                     requested_at,
@@ -73,7 +73,8 @@
         self.advance();
     }
 
-    /// Advances to the earliest of the peers' latest attestations, once all peers have one.
+    /// Advances the watermark to the earliest of the peers' latest attestations, once all peers
+    /// have made one.
     fn advance(&mut self) {
         let Some(complete_until) = self.complete_until else {
             return;
@@ -96,7 +97,8 @@
         }
     }
 
-    /// Time since the set was last known to be complete, ms.
+    /// Time since the set was last known to be complete, ms; `None` before the first full read of
+    /// the records.
     pub fn age_ms(&self, now: MonotonicMillis) -> Option<u64> {
         self.complete_until(now).map(|time| now.since(time))
     }
--- a/src/state/cluster_state.rs
+++ b/src/state/cluster_state.rs
@@ -38,7 +38,7 @@
     pub active: BTreeSet<JobIndex>,
     /// Interned machine names.
     pub machine_names: Interner<MachineIndex>,
-    /// Machines by index; `None` if only the name is known.
+    /// Machines by index; `None` if only the name is known or the cloud has deleted the machine.
     pub machines: Vec<Option<Machine>>,
     /// Interned names of machine types.
     pub machine_type_names: Interner<MachineTypeIndex>,
@@ -50,9 +50,9 @@
     pub image_names: Interner<ImageIndex>,
     /// Interned team names, in the order of the settings.
     pub team_names: Interner<TeamIndex>,
-    /// Quota limits by team, from the settings.
+    /// Quota limits by team index, from the settings.
     pub team_limits: Vec<TeamLimits>,
-    /// Quota shares by team.
+    /// Records of the teams' quota shares, by team index.
     pub team_quotas: Vec<Versioned<TeamRecord>>,
     /// Controllers that are alive, by name.
     pub controllers: BTreeMap<String, Versioned<ControllerRecord>>,
@@ -68,7 +68,7 @@
     pub cancellation_watermark: CancellationWatermark,
     /// True once records may be written in format 2, because every controller can read it.
     pub record_format_v2: bool,
-    /// Dependencies between jobs.
+    /// Dependencies between the jobs that are known.
     pub dependency_graph: DependencyGraph,
     /// Versions of the overflow records, by job and overflow index.
     pub(super) overflow_versions: BTreeMap<(JobIndex, u16), u64>,
@@ -80,9 +80,9 @@
     pub recent_submissions: VecDeque<Submission>,
     /// Wall-clock time of the earliest known submission, ms.
     pub first_submission: Option<u64>,
-    /// Shards per zone.
+    /// Number of shards of each zone, from the operator settings.
     pub shards_per_zone: usize,
-    /// Version of the machine type catalog that was read; 0: none.
+    /// Version of the record of machine types that was last read; 0: none was read.
     pub machine_types_version: u64,
     /// By machine index: true if the cloud has deleted the machine.
     pub(super) deleted_machines: Vec<bool>,
@@ -92,10 +92,10 @@
     unreadable_records: HashSet<String>,
 }
 
-/// Machines on which a job failed, and its back-off.
+/// Machines on which a job's tasks failed, and the job's back-off.
 #[derive(Clone, Debug, Default)]
 pub struct JobFailures {
-    /// Machines on which it failed since its last back-off began.
+    /// Machines on which tasks of the job failed since its last back-off began.
     pub machines: HashSet<MachineIndex>,
     /// No task of the job is placed before this time.
     pub retry_at: MonotonicMillis,
@@ -113,12 +113,12 @@
 pub struct Submission {
     /// Wall-clock time of the submission, ms.
     pub submitted_at: u64,
-    /// Description.
+    /// Description of the job.
     pub spec: Rc<Spec>,
 }
 
-/// FNV-1a hash, because the mapping of machines to shards must be the same in every process and
-/// version.
+/// FNV-1a hash of a text. It must never change, because the mapping of machines to shards must be
+/// the same in every process and version.
 fn stable_hash(text: &str) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
@@ -128,7 +128,7 @@
 }
 
 impl ClusterState {
-    /// An empty state for a deployment with these zones and teams.
+    /// The state before anything is read, for a deployment with these zones and teams.
     pub fn new(
         zones: &[String],
         teams: &[crate::settings::Team],
@@ -176,17 +176,17 @@
         ShardIndex((stable_hash(id) % machine_shards) as u32)
     }
 
-    /// Key of a shard's ownership record.
+    /// Key of a shard's ownership record: `ph/shard/<index>`.
     pub fn shard_key(&self, shard: ShardIndex) -> String {
         format!("{ROOT}shard/{}", shard.0)
     }
 
-    /// Key of a team's quota shares.
+    /// Key of the record of a team's quota shares: `ph/team/<team>`.
     pub fn team_key(&self, team: TeamIndex) -> String {
         format!("{ROOT}team/{}", self.team_names.name(team))
     }
 
-    /// The owner of a shard, if its incarnation is alive.
+    /// Name of a shard's owner; `None` if the incarnation that acquired the shard is not alive.
     pub fn live_owner(&self, shard: ShardIndex) -> Option<&str> {
         let ownership = &self.shards[shard.at()].record;
         let controller = self.controllers.get(&ownership.owner)?;
--- a/src/state/dependencies.rs
+++ b/src/state/dependencies.rs
@@ -46,7 +46,7 @@
             if dependency.is_none_or(|(_, open)| open) {
                 self.dependency_graph.add_dependent(job_index, name);
             }
-            // The dependency has gained a dependent.
+            // The dependency has a new dependent, whose priority and deadline it may inherit.
             self.dependency_graph
                 .mark_changed(dependency.map(|(index, _)| index));
         }
@@ -89,8 +89,9 @@
     /// Records a job's cancellation that a peer knows to be confirmed; returns true if it is new
     /// here.
     ///
-    /// It overrides the cached record, since the new version may not be readable for minutes.
-    /// Transactions that are conditional on the cached version fail, as a newer one is stored.
+    /// The cancellation overrides the cached record, since the new version of the record may not be
+    /// readable for minutes. Transactions that are conditional on the cached version fail, as a
+    /// newer one is stored.
     pub fn learn_cancelled(&mut self, id: &str) -> bool {
         let known = self.job(id);
         if known.is_some_and(|(_, job)| !job.is_open())
@@ -107,14 +108,14 @@
         true
     }
 
-    /// Cancelled jobs of which tasks may still run, as far as is known here.
+    /// Cancelled jobs that are known here and may have tasks that still run.
     pub fn cancelled(&self) -> impl Iterator<Item = (JobIndex, &Job)> {
         self.active_jobs()
             .filter(|(_, job)| job.state == JobState::Cancelled)
     }
 
-    /// Ids of cancelled jobs of which tasks may still run. All jobs whose cancellation is known
-    /// from peers only are included, as nothing is known of their tasks.
+    /// Ids of cancelled jobs that may have tasks that still run. All jobs whose cancellation is
+    /// known from peers only are included, as nothing is known of their tasks.
     pub fn cancelled_job_ids(&self) -> Vec<String> {
         let by_record = self.cancelled().map(|(_, job)| &job.id);
         let by_record = by_record.filter(|id| !self.cancelled_by_peers.contains(*id));
--- a/src/state/dependency_graph.rs
+++ b/src/state/dependency_graph.rs
@@ -18,14 +18,15 @@
 pub struct DependencyGraph {
     /// Open dependents by the name of a dependency that is not finished.
     dependents: HashMap<Rc<str>, Vec<JobIndex>>,
-    /// Jobs that are cancelled because a dependency was, but whose own record is still open.
+    /// Jobs that are cancelled because a dependency was cancelled, but whose own record still says
+    /// that they are open.
     pub unwritten_cancellations: BTreeSet<JobIndex>,
     /// Work list: jobs whose dependencies or dependents have changed.
     changed: Vec<JobIndex>,
 }
 
 impl DependencyGraph {
-    /// Adds an open job as a dependent of an unfinished one.
+    /// Adds an open job to the dependents of an unfinished job.
     pub fn add_dependent(&mut self, job: JobIndex, dependency: &str) {
         match self.dependents.get_mut(dependency) {
             Some(list) if list.contains(&job) => {}
@@ -58,8 +59,8 @@
         self.changed.pop()
     }
 
-    /// Records whether a job is cancelled because a dependency was while its own record is still
-    /// open.
+    /// Records whether a job is cancelled because a dependency was cancelled, but its own record
+    /// still says that it is open.
     pub fn set_cancellation_unwritten(&mut self, job: JobIndex, unwritten: bool) {
         if unwritten {
             self.unwritten_cancellations.insert(job);
@@ -69,12 +70,12 @@
     }
 }
 
-/// Time that a stage of a pipeline takes in addition to its run time: to pull an image, and until
-/// the end of the previous stage is known.
+/// Time that a job in a chain of dependencies takes in addition to its run time, ms: the pull of
+/// its image, and the delay until the end of its dependency is known.
 const STAGE_OVERHEAD_MS: u64 = 4000;
 
-/// Wall-clock time by which a job's dependencies have to be done for the job to meet its deadline,
-/// ms; `None` if it has no deadline.
+/// Wall-clock time in ms by which a job's dependencies have to be done for the job to meet its
+/// deadline; `None` if the job has no deadline.
 pub fn latest_dependency_end(job: &Job) -> Option<u64> {
     let spec = job.spec.as_ref();
     let run_ms = spec.map_or(0, |spec| millis_from_seconds(spec.wire.estimated_run_s));
@@ -87,14 +88,16 @@
 pub struct OwnAttributes {
     /// Wall-clock time of the submission, ms.
     pub submitted_at: u64,
-    /// Its own priority.
+    /// Priority as submitted.
     pub priority: Priority,
-    /// Its own deadline, wall-clock ms.
+    /// Deadline as submitted, in wall-clock ms; `None`: no deadline.
     pub deadline: Option<u64>,
 }
 
-/// Derives a job's state from its dependencies (`None`: not known to this controller) and its
-/// dependents. The second value is true if a dependency is cancelled.
+/// Derives the part of a job's state that depends on other jobs. The second value is true if a
+/// dependency is cancelled.
+///
+/// `dependencies` yields `None` for a job that is not known to this controller.
 pub fn dependency_state<'a>(
     own: OwnAttributes,
     dependencies: impl Iterator<Item = Option<&'a Job>>,
--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -32,24 +32,24 @@
 /// Maximum number of overflow records of a job.
 const MAX_OVERFLOW_RECORDS: u16 = 2000;
 
-/// A placement in a record, stored as a list in the order of `PlacementFields`.
+/// A placement as a record holds it: a list in the order of `PlacementFields`.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Eq, Hash, Debug)]
 #[serde(from = "PlacementFields", into = "PlacementFields")]
 pub struct StoredPlacement {
-    /// Task number.
+    /// Number of the task within its job, counted from 0.
     pub task: u32,
-    /// Attempt number.
+    /// Number of the attempt, unique within the job.
     pub attempt: u64,
-    /// Name of the machine.
+    /// Name of the machine to which the attempt is assigned.
     pub machine: String,
     /// Shard of the machine.
     pub shard: ShardIndex,
-    /// Shard whose quota share is charged.
+    /// Shard whose share of the team's quota is charged.
     pub charged_shard: ShardIndex,
 }
 
-/// The stored form of a placement: task, attempt, machine, shard of the machine, charged shard. It
-/// never changes, because it must also read the records of version 0.1.
+/// The stored form of a placement: task, attempt, machine, shard of the machine, charged shard.
+/// This form never changes, because records written by version 0.1 must stay readable.
 type PlacementFields = (u32, u64, String, u32, u32);
 
 impl From<PlacementFields> for StoredPlacement {
@@ -86,25 +86,27 @@
 /// writer's fencing tokens have changed.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct JobRecord {
-    /// Description; left out once the job is settled.
+    /// Description of the job; left out once the job is settled.
     #[serde(rename = "j", default, skip_serializing_if = "Option::is_none")]
     pub spec: Option<JobSpec>,
-    /// State in the record; a cancelled dependency may not show in it yet.
+    /// State of the job when the record was written; still open for a while after a dependency was
+    /// cancelled.
     #[serde(rename = "s")]
     pub state: JobState,
     /// Wall-clock time of the submission, ms.
     #[serde(rename = "t")]
     pub submitted_at: u64,
-    /// Tasks that are done.
+    /// Numbers of the tasks that are done.
     #[serde(rename = "d", default)]
     pub done: TaskRanges,
-    /// Placements, without those in overflow records.
+    /// Placements of the job, without those in overflow records.
     #[serde(rename = "p", default)]
     pub placements: Vec<StoredPlacement>,
-    /// Number of the next attempt of any task.
+    /// Number that the next attempt gets, whichever task it is for.
     #[serde(rename = "n")]
     pub next_attempt: u64,
-    /// Wall-clock time at which the last task was done, ms; 0: not yet, or written by version 0.1.
+    /// Wall-clock time at which the job's last task was done, ms; 0: the job is not done, or the
+    /// record was written by version 0.1.
     #[serde(rename = "f", default, skip_serializing_if = "is_zero")]
     pub finished_at: u64,
 }
@@ -124,31 +126,31 @@
     }
 }
 
-fn is_zero(n: &u64) -> bool {
-    *n == 0
+fn is_zero(number: &u64) -> bool {
+    *number == 0
 }
 
 /// An attempt of a task that is assigned to a machine.
 ///
-/// It is removed only on proof that the attempt does not run and can't start later; otherwise a
-/// task could run twice.
+/// A placement is removed only on proof that the attempt does not run and can't start later;
+/// otherwise a task could run twice.
 #[derive(Clone, Copy, Debug)]
 pub struct Placement {
-    /// Task number.
+    /// Number of the task within its job.
     pub task: u32,
-    /// Attempt number.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// Machine.
+    /// Machine to which the attempt is assigned.
     pub machine: MachineIndex,
     /// The machine's shard.
     pub shard: ShardIndex,
     /// The shard whose share of the team's quota is charged.
     pub charged_shard: ShardIndex,
-    /// The overflow record in which it is stored; 0: the job's own record.
+    /// Index of the overflow record in which the placement is stored; 0: the job's own record.
     pub overflow_index: u16,
 }
 
-/// Placements are compared without the record in which they are stored.
+/// Compares placements without regard to the record in which they are stored.
 impl PartialEq for Placement {
     fn eq(&self, other: &Placement) -> bool {
         let fields = |p: &Placement| (p.task, p.attempt, p.machine, p.shard, p.charged_shard);
@@ -165,11 +167,11 @@
     pub team: TeamIndex,
     /// Resources that one task requests.
     pub need: Resources,
-    /// Machine types that are allowed; `None`: all.
+    /// Machine types that the job may run on; `None`: all.
     pub machine_types: Option<Vec<MachineTypeIndex>>,
-    /// The zone that is allowed; `None`: all.
+    /// The only zone that the job may run in; `None`: any.
     pub zone: Option<ZoneIndex>,
-    /// Container image.
+    /// Container image that the tasks run.
     pub image: ImageIndex,
     /// Size of the description in a record, in bytes.
     pub record_bytes: usize,
@@ -188,8 +190,8 @@
     pub fn is_wide_gang(&self) -> bool {
         self.wire.kind == JobKind::Gang && self.wire.tasks > 1
     }
-    /// Maximum number of tasks in one zone: half of them, rounded up, if the job is to be spread,
-    /// else no limit.
+    /// Maximum number of the job's tasks in one zone: half of all its tasks, rounded up, if the job
+    /// is to be spread over zones, else no limit.
     pub fn zone_cap(&self) -> u32 {
         if self.wire.spread {
             self.wire.tasks.div_ceil(2)
@@ -202,25 +204,26 @@
 /// A job in memory.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// Id.
+    /// Job id.
     pub id: Rc<str>,
     /// Version of the record from which the job was read.
     pub version: u64,
-    /// State.
+    /// State of the job; cancelled as soon as the cancellation of the job or of a dependency is
+    /// known here, even if the record still says that the job is open.
     pub state: JobState,
     /// Wall-clock time of the submission, ms.
     pub submitted_at: u64,
-    /// Description; `None` once the job is settled, or if the record is unreadable.
+    /// Description of the job; `None` once the job is settled, or if its team or zone is unknown.
     pub spec: Option<Rc<Spec>>,
-    /// Tasks that are done.
+    /// Numbers of the tasks that are done.
     pub done: TaskRanges,
-    /// Placements.
+    /// All placements of the job, including those in overflow records.
     pub placements: Vec<Placement>,
-    /// Number of the next attempt of any task.
+    /// Number that the next attempt gets, whichever task it is for.
     pub next_attempt: u64,
-    /// Wall-clock time at which its last task was done, ms; 0: unknown.
+    /// Wall-clock time at which the job's last task was done, ms; 0: not done, or unknown.
     pub finished_at: u64,
-    /// State derived from its dependencies and dependents.
+    /// The part of the job's state that is derived from its dependencies and dependents.
     pub dependency_state: DependencyState,
 }
 
@@ -229,13 +232,13 @@
 pub struct DependencyState {
     /// True if a dependency is not done, so that no task may start.
     pub blocked: bool,
-    /// Wall-clock time since which the job has been eligible to run, ms: its submission, or the
-    /// end of its last dependency.
+    /// Wall-clock time since which the job has been eligible to run, ms: that of its submission,
+    /// or that of the end of its last dependency.
     pub eligible_since: u64,
     /// The highest priority of the job and of its dependents.
     pub priority: Priority,
-    /// Wall-clock time by which the job has to be done, ms, to meet its own deadline and those of
-    /// its dependents.
+    /// Wall-clock time in ms by which the job has to be done to meet its own deadline and those of
+    /// its dependents; `None` if none of them has a deadline.
     pub deadline: Option<u64>,
 }
 
@@ -264,7 +267,7 @@
             ..self
         }
     }
-    /// The placement of a task.
+    /// The placement of a task; `None` if the task has none.
     pub fn placement(&self, task: u32) -> Option<&Placement> {
         self.placements.iter().find(|p| p.task == task)
     }
@@ -296,14 +299,15 @@
         let unfinished = self.placements.iter().filter(|p| !self.done.has(p.task));
         unfinished.count() as u32
     }
-    /// Records that a task is done; a gang's tasks complete together.
+    /// Records that a task is done. A gang's tasks complete together; a task of a service is never
+    /// done.
     pub fn complete_task(&mut self, task: u32) {
         let Some(spec) = self.spec.clone() else {
             return;
         };
         match spec.wire.kind {
             JobKind::Gang => self.done = TaskRanges::all(spec.tasks()),
-            // A replica that exits by itself is replaced.
+            // A replica of a service that exits by itself is replaced.
             JobKind::Service => return,
             JobKind::Array => self.done.add(task),
         }
@@ -311,7 +315,8 @@
             self.state = JobState::Done;
         }
     }
-    /// Removes the placement of an attempt that is proven absent; returns false if there is none.
+    /// Removes the placement of an attempt that is proven not to run; returns false if the attempt
+    /// has no placement.
     pub fn remove_placement(&mut self, task: u32, attempt: u64) -> bool {
         let before = self.placements.len();
         self.placements
@@ -327,9 +332,9 @@
             + self.done.range_count() * TASK_RANGE_BYTES
             + own.count() * PLACEMENT_BYTES
     }
-    /// Chooses the record in which to store each of `count` more placements: the first that stays
-    /// within `value_bytes`. Index 0 is the job's own record; overflow records are used only if
-    /// `overflow_allowed`. `None` if the placements don't fit.
+    /// Chooses the record in which to store each of `count` more placements: the first record that
+    /// stays within `value_bytes`. Index 0 is the job's own record; overflow records are used only
+    /// if `overflow_allowed`. `None` if the placements don't fit.
     pub fn overflow_indices_for(
         &self,
         count: usize,
--- a/src/state/job_store.rs
+++ b/src/state/job_store.rs
@@ -9,12 +9,12 @@
 use crate::protocol::users::{JobKind, JobSpec};
 use std::rc::Rc;
 
-/// Maximum number of recent submissions kept to estimate the rate of each class: 50 a second over
-/// the period that the estimate looks back.
+/// Maximum number of recent submissions kept to estimate the rate of each class: enough for
+/// 50 a second over the period that the estimate looks back.
 const MAX_RECENT_SUBMISSIONS: usize = 8192;
 
 impl ClusterState {
-    /// Job by id.
+    /// The job with this id and its index; `None` if no record of the job has been read.
     pub fn job(&self, id: &str) -> Option<(JobIndex, &Job)> {
         let job_index = self.job_names.find(id)?;
         Some((job_index, self.jobs.get(job_index.at())?))
@@ -109,14 +109,14 @@
             .set_cancellation_unwritten(job_index, unwritten);
         self.record_images_used(&job);
         self.add_to_dependencies(job_index, &job);
-        // Only a newer record shows the outcome of a transaction that had no answer.
+        // The outcome of a transaction that was not answered is known once a newer record is read.
         self.jobs_with_unknown_outcome.remove(&job_index);
         self.store_job(job_index, job);
         self.update_dependency_states();
     }
 
-    /// Description of a record's job. One that is already in memory is reused, since descriptions
-    /// never change.
+    /// The job's description with interned names. If one is in memory already, it is reused, since
+    /// descriptions never change.
     fn spec_of_record(
         &mut self,
         id: &str,
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Placements in a job's new record, and those in the overflow records that are known.
+    /// Placements in a job's new record, and those in the job's overflow records as last read.
     fn merge_placements(&mut self, job_index: JobIndex, record: &JobRecord) -> Vec<Placement> {
         let mut placements = self.read_placements(&record.placements, 0);
         if let Some(old) = self.jobs.get(job_index.at()) {
@@ -231,7 +231,7 @@
         }
         if let Some(id) = finished {
             self.dependency_graph.remove_finished(&id);
-            // Its dependencies have lost a dependent.
+            // The dependencies of a job that is done or cancelled have lost a dependent.
             self.mark_dependencies_changed(old_spec.as_deref());
         }
         for machine_index in changed_machines {
@@ -239,8 +239,8 @@
         }
     }
 
-    /// Replaces the old job by the new one in the sums. Returns the machines on which either has
-    /// placements, each once.
+    /// Replaces the stored job by its new version in the sums over placements. Returns the
+    /// machines on which either has placements, each once.
     fn update_totals(&mut self, job_index: JobIndex, job: &Job) -> Vec<MachineIndex> {
         let mut machines: Vec<MachineIndex> = job.placements.iter().map(|p| p.machine).collect();
         if let Some(old) = self.jobs.get(job_index.at()) {
--- a/src/state/machine.rs
+++ b/src/state/machine.rs
@@ -10,16 +10,16 @@
 /// One attempt to run a task.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct TaskAttempt {
-    /// The job.
+    /// Job of the task.
     pub job: JobIndex,
-    /// Task number.
+    /// Number of the task within its job, counted from 0.
     pub task: u32,
-    /// Attempt number.
+    /// Number of the attempt, unique within the job; a later attempt has a higher number.
     pub attempt: u64,
 }
 
 impl TaskAttempt {
-    /// An attempt of a job's task.
+    /// The attempt with this number at a task of a job.
     pub fn new(job: JobIndex, task: u32, attempt: u64) -> TaskAttempt {
         TaskAttempt { job, task, attempt }
     }
@@ -28,31 +28,31 @@
 /// A machine type and its capacity.
 #[derive(Clone, Debug)]
 pub struct MachineType {
-    /// Description by the cloud.
+    /// Description of the type in the cloud's catalog.
     pub description: crate::protocol::cloud::CloudMachineType,
-    /// Resources of a machine of this type.
+    /// Resources of one machine of this type, converted from the description.
     pub capacity: Resources,
 }
 
-/// A task in the newest message of a worker.
+/// A task as the newest message of its worker shows it.
 #[derive(Clone, Debug)]
 pub struct ObservedTask {
-    /// The job, if its name is known.
+    /// Job of the task; `None` if no record of the job has been read here.
     pub job: Option<JobIndex>,
-    /// Job and task number as workers name them, such as `job-1/3`.
+    /// Name of the task in messages of workers: job id and task number, such as `job-1/3`.
     pub name: Rc<str>,
-    /// Task number.
+    /// Number of the task within its job.
     pub task: u32,
-    /// Attempt number.
+    /// Number of the attempt.
     pub attempt: u64,
-    /// State of the task.
+    /// State of the attempt.
     pub state: TaskState,
-    /// Why the task exited, if it has.
+    /// Why the attempt ended; `None` until it has ended.
     pub exit_reason: Option<ExitReason>,
 }
 
 impl ObservedTask {
-    /// The attempt, if its job is known.
+    /// The attempt that the message shows; `None` if its job is not known here.
     pub fn task_attempt(&self) -> Option<TaskAttempt> {
         Some(TaskAttempt::new(self.job?, self.task, self.attempt))
     }
@@ -60,7 +60,7 @@
     pub fn is_done(&self) -> bool {
         self.state == TaskState::Exited && self.exit_reason == Some(ExitReason::Done)
     }
-    /// True if both are the same attempt in the same state.
+    /// True if `self` and `other` are the same attempt in the same state.
     pub fn same_state_as(&self, other: &ObservedTask) -> bool {
         (
             self.job,
@@ -97,7 +97,7 @@
 /// How long a machine stays reserved for a gang unless the reservation is renewed.
 pub(crate) const GANG_RESERVATION_MS: u64 = 4000;
 
-/// State shown by the worker's own messages.
+/// State of a machine as its worker's own messages show it.
 #[derive(Clone, Debug, Default)]
 pub struct HeartbeatState {
     /// Latest time at which the worker is known to have been alive: by a heartbeat under the
@@ -105,7 +105,8 @@
     ///
     /// A heartbeat under an older token may be a delayed duplicate and proves nothing.
     pub last_seen: Option<MonotonicMillis>,
-    /// When this controller last responded to a heartbeat, which renews the worker's lease.
+    /// When this controller last responded to a heartbeat of the machine. The response renews the
+    /// worker's lease.
     pub last_answered: Option<MonotonicMillis>,
     /// Version of the newest message with a task list: a heartbeat, or the response to a direct
     /// command.
@@ -114,10 +115,10 @@
     pub version: HeartbeatVersion,
     /// Fencing token in the newest heartbeat.
     pub fencing_token: FencingToken,
-    /// Number of heartbeats whose response waits for a scheduling round; meanwhile no start is sent
-    /// directly.
+    /// Number of heartbeats whose response waits for a scheduling round; no start is sent directly
+    /// unless it is 0.
     pub responses_in_progress: u32,
-    /// When the cloud will preempt the machine, if it has given notice.
+    /// When the cloud will preempt the machine; `None` if it has given no notice.
     pub preemption_deadline: Option<MonotonicMillis>,
     /// Tasks in the newest message with a task list.
     pub tasks: Vec<ObservedTask>,
@@ -126,13 +127,14 @@
 /// Start commands sent to a machine, tracked so that no attempt is started twice.
 #[derive(Clone, Debug, Default)]
 pub struct StartTracking {
-    /// By attempt: version of the newest heartbeat when a start command was last sent for it.
+    /// Attempts for which a start command was sent, each with the version of the newest heartbeat
+    /// at the time of the last such command.
     pub sent: HashMap<TaskAttempt, HeartbeatVersion>,
-    /// Direct starts that may still be delivered.
+    /// Direct start commands that may still be delivered, by attempt.
     pub in_flight: HashMap<TaskAttempt, InFlightStart>,
     /// Attempts that were observed on the machine or are abandoned: they are not started again.
     pub observed_or_abandoned: HashSet<TaskAttempt>,
-    /// By attempt: how often a gang task timed out here while it waited for the other members.
+    /// How often a gang task timed out here while it waited for the other members, by attempt.
     pub gang_timeouts: HashMap<TaskAttempt, u8>,
 }
 
@@ -185,7 +187,7 @@
 /// Reservation of a machine's free capacity for a gang.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Reservation {
-    /// The gang's job.
+    /// Job of the gang that the machine is reserved for.
     pub gang: JobIndex,
     /// When the reservation expires.
     pub until: MonotonicMillis,
@@ -205,14 +207,16 @@
     pub cordoned: bool,
     /// Reservation for a gang, which may have expired.
     pub reservation: Option<Reservation>,
-    /// Attempts to be stopped, with the checkpoint grace period in seconds.
+    /// Attempts to be stopped, each with the time in seconds that the task has to write a last
+    /// checkpoint.
     pub stopping: HashMap<TaskAttempt, f64>,
-    /// Since when nothing has been placed on the machine.
+    /// Since when the machine has had neither placements nor queued tasks; `None` while it has any,
+    /// or if it has not been seen yet.
     pub idle_since: Option<MonotonicMillis>,
 }
 
 impl OwnerDecisions {
-    /// True if nothing has been placed on the machine for longer than `idle_ms`.
+    /// True if the machine has been idle for longer than `idle_ms`.
     pub fn is_idle_for(&self, idle_ms: u64, now: MonotonicMillis) -> bool {
         self.idle_since
             .is_some_and(|since| now.since(since) > idle_ms)
@@ -225,7 +229,7 @@
     }
 }
 
-/// The latest status update of the machine's owner, if that is another controller.
+/// What the latest status update of a machine's owner says, if that is another controller.
 #[derive(Clone, Debug, Default)]
 pub struct OwnerStatus {
     /// Length of the machine's queue; 255 stands for all larger numbers as well.
@@ -241,16 +245,16 @@
 /// A task in a machine's queue.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct QueuedTask {
-    /// The job.
+    /// Job of the task.
     pub job: JobIndex,
-    /// Task number.
+    /// Number of the task within its job.
     pub task: u32,
     /// When the task was added to this queue.
     pub queued_at: MonotonicMillis,
 }
 
 impl QueuedTask {
-    /// A task of a job, queued at `now`.
+    /// An entry for a task that is queued at `now`.
     pub fn new(job: JobIndex, task: u32, now: MonotonicMillis) -> QueuedTask {
         QueuedTask {
             job,
@@ -258,38 +262,38 @@
             queued_at: now,
         }
     }
-    /// True if this is the given task, whenever it was queued.
+    /// True if the entry is for the given task, whenever that was queued.
     pub fn is_task(&self, job: JobIndex, task: u32) -> bool {
         (self.job, self.task) == (job, task)
     }
 }
 
-/// A machine.
+/// What a controller knows of one machine.
 #[derive(Clone, Debug)]
 pub struct Machine {
-    /// Name.
+    /// Name of the machine, given by the cloud.
     pub name: Rc<str>,
     /// Address of the machine's worker; empty if unknown.
     pub addr: String,
-    /// Machine type.
+    /// Type of the machine; the cloud's catalog may not describe it yet.
     pub machine_type: MachineTypeIndex,
-    /// Zone.
+    /// Zone that the machine is in.
     pub zone: ZoneIndex,
     /// True for a spot machine, which the cloud may preempt.
     pub spot: bool,
-    /// Shard, which never changes.
+    /// Shard of the machine, which follows from its zone and name and never changes.
     pub shard: ShardIndex,
     /// When this controller first learned of the machine.
     pub discovered_at: MonotonicMillis,
-    /// State shown by the worker's own messages.
+    /// State of the machine as its worker's own messages show it.
     pub heartbeat: HeartbeatState,
     /// Start commands sent to the machine.
     pub starts: StartTracking,
-    /// Whether the machine works and can be reached.
+    /// Whether the machine works and can be reached, as its owner derives it.
     pub health: MachineHealth,
     /// Decisions of this controller as the machine's owner.
     pub decisions: OwnerDecisions,
-    /// Latest status update of the machine's owner, if that is another controller.
+    /// What the latest status update of the machine's owner says, if that is another controller.
     pub owner_status: OwnerStatus,
     /// Tasks that wait for free capacity of this machine, next first.
     pub queue: VecDeque<QueuedTask>,
@@ -325,14 +329,14 @@
         }
     }
 
-    /// The attempt as the worker's newest message shows it; `None` if it does not.
+    /// The attempt as the worker's newest task list shows it; `None` if the list does not hold it.
     pub fn observed(&self, attempt: TaskAttempt) -> Option<&ObservedTask> {
         let mut tasks = self.heartbeat.tasks.iter();
         tasks.find(|task| task.task_attempt() == Some(attempt))
     }
 
-    /// True if the machine may get a new task now. It may not if it was last seen more than
-    /// `unresponsive_ms` ago.
+    /// True if the machine may get a new task now: it is neither cordoned, quarantined, unreachable
+    /// nor about to be preempted, and it was last seen `unresponsive_ms` ago at most.
     pub fn is_schedulable(&self, now: MonotonicMillis, unresponsive_ms: u64) -> bool {
         let last_seen = self.heartbeat.last_seen;
         !self.is_cordoned()
@@ -348,7 +352,7 @@
     }
 
     /// Cordons the machine for its deletion: it gets no tasks, and its queue is cleared so that the
-    /// queued ones are placed elsewhere.
+    /// queued tasks are placed elsewhere.
     pub fn cordon(&mut self) {
         self.decisions.cordoned = true;
         self.queue.clear();
@@ -369,8 +373,8 @@
         self.images.iter().any(|(cached, _)| *cached == image)
     }
 
-    /// Records that an image of `gb` was used; the least recently used ones are evicted once the
-    /// cache of `cache_gb` is full.
+    /// Records that an image with a size of `gb` was used. Once the images exceed the cache's size
+    /// of `cache_gb`, the least recently used ones are evicted.
     pub fn use_image(&mut self, image: ImageIndex, gb: f64, cache_gb: f64) {
         let position = self.images.iter().position(|(cached, _)| *cached == image);
         if let Some(position) = position {
--- a/src/state/machine_store.rs
+++ b/src/state/machine_store.rs
@@ -8,17 +8,17 @@
 use crate::protocol::workers::TaskState;
 
 impl ClusterState {
-    /// Machine by index.
+    /// The machine with this index; `None` if only its name is known or the cloud has deleted it.
     pub fn machine(&self, machine_index: MachineIndex) -> Option<&Machine> {
         self.machines.get(machine_index.at())?.as_ref()
     }
 
-    /// Mutable access to a machine by index.
+    /// The machine with this index, to be changed; `None` as for [`ClusterState::machine`].
     pub fn machine_mut(&mut self, machine_index: MachineIndex) -> Option<&mut Machine> {
         self.machines.get_mut(machine_index.at())?.as_mut()
     }
 
-    /// All known machines with their index.
+    /// All known machines with their indices.
     pub fn all_machines(&self) -> impl Iterator<Item = (MachineIndex, &Machine)> {
         self.machines
             .iter()
@@ -37,8 +37,8 @@
 
     /// Adds a machine if it is new, and returns its index.
     ///
-    /// `None` for an unknown zone, and for a machine that the cloud has deleted: machine lists,
-    /// heartbeats and peer messages that arrive late must not bring it back.
+    /// Returns `None` for an unknown zone, and for a machine that the cloud has deleted: machine
+    /// lists, heartbeats and peer messages that arrive late must not restore a deleted machine.
     pub fn learn_machine(
         &mut self,
         name: &str,
@@ -77,14 +77,15 @@
             self.deleted_machines.resize(machine_index.at() + 1, false);
         }
         self.deleted_machines[machine_index.at()] = true;
-        // Machines are replaced all day: to keep the deleted ones would use memory without bound.
+        // Machines are replaced continually, so memory would grow without bound if deleted ones
+        // were kept.
         if let Some(machine) = self.machines.get_mut(machine_index.at()) {
             *machine = None;
         }
         self.recompute_free_capacity(machine_index);
     }
 
-    /// Replaces the descriptions of the machine types in the catalog.
+    /// Stores the machine types of a catalog, replacing the known descriptions of these types.
     pub fn set_machine_types(&mut self, catalog: &MachineTypeCatalog) {
         for description in &catalog.types {
             let index = self.machine_type_names.intern(&description.name);
@@ -171,7 +172,8 @@
         Some(free)
     }
 
-    /// Resources that one task of an unsettled job requests.
+    /// Resources that one task of a job requests; `None` if the job is settled or its description
+    /// is unreadable.
     fn resource_request(&self, job_index: JobIndex) -> Option<Resources> {
         let job = self.jobs.get(job_index.at()).filter(|j| !j.is_settled())?;
         Some(job.spec.as_ref()?.need)
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,6 @@
 //! Cached cluster state: records read from the key-value store, what heartbeats show, and the
-//! sums and indices derived from both. Pure: no I/O and no clock; the caller passes the time.
+//! sums and indices derived from both. The module does no I/O and reads no clock; the caller
+//! passes the time.
 //!
 //! * [`cluster_state`]: the state of one controller and its look-ups.
 //! * `machine_store`, `job_store`, `record_ingestion`, `record_formats`, `dependencies`: methods
--- a/src/state/names.rs
+++ b/src/state/names.rs
@@ -30,31 +30,31 @@
 }
 
 index!(
-    /// Index of a job.
+    /// Index of a job, assigned when its id is first read.
     JobIndex
 );
 index!(
-    /// Index of a machine.
+    /// Index of a machine, assigned when its name is first read.
     MachineIndex
 );
 index!(
-    /// Index of a machine type.
+    /// Index of a machine type, assigned when its name is first read.
     MachineTypeIndex
 );
 index!(
-    /// Index of a zone.
+    /// Index of a zone of the settings, in alphabetical order.
     ZoneIndex
 );
 index!(
-    /// Index of a team.
+    /// Index of a team, in the order of the settings.
     TeamIndex
 );
 index!(
-    /// Index of an image.
+    /// Index of a container image, assigned when its name is first read.
     ImageIndex
 );
 index!(
-    /// Index of a machine shard. The last one is the autoscaler's shard, which has no machines.
+    /// Index of a shard. The last shard is the autoscaler's, which has no machines.
     ShardIndex
 );
 
@@ -92,7 +92,7 @@
         let position = self.indices.get(name)?;
         Some(I::new(*position as usize))
     }
-    /// The name that an index was assigned to.
+    /// The name to which an index was assigned.
     pub fn name(&self, index: I) -> &Rc<str> {
         &self.names[index.at()]
     }
--- a/src/state/record_formats.rs
+++ b/src/state/record_formats.rs
@@ -15,12 +15,12 @@
 }
 
 impl ClusterState {
-    /// Key of a job's record.
+    /// Key of a job's record: `ph/job/<id>`.
     pub fn job_key(id: &str) -> String {
         format!("{ROOT}job/{id}")
     }
 
-    /// Key of one of a job's overflow records.
+    /// Key of one of a job's overflow records: `ph/more/<id>.<overflow index>`.
     pub fn overflow_key(id: &str, overflow_index: u16) -> String {
         format!("{ROOT}more/{id}.{overflow_index}")
     }
--- a/src/state/record_ingestion.rs
+++ b/src/state/record_ingestion.rs
@@ -25,7 +25,7 @@
 }
 
 fn decode<T: DeserializeOwned>(value: &Value) -> Result<T, String> {
-    // Encoded to bytes first, because `rmpv` can't deserialize unit variants directly.
+    // The value is encoded to bytes first, because `rmpv` can't deserialize unit variants directly.
     let bytes = rmp_serde::to_vec(value).map_err(|e| e.to_string())?;
     rmp_serde::from_slice(&bytes).map_err(|e| e.to_string())
 }
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Applies a record that was written. An unreadable one is logged and otherwise ignored.
+    /// Applies a record that was written. An unreadable record is logged and otherwise ignored.
     pub fn put(&mut self, key: &str, version: u64, value: &Value) {
         let Some((kind, name)) = kind_and_name(key) else {
             return;
@@ -135,7 +135,7 @@
 
     /// Applies the events of a watch that started at revision `from` and has reached `revision`.
     pub fn apply_changes(&mut self, from: u64, revision: u64, events: &[Event]) {
-        // Watches and reads overlap: an event that is known already must not bring back a
+        // Watches and reads overlap: an event that has been applied already must not restore a
         // controller or a provisioning request that has been deleted since.
         let known = self.revision;
         for event in events.iter().filter(|event| event.version > known) {
@@ -146,7 +146,8 @@
                 _ => {}
             }
         }
-        // A watch that started after the known revision leaves a gap: the revision stays.
+        // A watch that started after the known revision may have missed changes before its start,
+        // so the known revision stays.
         if from <= self.revision {
             self.revision = self.revision.max(revision);
         }
@@ -155,8 +156,8 @@
     /// Applies a page of a full read of all keys.
     ///
     /// Only one page is in memory at a time, so the memory that a full read needs does not grow
-    /// with the number of records. `deletable_keys` collects those keys of the page whose records
-    /// may be deleted, for [`ClusterState::finish_full_read`].
+    /// with the number of records. `deletable_keys` collects the keys of those records of the page
+    /// that are of a kind that can be deleted, for [`ClusterState::finish_full_read`].
     pub fn apply_page(&mut self, entries: &[Entry], deletable_keys: &mut HashSet<String>) {
         for entry in entries {
             if matches!(
@@ -169,10 +170,10 @@
         }
     }
 
-    /// Completes a full read whose lowest revision was `revision`: removes the records that it did
-    /// not return.
+    /// Completes a full read whose lowest revision was `revision`: removes the records of deletable
+    /// kinds that the read did not return.
     pub fn finish_full_read(&mut self, deletable_keys: &HashSet<String>, revision: u64) {
-        // A record that is newer than the read has arrived by a watch in the meantime.
+        // A record that is newer than the read has arrived by a watch in the meantime and stays.
         let exists =
             |key: String, version: u64| version > revision || deletable_keys.contains(&key);
         self.controllers
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -10,7 +10,7 @@
 
 /// A controller's incarnation, at the key `ph/node/<controller>`.
 ///
-/// Written by the controller itself under its lease, and deleted by the key-value store when the
+/// Written by the controller itself under its lease; deleted by the key-value store when the
 /// lease expires.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
 pub struct ControllerRecord {
@@ -26,8 +26,8 @@
     pub standby_version: u32,
 }
 
-fn is_zero(n: &u32) -> bool {
-    *n == 0
+fn is_zero(number: &u32) -> bool {
+    *number == 0
 }
 
 /// The second record format, which this version reads in addition to the first. It adds jobs with
@@ -37,14 +37,14 @@
 /// Version of the messages that replicate a shard owner's state to its standby.
 pub const STANDBY_VERSION: u32 = 1;
 
-/// Placements that would make a job's own record exceed the size limit of a value, at the key
-/// `ph/more/<job>.<overflow index>`.
+/// An overflow record: placements that would make a job's own record exceed the size limit of a
+/// value, at the key `ph/more/<job>.<overflow index>`.
 ///
 /// Written and deleted in the same transactions as the job's record, whose version therefore
 /// stands for all of them.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
 pub struct OverflowRecord {
-    /// Placements of this overflow record.
+    /// Placements in this overflow record, in the same form as in the job's own record.
     #[serde(rename = "p")]
     pub placements: Vec<super::job::StoredPlacement>,
 }
@@ -112,19 +112,19 @@
 /// restart nor a failover requests the same machines twice; deleted once the list shows them.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
 pub struct ProvisioningRecord {
-    /// Machine type.
+    /// Name of the requested machine type.
     #[serde(rename = "r")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone in which machines are requested.
     #[serde(rename = "z")]
     pub zone: String,
     /// True for spot machines, which the cloud may preempt.
     #[serde(rename = "s")]
     pub spot: bool,
-    /// Number of machines.
+    /// Number of requested machines.
     #[serde(rename = "n")]
     pub count: u32,
-    /// Names of the machines, once the cloud has answered.
+    /// Names of the provisioned machines; empty until the cloud has answered.
     #[serde(rename = "h", default)]
     pub machines: Vec<String>,
 }
@@ -134,16 +134,16 @@
 pub struct Versioned<T> {
     /// Version in the key-value store; 0: the record does not exist.
     pub version: u64,
-    /// Record.
+    /// Contents of the record; the default value if the record does not exist.
     pub record: T,
 }
 
 /// Quota limits of a team, from the settings.
 #[derive(Clone, Debug)]
 pub struct TeamLimits {
-    /// Guaranteed quota; 0: none.
+    /// Quota that the team is guaranteed; 0 of a resource: none.
     pub guaranteed: QuotaUsage,
-    /// Upper limit of the quota; 0: unlimited.
+    /// Upper limit of the quota that the team may use; 0 of a resource: unlimited.
     pub limit: QuotaUsage,
 }
 
@@ -161,7 +161,7 @@
         }
     }
 
-    /// True if the team's quota has no upper limit.
+    /// True if the team's use of every resource is unlimited.
     pub fn unlimited(&self) -> bool {
         self.limit == QuotaUsage::default()
     }
--- a/src/state/resource_totals.rs
+++ b/src/state/resource_totals.rs
@@ -9,11 +9,12 @@
 /// Resources used by the placements of all jobs, by machine, and by team and charged shard.
 #[derive(Default, Debug)]
 pub struct ResourceTotals {
-    /// Attempts by machine.
+    /// Attempts placed on each machine, by machine index.
     placed: Vec<Vec<TaskAttempt>>,
-    /// Free capacity by machine.
+    /// Free capacity of each machine, by machine index; `None` if the machine or its type is
+    /// unknown.
     free_capacity: Vec<Option<Resources>>,
-    /// Quota used, by team and charged shard.
+    /// Quota that placements use, by the team and by the shard that is charged.
     used_by_shard: Vec<Vec<QuotaUsage>>,
 }
 
@@ -26,7 +27,7 @@
 }
 
 impl ResourceTotals {
-    /// Adds a job's placements.
+    /// Adds a job's placements to the sums.
     pub fn add(&mut self, job_index: JobIndex, job: &Job) {
         for placement in &job.placements {
             let attempt = TaskAttempt::new(job_index, placement.task, placement.attempt);
@@ -35,7 +36,7 @@
         self.charge(job, 1);
     }
 
-    /// Removes a job's placements.
+    /// Removes a job's placements from the sums.
     pub fn remove(&mut self, job_index: JobIndex, job: &Job) {
         for placement in &job.placements {
             let attempt = TaskAttempt::new(job_index, placement.task, placement.attempt);
@@ -44,7 +45,8 @@
         self.charge(job, -1);
     }
 
-    /// Adds a job's placements to the quota used by its team, `times` times; -1 subtracts them.
+    /// Adds the quota that a job's placements use to the sums of the job's team, `times` times: 1
+    /// charges the team, -1 reverses the charge.
     fn charge(&mut self, job: &Job, times: i64) {
         let Some(spec) = &job.spec else { return };
         for placement in &job.placements {
@@ -59,7 +61,7 @@
         self.placed.get(machine.at()).map_or(&[], Vec::as_slice)
     }
 
-    /// Machines with placements.
+    /// Machines that have placements, in the order of their indices.
     pub fn occupied_machines(&self) -> impl Iterator<Item = MachineIndex> + '_ {
         let by_machine = self.placed.iter().enumerate();
         by_machine
@@ -80,12 +82,13 @@
         by_shard.fold(QuotaUsage::default(), |sum, used| sum.plus(*used))
     }
 
-    /// Free capacity by machine; `None` where the machine or its type is unknown.
+    /// Free capacity of each machine, by machine index; `None` if the machine or its type is
+    /// unknown.
     pub fn free_capacity(&self) -> &[Option<Resources>] {
         &self.free_capacity
     }
 
-    /// Sets the free capacity of a machine.
+    /// Sets the free capacity of a machine; `None` if the machine or its type is unknown.
     pub fn set_free_capacity(&mut self, machine: MachineIndex, free: Option<Resources>) {
         *slot(&mut self.free_capacity, machine.at()) = free;
     }
--- a/src/state/task_ranges.rs
+++ b/src/state/task_ranges.rs
@@ -1,4 +1,5 @@
-//! Sets of task numbers, stored as ranges: most jobs complete nearly in order.
+//! Sets of task numbers, stored as ranges, which are few because the tasks of most jobs
+//! complete nearly in order.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,12 +8,12 @@
 pub struct TaskRanges(Vec<(u32, u32)>);
 
 impl TaskRanges {
-    /// All numbers below `end`.
+    /// The set of all task numbers below `end`.
     pub fn all(end: u32) -> TaskRanges {
         TaskRanges(vec![(0, end)])
     }
 
-    /// Adds a number, and merges the ranges that it connects.
+    /// Adds a task number, and merges the ranges that become adjacent.
     pub fn add(&mut self, task: u32) {
         let position = self.0.partition_point(|(_, end)| *end < task);
         match self.0.get_mut(position) {
@@ -50,7 +51,7 @@
         self.0.iter().map(|(start, end)| end - start).sum()
     }
 
-    /// Numbers below `end` that are not in the set, in ascending order.
+    /// Task numbers below `end` that are not in the set, in ascending order.
     pub fn missing(&self, end: u32) -> impl Iterator<Item = u32> + '_ {
         let gap_starts = std::iter::once(0).chain(self.0.iter().map(|(_, end)| *end));
         let gap_ends = self.0.iter().map(|(start, _)| *start);
--- a/src/state/units.rs
+++ b/src/state/units.rs
@@ -17,7 +17,8 @@
     }
 }
 
-/// Number that a controller process draws at its start; each later start draws a higher one.
+/// Incarnation of a controller: a number that its process draws from the wall clock at its start,
+/// so that each later process draws a higher one.
 #[derive(
     Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default,
 )]
@@ -30,7 +31,7 @@
     (seconds.max(0.0) * 1000.0).min(1e15) as u64
 }
 
-/// Resources that count against a team's quota, in thousandths.
+/// Amounts of the resources that count against a team's quota, in thousandths.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct QuotaUsage {
     /// Thousandths of a CPU.
@@ -47,11 +48,11 @@
             gpu_milli: self.gpu_milli + other.gpu_milli,
         }
     }
-    /// Each resource multiplied by `n`; a negative `n` reverses a charge.
-    pub fn times(self, n: i64) -> QuotaUsage {
+    /// Each resource multiplied by `factor`; a negative factor reverses a charge.
+    pub fn times(self, factor: i64) -> QuotaUsage {
         QuotaUsage {
-            cpu_milli: self.cpu_milli.saturating_mul(n),
-            gpu_milli: self.gpu_milli.saturating_mul(n),
+            cpu_milli: self.cpu_milli.saturating_mul(factor),
+            gpu_milli: self.gpu_milli.saturating_mul(factor),
         }
     }
     /// The maximum of each resource.
@@ -68,13 +69,13 @@
             gpu_milli: self.gpu_milli.saturating_sub(other.gpu_milli),
         }
     }
-    /// True if no resource exceeds that of `other`.
+    /// True if no amount in `self` exceeds the amount of that resource in `other`.
     pub fn within(self, other: QuotaUsage) -> bool {
         self.cpu_milli <= other.cpu_milli && self.gpu_milli <= other.gpu_milli
     }
 }
 
-/// Resources that a task requests or a machine has, in thousandths.
+/// Amounts of resources that a task requests or a machine has, in thousandths.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub struct Resources {
     /// Thousandths of a CPU.
@@ -134,16 +135,16 @@
             mem: self.mem.min(other.mem),
         }
     }
-    /// Each resource multiplied by `n`.
-    pub fn times(self, n: u32) -> Resources {
+    /// Each resource multiplied by `factor`.
+    pub fn times(self, factor: u32) -> Resources {
         Resources {
-            cpu: self.cpu.saturating_mul(n.into()),
-            gpu: self.gpu.saturating_mul(n.into()),
-            mem: self.mem.saturating_mul(n.into()),
+            cpu: self.cpu.saturating_mul(factor.into()),
+            gpu: self.gpu.saturating_mul(factor.into()),
+            mem: self.mem.saturating_mul(factor.into()),
         }
     }
     /// Dominant share: the largest fraction of any resource of `whole` that `self` uses; above 1 if
-    /// it does not fit. Use of a resource that `whole` has none of counts as a fraction of 1.
+    /// `self` does not fit. Use of a resource that `whole` lacks counts as a fraction of 1.
     pub fn share_of(self, whole: Resources) -> f64 {
         let fraction = |used: i64, available: i64| match (used, available) {
             (used, _) if used <= 0 => 0.0,
