--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -9,19 +9,19 @@
 /// A machine type that the cloud offers.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct CloudMachineType {
-    /// Name.
+    /// Name of the machine type.
     #[serde(rename = "sku")]
     pub name: String,
-    /// Number of CPUs.
+    /// Number of CPUs of a machine.
     pub vcpus: f64,
-    /// Number of GPUs.
+    /// Number of GPUs of a machine.
     pub gpus: f64,
-    /// Memory, GB.
+    /// Memory of a machine, GB.
     pub mem_gb: f64,
-    /// Disk space for images, GB.
+    /// Disk space of a machine for cached images, GB.
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
-    /// Rate at which images are pulled, GB/s.
+    /// Rate at which a machine pulls images, GB/s; 0 if the catalog does not say.
     #[serde(default)]
     pub pull_gb_per_s: f64,
     /// Price of an on-demand machine per hour.
@@ -30,10 +30,10 @@
     /// Price of a spot machine per hour.
     #[serde(rename = "low_price")]
     pub spot_price: f64,
-    /// Usual boot time, s.
+    /// Usual boot time of a machine, s.
     #[serde(rename = "startup_s")]
     pub boot_s: f64,
-    /// Zones that offer this type.
+    /// Names of the zones that offer this type.
     #[serde(rename = "yards")]
     pub zones: Vec<String>,
 }
@@ -46,22 +46,23 @@
     pub types: Vec<CloudMachineType>,
 }
 
-/// A request for machines. It is idempotent: the cloud answers a repeated one as it did the first.
+/// A request for machines. The request is idempotent: the cloud answers a repetition as it answered
+/// the first.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct ProvisioningRequest {
-    /// Name of the request, never reused.
+    /// Name of the request, by which the cloud recognizes a repetition; never reused.
     #[serde(rename = "booking")]
     pub request_id: String,
-    /// Machine type.
+    /// Name of the requested machine type.
     #[serde(rename = "rig")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the zone in which machines are requested.
     #[serde(rename = "yard")]
     pub zone: String,
     /// True to request spot machines.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// Number of machines.
+    /// Number of requested machines.
     pub count: u32,
 }
 
@@ -76,30 +77,30 @@
 
 /// Status of a machine that is booting.
 const BOOTING: &str = "booting";
-/// Status of a machine that the cloud has given up.
+/// Status of a machine that will never finish booting or has broken down.
 const FAILED: &str = "failed";
 
 /// A machine in the cloud's list.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct ListedMachine {
-    /// Name.
+    /// Name of the machine.
     #[serde(rename = "uid")]
     pub name: String,
     /// Address of the machine's worker; empty if the list has none.
     #[serde(rename = "endpoint", default)]
     pub addr: String,
-    /// Machine type.
+    /// Name of the machine's type.
     #[serde(rename = "rig")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the machine's zone.
     #[serde(rename = "yard")]
     pub zone: String,
     /// True for a spot machine.
     #[serde(rename = "loaners")]
     pub spot: bool,
-    /// `booting`, `running` or `failed`.
+    /// Status of the machine: `booting`, `running` or `failed`.
     pub status: String,
-    /// Age of the machine, s.
+    /// Age of the machine, s; 0 if the list does not say.
     #[serde(rename = "held_s", default)]
     pub age_s: f64,
 }
--- a/src/protocol/kv.rs
+++ b/src/protocol/kv.rs
@@ -6,12 +6,12 @@
 use rmpv::Value;
 use serde::{Deserialize, Serialize};
 
-/// The version that a key must have for a transaction to be applied.
+/// A condition of a transaction: the version that a key must have.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct Condition {
-    /// Key.
+    /// Key that the condition is about.
     pub key: String,
-    /// Version; 0: the key does not exist.
+    /// Version that the key must have; 0: the key must not exist.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -20,11 +20,11 @@
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 #[serde(untagged)]
 pub enum Write {
-    /// Puts a value.
+    /// Sets the value of a key, which need not exist.
     Set {
-        /// Key.
+        /// Key whose value is set.
         set: String,
-        /// Value.
+        /// New value of the key.
         v: Value,
         /// Lease whose expiry deletes the key; `None`: the key does not expire.
         #[serde(rename = "hold", skip_serializing_if = "Option::is_none", default)]
@@ -32,7 +32,7 @@
     },
     /// Deletes a key.
     Remove {
-        /// Key.
+        /// Key that is deleted.
         remove: String,
     },
 }
@@ -40,7 +40,7 @@
 /// A compare-and-swap transaction: all writes are applied if all conditions hold, else none.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug, Default)]
 pub struct Transaction {
-    /// Versions that keys must have.
+    /// Conditions, all of which must hold.
     #[serde(rename = "when")]
     pub conditions: Vec<Condition>,
     /// Writes, in the order in which they are applied.
@@ -50,22 +50,23 @@
 /// Response to a transaction that was applied (200) or whose conditions failed (409).
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct CommitResponse {
-    /// Revision of the transaction, or the store's current one if conditions failed.
+    /// Revision at which the transaction was applied, or the store's current revision if conditions
+    /// failed.
     #[serde(rename = "epoch")]
     pub revision: u64,
-    /// Keys whose condition failed.
+    /// Keys whose condition failed; empty if the transaction was applied.
     #[serde(default)]
     pub failed: Vec<String>,
 }
 
-/// A key with its value.
+/// A key with its value and version, as a read returns it.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct Entry {
-    /// Key.
+    /// Key that was read.
     pub key: String,
-    /// Value.
+    /// Value of the key.
     pub v: Value,
-    /// Version.
+    /// Version of the key: the revision of its last change.
     #[serde(rename = "stamp")]
     pub version: u64,
 }
@@ -83,16 +84,16 @@
     pub revision: u64,
 }
 
-/// A change reported by a watch: a key was either put or deleted.
+/// A change reported by a watch: the value of a key was set, or a key was deleted.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct Event {
-    /// Key that was put.
+    /// Key whose value was set; `None` if a key was deleted.
     #[serde(default)]
     pub set: Option<String>,
-    /// Key that was deleted.
+    /// Key that was deleted; `None` if a value was set.
     #[serde(default)]
     pub remove: Option<String>,
-    /// Value that was put.
+    /// Value that was set; `None` if a key was deleted.
     #[serde(default)]
     pub v: Option<Value>,
     /// Revision of the change, which is the key's version from then on.
@@ -100,7 +101,7 @@
     pub version: u64,
 }
 
-/// Response to a watch.
+/// Response to a watch: the changes since the revision that the request names.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct Changes {
     /// Revision up to which all changes are included.
@@ -114,15 +115,15 @@
 /// Response to a [`LeaseRequest`]: the granted lease.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct Lease {
-    /// Number of the lease.
+    /// Number of the lease, by which writes and renewals refer to it.
     #[serde(rename = "hold")]
     pub lease: u64,
 }
 
-/// A request for a lease.
+/// A request to grant a lease.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct LeaseRequest {
-    /// Time to live, ms.
+    /// Time after which the lease expires unless it is renewed, ms.
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
@@ -139,13 +140,13 @@
 }
 
 impl Limits {
-    /// No limits.
+    /// Limits that allow everything.
     pub const UNLIMITED: Limits = Limits {
         txn_ops: usize::MAX,
         value_bytes: usize::MAX,
         write_rps: f64::MAX,
     };
-    /// The stricter one of each limit.
+    /// The stricter value of each limit of `self` and `other`.
     pub fn min(self, other: Limits) -> Limits {
         Limits {
             txn_ops: self.txn_ops.min(other.txn_ops),
@@ -154,8 +155,9 @@
         }
     }
 
-    /// The limits after the store has refused a transaction for its size: fewer writes if it had
-    /// more than two, else values of at most three quarters of its largest.
+    /// The limits after the store has refused a transaction for its size: fewer writes if the
+    /// transaction had more than two, else values of at most three quarters of the size of its
+    /// largest value.
     pub fn after_refusal(self, writes: usize, largest_bytes: usize) -> Limits {
         if writes <= MAX_INDIVISIBLE_WRITES {
             let smaller = self.value_bytes.min(largest_bytes * 3 / 4);
--- a/src/protocol/mod.rs
+++ b/src/protocol/mod.rs
@@ -1,4 +1,4 @@
-//! Wire types and their validation.
+//! Types of the messages that are sent between processes, and the validation of submissions.
 
 pub mod cloud;
 pub mod kv;
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -2,7 +2,7 @@
 //!
 //! A frame is a length (4 bytes, big endian), a version byte and an `rkyv` archive, which is
 //! validated before it is accessed. Most requests are hints: a frame that is lost, repeated or
-//! refused breaks nothing. The documentation of the others says that they are not.
+//! refused breaks nothing. A request that is not a hint says so in its documentation.
 //!
 //! Invariant: controllers of two versions run side by side during an upgrade, so the layout of
 //! existing types never changes. A new variant is appended to its enum, is no larger than the
@@ -13,11 +13,11 @@
 
 use rkyv::{rancor::Error, Archive, Deserialize, Serialize};
 
-/// Version byte of the frames.
+/// Version byte that every frame carries; a frame with another version is refused.
 pub const VERSION: u8 = 3;
-/// Largest frame, in bytes.
+/// Maximum length that a frame may state, in bytes: its version byte and archive.
 pub const MAX_FRAME: usize = 64 * 1024;
-/// Maximum number of cancelled jobs in a frame. Job ids are so short that this many fit.
+/// Maximum number of cancelled jobs in a frame. Job ids are short enough for this many to fit.
 pub const MAX_CANCELLED_JOBS: usize = 1500;
 
 /// A task, identified by its job and number.
@@ -25,56 +25,57 @@
 pub struct TaskRef {
     /// Job id.
     pub job: String,
-    /// Task number within the job.
+    /// Number of the task within its job.
     pub task: u32,
 }
 
 /// State of one machine as the owner of its shard broadcasts it.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct MachineStatus {
-    /// Name.
+    /// Name of the machine.
     pub name: String,
-    /// Address of its worker.
+    /// Address of the machine's worker.
     pub addr: String,
-    /// Machine type.
+    /// Name of the machine's type.
     pub machine_type: String,
-    /// Zone.
+    /// Name of the machine's zone.
     pub zone: String,
     /// True for a spot machine.
     pub spot: bool,
-    /// Time since its last heartbeat, or since the owner began to wait for one, ms.
+    /// Time since the machine's last heartbeat, or since the owner began to wait for one, ms.
     pub silent_ms: u64,
-    /// True once it has sent at least one heartbeat.
+    /// True once the machine has sent at least one heartbeat.
     pub has_sent_heartbeat: bool,
-    /// True if its heartbeats show the owner's fencing token.
+    /// True if the machine's heartbeats show the owner's fencing token.
     pub fencing_token_confirmed: bool,
-    /// Number of tasks in its queue; 255 stands for all larger numbers as well.
+    /// Number of tasks in the machine's queue; 255 stands for all larger numbers as well.
     pub queue_length: u8,
-    /// True if it gets no more tasks.
+    /// True if the machine gets no more tasks.
     pub cordoned: bool,
-    /// True if it is presumed faulty.
+    /// True if the machine is presumed faulty.
     pub quarantined: bool,
 }
 
 /// State of a shard and its standby as one controller sees it.
 #[derive(Archive, Serialize, Deserialize, serde::Serialize, Clone, PartialEq, Debug)]
 pub struct ShardStatus {
-    /// Shard; the last one is the autoscaler's.
+    /// Number of the shard; the last shard is the autoscaler's.
     pub shard: u32,
-    /// Name of the owner according to the records.
+    /// Name of the shard's owner according to the records.
     pub owner: String,
-    /// Fencing token according to the records.
+    /// Fencing token of the shard according to the records.
     #[serde(rename = "token")]
     pub fencing_token: u64,
-    /// State of the shard's failover on the controller that reports it.
+    /// Name of the state of the shard's failover on the controller that answers.
     pub state: String,
-    /// Name of the standby as that controller sees it, if there is one.
+    /// Name of the shard's standby as that controller sees it; `None` if there is none.
     pub standby: Option<String>,
-    /// Number of decisions that the standby lacks, if that controller replicates to it and it has a
-    /// snapshot.
+    /// Number of decisions that the standby lacks; `None` unless that controller replicates to the
+    /// standby and the standby has a snapshot.
     #[serde(rename = "behind")]
     pub replication_lag: Option<u64>,
-    /// Fencing token of the owner whose complete state that controller holds as its standby.
+    /// Fencing token of the owner whose complete state that controller holds as its standby; `None`
+    /// if it holds none.
     #[serde(rename = "follows")]
     pub replica_of_token: Option<u64>,
 }
@@ -90,12 +91,12 @@
         kv_reachable: bool,
         /// True if workers can reach the sender, or it can reach them.
         workers_reachable: bool,
-        /// Machines of the shards that the sender owns.
+        /// State of the machines of the shards that the sender owns.
         machines: Vec<MachineStatus>,
     },
     /// Adds tasks to the queues of the receiver's machines.
     EnqueueTasks {
-        /// Name of a machine, and the task for its queue.
+        /// Pairs of a machine's name and a task for that machine's queue.
         tasks: Vec<(String, TaskRef)>,
     },
     /// Takes a task for an idle machine from the queues of the receiver's machines.
@@ -109,17 +110,17 @@
     ReserveMachines {
         /// Job id of the gang.
         job: String,
-        /// Machines to reserve.
+        /// Names of the machines to reserve.
         machines: Vec<String>,
     },
     /// Stops further starts on machines that the autoscaler is about to delete.
     Cordon {
-        /// Machines to cordon.
+        /// Names of the machines to cordon.
         machines: Vec<String>,
     },
     /// Announces that the cloud has deleted machines.
     MachinesDeleted {
-        /// Deleted machines.
+        /// Names of the deleted machines.
         machines: Vec<String>,
     },
     /// Sends the cancelled jobs that may have tasks left; the response holds those that the
@@ -128,7 +129,7 @@
     /// This is not a hint: a cancellation is final, whichever controller sends it. Controllers of
     /// version 0.1 know neither this request nor its response and close the connection.
     CancelledJobs {
-        /// Job ids.
+        /// Ids of cancelled jobs that the sender knows.
         jobs: Vec<String>,
     },
     /// Replication from a shard's owner to its standby: an archived message of the standby package.
@@ -136,10 +137,10 @@
     Replicate {
         /// Name of the sender.
         sender: String,
-        /// The message as an archive.
+        /// The replication message as an archive.
         message: Vec<u8>,
     },
-    /// Asks for the state of all shards and their standbys; sent by an operator's tool.
+    /// Requests the state of all shards and their standbys; sent by an operator's tool.
     ShardStatuses,
 }
 
@@ -154,16 +155,16 @@
     Cordoned(Vec<String>),
     /// All cancelled jobs that the responder knows and that may have tasks left.
     CancellationAttestation {
-        /// For how long the responder's process has run, ms.
+        /// Time for which the responder's process has run, ms.
         uptime_ms: u32,
         /// Age of its cancellation watermark, ms; `u32::MAX` if it has none.
         watermark_age_ms: u32,
-        /// Job ids.
+        /// Ids of these jobs.
         jobs: Vec<String>,
     },
     /// Response of a standby to a replication message.
     ReplicationAnswer {
-        /// The response as an archive.
+        /// The standby's response as an archive.
         answer: Vec<u8>,
     },
     /// State of all shards and their standbys.
@@ -173,7 +174,7 @@
     },
 }
 
-/// Encodes the body of a frame.
+/// Encodes the body of a frame as an archive; `None` if that fails.
 pub fn encode<T>(value: &T) -> Option<Vec<u8>>
 where
     T: for<'a> Serialize<
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How a job's tasks run.
+/// How a job's tasks run in relation to each other.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
 pub enum JobKind {
     /// Tasks that run independently of each other.
@@ -20,19 +20,19 @@
     Service,
 }
 
-/// Priority of a job; the smallest one is served first.
+/// Priority of a job, ordered from the highest, which is served first, to the lowest.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Priority {
-    /// Production.
+    /// Priority of production jobs, the highest.
     #[serde(rename = "prod")]
     Production,
-    /// High.
+    /// High priority, below production.
     #[serde(rename = "urgent")]
     High,
-    /// Normal.
+    /// Normal priority.
     #[serde(rename = "normal")]
     Normal,
-    /// Low.
+    /// Low priority, the lowest.
     #[serde(rename = "idle")]
     Low,
 }
@@ -40,7 +40,7 @@
 /// A job as its user describes it.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct JobSpec {
-    /// Job id.
+    /// Job id, chosen by the user; see [`valid_id`].
     #[serde(rename = "uid")]
     pub id: String,
     /// Class of similar jobs, by which objectives are set and demand is forecast.
@@ -49,22 +49,22 @@
     /// Team whose quota the job uses.
     #[serde(rename = "crew")]
     pub team: String,
-    /// How its tasks run.
+    /// How the job's tasks run in relation to each other.
     #[serde(rename = "shape")]
     pub kind: JobKind,
-    /// Priority.
+    /// Priority of the job itself, without what it inherits from its dependents.
     #[serde(rename = "rank")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of tasks of the job.
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// CPUs that a task requests.
+    /// Number of CPUs that a task requests, which may be a fraction.
     pub vcpus: f64,
-    /// GPUs that a task requests.
+    /// Number of GPUs that a task requests, which may be a fraction.
     pub gpus: f64,
     /// Memory that a task requests, GB.
     pub mem_gb: f64,
-    /// Image that its tasks run.
+    /// Name of the container image that the tasks run.
     #[serde(rename = "kit")]
     pub image: String,
     /// Size of the image, GB.
@@ -88,7 +88,7 @@
     /// Estimate of a task's run time, s.
     #[serde(rename = "guess_s")]
     pub estimated_run_s: f64,
-    /// Progress of a task between checkpoints, s; 0: the tasks write no checkpoints.
+    /// Run time between two checkpoints of a task, s; 0: the tasks write no checkpoints.
     #[serde(rename = "snapshot_s")]
     pub checkpoint_s: f64,
     /// Time that a task has for a last checkpoint when it is stopped, s.
@@ -97,7 +97,7 @@
     /// Deadline, s after the submission; `None`: no deadline.
     #[serde(rename = "due_s", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Dependencies: jobs that have to be done before any task of this one starts.
+    /// Ids of the job's dependencies: jobs that have to be done before any of its tasks starts.
     #[serde(
         rename = "awaits",
         default,
@@ -260,7 +260,7 @@
     /// Number of tasks done; absent if nothing is known but that the job was accepted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Number of tasks running; absent in the same case.
+    /// Number of tasks running; absent if nothing is known but that the job was accepted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -1,13 +1,13 @@
 //! Messages between controllers and workers: heartbeats, their responses, and direct commands.
 //!
 //! Wire names occur in `serde(rename)` attributes and nowhere else. A worker has one agent, which
-//! sends heartbeats and executes the commands in the responses. It holds a lease that each response
-//! renews; when the lease expires, the agent ends its tasks and begins a new epoch.
+//! sends heartbeats and executes the commands in the responses. The worker holds a lease that each
+//! response renews; when the lease expires, the agent ends its tasks and begins a new epoch.
 
 use serde::{Deserialize, Serialize};
 pub use standby::ids::FencingToken;
 
-/// Incarnation of a worker's agent: it rises each time the worker's lease expires.
+/// Incarnation of a worker's agent: a number that rises each time the worker's lease expires.
 #[derive(
     Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default,
 )]
@@ -24,19 +24,19 @@
 /// State of a task on a machine.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TaskState {
-    /// Its image is being pulled.
+    /// The task's image is being pulled.
     #[serde(rename = "pulling")]
     PullingImage,
-    /// It waits for the other members of its gang.
+    /// The task waits for the other members of its gang.
     #[serde(rename = "gathering")]
     AwaitingGang,
-    /// It runs.
+    /// The task runs.
     #[serde(rename = "running")]
     Running,
-    /// It has been told to stop and writes a checkpoint.
+    /// The task has been told to stop and writes a checkpoint.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// It has ended. The worker reports it until the exit is acknowledged.
+    /// The task has ended. The worker reports the task until its exit is acknowledged.
     #[serde(rename = "exited")]
     Exited,
 }
@@ -44,28 +44,28 @@
 /// Why a task ended.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ExitReason {
-    /// It completed.
+    /// The task completed.
     #[serde(rename = "done")]
     Done,
-    /// It was stopped by a command.
+    /// The task was stopped by a command.
     #[serde(rename = "halted")]
     Stopped,
-    /// Another member of its gang was lost.
+    /// Another member of the task's gang was lost.
     #[serde(rename = "mates_gone")]
     GangMemberLost,
-    /// Its gang was not complete in time.
+    /// The task's gang was not complete in time.
     #[serde(rename = "alone")]
     GangTimeout,
-    /// It failed.
+    /// The task failed.
     #[serde(rename = "error")]
     Error,
-    /// Refused by the worker: the machine has not enough free resources.
+    /// The worker refused to start the task: the machine has too few free resources.
     #[serde(rename = "full")]
     InsufficientResources,
-    /// Refused by the worker: another attempt of the task is on the machine.
+    /// The worker refused to start the task: another attempt at it is on the machine.
     #[serde(rename = "busy")]
     OtherAttemptPresent,
-    /// Refused by the worker: it knows no such task.
+    /// The worker refused the command: it knows no such task.
     #[serde(rename = "unknown")]
     UnknownTask,
     /// A reason that this version does not know.
@@ -73,10 +73,10 @@
     Other,
 }
 
-/// A task in a heartbeat.
+/// State of one attempt at a task, as a worker's heartbeat reports it.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct TaskStatus {
-    /// Job and task number, such as `job-1/3`; see [`parse_task_name`].
+    /// Name of the task: job id and task number, such as `job-1/3`; see [`parse_task_name`].
     #[serde(rename = "piece")]
     pub task: String,
     /// Number of the attempt.
@@ -85,10 +85,10 @@
     /// State of the attempt.
     #[serde(rename = "status")]
     pub state: TaskState,
-    /// Why the attempt ended, once it has.
+    /// Why the attempt ended; `None` until it has ended.
     #[serde(rename = "cause", default, skip_serializing_if = "Option::is_none")]
     pub exit_reason: Option<ExitReason>,
-    /// True if a checkpoint of its progress was written.
+    /// True if a checkpoint of the task's progress was written; may be absent.
     #[serde(rename = "stored", default, skip_serializing_if = "Option::is_none")]
     pub checkpointed: Option<bool>,
 }
@@ -102,25 +102,25 @@
     /// Address to which direct commands are sent.
     #[serde(rename = "endpoint", default)]
     pub addr: String,
-    /// Machine type.
+    /// Name of the machine's type.
     #[serde(rename = "rig")]
     pub machine_type: String,
-    /// Zone.
+    /// Name of the machine's zone.
     #[serde(rename = "yard")]
     pub zone: String,
-    /// True for a spot machine.
+    /// True for a spot machine, which the cloud may preempt.
     #[serde(rename = "loaners")]
     pub spot: bool,
     /// Epoch of the worker's agent.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
-    /// Sequence number of the message within the epoch.
+    /// Sequence number of the message within the agent's epoch.
     #[serde(rename = "tally")]
     pub sequence: u64,
     /// Highest fencing token that the worker has seen; it refuses commands with a lower one.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Seconds until the cloud preempts the machine, if it has announced that.
+    /// Time until the cloud preempts the machine, s; `None` if it has not announced to do so.
     #[serde(rename = "warning_s", default)]
     pub preemption_notice_s: Option<f64>,
     /// All tasks on the machine, also those that have exited.
@@ -170,7 +170,7 @@
         /// Number of the attempt.
         #[serde(rename = "try")]
         attempt: u64,
-        /// Seconds that the task has to write a checkpoint.
+        /// Time that the task has to write a last checkpoint, s.
         #[serde(rename = "wind_down_s")]
         grace_s: f64,
     },
