--- a/crates/standby/src/failover.rs
+++ b/crates/standby/src/failover.rs
@@ -49,16 +49,17 @@
     pub known_revision: Revision,
 }
 
-/// Source and reason of the refusal of a fencing token.
+/// A refusal of this controller's fencing token: who refused the token, and why.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Refusal {
-    /// The key-value store holds another version of the shard's record than the one that a
-    /// transaction was conditional on.
+    /// The key-value store refused a transaction, because the shard's record has another version
+    /// than the transaction was conditional on.
     KeyValueStore {
         /// Fencing token of the permit under which the transaction was prepared.
         fencing_token: FencingToken,
     },
-    /// A worker has seen a higher fencing token than this controller's.
+    /// A worker refused a message, because it has seen a higher fencing token than this
+    /// controller's.
     Worker {
         /// Fencing token that the worker has seen.
         seen: FencingToken,
@@ -141,11 +142,11 @@
 }
 
 impl Failovers {
-    /// Failovers of a controller that owns no shard.
+    /// The failovers of `shards` shards on a controller that owns none of them yet.
     pub fn new(shards: usize) -> Failovers {
         Failovers {
             by_shard: (0..shards)
-                .map(|at| Failover::new(ShardId(at as u32)))
+                .map(|index| Failover::new(ShardId(index as u32)))
                 .collect(),
             permits: Permits::none(shards),
         }
@@ -177,7 +178,7 @@
         if let Owner::OtherController { last_contact, .. } = observation.owner {
             failover.last_contact = last_contact;
         }
-        // Transitions follow until the state agrees with the observation. No observation enters a
+        // Transitions are made until the state agrees with the observation. No observation enters a
         // state twice, so the number of states bounds the number of transitions.
         while let Some(next) = failover.next_state(observation) {
             transitions.push(failover.enter(next, now));
@@ -194,6 +195,7 @@
     }
 
     /// Records that the transaction that raises a shard's fencing token is about to be sent.
+    /// Returns `None` if that changes no state: the controller is active or fencing already.
     pub fn fence_sent(&mut self, shard: ShardId, now: Millis) -> Option<Transition> {
         let failover = self.by_shard.get_mut(shard.0 as usize)?;
         let may_fence = !matches!(
@@ -204,7 +206,8 @@
     }
 
     /// Records that the transaction that raises a shard's fencing token was refused or lost to a
-    /// conflicting one. The next observation determines the state. A missing answer is no refusal.
+    /// conflicting one. The next observation determines the state. Must not be called for a
+    /// transaction that was not answered, which may still be applied.
     pub fn fence_refused(&mut self, shard: ShardId, now: Millis) -> Option<Transition> {
         let failover = self.by_shard.get_mut(shard.0 as usize)?;
         let fencing = failover.state == FailoverState::Fencing;
@@ -212,7 +215,8 @@
     }
 
     /// Withdraws a shard's permit because a fencing token of this controller was refused, even if
-    /// the records read so far still name this controller as the owner.
+    /// the records read so far still name this controller as the owner. `None` if the refusal does
+    /// not count, so that no state changes.
     ///
     /// `known_revision` is the revision up to which the records have been read.
     pub fn token_refused(
@@ -295,9 +299,9 @@
     /// controller, and a worker's refusal shows a higher token than any worker before.
     fn is_refusal_credible(&mut self, own_token: FencingToken, refusal: Refusal) -> bool {
         match refusal {
-            // The answer may arrive after this controller has raised its token. The current token
-            // was not refused then, and there might never be a newer record that would end the
-            // wait for one.
+            // The refusal may arrive after this controller has raised its own token. The current
+            // token was not refused then. If this controller stepped down nevertheless, it would
+            // wait for a newer record, which might never be written.
             Refusal::KeyValueStore { fencing_token } => fencing_token == own_token,
             // A worker that keeps reporting a token that no record holds is faulty, and must not
             // stop its whole shard repeatedly.
@@ -367,8 +371,8 @@
             }
             (_, false, _) => FailoverState::Idle,
             (_, true, true) => FailoverState::Following,
-            // While the outcome of the transaction is unknown, the state stays until the records
-            // show it.
+            // The state stays until the records show the outcome of the transaction that raises the
+            // fencing token.
             (FailoverState::Fencing, true, false) => FailoverState::Fencing,
             (_, true, false) => FailoverState::Suspecting,
         }
--- a/crates/standby/src/failover_bound.rs
+++ b/crates/standby/src/failover_bound.rs
@@ -18,8 +18,9 @@
     pub catch_up_ms: u64,
     /// Time until a worker sends the first heartbeat with the new fencing token, ms.
     pub first_heartbeat_ms: u64,
-    /// Time until that heartbeat if the lost owner hangs instead of refusing connections, ms: the
-    /// heartbeat that was sent to the lost owner has to time out first.
+    /// Time until a worker sends the first heartbeat with the new fencing token if the lost owner
+    /// hangs instead of refusing connections, ms: the heartbeat that the worker sent to the lost
+    /// owner has to time out first.
     pub first_heartbeat_after_hang_ms: u64,
 }
 
--- a/crates/standby/src/follower.rs
+++ b/crates/standby/src/follower.rs
@@ -1,4 +1,5 @@
-//! The standby's end of the stream, which detects lost, duplicated, reordered and stale messages.
+//! The standby's end of the stream from a shard's owner. It detects lost, duplicated, reordered and
+//! stale messages.
 
 use crate::ids::{FencingToken, Revision};
 use crate::message::{Decision, FollowerResponse, MachineState, Message};
@@ -11,7 +12,7 @@
     pub duplicates: u64,
     /// Number of messages that could not be applied because an earlier one was missing.
     pub gaps: u64,
-    /// Number of messages from an owner with an older fencing token.
+    /// Number of messages whose sender is no longer the owner: its fencing token is too low.
     pub stale: u64,
 }
 
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Discards the former owner's state and follows the owner with `fencing_token`, which sends
-    /// its own.
+    /// Discards the former owner's state and follows the owner with `fencing_token`, which sends a
+    /// snapshot of its own state.
     fn follow_new_owner(&mut self, fencing_token: FencingToken) {
         *self = Follower {
             fencing_token,
@@ -163,8 +164,8 @@
         FollowerResponse::NextPart(wanted)
     }
 
-    /// The snapshot that a received part continues, a new one for part 0; `None` if earlier parts
-    /// are missing.
+    /// The snapshot that a received part belongs to: a new one for part 0, else the snapshot that
+    /// is being received. `None` if earlier parts are missing.
     fn snapshot_continued_by(&mut self, received: &SnapshotPart) -> Option<IncompleteSnapshot> {
         if received.part == 0 {
             self.replica = None;
--- a/crates/standby/src/ids.rs
+++ b/crates/standby/src/ids.rs
@@ -1,5 +1,5 @@
 //! Types of identifiers and times that the other modules share. Each is a type of its own, so that
-//! the compiler refuses one in place of another; only the messages carry plain numbers.
+//! the compiler refuses one in place of another; only the messages hold plain numbers.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
 pub struct ShardId(pub u32);
 
-/// Fencing token of a shard, incremented by every change of owner.
+/// Fencing token of a shard, incremented each time that a controller acquires the shard.
 #[derive(
     Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default,
 )]
@@ -20,7 +20,8 @@
         FencingToken(self.0 + 1)
     }
 
-    /// True if the shard has had an owner. The first owner's fencing token is 1.
+    /// True for the fencing token of an owner, which is 1 or higher; 0 means that the shard has not
+    /// had an owner yet.
     pub fn is_issued(self) -> bool {
         self.0 > 0
     }
@@ -32,7 +33,7 @@
     }
 }
 
-/// Revision of the key-value store.
+/// Revision of the key-value store, which rises with every committed transaction.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug, Default)]
 pub struct Revision(pub u64);
 
--- a/crates/standby/src/lib.rs
+++ b/crates/standby/src/lib.rs
@@ -1,6 +1,6 @@
 //! Warm standby: failover of a shard to a standby controller.
 //!
-//! The crate is pure: it does no I/O, reads no clock and knows nothing of jobs. The controller
+//! The crate does no I/O, reads no clock and knows nothing of jobs. The controller
 //! passes in its observations with their times, and acts on the results
 //! (`src/coordination/{failover,replication}`).
 //!
--- a/crates/standby/src/message.rs
+++ b/crates/standby/src/message.rs
@@ -15,7 +15,7 @@
 /// Maximum size of an archive; larger ones are refused unread.
 pub const MAX_MESSAGE_BYTES: usize = 60 * 1024;
 
-/// A task that waits in a machine's queue.
+/// A task, identified by its job and number; usually one that waits in a machine's queue.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Eq, Debug)]
 pub struct QueuedTask {
     /// Id of the task's job.
@@ -29,13 +29,13 @@
 /// The machine's heartbeats are not included: under the next fencing token they prove nothing.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Eq, Debug, Default)]
 pub struct MachineState {
-    /// Tasks in the machine's queue, in order.
+    /// Tasks in the machine's queue, next first.
     pub queue: Vec<QueuedTask>,
-    /// Id of the gang that the machine is reserved for.
+    /// Job id of the gang that the machine is reserved for; `None` if it is not reserved.
     pub reserved_for: Option<String>,
 }
 
-/// A decision of an owner.
+/// A decision of a shard's owner, as it is replicated to the standby.
 #[derive(Archive, Serialize, Deserialize, Clone, PartialEq, Eq, Debug)]
 pub enum Decision {
     /// A machine's queue or reservation has changed, or the machine is new.
@@ -45,25 +45,25 @@
         /// New state of the machine.
         state: MachineState,
     },
-    /// A machine is no longer part of the shard.
+    /// A machine has been removed from the shard.
     MachineRemoved {
         /// Name of the machine.
         name: String,
     },
     /// A task was claimed for a machine.
     TaskClaimed {
-        /// Claimed task.
+        /// The task that was claimed.
         task: QueuedTask,
         /// Number of the attempt at the task.
         attempt: u64,
-        /// Name of the machine.
+        /// Name of the machine that the task was claimed for.
         machine: String,
         /// Revision of the key-value store at which the claim was committed.
         revision: u64,
     },
-    /// An attempt at a task was found to have ended.
+    /// The owner recorded that an attempt at a task has ended.
     AttemptEnded {
-        /// Task of the attempt.
+        /// Task that was attempted.
         task: QueuedTask,
         /// Number of the attempt at the task.
         attempt: u64,
@@ -96,11 +96,11 @@
         next_sequence: u64,
         /// Highest revision at which a decision in the snapshot was committed.
         last_decided_revision: u64,
-        /// Number of this part, from 0.
+        /// Number of this part within the snapshot, counted from 0.
         part: u32,
         /// Whether this is the last part of the snapshot.
         is_last: bool,
-        /// Names and states of machines, sorted by name across all parts.
+        /// Names and states of the machines in this part, sorted by name across all parts.
         machines: Vec<(String, MachineState)>,
     },
 }
@@ -121,7 +121,7 @@
 /// The stream that a message belongs to.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct StreamOrigin {
-    /// Replicated shard.
+    /// Shard whose state is replicated.
     pub shard: ShardId,
     /// Fencing token of the owner that sends the stream.
     pub fencing_token: FencingToken,
--- a/crates/standby/src/permit.rs
+++ b/crates/standby/src/permit.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The controller's permit for a shard; `None` if it holds none.
+    /// The controller's permit for a shard; `None` if the controller holds none.
     pub fn get(&self, shard: ShardId) -> Option<&Permit> {
         self.by_shard.get(shard.0 as usize)?.as_ref()
     }
--- a/crates/standby/src/publisher.rs
+++ b/crates/standby/src/publisher.rs
@@ -31,7 +31,7 @@
 /// How much of the state the standby has acknowledged.
 #[derive(Clone, Debug)]
 enum Progress {
-    /// The standby has nothing of use and needs a snapshot.
+    /// The standby can't continue from the log tail and needs a snapshot.
     NeedsSnapshot,
     /// The standby is receiving the parts of a snapshot.
     ReceivingSnapshot(SnapshotTransfer),
@@ -102,7 +102,8 @@
         &self.state
     }
 
-    /// True if the standby has answered with a higher fencing token.
+    /// True if the standby has answered with a higher fencing token, so that this owner has been
+    /// replaced.
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
@@ -186,13 +187,14 @@
         })
     }
 
-    /// Records that the message in flight was not answered. It is sent again; the standby detects
-    /// the duplicate.
+    /// Records that the message in flight was not answered. Its contents are sent again; the
+    /// standby detects duplicates.
     pub fn response_lost(&mut self) {
         self.awaiting_response = false;
     }
 
-    /// Applies the standby's response to the message in flight; without one, ignores the response.
+    /// Applies the standby's response to the message in flight. The response is ignored if no
+    /// message is in flight.
     pub fn receive_response(&mut self, response: FollowerResponse) {
         if !std::mem::take(&mut self.awaiting_response) {
             return;
@@ -218,8 +220,8 @@
                 possible.contains(&wanted)
             }
             (FollowerResponse::NextSequence(wanted), Progress::ReceivingSnapshot(snapshot)) => {
-                // The standby may already have had later decisions than the snapshot holds, from
-                // before the owner began the snapshot.
+                // The snapshot is complete, or the standby already had all decisions in it, from
+                // messages that were sent before the owner began the snapshot.
                 let possible = snapshot.next_sequence..=end;
                 self.progress = Progress::Following {
                     next_sequence: wanted,
@@ -234,7 +236,8 @@
         }
     }
 
-    /// Starts over with a snapshot, for another standby or for one that has to start again.
+    /// Makes the next message start a new snapshot, for another standby or for one that has lost
+    /// its state.
     pub fn restart_with_snapshot(&mut self) {
         self.progress = Progress::NeedsSnapshot;
         self.awaiting_response = false;
@@ -294,7 +297,7 @@
     }
 }
 
-/// Estimated size of an entry without its strings, bytes.
+/// Estimated size of a machine or decision in a message without its strings, bytes.
 const ENTRY_BYTES: usize = 64;
 /// Estimated size of a queued task without its job's id, bytes.
 const QUEUED_TASK_BYTES: usize = ENTRY_BYTES / 4;
--- a/crates/standby/src/replica_state.rs
+++ b/crates/standby/src/replica_state.rs
@@ -1,4 +1,5 @@
-//! The state of a shard that is not stored in the key-value store, as owner and standby keep it.
+//! The part of a shard's state that is not stored in the key-value store. The shard's owner and its
+//! standby each keep it in memory.
 
 use crate::ids::Revision;
 use crate::message::{Decision, MachineState};
@@ -6,13 +7,13 @@
 use std::ops::Bound;
 
 /// Maximum number of machines that a standby keeps for a shard, so that a faulty owner can't
-/// exhaust its memory.
+/// exhaust the standby's memory.
 pub const MAX_MACHINES: usize = 20_000;
 
 /// State of a shard's machines, and the revision of its last committed decision.
 ///
-/// The map is a persistent data structure: a copy shares its nodes and takes the same time at any
-/// size, so that starting a snapshot does not delay the owner.
+/// The map of machines is a persistent data structure: a copy shares the nodes of the original and
+/// takes constant time, so that starting a snapshot does not delay the owner.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicaState {
     machines: RedBlackTreeMap<String, MachineState>,
--- a/crates/standby/src/role.rs
+++ b/crates/standby/src/role.rs
@@ -10,7 +10,7 @@
 pub struct Candidate<'a> {
     /// Name of the controller.
     pub name: &'a str,
-    /// Number of the controller's zone; `None` if no shard belongs to its zone.
+    /// Number of the controller's zone; `None` if that zone has no shards.
     pub zone: Option<u32>,
     /// Whether the controller has been alive for long enough to be given a role.
     pub eligible: bool,
@@ -65,7 +65,8 @@
         .map(|candidate| candidate.name)
 }
 
-/// Chooses the standby of a shard among the candidates other than its owner, like [`choose`].
+/// Chooses the standby of a shard from the candidates other than the shard's owner, by the rules of
+/// [`choose`]; `None` if there are no other candidates.
 pub fn standby_of<'a>(
     owner: &str,
     candidates: &[Candidate<'a>],
