--- a/crates/testkit/src/history.rs
+++ b/crates/testkit/src/history.rs
@@ -4,7 +4,7 @@
 use pointhook::protocol::kv::{Condition, Transaction, Write};
 use pointhook::protocol::workers::FencingToken;
 use pointhook::state::job::{JobRecord, StoredPlacement};
-use pointhook::state::records::{ShardRecord, ROOT};
+use pointhook::state::records::{ShardRecord, KEY_PREFIX};
 use rmpv::Value;
 use serde::de::DeserializeOwned;
 use std::collections::{HashMap, HashSet};
@@ -146,7 +146,7 @@
             let Write::Set { set: key, v, .. } = write else {
                 continue;
             };
-            let record_key = key.strip_prefix(ROOT).and_then(|k| k.split_once('/'));
+            let record_key = key.strip_prefix(KEY_PREFIX).and_then(|k| k.split_once('/'));
             match record_key {
                 Some(("job", job)) => {
                     changes_jobs = true;
@@ -221,7 +221,10 @@
 
 /// Number of the shard whose record is stored under a key; `None` for keys of other records.
 fn shard_of_key(key: &str) -> Option<u32> {
-    key.strip_prefix(ROOT)?.strip_prefix("shard/")?.parse().ok()
+    key.strip_prefix(KEY_PREFIX)?
+        .strip_prefix("shard/")?
+        .parse()
+        .ok()
 }
 
 fn decode<T: DeserializeOwned>(value: &Value) -> Option<T> {
--- a/crates/testkit/tests/checker.rs
+++ b/crates/testkit/tests/checker.rs
@@ -5,7 +5,7 @@
 use pointhook::protocol::kv::{Condition, Transaction};
 use pointhook::protocol::workers::FencingToken;
 use pointhook::state::job::{JobRecord, StoredPlacement};
-use pointhook::state::records::{ShardRecord, ROOT};
+use pointhook::state::records::{ShardRecord, KEY_PREFIX};
 use pointhook::state::units::Incarnation;
 use testkit::checker::{check, ViolationKind};
 use testkit::history::{Entry, Event, Recorder};
@@ -168,7 +168,7 @@
 }
 
 fn shard_key() -> String {
-    format!("{ROOT}shard/0")
+    format!("{KEY_PREFIX}shard/0")
 }
 
 fn transaction_setting<T: serde::Serialize>(key: String, value: &T) -> Transaction {
@@ -197,7 +197,7 @@
             next_attempt: attempt + 1,
             finished_at: 0,
         };
-        transaction_setting(format!("{ROOT}job/job-1"), &record)
+        transaction_setting(format!("{KEY_PREFIX}job/job-1"), &record)
     };
     for (attempt, version, fenced) in [(1, Some(5), true), (2, Some(4), false), (3, None, false)] {
         let mut claim = claim_of(attempt);
--- a/src/coordination/autoscaler/mod.rs
+++ b/src/coordination/autoscaler/mod.rs
@@ -29,7 +29,7 @@
 use crate::coordination::kv::transactions::set;
 use crate::protocol::cloud::MachineTypeCatalog;
 use crate::protocol::kv::{Condition, Transaction};
-use crate::state::cluster_state::ROOT;
+use crate::state::cluster_state::KEY_PREFIX;
 use crate::state::units::millis_from_seconds;
 use http_types::Method;
 use standby::ids::FencingToken;
@@ -160,7 +160,7 @@
 
 /// Stores the machine types. If another controller has stored them first, reads those instead.
 async fn store_machine_types(controller: &Controller, catalog: &MachineTypeCatalog) {
-    let key = format!("{ROOT}flavors/all");
+    let key = format!("{KEY_PREFIX}flavors/all");
     let txn = Transaction {
         conditions: vec![Condition {
             key: key.clone(),
--- a/src/coordination/autoscaler/provisioning.rs
+++ b/src/coordination/autoscaler/provisioning.rs
@@ -18,7 +18,7 @@
 use crate::coordination::kv::transactions::set;
 use crate::protocol::cloud::{MachineNames, ProvisioningRequest};
 use crate::protocol::kv::{Condition, Transaction, Write};
-use crate::state::cluster_state::{ClusterState, ProvisioningRecord, ROOT};
+use crate::state::cluster_state::{ClusterState, ProvisioningRecord, KEY_PREFIX};
 use crate::state::names::Index;
 use crate::state::units::MonotonicMillis;
 use http_types::Method;
@@ -285,7 +285,7 @@
 fn updates_transaction(cluster: &ClusterState, updates: &[NamedUpdate]) -> Transaction {
     let shard = cluster.autoscaler_shard();
     let write = |named: &NamedUpdate| {
-        let key = format!("{ROOT}book/{}", named.request_id);
+        let key = format!("{KEY_PREFIX}book/{}", named.request_id);
         match &named.update {
             RecordUpdate::Put(record) => set(key, record, None),
             RecordUpdate::Remove => Some(Write::Remove { remove: key }),
--- a/src/coordination/kv/watch.rs
+++ b/src/coordination/kv/watch.rs
@@ -6,7 +6,7 @@
 
 use crate::coordination::controller::Controller;
 use crate::protocol::kv::{Changes, CommitResponse, Event, Page};
-use crate::state::cluster_state::ROOT;
+use crate::state::cluster_state::KEY_PREFIX;
 use crate::state::units::MonotonicMillis;
 use crate::transport::http::{jittered, ClientResponse};
 use crate::transport::{pause, TransportError};
@@ -85,7 +85,7 @@
     from: u64,
     wait_ms: u64,
 ) -> Result<ClientResponse, TransportError> {
-    let path = format!("/watch?prefix={ROOT}&from={from}&wait_ms={wait_ms}");
+    let path = format!("/watch?prefix={KEY_PREFIX}&from={from}&wait_ms={wait_ms}");
     if wait_ms == 0 {
         controller.kv.call(Method::Get, &path, Vec::new()).await
     } else {
@@ -123,14 +123,14 @@
 /// True for a change of a controller's or shard's record.
 fn affects_membership(event: &Event) -> bool {
     let key = event.set.as_ref().or(event.remove.as_ref());
-    let kind = key.and_then(|key| key.strip_prefix(ROOT)?.split_once('/'));
+    let kind = key.and_then(|key| key.strip_prefix(KEY_PREFIX)?.split_once('/'));
     matches!(kind, Some(("node" | "shard", _)))
 }
 
 /// Number of changes that the cached state lacks; `None` if the store does not answer.
 async fn missed_changes(controller: &Controller) -> Option<u64> {
     // This key never exists, so the response has only the store's current revision.
-    let path = format!("/keys/{ROOT}none");
+    let path = format!("/keys/{KEY_PREFIX}none");
     let answer = controller.kv.call(Method::Get, &path, Vec::new()).await;
     let newest = rmp_serde::from_slice::<CommitResponse>(&answer.ok()?.body).ok()?;
     let revision = controller.cluster.borrow().revision;
@@ -177,7 +177,7 @@
 /// Reads one page of records in key order, after the key `after`; `None` if the read fails.
 async fn read_page(controller: &Controller, after: Option<&str>) -> Option<Page> {
     let from = after.map_or(String::new(), |key| format!("&from={key}"));
-    let path = format!("/keys?prefix={ROOT}&most={RECORDS_PER_PAGE}{from}");
+    let path = format!("/keys?prefix={KEY_PREFIX}&most={RECORDS_PER_PAGE}{from}");
     let answer = controller.kv.call(Method::Get, &path, Vec::new()).await;
     rmp_serde::from_slice(&answer.ok()?.body).ok()
 }
--- a/src/coordination/membership/record_format.rs
+++ b/src/coordination/membership/record_format.rs
@@ -6,7 +6,7 @@
 use crate::coordination::kv::fresh_reads::REFRESH_MS;
 use crate::coordination::kv::transactions::set;
 use crate::protocol::kv::{Condition, Transaction};
-use crate::state::cluster_state::{ClusterState, ROOT};
+use crate::state::cluster_state::{ClusterState, KEY_PREFIX};
 use crate::state::records::RECORD_FORMAT_V2;
 
 /// The transaction that switches to the second record format, conditional on the records of all
@@ -20,7 +20,7 @@
     if cluster.record_format_v2 || !cluster.loaded {
         return None;
     }
-    let format_key = format!("{ROOT}form/{RECORD_FORMAT_V2}");
+    let format_key = format!("{KEY_PREFIX}form/{RECORD_FORMAT_V2}");
     let mut conditions = vec![Condition {
         key: format_key.clone(),
         version: 0,
--- a/src/coordination/membership/transfer.rs
+++ b/src/coordination/membership/transfer.rs
@@ -7,7 +7,7 @@
 use crate::coordination::kv::fresh_reads::REFRESH_MS;
 use crate::coordination::kv::transactions::set;
 use crate::protocol::kv::{Condition, Transaction};
-use crate::state::cluster_state::{ClusterState, ShardRecord, ROOT};
+use crate::state::cluster_state::{ClusterState, ShardRecord, KEY_PREFIX};
 use crate::state::names::{Index, ShardIndex};
 use standby::failover::Failovers;
 
@@ -22,7 +22,7 @@
 
 /// Key of a controller's record in the key-value store.
 pub(super) fn controller_key(name: &str) -> String {
-    format!("{ROOT}node/{name}")
+    format!("{KEY_PREFIX}node/{name}")
 }
 
 /// The condition that a controller's record is unchanged, or still missing if the view has none.
--- a/src/state/cluster_state.rs
+++ b/src/state/cluster_state.rs
@@ -11,7 +11,7 @@
 };
 pub use super::records::{
     ControllerRecord, OverflowRecord, ProvisioningRecord, ShardRecord, TeamLimits, TeamRecord,
-    Versioned, ROOT,
+    Versioned, KEY_PREFIX,
 };
 use super::resource_totals::ResourceTotals;
 use super::units::MonotonicMillis;
@@ -178,12 +178,12 @@
 
     /// Key of a shard's ownership record: `ph/shard/<index>`.
     pub fn shard_key(&self, shard: ShardIndex) -> String {
-        format!("{ROOT}shard/{}", shard.0)
+        format!("{KEY_PREFIX}shard/{}", shard.0)
     }
 
     /// Key of the record of a team's quota shares: `ph/team/<team>`.
     pub fn team_key(&self, team: TeamIndex) -> String {
-        format!("{ROOT}team/{}", self.team_names.name(team))
+        format!("{KEY_PREFIX}team/{}", self.team_names.name(team))
     }
 
     /// Name of a shard's owner; `None` if the incarnation that acquired the shard is not alive.
--- a/src/state/record_formats.rs
+++ b/src/state/record_formats.rs
@@ -4,7 +4,7 @@
 use super::cluster_state::ClusterState;
 use super::job::{Job, JobRecord, Placement, StoredPlacement};
 use super::names::{Index, JobIndex};
-use super::records::ROOT;
+use super::records::KEY_PREFIX;
 use crate::protocol::users::JobSpec;
 
 /// Size in bytes of a job's description in its record, as the key-value store counts it.
@@ -17,12 +17,12 @@
 impl ClusterState {
     /// Key of a job's record: `ph/job/<id>`.
     pub fn job_key(id: &str) -> String {
-        format!("{ROOT}job/{id}")
+        format!("{KEY_PREFIX}job/{id}")
     }
 
     /// Key of one of a job's overflow records: `ph/more/<id>.<overflow index>`.
     pub fn overflow_key(id: &str, overflow_index: u16) -> String {
-        format!("{ROOT}more/{id}.{overflow_index}")
+        format!("{KEY_PREFIX}more/{id}.{overflow_index}")
     }
 
     /// A job's record as it is stored, without the placements in overflow records.
--- a/src/state/record_ingestion.rs
+++ b/src/state/record_ingestion.rs
@@ -3,7 +3,7 @@
 
 use super::cluster_state::{
     ClusterState, ControllerRecord, OverflowRecord, ProvisioningRecord, ShardRecord, TeamRecord,
-    Versioned, ROOT,
+    Versioned, KEY_PREFIX,
 };
 use super::job::JobRecord;
 use super::names::{Index, JobIndex, TeamIndex};
@@ -15,7 +15,7 @@
 
 /// Splits the key of a record into its kind and its name.
 fn kind_and_name(key: &str) -> Option<(&str, &str)> {
-    key.strip_prefix(ROOT)?.split_once('/')
+    key.strip_prefix(KEY_PREFIX)?.split_once('/')
 }
 
 /// Splits the name of an overflow record into job id and overflow index.
@@ -177,9 +177,9 @@
         let exists =
             |key: String, version: u64| version > revision || deletable_keys.contains(&key);
         self.controllers
-            .retain(|name, known| exists(format!("{ROOT}node/{name}"), known.version));
+            .retain(|name, known| exists(format!("{KEY_PREFIX}node/{name}"), known.version));
         self.provisioning_requests
-            .retain(|name, known| exists(format!("{ROOT}book/{name}"), known.version));
+            .retain(|name, known| exists(format!("{KEY_PREFIX}book/{name}"), known.version));
         let deleted: Vec<(JobIndex, u16)> = self
             .overflow_versions
             .iter()
--- a/src/state/records.rs
+++ b/src/state/records.rs
@@ -6,7 +6,7 @@
 use standby::ids::FencingToken;
 
 /// Prefix of all keys in the key-value store.
-pub const ROOT: &str = "ph/";
+pub const KEY_PREFIX: &str = "ph/";
 
 /// A controller's incarnation, at the key `ph/node/<controller>`.
 ///
--- a/tests/autoscaling.rs
+++ b/tests/autoscaling.rs
@@ -11,7 +11,7 @@
 use pointhook::protocol::cloud::{ListedMachine, MachineListPage};
 use pointhook::protocol::kv::Transaction;
 use pointhook::protocol::users::JobKind;
-use pointhook::state::cluster_state::{ProvisioningRecord, ROOT};
+use pointhook::state::cluster_state::{ProvisioningRecord, KEY_PREFIX};
 use pointhook::state::names::{Index, MachineTypeIndex, ZoneIndex};
 use pointhook::state::units::{MonotonicMillis, Resources};
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -183,7 +183,7 @@
                record: &ProvisioningRecord| {
         let txn = Transaction {
             conditions: Vec::new(),
-            writes: set(format!("{ROOT}book/b-1-1"), record, None)
+            writes: set(format!("{KEY_PREFIX}book/b-1-1"), record, None)
                 .into_iter()
                 .collect(),
         };
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -7,7 +7,7 @@
 use pointhook::coordination::scheduler::preemption;
 use pointhook::protocol::kv::Limits;
 use pointhook::protocol::users::{parse_job, JobKind, JobSpec, Priority, MAX_DEPENDENCIES};
-use pointhook::state::cluster_state::ROOT;
+use pointhook::state::cluster_state::KEY_PREFIX;
 use pointhook::state::job::JobState;
 use pointhook::state::records::RECORD_FORMAT_V2;
 use pointhook::state::units::Incarnation;
@@ -374,7 +374,7 @@
     let transaction = begin_record_format_v2(&controller.cluster, &["n1", "s1"]).unwrap();
     // One of them restarts with the old version before the transaction is executed.
     store.revoke_lease(s1.lease);
-    let key = format!("{ROOT}node/s1");
+    let key = format!("{KEY_PREFIX}node/s1");
     let old = pointhook::state::records::ControllerRecord {
         incarnation: Incarnation(3),
         record_format: 0,
@@ -438,7 +438,7 @@
     assert!(cluster.submit(0, small_job("job-1", 150, JobKind::Array)));
     cluster.run_for(20_000);
     let largest = |cluster: &SimulatedCluster| {
-        let entries = cluster.store.read_page(ROOT, "", 10_000).entries;
+        let entries = cluster.store.read_page(KEY_PREFIX, "", 10_000).entries;
         let size = |entry: &pointhook::protocol::kv::Entry| entry.v.to_string().len();
         entries.iter().map(size).max().unwrap()
     };
@@ -474,7 +474,7 @@
     // No overflow record is left.
     assert!(cluster
         .store
-        .read_page(&format!("{ROOT}more/"), "", 10)
+        .read_page(&format!("{KEY_PREFIX}more/"), "", 10)
         .entries
         .is_empty());
     cluster.assert_no_violations();
--- a/tests/kv_consistency.rs
+++ b/tests/kv_consistency.rs
@@ -8,7 +8,7 @@
 use pointhook::coordination::kv::{watch_is_stale, CommitOutcome};
 use pointhook::coordination::scheduler::commands;
 use pointhook::protocol::workers::Command;
-use pointhook::state::cluster_state::ROOT;
+use pointhook::state::cluster_state::KEY_PREFIX;
 use pointhook::state::job::JobState;
 use pointhook::state::units::MonotonicMillis;
 use std::collections::HashSet;
@@ -20,7 +20,7 @@
 fn an_old_watch_does_not_revive_a_deleted_controller() {
     let (mut store, mut controller) = start_single_controller();
     let other = SimulatedController::start("s1", 2, &mut store, 0);
-    let old = store.watch(ROOT, 0).body.unwrap();
+    let old = store.watch(KEY_PREFIX, 0).body.unwrap();
     store.revoke_lease(other.lease);
     controller.sync(&store);
     assert!(!controller.cluster.controllers.contains_key("s1"));
@@ -38,7 +38,10 @@
     for number in 0..6 {
         other.submit(&mut store, job(&format!("job-{number}"), 1), 0);
     }
-    assert_eq!(store.watch(ROOT, controller.cluster.revision).status, 410);
+    assert_eq!(
+        store.watch(KEY_PREFIX, controller.cluster.revision).status,
+        410
+    );
     assert!(controller.sync(&store));
     assert_eq!(controller.cluster.active.len(), 6);
 }
@@ -66,7 +69,7 @@
     ));
     let (mut from, mut deletable_keys, mut revision) = (String::new(), HashSet::new(), None);
     loop {
-        let page = store.read_page(ROOT, &from, 50);
+        let page = store.read_page(KEY_PREFIX, &from, 50);
         assert!(page.entries.len() <= 50);
         revision.get_or_insert(page.revision);
         controller
@@ -81,7 +84,7 @@
     assert!(deletable_keys.len() < 5);
     // A controller that started while the pages were read, as a watch has shown, is kept.
     let newer = SimulatedController::start("s3", 9, &mut store, 0);
-    let key = format!("{ROOT}node/s3");
+    let key = format!("{KEY_PREFIX}node/s3");
     let page = store.read_page(&key, "", 1);
     controller
         .cluster
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -180,7 +180,7 @@
     assert!(worker.has_task("job-1/0"));
     // The first owns the shard again, and remembers that exit.
     store.revoke_lease(other.lease);
-    let key = format!("{}node/n1", pointhook::state::cluster_state::ROOT);
+    let key = format!("{}node/n1", pointhook::state::cluster_state::KEY_PREFIX);
     assert_eq!(store.version(&key), 0);
     controller.sync(&store);
     controller.run_membership_tick(&mut store, 17_000);
--- a/tests/standby.rs
+++ b/tests/standby.rs
@@ -15,7 +15,7 @@
 use pointhook::protocol::users::{JobKind, JobSpec};
 use pointhook::protocol::workers::FencingToken;
 use pointhook::settings::Workers;
-use pointhook::state::cluster_state::ROOT;
+use pointhook::state::cluster_state::KEY_PREFIX;
 use pointhook::state::machine::QueuedTask;
 use pointhook::state::names::ShardIndex;
 use pointhook::state::units::Incarnation;
@@ -362,7 +362,7 @@
     for (standby, stored) in [(Standby::Off, false), (Standby::SameZone, true)] {
         let mut store = FakeKvStore::default();
         SimulatedController::start_as("n1", 7, standby, &mut store, 0);
-        let entry = store.entry(&format!("{ROOT}node/n1")).unwrap();
+        let entry = store.entry(&format!("{KEY_PREFIX}node/n1")).unwrap();
         let fields = entry.v.as_map().unwrap().iter();
         let names: Vec<&str> = fields.filter_map(|(k, _)| k.as_str()).collect();
         assert_eq!(names.contains(&"w"), stored, "{names:?}");
--- a/tests/support/simulated_controller/mod.rs
+++ b/tests/support/simulated_controller/mod.rs
@@ -21,7 +21,7 @@
 use pointhook::protocol::kv::{Condition, Limits, Transaction};
 use pointhook::protocol::users::JobSpec;
 use pointhook::settings::Team;
-use pointhook::state::cluster_state::{ClusterState, ControllerRecord, ROOT};
+use pointhook::state::cluster_state::{ClusterState, ControllerRecord, KEY_PREFIX};
 use pointhook::state::job::{Job, JobRecord, JobState};
 use pointhook::state::names::{Index, JobIndex, MachineIndex, ShardIndex, ZoneIndex};
 use pointhook::state::records::{RECORD_FORMAT_V2, STANDBY_VERSION};
@@ -209,7 +209,7 @@
     }
 
     fn key(&self) -> String {
-        format!("{ROOT}node/{}", self.config.controller_name)
+        format!("{KEY_PREFIX}node/{}", self.config.controller_name)
     }
 
     /// The transaction that stores the controller's key under its lease, in place of this version.
@@ -231,14 +231,14 @@
     }
 
     fn read_all(&mut self, store: &FakeKvStore) {
-        let page = store.read_page(ROOT, "", MAX_PAGE);
+        let page = store.read_page(KEY_PREFIX, "", MAX_PAGE);
         self.cluster.apply_full_read(&page.entries, page.revision);
     }
 
     /// Reads the newest changes; false while the store is unavailable.
     pub fn sync(&mut self, store: &FakeKvStore) -> bool {
         let from = self.cluster.revision;
-        let response = store.watch(ROOT, from);
+        let response = store.watch(KEY_PREFIX, from);
         match (response.status, response.body) {
             (200, Some(changes)) => {
                 self.cluster
