--- a/src/coordination/autoscaler/placement.rs
+++ b/src/coordination/autoscaler/placement.rs
@@ -228,7 +228,7 @@
 
     fn allows_zone(&self, zone: ZoneIndex) -> bool {
         let cap = match self.job {
-            Some(_) => self.demand.spec.zone_cap(),
+            Some(_) => self.demand.spec.max_tasks_per_zone(),
             None => u32::MAX,
         };
         let tasks_in_zone = self.tasks_by_zone.count(zone);
--- a/src/coordination/scheduler/binding.rs
+++ b/src/coordination/scheduler/binding.rs
@@ -195,7 +195,7 @@
     }
 
     fn zone_has_capacity(&self, candidate: MachineRef) -> bool {
-        self.by_zone.count(candidate.machine.zone) < self.spec().zone_cap()
+        self.by_zone.count(candidate.machine.zone) < self.spec().max_tasks_per_zone()
     }
 
     fn record_binding(&mut self, candidate: MachineRef) {
--- a/src/coordination/scheduler/gangs.rs
+++ b/src/coordination/scheduler/gangs.rs
@@ -163,7 +163,7 @@
         let mut by_zone = TasksByZone::default();
         slots.retain(|slot| {
             by_zone.add(slot.candidate.machine.zone);
-            by_zone.count(slot.candidate.machine.zone) <= spec.zone_cap()
+            by_zone.count(slot.candidate.machine.zone) <= spec.max_tasks_per_zone()
         });
     }
     let tasks = spec.tasks() as usize;
--- a/src/coordination/scheduler/placement_rules.rs
+++ b/src/coordination/scheduler/placement_rules.rs
@@ -73,7 +73,7 @@
         placements.filter_map(|p| cluster.shard_zone(p.shard))
     };
     (!spec.wire.one_zone || zones().all(|z| z == zone))
-        && (zones().filter(|z| *z == zone).count() as u32) < spec.zone_cap()
+        && (zones().filter(|z| *z == zone).count() as u32) < spec.max_tasks_per_zone()
 }
 
 /// Number of tasks of a job in each zone.
--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -192,7 +192,7 @@
     }
     /// Maximum number of the job's tasks in one zone: half of all its tasks, rounded up, if the job
     /// is to be spread over zones, else no limit.
-    pub fn zone_cap(&self) -> u32 {
+    pub fn max_tasks_per_zone(&self) -> u32 {
         if self.wire.spread {
             self.wire.tasks.div_ceil(2)
         } else {
