--- a/src/coordination/autoscaler/demand.rs
+++ b/src/coordination/autoscaler/demand.rs
@@ -162,7 +162,7 @@
     recent_classes(cluster, window_start_ms)
         .into_values()
         .filter_map(|RecentClass { tasks, spec }| {
-            let buffer_factor = if spec.wire.spot {
+            let buffer_factor = if spec.submitted.spot {
                 config.capacity_buffer_spot
             } else {
                 config.capacity_buffer_on_demand
@@ -184,7 +184,7 @@
     for submission in recent.filter(|s| s.submitted_at >= since_ms) {
         let spec = &submission.spec;
         let class = classes
-            .entry(spec.wire.class.as_str())
+            .entry(spec.submitted.class.as_str())
             .or_insert_with(|| RecentClass {
                 tasks: 0,
                 spec: spec.clone(),
--- a/src/coordination/autoscaler/placement.rs
+++ b/src/coordination/autoscaler/placement.rs
@@ -107,7 +107,7 @@
     /// True if all tasks have to be in one zone. Expected tasks belong to many jobs, so the rule
     /// does not apply to them.
     fn one_zone(&self) -> bool {
-        self.demand.spec.wire.one_zone && self.job.is_some()
+        self.demand.spec.submitted.one_zone && self.job.is_some()
     }
 
     /// Chooses the zone of a one-zone gang; does nothing for other jobs.
@@ -223,7 +223,7 @@
         let types = spec.machine_types.as_ref();
         types.is_none_or(|types| types.contains(&pool.machine_type))
             && spec.zone.is_none_or(|zone| zone == pool.zone)
-            && (spec.wire.spot || !pool.spot)
+            && (spec.submitted.spot || !pool.spot)
     }
 
     fn allows_zone(&self, zone: ZoneIndex) -> bool {
@@ -254,14 +254,14 @@
     /// True for on-demand pools if the tasks are only expected and may run on spot machines:
     /// capacity for such tasks is held at the spot price only.
     fn too_expensive_for_expected_tasks(&self, pool: &Pool) -> bool {
-        self.job.is_none() && self.demand.spec.wire.spot && !pool.spot
+        self.job.is_none() && self.demand.spec.submitted.spot && !pool.spot
     }
 }
 
 /// The number of machines in a zone that have free capacity for one task of the job.
 fn machines_that_fit(spec: &Spec, supply: &[Supply], zone: ZoneIndex) -> u32 {
     let fits = |s: &&Supply| {
-        s.pool.zone == zone && (spec.wire.spot || !s.pool.spot) && spec.need.fits(s.free)
+        s.pool.zone == zone && (spec.submitted.spot || !s.pool.spot) && spec.need.fits(s.free)
     };
     supply.iter().filter(fits).count() as u32
 }
--- a/src/coordination/peer_messages/utilization_log.rs
+++ b/src/coordination/peer_messages/utilization_log.rs
@@ -84,7 +84,7 @@
             continue;
         };
         if tasks > 0 {
-            let waiting = by_class.entry(&spec.wire.class).or_default();
+            let waiting = by_class.entry(&spec.submitted.class).or_default();
             waiting.jobs += 1;
             waiting.tasks += tasks;
         }
--- a/src/coordination/reconciliation/reconcile.rs
+++ b/src/coordination/reconciliation/reconcile.rs
@@ -112,7 +112,10 @@
         let task = machine.observed(attempt);
         task.is_some_and(ObservedTask::is_done)
     };
-    let array = job.spec.as_ref().filter(|s| s.wire.kind == JobKind::Array);
+    let array = job
+        .spec
+        .as_ref()
+        .filter(|s| s.submitted.kind == JobKind::Array);
     let (Some(spec), Some(machine)) = (array, proven.machine) else {
         return false;
     };
--- a/src/coordination/scheduler/bin_packing.rs
+++ b/src/coordination/scheduler/bin_packing.rs
@@ -22,7 +22,7 @@
     }
     let machine_type = cluster.machine_types.get(&machine.machine_type);
     let rate = machine_type.map_or(0.0, |t| t.description.pull_gb_per_s);
-    millis_from_seconds(spec.wire.image_gb / rate.max(MIN_PULL_GB_PER_S))
+    millis_from_seconds(spec.submitted.image_gb / rate.max(MIN_PULL_GB_PER_S))
 }
 
 /// Cost of placing a task on a machine, in milliseconds of waiting; lower is better.
@@ -45,7 +45,7 @@
     let most = fractions.iter().copied().fold(0.0, f64::max);
     let least = fractions.iter().copied().fold(1.0, f64::min);
     let stranded_s = (most - least) * STRANDED_CAPACITY_COST_S;
-    let on_demand_s = if spec.wire.spot && !machine.spot {
+    let on_demand_s = if spec.submitted.spot && !machine.spot {
         ON_DEMAND_COST_S
     } else {
         0.0
--- a/src/coordination/scheduler/claims.rs
+++ b/src/coordination/scheduler/claims.rs
@@ -71,7 +71,7 @@
 /// True for array tasks below high priority: while the key-value store is near its write limit,
 /// they are claimed in batches.
 fn can_be_batched(spec: &Spec, priority: Priority) -> bool {
-    spec.wire.kind == JobKind::Array && priority > Priority::High
+    spec.submitted.kind == JobKind::Array && priority > Priority::High
 }
 
 /// Tasks that have been in a machine's queue for less than `steal_after_ms`, so that no other
--- a/src/coordination/scheduler/commands.rs
+++ b/src/coordination/scheduler/commands.rs
@@ -188,7 +188,7 @@
 
 /// Time that a task of a job gets to write a checkpoint before it is killed, s.
 pub(super) fn stop_grace_s(spec: &Spec) -> f64 {
-    spec.wire.checkpoint_grace_s + CHECKPOINT_GRACE_MARGIN_S
+    spec.submitted.checkpoint_grace_s + CHECKPOINT_GRACE_MARGIN_S
 }
 
 /// Attempts that should be stopped on a machine that the cloud is about to preempt, each with the
@@ -206,9 +206,9 @@
     let leaving = machine.heartbeat.tasks.iter().filter_map(|task| {
         let attempt = task.task_attempt()?;
         let spec = cluster.jobs[attempt.job.at()].spec.as_ref()?;
-        let checkpoints = spec.wire.checkpoint_s > 0.0 && task.state == TaskState::Running;
+        let checkpoints = spec.submitted.checkpoint_s > 0.0 && task.state == TaskState::Running;
         let loses_nothing =
-            spec.wire.kind == JobKind::Service || task.state == TaskState::PullingImage;
+            spec.submitted.kind == JobKind::Service || task.state == TaskState::PullingImage;
         (checkpoints || loses_nothing).then(|| (attempt, stop_grace_s(spec)))
     });
     leaving.collect()
--- a/src/coordination/scheduler/gang_reservations.rs
+++ b/src/coordination/scheduler/gang_reservations.rs
@@ -127,7 +127,7 @@
 ) -> Option<Vec<MachineIndex>> {
     let zones = cluster.zone_names.len();
     // If the gang may span zones, every zone gives the same selection: one is enough.
-    let zones = if gang.spec.wire.one_zone {
+    let zones = if gang.spec.submitted.one_zone {
         zones
     } else {
         zones.min(1)
@@ -148,7 +148,7 @@
 ) -> Option<(i64, Vec<MachineIndex>)> {
     let tasks = gang.spec.tasks() as usize;
     let usable = machines.iter().filter(|loaded| {
-        (!gang.spec.wire.one_zone || loaded.candidate.machine.zone == zone)
+        (!gang.spec.submitted.one_zone || loaded.candidate.machine.zone == zone)
             && gang.spec.need.fits(loaded.capacity)
             && is_allowed(cluster, gang, loaded.candidate)
     });
--- a/src/coordination/scheduler/gangs.rs
+++ b/src/coordination/scheduler/gangs.rs
@@ -126,7 +126,7 @@
         {
             continue;
         }
-        let zone = match gang.spec.wire.one_zone {
+        let zone = match gang.spec.submitted.one_zone {
             true => candidate.machine.zone,
             false => ZoneIndex(0),
         };
@@ -159,7 +159,7 @@
             slot.candidate.index,
         )
     });
-    if spec.wire.spread {
+    if spec.submitted.spread {
         let mut by_zone = TasksByZone::default();
         slots.retain(|slot| {
             by_zone.add(slot.candidate.machine.zone);
--- a/src/coordination/scheduler/job_order.rs
+++ b/src/coordination/scheduler/job_order.rs
@@ -82,7 +82,7 @@
     let Some(targets) = targets else {
         return SchedulingTier::OnTime;
     };
-    let end_ms = age_ms + millis_from_seconds(spec.wire.estimated_run_s);
+    let end_ms = age_ms + millis_from_seconds(spec.submitted.estimated_run_s);
     if end_ms <= targets.first_ms {
         return SchedulingTier::OnTime;
     }
@@ -115,7 +115,7 @@
     let eligible_since = job.dependency_state.eligible_since;
     let deadline = job.dependency_state.deadline;
     let own = deadline.map(|deadline| deadline.saturating_sub(eligible_since));
-    let class = config.completion_targets.get(&spec.wire.class);
+    let class = config.completion_targets.get(&spec.submitted.class);
     let mut targets = own.into_iter().chain(class.into_iter().flatten().copied());
     let first_ms = targets.next()?;
     let last_ms = targets.fold(first_ms, u64::max);
--- a/src/coordination/scheduler/placement_rules.rs
+++ b/src/coordination/scheduler/placement_rules.rs
@@ -62,7 +62,7 @@
     let types = spec.machine_types.as_ref();
     types.is_none_or(|types| types.contains(&machine.machine_type))
         && spec.zone.is_none_or(|zone| zone == machine.zone)
-        && (spec.wire.spot || !machine.spot)
+        && (spec.submitted.spot || !machine.spot)
 }
 
 /// True if another task in the zone keeps the job's `one_zone` and `spread` rules. All placements
@@ -72,7 +72,7 @@
         let placements = job.placements.iter();
         placements.filter_map(|p| cluster.shard_zone(p.shard))
     };
-    (!spec.wire.one_zone || zones().all(|z| z == zone))
+    (!spec.submitted.one_zone || zones().all(|z| z == zone))
         && (zones().filter(|z| *z == zone).count() as u32) < spec.max_tasks_per_zone()
 }
 
@@ -139,7 +139,7 @@
     task: WaitingTask,
     offered: OfferedMachine,
 ) -> bool {
-    let is_first_choice = !task.spec.wire.spot || offered.spot;
+    let is_first_choice = !task.spec.submitted.spot || offered.spot;
     if is_first_choice || !offered.is_empty || task.priority <= Priority::High {
         return false;
     }
--- a/src/coordination/scheduler/planner.rs
+++ b/src/coordination/scheduler/planner.rs
@@ -201,7 +201,7 @@
             job.id,
             placement.task,
             placement.attempt,
-            spec.wire.class,
+            spec.submitted.class,
             spec.tasks(),
             machine.name,
             cluster.machine_type_names.name(machine.machine_type),
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -239,7 +239,7 @@
             let attempt = task.task_attempt()?;
             let job = &cluster.jobs[attempt.job.at()];
             let spec = job.spec.as_ref()?;
-            let cost = stop_cost(task, spec.wire.checkpoint_s > 0.0, priority)?;
+            let cost = stop_cost(task, spec.submitted.checkpoint_s > 0.0, priority)?;
             // The priority includes that of dependent jobs: a dependency of a more urgent job is
             // not stopped.
             let own = job.dependency_state.priority;
--- a/src/coordination/scheduler/starved_gangs.rs
+++ b/src/coordination/scheduler/starved_gangs.rs
@@ -23,7 +23,7 @@
 fn used_by_services(cluster: &ClusterState, team: TeamIndex) -> QuotaUsage {
     let services = cluster.active_jobs().filter_map(|(_, job)| {
         let spec = job.spec.as_ref()?;
-        let counts = spec.team == team && spec.wire.kind == JobKind::Service && job.is_open();
+        let counts = spec.team == team && spec.submitted.kind == JobKind::Service && job.is_open();
         counts.then(|| spec.need.times(job.placements.len() as u32))
     });
     services.fold(QuotaUsage::default(), |sum, used| sum.plus(used.quota()))
--- a/src/state/dependencies.rs
+++ b/src/state/dependencies.rs
@@ -22,14 +22,14 @@
         spec: Option<&Spec>,
     ) -> (DependencyState, bool) {
         let deadline_ms = spec
-            .and_then(|spec| spec.wire.deadline_s)
+            .and_then(|spec| spec.submitted.deadline_s)
             .map(millis_from_seconds);
         let own = OwnAttributes {
             submitted_at,
             priority: spec.map_or(Priority::Low, Spec::priority),
             deadline: deadline_ms.map(|ms| submitted_at.saturating_add(ms)),
         };
-        let names = spec.map_or(&[] as &[String], |spec| &spec.wire.dependencies);
+        let names = spec.map_or(&[] as &[String], |spec| &spec.submitted.dependencies);
         let dependencies = names.iter().map(|name| self.job(name).map(|(_, job)| job));
         let dependents = self.dependency_graph.dependents(id).iter();
         let dependents = dependents.map(|index| &self.jobs[index.at()]);
@@ -41,7 +41,7 @@
         let Some(spec) = job.spec.clone().filter(|_| job.is_open()) else {
             return;
         };
-        for name in &spec.wire.dependencies {
+        for name in &spec.submitted.dependencies {
             let dependency = self.job(name).map(|(index, job)| (index, job.is_open()));
             if dependency.is_none_or(|(_, open)| open) {
                 self.dependency_graph.add_dependent(job_index, name);
@@ -80,7 +80,9 @@
 
     /// Marks the dependencies of a job for evaluation, because the job has changed.
     pub(super) fn mark_dependencies_changed(&mut self, spec: Option<&Spec>) {
-        let names = spec.into_iter().flat_map(|spec| &spec.wire.dependencies);
+        let names = spec
+            .into_iter()
+            .flat_map(|spec| &spec.submitted.dependencies);
         let dependencies: Vec<JobIndex> =
             names.filter_map(|name| Some(self.job(name)?.0)).collect();
         self.dependency_graph.mark_changed(dependencies);
--- a/src/state/dependency_graph.rs
+++ b/src/state/dependency_graph.rs
@@ -78,7 +78,9 @@
 /// deadline; `None` if the job has no deadline.
 pub fn latest_dependency_end(job: &Job) -> Option<u64> {
     let spec = job.spec.as_ref();
-    let run_ms = spec.map_or(0, |spec| millis_from_seconds(spec.wire.estimated_run_s));
+    let run_ms = spec.map_or(0, |spec| {
+        millis_from_seconds(spec.submitted.estimated_run_s)
+    });
     let deadline = job.dependency_state.deadline?;
     Some(deadline.saturating_sub(run_ms + STAGE_OVERHEAD_MS))
 }
--- a/src/state/job.rs
+++ b/src/state/job.rs
@@ -162,7 +162,7 @@
 #[derive(Clone, Debug)]
 pub struct Spec {
     /// The description as submitted.
-    pub wire: JobSpec,
+    pub submitted: JobSpec,
     /// Team whose quota the job uses.
     pub team: TeamIndex,
     /// Resources that one task requests.
@@ -180,21 +180,21 @@
 impl Spec {
     /// Number of tasks of the job.
     pub fn tasks(&self) -> u32 {
-        self.wire.tasks
+        self.submitted.tasks
     }
     /// Priority as submitted, without what the job inherits from its dependents.
     pub fn priority(&self) -> Priority {
-        self.wire.priority
+        self.submitted.priority
     }
     /// True for a gang of more than one task: its tasks are never queued on machines.
     pub fn is_wide_gang(&self) -> bool {
-        self.wire.kind == JobKind::Gang && self.wire.tasks > 1
+        self.submitted.kind == JobKind::Gang && self.submitted.tasks > 1
     }
     /// Maximum number of the job's tasks in one zone: half of all its tasks, rounded up, if the job
     /// is to be spread over zones, else no limit.
     pub fn max_tasks_per_zone(&self) -> u32 {
-        if self.wire.spread {
-            self.wire.tasks.div_ceil(2)
+        if self.submitted.spread {
+            self.submitted.tasks.div_ceil(2)
         } else {
             u32::MAX
         }
@@ -305,7 +305,7 @@
         let Some(spec) = self.spec.clone() else {
             return;
         };
-        match spec.wire.kind {
+        match spec.submitted.kind {
             JobKind::Gang => self.done = TaskRanges::all(spec.tasks()),
             // A replica of a service that exits by itself is replaced.
             JobKind::Service => return,
--- a/src/state/job_store.rs
+++ b/src/state/job_store.rs
@@ -28,13 +28,13 @@
     }
 
     /// Interns the names in a description; `None` if its team or zone is unknown.
-    pub fn intern_spec(&mut self, wire: &JobSpec) -> Option<Spec> {
-        let zone = match &wire.zone {
+    pub fn intern_spec(&mut self, submitted: &JobSpec) -> Option<Spec> {
+        let zone = match &submitted.zone {
             Some(zone) => Some(self.zone_names.find(zone)?),
             None => None,
         };
-        let team = self.team_names.find(&wire.team)?;
-        let machine_types = wire.types.as_ref().map(|types| {
+        let team = self.team_names.find(&submitted.team)?;
+        let machine_types = submitted.types.as_ref().map(|types| {
             types
                 .iter()
                 .map(|name| self.machine_type_names.intern(name))
@@ -42,18 +42,18 @@
         });
         Some(Spec {
             team,
-            need: Resources::new(wire.vcpus, wire.gpus, wire.mem_gb),
+            need: Resources::new(submitted.vcpus, submitted.gpus, submitted.mem_gb),
             machine_types,
             zone,
-            image: self.image_names.intern(&wire.image),
-            record_bytes: stored_bytes(wire),
-            wire: wire.clone(),
+            image: self.image_names.intern(&submitted.image),
+            record_bytes: stored_bytes(submitted),
+            submitted: submitted.clone(),
         })
     }
 
     /// True if the job can ever run, judging by the machine types and its team's limit.
     pub fn can_run(&self, spec: &Spec) -> bool {
-        let tasks_at_once = match spec.wire.kind {
+        let tasks_at_once = match spec.submitted.kind {
             JobKind::Array => 1,
             JobKind::Gang | JobKind::Service => spec.tasks(),
         };
@@ -123,12 +123,12 @@
         job_index: JobIndex,
         record: &JobRecord,
     ) -> Option<Rc<Spec>> {
-        let wire = record.spec.as_ref()?;
+        let submitted = record.spec.as_ref()?;
         let known = self.jobs.get(job_index.at()).and_then(|j| j.spec.clone());
         if known.is_some() {
             return known;
         }
-        let spec = self.intern_spec(wire).map(Rc::new);
+        let spec = self.intern_spec(submitted).map(Rc::new);
         if spec.is_none() {
             self.log_unreadable(id, "unknown team or zone");
         }
@@ -206,7 +206,7 @@
                 .and_then(|index| self.machine_types.get(&index))
                 .map_or(f64::MAX, |known| known.description.cache_gb);
             if let Some(machine) = self.machine_mut(placement.machine) {
-                machine.use_image(spec.image, spec.wire.image_gb, cache_gb);
+                machine.use_image(spec.image, spec.submitted.image_gb, cache_gb);
             }
         }
     }
--- a/src/state/record_formats.rs
+++ b/src/state/record_formats.rs
@@ -8,8 +8,8 @@
 use crate::protocol::users::JobSpec;
 
 /// Size in bytes of a job's description in its record, as the key-value store counts it.
-pub(super) fn stored_bytes(wire: &JobSpec) -> usize {
-    let bytes = rmp_serde::to_vec_named(wire).unwrap_or_default();
+pub(super) fn stored_bytes(submitted: &JobSpec) -> usize {
+    let bytes = rmp_serde::to_vec_named(submitted).unwrap_or_default();
     let value = rmpv::decode::read_value(&mut bytes.as_slice());
     value.map_or(0, |v| v.to_string().len())
 }
@@ -29,7 +29,7 @@
     pub fn job_record(&self, job: &Job) -> JobRecord {
         let spec = job.spec.as_ref().filter(|_| !job.is_settled());
         JobRecord {
-            spec: spec.map(|spec| spec.wire.clone()),
+            spec: spec.map(|spec| spec.submitted.clone()),
             state: job.state,
             submitted_at: job.submitted_at,
             done: job.done.clone(),
--- a/tests/support/liveness.rs
+++ b/tests/support/liveness.rs
@@ -80,7 +80,7 @@
     let active = active.filter_map(|(_, job)| Some((job, job.spec.as_ref()?)));
     let of_team = active.filter(|(_, other)| other.team == team);
     let used: f64 = of_team
-        .map(|(job, other)| cluster.tasks_on_machines(&job.id) as f64 * other.wire.gpus)
+        .map(|(job, other)| cluster.tasks_on_machines(&job.id) as f64 * other.submitted.gpus)
         .sum();
     most == 0.0 || used + tasks as f64 * spec.gpus <= most
 }
--- a/tests/support/simulated_cluster/users.rs
+++ b/tests/support/simulated_cluster/users.rs
@@ -235,7 +235,7 @@
         let open = jobs.filter(|(_, job)| job.is_open());
         let services = open.filter(|(_, job)| {
             let spec = job.spec.as_ref();
-            spec.is_some_and(|spec| spec.wire.kind == JobKind::Service)
+            spec.is_some_and(|spec| spec.submitted.kind == JobKind::Service)
         });
         services.map(|(_, job)| job.id.to_string()).collect()
     }
