--- a/crates/standby/tests/failover.rs
+++ b/crates/standby/tests/failover.rs
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Applies an observation by the standby, and returns the names of the states that it enters.
+    /// Applies an observation by the shard's standby, and returns the names of the states that the
+    /// failover enters.
     fn observe(&mut self, owner: Owner, known_revision: u64) -> Vec<&'static str> {
         let observation = Observation {
             owner,
@@ -322,7 +323,8 @@
 
 #[test]
 fn the_standby_is_never_the_owner_and_in_the_preferred_zone() {
-    let of = |owner, preference, spread| standby_of(owner, &CONTROLLERS, preference, spread);
+    let of =
+        |owner, preference, tie_breaker| standby_of(owner, &CONTROLLERS, preference, tie_breaker);
     assert_eq!(of("a", ZonePreference::Inside(0), 0), Some("c"));
     assert_eq!(of("a", ZonePreference::Outside(0), 0), Some("b"));
     assert_eq!(of("a", ZonePreference::Outside(0), 1), Some("d"));
@@ -336,8 +338,8 @@
         ZonePreference::Outside(0),
         ZonePreference::Any,
     ] {
-        for spread in 0..3 {
-            let of = |owner, controllers| standby_of(owner, controllers, preference, spread);
+        for tie_breaker in 0..3 {
+            let of = |owner, controllers| standby_of(owner, controllers, preference, tie_breaker);
             assert_eq!(of("a", &CONTROLLERS[..2]), Some("b"));
             assert_eq!(of("b", &CONTROLLERS[..2]), Some("a"));
             assert_eq!(of("a", &CONTROLLERS[..1]), None);
@@ -353,7 +355,7 @@
     assert_eq!(standby_of("a", &controllers, inside, 0), Some("b"));
     controllers[1].eligible = false;
     assert_eq!(standby_of("a", &controllers, inside, 0), Some("d"));
-    // If no reachable controller is eligible, one that has just started is chosen.
+    // If no reachable controller is eligible, a reachable one is chosen all the same.
     controllers[3].eligible = false;
     assert_eq!(standby_of("a", &controllers, inside, 0), Some("b"));
     assert_eq!(choose(&[], ZonePreference::Any, 0), None);
@@ -362,10 +364,10 @@
 #[test]
 fn a_controller_that_leaves_and_returns_changes_no_role_of_the_others() {
     // A controller that is not chosen leaves and returns, and all roles stay the same.
-    for spread in 0..2 {
+    for tie_breaker in 0..2 {
         let preference = ZonePreference::Outside(0);
-        let with_c = standby_of("a", &CONTROLLERS, preference, spread);
+        let with_c = standby_of("a", &CONTROLLERS, preference, tie_breaker);
         let without_c = [CONTROLLERS[0], CONTROLLERS[1], CONTROLLERS[3]];
-        assert_eq!(standby_of("a", &without_c, preference, spread), with_c);
+        assert_eq!(standby_of("a", &without_c, preference, tie_breaker), with_c);
     }
 }
--- a/crates/standby/tests/stream.rs
+++ b/crates/standby/tests/stream.rs
@@ -12,7 +12,8 @@
 const CASES: u64 = 300;
 
 const SHARD: ShardId = ShardId(0);
-const SMALL: StreamLimits = StreamLimits {
+/// Limits that are so small that a test reaches them with few decisions.
+const SMALL_LIMITS: StreamLimits = StreamLimits {
     log_tail: 16,
     message_bytes: 600,
 };
@@ -61,12 +62,12 @@
         };
         publisher.receive_response(follower.receive(&message, FencingToken(0)));
     }
-    panic!("the stream never settles");
+    panic!("the publisher still has messages to send after 1000 of them");
 }
 
 #[test]
 fn a_new_standby_gets_a_snapshot_in_parts_and_then_the_tail() {
-    let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL);
+    let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL_LIMITS);
     let mut follower = Follower::default();
     for i in 0..50 {
         publisher.publish(machine(i, i % 4));
@@ -98,8 +99,13 @@
 
 #[test]
 fn a_standby_that_is_behind_by_more_than_the_tail_gets_a_snapshot() {
-    for lag in [1, SMALL.log_tail, SMALL.log_tail + 1, 20 * SMALL.log_tail] {
-        let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL);
+    for lag in [
+        1,
+        SMALL_LIMITS.log_tail,
+        SMALL_LIMITS.log_tail + 1,
+        20 * SMALL_LIMITS.log_tail,
+    ] {
+        let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL_LIMITS);
         let mut follower = Follower::default();
         synchronize(&mut publisher, &mut follower);
         for i in 0..lag {
@@ -107,7 +113,7 @@
         }
         let message = publisher.next_message().unwrap();
         let snapshot = matches!(message, Message::SnapshotPart { .. });
-        assert_eq!(snapshot, lag > SMALL.log_tail, "{lag}");
+        assert_eq!(snapshot, lag > SMALL_LIMITS.log_tail, "{lag}");
         publisher.receive_response(follower.receive(&message, FencingToken(0)));
         synchronize(&mut publisher, &mut follower);
         assert_eq!(follower.replica_state(), Some(publisher.replica_state()));
@@ -116,7 +122,7 @@
 
 #[test]
 fn nothing_accumulates_for_a_standby_that_does_not_answer() {
-    let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL);
+    let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL_LIMITS);
     assert!(publisher.next_message().is_some());
     for i in 0..10_000 {
         publisher.publish(machine(i % 30, i % 4));
@@ -131,8 +137,8 @@
 #[test]
 fn messages_of_an_older_owner_are_refused_and_stop_its_stream() {
     let (mut old, mut new) = (
-        Publisher::new(SHARD, FencingToken(4), SMALL),
-        Publisher::new(SHARD, FencingToken(5), SMALL),
+        Publisher::new(SHARD, FencingToken(4), SMALL_LIMITS),
+        Publisher::new(SHARD, FencingToken(5), SMALL_LIMITS),
     );
     let mut follower = Follower::default();
     old.publish(machine(1, 1));
@@ -165,7 +171,7 @@
 
 #[test]
 fn gaps_are_detected_and_a_late_snapshot_reverts_nothing() {
-    let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL);
+    let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL_LIMITS);
     let mut follower = Follower::default();
     publisher.publish(machine(1, 1));
     let late = publisher.next_message().unwrap();
@@ -195,7 +201,7 @@
 fn a_lossy_stream_ends_in_the_owners_state() {
     for seed in 0..CASES {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL);
+        let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL_LIMITS);
         let mut follower = Follower::default();
         let mut sent: Vec<Message> = Vec::new();
         for _ in 0..200 {
@@ -215,8 +221,8 @@
             }
             // An earlier message is delivered again, after newer ones.
             if rng.u8(..4) == 0 {
-                let at = rng.usize(..sent.len().max(1));
-                if let Some(earlier) = sent.get(at) {
+                let index = rng.usize(..sent.len().max(1));
+                if let Some(earlier) = sent.get(index) {
                     follower.receive(earlier, FencingToken(0));
                 }
             }
@@ -257,9 +263,9 @@
     };
     let good = message.encode().unwrap();
     assert_eq!(Message::decode(&good), Some(message));
-    for cut in 0..good.len() {
+    for cut_length in 0..good.len() {
         assert_ne!(
-            Message::decode(&good[..cut]).map(|m| m.encode()),
+            Message::decode(&good[..cut_length]).map(|m| m.encode()),
             Some(Some(good.clone()))
         );
     }
@@ -268,8 +274,8 @@
         arbtest::arbtest(|u| {
             let mut bytes = good.clone();
             for _ in 0..u.int_in_range(1..=8)? {
-                let at = u.choose_index(bytes.len())?;
-                bytes[at] = u.arbitrary()?;
+                let position = u.choose_index(bytes.len())?;
+                bytes[position] = u.arbitrary()?;
             }
             if let Some(message) = Message::decode(&bytes) {
                 decoded += 1;
@@ -311,7 +317,7 @@
 
 /// All parts of a snapshot of `machines` machines.
 fn snapshot_parts(machines: usize) -> Vec<Message> {
-    let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL);
+    let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL_LIMITS);
     for i in 0..machines {
         publisher.publish(machine(i, i % 4));
     }
--- a/tests/golden_http_bodies.rs
+++ b/tests/golden_http_bodies.rs
@@ -161,8 +161,8 @@
     });
     group.all_keys::<kv_protocol::Transaction>("commit", &transaction);
     group.all_keys::<kv_protocol::Condition>("condition", &transaction["when"][1]);
-    for (i, name) in ["set", "set with a lease", "remove"].iter().enumerate() {
-        group.all_keys::<kv_protocol::Write>(name, &transaction["writes"][i]);
+    for (index, name) in ["set", "set with a lease", "remove"].iter().enumerate() {
+        group.all_keys::<kv_protocol::Write>(name, &transaction["writes"][index]);
     }
     group.all_keys::<kv_protocol::CommitResponse>(
         "committed",
@@ -266,8 +266,8 @@
     assert_eq!(not_owner.owner.as_deref(), Some("x"));
 }
 
-/// Checks which field each wire name of a body belongs to; `tests/version_compatibility.rs` checks
-/// it for records.
+/// Checks which field each wire name belongs to in bodies of users and workers;
+/// `tests/version_compatibility.rs` checks the same for records.
 #[test]
 fn wire_names_map_to_their_fields() {
     check_names_of_a_job_description();
@@ -356,7 +356,8 @@
     );
 }
 
-/// Checks the same for the bodies of the cloud and the key-value store.
+/// Checks which field each wire name belongs to in bodies of the cloud and the key-value store, and
+/// in a controller's record.
 #[test]
 fn wire_names_of_external_services_map_to_their_fields() {
     check_names_of_the_cloud();
@@ -393,8 +394,8 @@
     group.line("takeover", &json!(names).to_string());
 }
 
-/// A value that is written and read back does not show which variant it stands for, so the order of
-/// the values in the golden file does.
+/// Checks which variant of an enum each value on the wire stands for. Writing a value and reading
+/// it back does not show that, so the golden file lists the values in the order of the variants.
 #[test]
 fn wire_values_of_enums() {
     use pointhook::state::job::JobState;
@@ -444,16 +445,16 @@
     let mut stream = TcpStream::connect(addr).expect("a connection");
     let request = format!("GET {path} HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     stream.write_all(request.as_bytes()).expect("sent");
-    let mut answer = Vec::new();
-    stream.read_to_end(&mut answer).expect("an answer");
-    let end = answer
+    let mut response = Vec::new();
+    stream.read_to_end(&mut response).expect("a response");
+    let end = response
         .windows(4)
         .position(|w| w == b"\r\n\r\n")
         .expect("a head");
-    let head = String::from_utf8_lossy(&answer[..end]);
+    let head = String::from_utf8_lossy(&response[..end]);
     let mut lines: Vec<&str> = head.lines().filter(|l| !l.starts_with("date:")).collect();
     lines[1..].sort_unstable();
-    format!("{} | {}", lines.join(" | "), hex(&answer[end + 4..]))
+    format!("{} | {}", lines.join(" | "), hex(&response[end + 4..]))
 }
 
 #[test]
@@ -462,7 +463,7 @@
     std::thread::spawn(move || {
         let listener = http::listen("127.0.0.1:0".parse().expect("an address")).expect("a port");
         let addr = listener.get_ref().local_addr().expect("an address");
-        sender.send(addr).expect("the test waits for it");
+        sender.send(addr).expect("the test waits for the address");
         let executor = Rc::new(async_executor::LocalExecutor::new());
         let answer = |incoming: http::Incoming| async move {
             match incoming.path.as_str() {
--- a/tests/golden_records.rs
+++ b/tests/golden_records.rs
@@ -70,7 +70,7 @@
     read(json!({"i": 7, "v": 2}))
 }
 
-/// Adds the transactions that write a record, one for each kind of record.
+/// Adds a transaction for each kind of record that writes one record of this kind.
 fn add_record_writes(group: &mut Group, cluster: &ClusterState) {
     let record = JobRecord::submitted(read(described()), 1);
     let shard = ShardRecord {
@@ -96,13 +96,13 @@
         };
         let bytes = rmp_serde::to_vec_named(&transaction).expect("a transaction");
         let kv_protocol::Write::Set { set: key, .. } = &transaction.writes[0] else {
-            panic!("the write is not a put");
+            panic!("the write sets no value");
         };
         group.line(key, &hex(&bytes));
     }
 }
 
-/// Checks that records of all kinds are read from their keys.
+/// Checks that a record of each kind is recognized by its key and read.
 fn check_records_are_read_from_their_keys(cluster: &mut ClusterState) {
     let mut put = |key: &str, value: Value| {
         let value = rmp_serde::from_slice(&packed(&value)).expect("a value");
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -56,11 +56,12 @@
     let twice = parse(list(&["job-1", "job-2", "job-1"])).unwrap();
     assert_eq!(twice.dependencies, ["job-1", "job-2"]);
     assert!(parse_job(&rmp_serde::to_vec_named(&job("job-9", 1)).unwrap()).is_some());
-    // Not a list, not text, the job itself.
+    // Refused: a text instead of a list, a number as an id, and a job that depends on itself.
     assert!(parse(Value::from("job-1")).is_none());
     assert!(parse(Value::Array(vec![Value::from(1)])).is_none());
     assert!(parse(list(&["job-1", "job-9"])).is_none());
-    // A record holds this many even under limits that are a fraction of the current ones.
+    // A record holds the maximum number of dependencies even under limits that are a fraction of
+    // the current ones.
     let many: Vec<String> = (0..MAX_DEPENDENCIES)
         .map(|number| format!("job-{number:06}"))
         .collect();
@@ -132,7 +133,8 @@
     assert!(cluster.submit(0, job("job-5", 1)));
     cluster.run_for(4000);
     assert!(cluster.cancel(1, "job-2"));
-    // Every controller reports all of them as cancelled at once, before any record does.
+    // Every controller reports all transitive dependents as cancelled at once, before their
+    // records are updated.
     for index in 0..3 {
         for id in ["job-4", "job-10", "job-200", last.as_str()] {
             assert_eq!(
@@ -151,7 +153,7 @@
     }
     cluster.run_for(CANCEL_MS);
     assert!(!cluster.has_started("job-4") && !cluster.has_started(&last));
-    // The records are updated a few at a time.
+    // The records of the dependents are updated a few at a time.
     cluster.run_for(200_000);
     for index in 0..3 {
         assert!(cluster
@@ -274,7 +276,7 @@
     cluster.run_for(3000);
     for index in 0..3 {
         cluster.start_controller(index);
-        // It was submitted after its dependency ended, so it is eligible since its submission.
+        // Job 3 was submitted after its dependency ended, so it is eligible since its submission.
         let controller = cluster.controller(index);
         let submitted_at = controller.job("job-3").submitted_at;
         assert_eq!(
@@ -311,7 +313,8 @@
         controller.job(id).dependency_state.deadline.unwrap()
     };
     assert_eq!(deadline(&controller, "job-3"), 103_000);
-    // The deadline of the dependent, less its run time and an overhead for each stage.
+    // A job has to be done before the deadline of its dependent by the dependent's run time and
+    // the overhead of one job in the chain.
     assert!((75_000..83_000).contains(&deadline(&controller, "job-2")));
     assert!(deadline(&controller, "job-1") < deadline(&controller, "job-2") - 10_000);
     // Once the last job is cancelled, nothing is inherited from it any more.
@@ -367,12 +370,12 @@
     let (mut store, mut controller) = start_single_controller();
     assert!(
         begin_record_format_v2(&controller.cluster, &["n1", "s1"]).is_none(),
-        "one is stopped"
+        "controller s1 has not started"
     );
     let s1 = SimulatedController::start("s1", 2, &mut store, 0);
     controller.sync(&store);
     let transaction = begin_record_format_v2(&controller.cluster, &["n1", "s1"]).unwrap();
-    // One of them restarts with the old version before the transaction is executed.
+    // Controller s1 restarts with version 0.1 before the transaction is executed.
     store.revoke_lease(s1.lease);
     let key = format!("{KEY_PREFIX}node/s1");
     let old = pointhook::state::records::ControllerRecord {
@@ -426,7 +429,8 @@
     for machine in &mut cluster.machines {
         machine.worker.run_ms = 40_000;
     }
-    // While the old version may still run, a job has as many placements as fit into one record.
+    // While a controller of version 0.1 may still run, a job has only as many placements as fit
+    // into its own record.
     let small_job = |id: &str, tasks, kind| {
         let mut spec = job(id, tasks);
         spec.vcpus = 0.5;
@@ -471,7 +475,7 @@
     assert_eq!(placed(cluster.controller(0)), placed(cluster.controller(2)));
     cluster.run_for(400_000);
     assert_eq!(cluster.finished_count(), 4);
-    // No overflow record is left.
+    // All overflow records have been deleted.
     assert!(cluster
         .store
         .read_page(&format!("{KEY_PREFIX}more/"), "", 10)
@@ -486,7 +490,7 @@
     assert_eq!((observed.txn_ops, observed.value_bytes), (7, usize::MAX));
     let observed = observed.after_refusal(1, 4000);
     assert_eq!((observed.txn_ops, observed.value_bytes), (7, 3000));
-    // Values that are small already were refused for another reason.
+    // Values below 1024 bytes are refused for other reasons, so the limit does not fall further.
     assert_eq!(observed.after_refusal(1, 100).value_bytes, 1024);
     let (_, mut controller) = start_single_controller();
     controller.config.limits_observed.set(observed);
@@ -495,7 +499,7 @@
     assert_eq!(
         controller.config.limits(&controller.cluster).txn_ops,
         7,
-        "not all may support it yet"
+        "a controller may still lack record format 2"
     );
     controller.cluster.record_format_v2 = true;
     assert_eq!(controller.config.limits(&controller.cluster).txn_ops, 5);
@@ -511,7 +515,7 @@
     let next = read("[next]\nvalue_kb = 2.0\ntxn_ops = 5\nwrite_rps = 15.0\n").next;
     let next = next.unwrap().limits();
     assert_eq!((next.txn_ops, next.value_bytes), (5, 1843));
-    // A limit that rises or is left out changes nothing.
+    // An announced limit that rises or is left out changes nothing.
     let now = read("").limits();
     let next = read("[next]\ntxn_ops = 50\n").next.unwrap().limits();
     assert_eq!(now.min(next), now);
--- a/tests/submissions.rs
+++ b/tests/submissions.rs
@@ -19,11 +19,11 @@
 /// Result of a fresh read.
 #[derive(Clone, Copy, PartialEq)]
 enum FreshRead {
-    /// The key-value store can't be reached.
+    /// The read fails, because the key-value store can't be reached.
     Fails,
-    /// Nothing new.
+    /// The read shows no job that was not known before.
     Nothing,
-    /// A job that another controller has just accepted.
+    /// The read shows a job with this id that another controller has just accepted.
     Job(&'static str),
 }
 
@@ -94,8 +94,8 @@
     let answer = submit(&controller, &unknown, FreshRead::Fails);
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
-    // Another controller has accepted the dependency: only the write fails now, and a client may
-    // retry that.
+    // The fresh read shows that another controller has accepted the dependency. Only the write of
+    // the submitted job fails now, and a client may retry that.
     let known = submit(&controller, &unknown, FreshRead::Job("job-1"));
     assert_eq!(known.status, 503);
     assert!(controller.cluster.borrow().job("job-1").is_some());
@@ -131,6 +131,6 @@
     let spec = job_with_dependencies(&["job-1"]);
     let record = JobRecord::submitted(spec.clone(), 0);
     controller.cluster.borrow_mut().put_job("job-9", 1, &record);
-    // Its dependency is not known here, for which a new job would be refused.
+    // The job's dependency is not known here, so a new job like it would be refused.
     assert_eq!(submit(&controller, &spec, FreshRead::Nothing).status, 200);
 }
--- a/tests/version_compatibility.rs
+++ b/tests/version_compatibility.rs
@@ -63,7 +63,7 @@
     vec!["n-000231".into(), "n-000007".into()]
 }
 
-/// A gang's description.
+/// Description of a gang, as the samples of version 0.1 hold it.
 fn gang_spec() -> JobSpec {
     JobSpec {
         id: "job-000412".into(),
@@ -90,7 +90,7 @@
     }
 }
 
-/// An open job of which two tasks are placed.
+/// Record of an open job with two placements.
 fn open_job() -> JobRecord {
     let mut done = TaskRanges::default();
     for task in [0, 1, 3] {
@@ -367,7 +367,7 @@
     assert_eq!(old::decode_response(&response), None);
 }
 
-/// The frames as version 0.1 declares them.
+/// Requests and responses between controllers as version 0.1 declares them.
 mod old {
     use super::{MachineStatus, TaskRef};
     use rkyv::{rancor::Error, util::AlignedVec, Archive, Deserialize, Serialize};
@@ -407,9 +407,9 @@
     }
 
     fn aligned(bytes: &[u8]) -> AlignedVec {
-        let mut out: AlignedVec = AlignedVec::new();
-        out.extend_from_slice(bytes);
-        out
+        let mut copy: AlignedVec = AlignedVec::new();
+        copy.extend_from_slice(bytes);
+        copy
     }
 
     pub fn decode_request(bytes: &[u8]) -> Option<PeerRequest> {
