--- a/crates/standby/tests/failover.rs
+++ b/crates/standby/tests/failover.rs
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_worker_with_a_token_that_nobody_recorded_pauses_its_shard_once_at_most() {
+fn a_worker_that_reports_an_unrecorded_token_stops_its_shard_once_at_most() {
     let mut simulation = Simulation::new();
     simulation.observe(this_controller(5, 3), 5);
     assert!(!simulation.refused(
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn with_two_controllers_left_the_other_is_the_standby_and_with_one_nobody_is() {
+fn of_two_controllers_the_other_is_the_standby_and_a_single_controller_has_none() {
     for preference in [
         ZonePreference::Inside(0),
         ZonePreference::Outside(0),
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn reachability_and_eligibility_count_before_zones() {
+fn reachability_and_eligibility_rank_before_zones() {
     let mut controllers = CONTROLLERS;
     controllers[2].reachable_from_workers = false;
     let inside = ZonePreference::Inside(0);
--- a/crates/standby/tests/stream.rs
+++ b/crates/standby/tests/stream.rs
@@ -198,7 +198,7 @@
 }
 
 #[test]
-fn a_lossy_stream_ends_in_the_owners_state() {
+fn a_follower_reaches_the_owners_state_over_a_lossy_stream() {
     for seed in 0..CASES {
         let mut rng = fastrand::Rng::with_seed(seed);
         let mut publisher = Publisher::new(SHARD, FencingToken(1), SMALL_LIMITS);
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn a_message_of_a_full_part_stays_below_its_bound() {
+fn a_full_snapshot_part_stays_below_the_maximum_message_size() {
     let limits = StreamLimits::default();
     let mut publisher = Publisher::new(SHARD, FencingToken(1), limits);
     for i in 0..4000 {
--- a/tests/job_dependencies.rs
+++ b/tests/job_dependencies.rs
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn readiness_holds_across_stale_views_delayed_writes_outages_and_failovers() {
+fn dependencies_are_respected_across_stale_views_delayed_writes_outages_and_failovers() {
     let mut cluster = format_v2_cluster(6000);
     assert!(cluster.submit(0, job("job-1", 3)));
     assert!(cluster.submit(1, job_after("job-2", 3, &["job-1"])));
