--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -146,7 +146,7 @@
     #[error("pieces must be 1 to {MAX_TASKS}")]
     Tasks,
     /// The text in the named field is empty or too long.
-    #[error("{0} must have 1 to {MAX_TEXT_BYTES} characters")]
+    #[error("{0} must be 1 to {MAX_TEXT_BYTES} bytes long")]
     Text(&'static str),
     /// The amount or duration in the named field is negative, too large or not a number.
     #[error("{0} must be a number from 0 to {MAX_AMOUNT}")]
