--- a/crates/standby/src/follower.rs
+++ b/crates/standby/src/follower.rs
@@ -10,7 +10,7 @@
 pub struct StreamAnomalies {
     /// Number of received decisions and parts of snapshots that the standby already had.
     pub duplicates: u64,
-    /// Number of messages that could not be applied because an earlier one was missing.
+    /// Number of messages that could not be applied because an earlier message was missing.
     pub gaps: u64,
     /// Number of messages whose sender is no longer the owner: its fencing token is too low.
     pub stale: u64,
--- a/crates/standby/src/message.rs
+++ b/crates/standby/src/message.rs
@@ -1,5 +1,6 @@
 //! Messages between an owner and its standby, as `rkyv` archives that are validated before they
-//! are read. Their contents are advisory: a lost, late or wrong one can't make a decision unsafe.
+//! are read. Their contents are advisory: a lost, late or wrong message can't make a decision
+//! unsafe.
 //!
 //! The order and the types of fields and variants define the wire format
 //! (`tests/golden_peer_frames.rs` pins the bytes). Names may change, since archives don't contain
@@ -12,7 +13,7 @@
 use rkyv::rancor::Error;
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Maximum size of an archive; larger ones are refused unread.
+/// Maximum size of an archive in bytes; a larger archive is refused before it is decoded.
 pub const MAX_MESSAGE_BYTES: usize = 60 * 1024;
 
 /// A task, identified by its job and number; usually one that waits in a machine's queue.
--- a/src/protocol/cloud.rs
+++ b/src/protocol/cloud.rs
@@ -1,8 +1,9 @@
 //! Messages of the cloud API: the machine types on offer, requests for machines, and the list of
 //! machines.
 //!
-//! Only the autoscaler uses them. Wire names are pinned by `serde(rename)`; names in Rust follow
-//! `docs/architecture.md`, section "Glossary".
+//! Only the autoscaler exchanges messages with the cloud. It stores the catalog of machine types as
+//! a record, which all controllers read. Wire names are pinned by `serde(rename)`; names in Rust
+//! follow `docs/architecture.md`, section "Glossary".
 
 use serde::{Deserialize, Serialize};
 
--- a/src/protocol/peers.rs
+++ b/src/protocol/peers.rs
@@ -89,7 +89,7 @@
         sender: String,
         /// True if the sender can reach the key-value store.
         kv_reachable: bool,
-        /// True if workers can reach the sender, or it can reach them.
+        /// True if workers can reach the sender, or the sender can reach workers.
         workers_reachable: bool,
         /// State of the machines of the shards that the sender owns.
         machines: Vec<MachineStatus>,
@@ -126,14 +126,15 @@
     /// Sends the cancelled jobs that may have tasks left; the response holds those that the
     /// receiver knows.
     ///
-    /// This is not a hint: a cancellation is final, whichever controller sends it. Controllers of
-    /// version 0.1 know neither this request nor its response and close the connection.
+    /// The request is not a hint: a cancellation is final, whichever controller sends it.
+    /// Controllers of version 0.1 know neither the request nor its response and close the
+    /// connection.
     CancelledJobs {
         /// Ids of cancelled jobs that the sender knows.
         jobs: Vec<String>,
     },
     /// Replication from a shard's owner to its standby: an archived message of the standby package.
-    /// Sent only to controllers whose record says that they accept it.
+    /// Sent only to controllers whose record says that they accept replication.
     Replicate {
         /// Name of the sender.
         sender: String,
@@ -157,9 +158,9 @@
     CancellationAttestation {
         /// Time for which the responder's process has run, ms.
         uptime_ms: u32,
-        /// Age of its cancellation watermark, ms; `u32::MAX` if it has none.
+        /// Age of the responder's cancellation watermark, ms; `u32::MAX` if it has none.
         watermark_age_ms: u32,
-        /// Ids of these jobs.
+        /// Ids of the cancelled jobs.
         jobs: Vec<String>,
     },
     /// Response of a standby to a replication message.
--- a/src/protocol/workers.rs
+++ b/src/protocol/workers.rs
@@ -201,10 +201,11 @@
 /// Commands that a controller sends directly, not in the response to a heartbeat.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct DirectCommands {
-    /// Fencing token of the owner; the worker refuses one below the highest that it has seen.
+    /// Fencing token of the owner; the worker refuses a token below the highest that it has seen.
     #[serde(rename = "baton")]
     pub fencing_token: FencingToken,
-    /// Agent epoch that the commands are addressed to; the worker refuses those to any other.
+    /// Agent epoch that the commands are addressed to; the worker refuses commands to other
+    /// epochs.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
     /// Commands, to be executed in this order.
@@ -215,7 +216,7 @@
 /// Body of a response with status 421: another controller owns the machine's shard.
 #[derive(Serialize, Deserialize, Clone, PartialEq, Debug)]
 pub struct NotOwner {
-    /// Name of the owner of the machine's shard, if it is known.
+    /// Name of the owner of the machine's shard; `None` if it is not known.
     #[serde(rename = "foreman", skip_serializing_if = "Option::is_none")]
     pub owner: Option<String>,
 }
--- a/src/state/dependency_graph.rs
+++ b/src/state/dependency_graph.rs
@@ -1,10 +1,10 @@
 //! The graph of dependencies between jobs.
 //!
 //! Job records name the dependencies; everything else is derived from them and from the states of
-//! the named jobs. Both only ever change in one direction: a job's dependencies stay as submitted,
-//! and an open job becomes done or cancelled but is never reopened. A change affects the direct
-//! neighbours of a job. It is propagated from there with a work list instead of recursion, so that
-//! a deep graph can't exhaust the stack.
+//! the named jobs. Neither is ever reverted: a job's dependencies stay as submitted, and an open
+//! job becomes done or cancelled but is never reopened. A change of a job affects its direct
+//! neighbours first. The change is propagated further with a work list instead of recursion, so
+//! that a deep graph can't exhaust the stack.
 
 use super::job::{DependencyState, Job, JobState};
 use super::names::JobIndex;
--- a/src/state/machine.rs
+++ b/src/state/machine.rs
@@ -116,7 +116,7 @@
     /// Fencing token in the newest heartbeat.
     pub fencing_token: FencingToken,
     /// Number of heartbeats whose response waits for a scheduling round; no start is sent directly
-    /// unless it is 0.
+    /// while there are any.
     pub responses_in_progress: u32,
     /// When the cloud will preempt the machine; `None` if it has given no notice.
     pub preemption_deadline: Option<MonotonicMillis>,
--- a/src/state/units.rs
+++ b/src/state/units.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// Milliseconds of this process's monotonic clock.
+/// A time on the monotonic clock of this process, in milliseconds.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug, Default)]
 pub struct MonotonicMillis(pub u64);
 
