--- a/src/coordination/controller/mod.rs
+++ b/src/coordination/controller/mod.rs
@@ -21,7 +21,7 @@
 use crate::coordination::scheduler::config::SchedulerConfig;
 use crate::features::Features;
 use crate::protocol::kv::Limits;
-use crate::settings::{Objective, Operator, Platform};
+use crate::settings::{Objective, OperatorSettings, PlatformSettings};
 use crate::state::cancellation_watermark::CancellationWatermark;
 use crate::state::cluster_state::ClusterState;
 use crate::state::machine::Machine;
@@ -58,9 +58,9 @@
 /// The shared state of a controller.
 pub struct Controller {
     /// Settings of the platform.
-    pub platform: Platform,
+    pub platform: PlatformSettings,
     /// Settings of the operators.
-    pub operator: Operator,
+    pub operator: OperatorSettings,
     /// Optional features.
     pub features: Features,
     /// Parameters of scheduling decisions.
@@ -124,7 +124,7 @@
 }
 
 /// Parameters of scheduling decisions according to the settings.
-fn scheduler_config(platform: &Platform, operator: &Operator) -> SchedulerConfig {
+fn scheduler_config(platform: &PlatformSettings, operator: &OperatorSettings) -> SchedulerConfig {
     let shared = &platform.settings;
     let workers = &shared.workers;
     let next = shared.kv.next.as_ref();
@@ -141,7 +141,7 @@
         capacity_buffer_on_demand: operator.capacity_buffer_on_demand,
         lease_expiry_ms: millis_from_seconds(workers.lease_s * CLOCK_DRIFT_FACTOR)
             + LEASE_EXPIRY_MARGIN_MS,
-        max_watermark_age_ms: workers.renew_ms(),
+        max_watermark_age_ms: workers.max_watermark_age_ms(),
         cancel_ms: millis_from_seconds(workers.cancel_s),
         completion_targets: finish_times(&shared.objectives),
         limits_now: shared.kv.limits(),
@@ -156,7 +156,7 @@
 }
 
 /// The cached state before any record has been read.
-fn empty_cluster_state(platform: &Platform, operator: &Operator) -> ClusterState {
+fn empty_cluster_state(platform: &PlatformSettings, operator: &OperatorSettings) -> ClusterState {
     let shared = &platform.settings;
     let mut cluster = ClusterState::new(&shared.zones, &shared.teams, operator.shards_per_zone);
     cluster.cancellation_watermark =
@@ -167,8 +167,8 @@
 impl Controller {
     /// A controller that has not read any records yet.
     pub fn new(
-        platform: Platform,
-        operator: Operator,
+        platform: PlatformSettings,
+        operator: OperatorSettings,
         features: Features,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Controller {
--- a/src/coordination/kv/client.rs
+++ b/src/coordination/kv/client.rs
@@ -118,7 +118,7 @@
         if answer.is_err() {
             // Connections from before a network partition would hang until the timeout; new ones
             // fail immediately.
-            self.calls.reset();
+            self.calls.close_idle();
         }
         answer
     }
@@ -140,7 +140,7 @@
 
     /// Closes the connections for long polls; to be called after one has failed.
     pub(super) fn reset_watches(&self) {
-        self.watches.reset();
+        self.watches.close_idle();
     }
 
     /// Sends a transaction, without retries.
--- a/src/coordination/scheduler/queues.rs
+++ b/src/coordination/scheduler/queues.rs
@@ -136,7 +136,7 @@
         return;
     };
     for request in bind_requests(&tasks) {
-        if peer.client.ask(&request, PEER_TIMEOUT_MS).await.is_err() {
+        if peer.client.call(&request, PEER_TIMEOUT_MS).await.is_err() {
             break;
         }
     }
--- a/src/transport/frames.rs
+++ b/src/transport/frames.rs
@@ -1,13 +1,14 @@
-//! Length-prefixed frames between controllers.
+//! Length-prefixed request and response frames between controllers.
 //!
-//! A frame is its length (four bytes, big-endian), one byte of version and the body that
-//! [`crate::protocol::peers`] encodes. `cli` starts [`serve`]; each peer has [`PeerClient`]s.
+//! A frame consists of its length (four bytes, big-endian, counting version and body), one version
+//! byte and a body encoded by [`crate::protocol::peers`]. `cli` starts [`serve`]; a controller has
+//! several [`PeerClient`]s for each peer.
 //!
-//! Invariant: nothing is allocated for a frame before its length has been checked.
+//! Invariant: the length of a received frame is checked before memory for its body is allocated.
 
 use super::{disable_nagle, within, ConnectionSlot, ExchangeError, TransportError};
 use crate::protocol::peers::{self, PeerRequest, PeerResponse, MAX_FRAME, VERSION};
-use crate::settings::PEER_CONNECTIONS;
+use crate::settings::MAX_PEER_CONNECTIONS;
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -16,13 +17,14 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 
-/// A connection without a request for this long is closed.
-const IDLE_MS: u64 = 60_000;
-/// Time for a response to be written.
-const WRITE_MS: u64 = 2000;
-/// Pause after a failed accept: out of sockets, wait for some to close instead of spinning.
+/// Time without a request after which a peer's connection is closed, ms.
+const IDLE_TIMEOUT_MS: u64 = 60_000;
+/// Longest time to write a response, ms.
+const WRITE_TIMEOUT_MS: u64 = 2000;
+/// Delay after a failed accept, ms: when the process is out of sockets, it waits for some to close
+/// instead of retrying in a busy loop.
 const ACCEPT_RETRY_MS: u64 = 100;
-/// Length and version.
+/// Size of the frame header: length and version.
 const HEADER_BYTES: usize = 5;
 
 async fn write_frame(mut stream: &Async<TcpStream>, body: &[u8]) -> IoResult<()> {
@@ -40,17 +42,18 @@
     let [length @ .., version] = header;
     let length = u32::from_be_bytes(length) as usize;
     if length == 0 || length > MAX_FRAME {
-        return Err(invalid("frame size"));
+        return Err(invalid("invalid frame length"));
     }
     if version != VERSION {
-        return Err(invalid("frame version"));
+        return Err(invalid("unsupported frame version"));
     }
     let mut body = vec![0; length - 1];
     stream.read_exact(&mut body).await?;
     Ok(body)
 }
 
-/// Accepts connections of peers and answers their requests; one task for each connection.
+/// Accepts connections of peers and responds to their requests, in one task per connection. Closes
+/// a new connection at once if [`MAX_PEER_CONNECTIONS`] are open.
 pub async fn serve<F>(
     executor: Rc<LocalExecutor<'static>>,
     listener: Async<TcpListener>,
@@ -68,25 +71,26 @@
                 continue;
             }
         };
-        let Some(slot) = ConnectionSlot::acquire(&open, PEER_CONNECTIONS) else {
+        let Some(slot) = ConnectionSlot::acquire(&open, MAX_PEER_CONNECTIONS) else {
             continue;
         };
         disable_nagle(&stream);
         let handler = handler.clone();
         let connection = async move {
-            answer_requests(&stream, peer, handler).await;
+            handle_requests(&stream, peer, handler).await;
             drop(slot);
         };
         executor.spawn(connection).detach();
     }
 }
 
-/// Answers requests on one connection until it ends, is idle for too long or breaks the protocol.
-async fn answer_requests<F>(stream: &Async<TcpStream>, peer: SocketAddr, handler: F)
+/// Responds to the requests on one connection until it is closed, idle for too long or sends a
+/// malformed frame.
+async fn handle_requests<F>(stream: &Async<TcpStream>, peer: SocketAddr, handler: F)
 where
     F: Fn(PeerRequest) -> PeerResponse,
 {
-    while let Some(Ok(body)) = within(IDLE_MS, read_frame(stream)).await {
+    while let Some(Ok(body)) = within(IDLE_TIMEOUT_MS, read_frame(stream)).await {
         let Some(request) = peers::decode_request(&body) else {
             log::warn!("connection closed after malformed frame: peer={peer}");
             return;
@@ -94,21 +98,21 @@
         let Some(response) = peers::encode(&handler(request)) else {
             return;
         };
-        let written = within(WRITE_MS, write_frame(stream, &response)).await;
+        let written = within(WRITE_TIMEOUT_MS, write_frame(stream, &response)).await;
         if !matches!(written, Some(Ok(()))) {
             return;
         }
     }
 }
 
-/// Sends requests to one peer over a connection that is kept between them.
+/// Client for one peer, which keeps its connection open between requests.
 pub struct PeerClient {
     address: SocketAddr,
     idle: RefCell<Option<Async<TcpStream>>>,
 }
 
 impl PeerClient {
-    /// A client of the peer at `address`; connects with the first request.
+    /// A client for the peer at `address`. It connects when the first request is sent.
     pub fn new(address: SocketAddr) -> PeerClient {
         PeerClient {
             address,
@@ -116,27 +120,28 @@
         }
     }
 
-    /// Sends a request and waits for the response, `timeout_ms` in all.
-    pub async fn ask(
+    /// Sends a request and waits for the response. `timeout_ms` covers connecting, sending and
+    /// receiving.
+    pub async fn call(
         &self,
         request: &PeerRequest,
         timeout_ms: u64,
     ) -> Result<PeerResponse, TransportError> {
         let address = self.address;
-        let body = peers::encode(request).ok_or(TransportError::Broken {
+        let body = peers::encode(request).ok_or(TransportError::ExchangeFailed {
             address,
             source: ExchangeError::EncodeRequest,
         })?;
         within(timeout_ms, self.exchange(&body))
             .await
-            .unwrap_or(Err(TransportError::Deadline {
+            .unwrap_or(Err(TransportError::Timeout {
                 address,
                 timeout_ms,
             }))
     }
 
-    /// Sends one request. The connection is kept only after a good response: a response that
-    /// comes late on a kept one would be taken for the next request's.
+    /// Sends one request and reads its response. The connection is kept only after a valid response:
+    /// on a kept connection, a late response would be taken for that of the next request.
     async fn exchange(&self, body: &[u8]) -> Result<PeerResponse, TransportError> {
         let idle = self.idle.borrow_mut().take();
         let stream = match idle {
@@ -146,7 +151,7 @@
         let response =
             round_trip(&stream, body)
                 .await
-                .map_err(|source| TransportError::Broken {
+                .map_err(|source| TransportError::ExchangeFailed {
                     address: self.address,
                     source,
                 })?;
