--- a/src/coordination/scheduler/gangs.rs
+++ b/src/coordination/scheduler/gangs.rs
@@ -126,7 +126,7 @@
         {
             continue;
         }
-        let zone = match gang.spec.wire.one_zone {
+        let zone = match gang.spec.submitted.one_zone {
             true => candidate.machine.zone,
             false => ZoneIndex(0),
         };
@@ -159,11 +159,11 @@
             slot.candidate.index,
         )
     });
-    if spec.wire.spread {
+    if spec.submitted.spread {
         let mut by_zone = TasksByZone::default();
         slots.retain(|slot| {
             by_zone.add(slot.candidate.machine.zone);
-            by_zone.count(slot.candidate.machine.zone) <= spec.zone_cap()
+            by_zone.count(slot.candidate.machine.zone) <= spec.max_tasks_per_zone()
         });
     }
     let tasks = spec.tasks() as usize;
--- a/src/coordination/scheduler/preemption.rs
+++ b/src/coordination/scheduler/preemption.rs
@@ -243,7 +243,7 @@
             let attempt = task.task_attempt()?;
             let job = &cluster.jobs[attempt.job.at()];
             let spec = job.spec.as_ref()?;
-            let cost = stop_cost(task, spec.wire.checkpoint_s > 0.0, priority)?;
+            let cost = stop_cost(task, spec.submitted.checkpoint_s > 0.0, priority)?;
             // The priority includes that of dependent jobs: a dependency of a job with a higher
             // priority is not stopped.
             let task_priority = job.dependency_state.priority;
--- a/src/state/dependencies.rs
+++ b/src/state/dependencies.rs
@@ -22,14 +22,14 @@
         spec: Option<&Spec>,
     ) -> (DependencyState, bool) {
         let deadline_ms = spec
-            .and_then(|spec| spec.wire.deadline_s)
+            .and_then(|spec| spec.submitted.deadline_s)
             .map(millis_from_seconds);
         let own = OwnAttributes {
             submitted_at,
             priority: spec.map_or(Priority::Low, Spec::priority),
             deadline: deadline_ms.map(|ms| submitted_at.saturating_add(ms)),
         };
-        let names = spec.map_or(&[] as &[String], |spec| &spec.wire.dependencies);
+        let names = spec.map_or(&[] as &[String], |spec| &spec.submitted.dependencies);
         let dependencies = names.iter().map(|name| self.job(name).map(|(_, job)| job));
         let dependents = self.dependency_graph.dependents(id).iter();
         let dependents = dependents.map(|index| &self.jobs[index.at()]);
@@ -41,12 +41,12 @@
         let Some(spec) = job.spec.clone().filter(|_| job.is_open()) else {
             return;
         };
-        for name in &spec.wire.dependencies {
+        for name in &spec.submitted.dependencies {
             let dependency = self.job(name).map(|(index, job)| (index, job.is_open()));
             if dependency.is_none_or(|(_, open)| open) {
                 self.dependency_graph.add_dependent(job_index, name);
             }
-            // The dependency has gained a dependent.
+            // The dependency has a new dependent, whose priority and deadline it may inherit.
             self.dependency_graph
                 .mark_changed(dependency.map(|(index, _)| index));
         }
@@ -80,7 +80,9 @@
 
     /// Marks the dependencies of a job for evaluation, because the job has changed.
     pub(super) fn mark_dependencies_changed(&mut self, spec: Option<&Spec>) {
-        let names = spec.into_iter().flat_map(|spec| &spec.wire.dependencies);
+        let names = spec
+            .into_iter()
+            .flat_map(|spec| &spec.submitted.dependencies);
         let dependencies: Vec<JobIndex> =
             names.filter_map(|name| Some(self.job(name)?.0)).collect();
         self.dependency_graph.mark_changed(dependencies);
@@ -89,8 +91,9 @@
     /// Records a job's cancellation that a peer knows to be confirmed; returns true if it is new
     /// here.
     ///
-    /// It overrides the cached record, since the new version may not be readable for minutes.
-    /// Transactions that are conditional on the cached version fail, as a newer one is stored.
+    /// The cancellation overrides the cached record, since the new version of the record may not be
+    /// readable for minutes. Transactions that are conditional on the cached version fail, as a
+    /// newer one is stored.
     pub fn learn_cancelled(&mut self, id: &str) -> bool {
         let known = self.job(id);
         if known.is_some_and(|(_, job)| !job.is_open())
@@ -107,14 +110,14 @@
         true
     }
 
-    /// Cancelled jobs of which tasks may still run, as far as is known here.
+    /// Cancelled jobs that are known here and may have tasks that still run.
     pub fn cancelled(&self) -> impl Iterator<Item = (JobIndex, &Job)> {
         self.active_jobs()
             .filter(|(_, job)| job.state == JobState::Cancelled)
     }
 
-    /// Ids of cancelled jobs of which tasks may still run. All jobs whose cancellation is known
-    /// from peers only are included, as nothing is known of their tasks.
+    /// Ids of cancelled jobs that may have tasks that still run. All jobs whose cancellation is
+    /// known from peers only are included, as nothing is known of their tasks.
     pub fn cancelled_job_ids(&self) -> Vec<String> {
         let by_record = self.cancelled().map(|(_, job)| &job.id);
         let by_record = by_record.filter(|id| !self.cancelled_by_peers.contains(*id));
--- a/src/state/record_formats.rs
+++ b/src/state/record_formats.rs
@@ -4,32 +4,32 @@
 use super::cluster_state::ClusterState;
 use super::job::{Job, JobRecord, Placement, StoredPlacement};
 use super::names::{Index, JobIndex};
-use super::records::ROOT;
+use super::records::KEY_PREFIX;
 use crate::protocol::users::JobSpec;
 
 /// Size in bytes of a job's description in its record, as the key-value store counts it.
-pub(super) fn stored_bytes(wire: &JobSpec) -> usize {
-    let bytes = rmp_serde::to_vec_named(wire).unwrap_or_default();
+pub(super) fn stored_bytes(submitted: &JobSpec) -> usize {
+    let bytes = rmp_serde::to_vec_named(submitted).unwrap_or_default();
     let value = rmpv::decode::read_value(&mut bytes.as_slice());
     value.map_or(0, |v| v.to_string().len())
 }
 
 impl ClusterState {
-    /// Key of a job's record.
+    /// Key of a job's record: `ph/job/<id>`.
     pub fn job_key(id: &str) -> String {
-        format!("{ROOT}job/{id}")
+        format!("{KEY_PREFIX}job/{id}")
     }
 
-    /// Key of one of a job's overflow records.
+    /// Key of one of a job's overflow records: `ph/more/<id>.<overflow index>`.
     pub fn overflow_key(id: &str, overflow_index: u16) -> String {
-        format!("{ROOT}more/{id}.{overflow_index}")
+        format!("{KEY_PREFIX}more/{id}.{overflow_index}")
     }
 
     /// A job's record as it is stored, without the placements in overflow records.
     pub fn job_record(&self, job: &Job) -> JobRecord {
         let spec = job.spec.as_ref().filter(|_| !job.is_settled());
         JobRecord {
-            spec: spec.map(|spec| spec.wire.clone()),
+            spec: spec.map(|spec| spec.submitted.clone()),
             state: job.state,
             submitted_at: job.submitted_at,
             done: job.done.clone(),
--- a/tests/overlapping_faults.rs
+++ b/tests/overlapping_faults.rs
@@ -8,7 +8,7 @@
 use pointhook::coordination::scheduler::quota;
 use pointhook::protocol::users::{JobKind, JobSpec, Priority};
 use pointhook::protocol::workers::{ExitReason, TaskState};
-use pointhook::state::cluster_state::ROOT;
+use pointhook::state::cluster_state::KEY_PREFIX;
 use pointhook::state::names::TeamIndex;
 use support::job;
 use support::scenarios::{recover, two_long_jobs};
@@ -160,7 +160,7 @@
     assert!(worker.has_task("job-1/0"));
     // The first controller regains the shard, and still has the exit of the old agent epoch.
     store.revoke_lease(other.lease);
-    let key = format!("{ROOT}node/n1");
+    let key = format!("{KEY_PREFIX}node/n1");
     assert_eq!(store.version(&key), 0);
     controller.sync(&store);
     controller.run_membership_tick(&mut store, 17_000);
