--- a/crates/testkit/src/cloud.rs
+++ b/crates/testkit/src/cloud.rs
@@ -5,7 +5,7 @@
 };
 use std::collections::BTreeMap;
 
-/// Capacity of a fake cloud for which a test sets no other, in machines.
+/// Default capacity of a fake cloud, in machines.
 const DEFAULT_CAPACITY: u32 = 8;
 
 /// In-memory cloud that provisions all requested machines at once, up to its capacity.
--- a/crates/testkit/src/failover_measurement/interruption.rs
+++ b/crates/testkit/src/failover_measurement/interruption.rs
@@ -26,7 +26,8 @@
 }
 
 /// Interrupts the owner of a busy shard. Returns the milliseconds until the first decision of the
-/// next owner, or `None` if the owner was paused and kept the shard.
+/// next owner, or `None` if the owner was paused and no other controller decided for the shard
+/// during the pause.
 pub(super) async fn interrupt(
     cluster: &LoopbackCluster,
     controllers: &mut [ControllerProcess],
--- a/crates/testkit/src/failover_measurement/mod.rs
+++ b/crates/testkit/src/failover_measurement/mod.rs
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub struct Measurement {
     /// Time from each interruption to the first decision of the next owner, in milliseconds; `None`
-    /// if the interrupted controller kept its shard.
+    /// if the owner was paused and no other controller decided for its shard during the pause.
     pub failover_times_ms: Vec<Option<u64>>,
     /// Recorded events of the run, in order.
     pub history: Vec<Entry>,
--- a/crates/testkit/src/kv_store.rs
+++ b/crates/testkit/src/kv_store.rs
@@ -19,7 +19,7 @@
 const MAX_KEY_LENGTH: usize = 200;
 /// Maximum number of conditions in a transaction, as a multiple of the maximum number of writes.
 const CONDITIONS_PER_WRITE: usize = 4;
-/// Write limit from which on the limit is not enforced.
+/// Value of `max_writes_per_s` from which on writes are not limited.
 const UNLIMITED_WRITES_PER_S: f64 = 1e9;
 
 /// Response of the key-value store: status and body.
--- a/crates/testkit/src/network/cloud_service.rs
+++ b/crates/testkit/src/network/cloud_service.rs
@@ -1,4 +1,4 @@
-//! HTTP interface of the fake cloud; each provisioned machine starts its worker.
+//! HTTP interface of the fake cloud; it starts a worker for each provisioned machine.
 
 use super::{query_field, worker_loop, Executor, LoopbackCluster, SharedWorker};
 use crate::worker::FakeWorker;
--- a/crates/testkit/src/network/mod.rs
+++ b/crates/testkit/src/network/mod.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// Serves the key-value store and the cloud on their listeners, until serving the cloud fails.
+/// Serves the key-value store and the cloud on their listeners; never returns.
 pub async fn run(
     cluster: Rc<LoopbackCluster>,
     executor: Executor,
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -80,7 +80,8 @@
     }
 }
 
-/// Handle of a controller process, which is killed when the handle is dropped.
+/// Handle of a controller process, which is killed when the handle is dropped. If a wrapper command
+/// is set, the wrapper is the process that is killed, paused and resumed.
 pub struct ControllerProcess {
     addresses: ControllerAddresses,
     settings: PathBuf,
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -158,9 +158,9 @@
 
 /// The listening sockets of a controller.
 struct Listeners {
-    /// For users, workers and health checks.
+    /// Listener for users, workers and health checks.
     public: Async<TcpListener>,
-    /// For the other controllers.
+    /// Listener for the other controllers.
     peers: Async<TcpListener>,
 }
 
--- a/src/coordination/heartbeats/apply.rs
+++ b/src/coordination/heartbeats/apply.rs
@@ -25,7 +25,7 @@
         lease_ms: u64,
     },
     /// The response to direct commands. The response proves that the listed tasks are present, but
-    /// does not count as a sign of life: the worker has not requested a renewal of its lease.
+    /// does not count as a heartbeat: the worker has not requested a renewal of its lease.
     CommandResponse,
 }
 
@@ -121,9 +121,9 @@
     }
 }
 
-/// Records the version and fencing token of a heartbeat. The heartbeat counts as a sign of life
-/// only if it shows the owner's token: a heartbeat with an older token may be a delayed duplicate
-/// from a machine that no longer exists.
+/// Records the version and fencing token of a heartbeat. The heartbeat proves that the machine is
+/// alive only if it shows the owner's token: a heartbeat with an older token may be a delayed
+/// duplicate from a machine that no longer exists.
 fn record_sign_of_life(
     machine: &mut Machine,
     heartbeat: &Heartbeat,
--- a/src/coordination/membership/assignment.rs
+++ b/src/coordination/membership/assignment.rs
@@ -170,9 +170,11 @@
 
 /// True if a machine has in-flight starts that a new fencing token should invalidate.
 ///
-/// An unanswered direct start may still be executed until the fencing token rises. And a worker
-/// keeps ended attempts in its heartbeats to guard against repeated starts, so the number of
-/// in-flight starts must stay limited.
+/// An unanswered direct start may still be executed until the fencing token is raised. While a
+/// direct start of an attempt may be executed late or again, the owner does not acknowledge the
+/// attempt's exit, unless the start was acknowledged and the attempt exited as done. Until the
+/// exit is acknowledged, the worker keeps the attempt in its heartbeats, which must not grow without
+/// limit. Once the token is raised, the owner can acknowledge the exit.
 fn has_starts_to_fence(
     machine: &Machine,
     fencing_token: FencingToken,
--- a/src/job_command.rs
+++ b/src/job_command.rs
@@ -64,7 +64,7 @@
         #[source]
         source: Box<toml::de::Error>,
     },
-    /// A field of the job description has a value that is never allowed.
+    /// A field of the job description has a value that no cluster allows.
     #[error("{}: {source}", path.display())]
     Invalid {
         /// Path of the job description.
--- a/src/observe_command.rs
+++ b/src/observe_command.rs
@@ -1,7 +1,7 @@
 //! Command `pointhook observe`: shows operators the cluster as a running controller sees it.
 //!
-//! `cli` calls [`run`]. The request goes to the address at which the controller accepts its peers,
-//! in the format of the messages between controllers.
+//! `cli` calls [`run`]. The request goes to the address at which the controller accepts connections
+//! of its peers, in the format of the messages between controllers.
 
 use crate::protocol::peers::{PeerRequest, PeerResponse, ShardStatus};
 use crate::transport::frames::PeerClient;
@@ -93,7 +93,7 @@
 }
 
 /// Replication progress of a shard's standby. The owner knows the lag of the standby; the standby
-/// knows of which owner's token it holds the complete state.
+/// knows the fencing token of the owner whose complete state it holds.
 fn replication_progress(shard: &ShardStatus) -> String {
     match (shard.replication_lag, shard.replica_of_token) {
         (Some(0), _) => "up to date".to_string(),
--- a/src/protocol/users.rs
+++ b/src/protocol/users.rs
@@ -88,7 +88,8 @@
     /// Estimate of a task's run time, s.
     #[serde(rename = "guess_s")]
     pub estimated_run_s: f64,
-    /// Run time between two checkpoints of a task, s; 0: the tasks write no checkpoints.
+    /// Progress, in s of run time, after which a running task writes a checkpoint by itself; 0: the
+    /// tasks write no checkpoints.
     #[serde(rename = "snapshot_s")]
     pub checkpoint_s: f64,
     /// Time that a task has for a last checkpoint when it is stopped, s.
--- a/src/settings/errors.rs
+++ b/src/settings/errors.rs
@@ -38,7 +38,7 @@
     /// The features file does not conform to its schema.
     #[error("{}: {source}", path.display())]
     Features {
-        /// Path of the settings file.
+        /// Path of the features file.
         path: PathBuf,
         /// The key and its allowed values.
         #[source]
--- a/src/settings/platform.rs
+++ b/src/settings/platform.rs
@@ -64,8 +64,8 @@
 const LEASE_EXPIRY_MARGIN_S: f64 = 1.5;
 /// Relative drift between two clocks, each of which drifts by up to 0.05%.
 const MAX_CLOCK_DRIFT: f64 = 0.001;
-/// Lower bound, in s, of the age of the cancellation watermark up to which leases are renewed. With a
-/// smaller one, leases would expire whenever the key-value store responds slowly.
+/// Minimum of the limit on the age of the cancellation watermark, s; above the limit, leases are not
+/// renewed. With a lower minimum, leases would expire whenever the key-value store responds slowly.
 const MIN_WATERMARK_AGE_LIMIT_S: f64 = 6.5;
 
 impl WorkerSettings {
@@ -134,7 +134,7 @@
     }
 }
 
-/// Coming limits of the key-value store. A limit that is left out does not change.
+/// Future limits of the key-value store. A limit that is left out does not change.
 #[derive(Deserialize, Clone, Debug, Default)]
 pub struct NextLimits {
     /// Puts and deletes per second.
@@ -146,7 +146,8 @@
 }
 
 impl NextLimits {
-    /// The limits in the scheduler's units; one that is left out is unlimited.
+    /// The limits in the scheduler's units; one that is left out is unlimited. The scheduler uses
+    /// them only to tighten the current limits, so a limit that is left out has no effect.
     pub fn limits(&self) -> Limits {
         Limits {
             txn_ops: self.txn_ops.unwrap_or(usize::MAX),
@@ -233,7 +234,7 @@
     /// Zone of the peer.
     #[serde(rename = "domain")]
     pub zone: String,
-    /// Address at which the peer accepts other controllers.
+    /// Address at which the peer accepts connections of other controllers.
     pub addr: SocketAddr,
 }
 
--- a/src/transport/executor_priorities.rs
+++ b/src/transport/executor_priorities.rs
@@ -11,9 +11,9 @@
 
 /// The executors of one thread, by priority.
 ///
-/// An overloaded controller must above all renew its lease and follow the records. If it loses its
-/// shards because it is late, all machines of those shards move to other overloaded controllers,
-/// and none of them recovers.
+/// An overloaded controller must above all renew its lease and keep up with changed records. If it
+/// loses its shards because it is late, all machines of those shards move to other overloaded
+/// controllers, and none of them recovers.
 #[derive(Clone, Default)]
 pub struct ExecutorPriorities {
     /// Background tasks with a bounded amount of work: lease, records, planning, peers.
