--- a/crates/testkit/src/failover_measurement/batch.rs
+++ b/crates/testkit/src/failover_measurement/batch.rs
@@ -9,7 +9,7 @@
 use http_types::Method;
 use pointhook::protocol::users::{JobSpec, JobStatus};
 use pointhook::transport::http::Client;
-use pointhook::transport::pause;
+use pointhook::transport::sleep;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -63,7 +63,7 @@
             self.submitted.set(number);
             self.pending.set(self.pending.get() + 1);
             executor.spawn(self.clone().submit(number)).detach();
-            pause(SUBMIT_INTERVAL_MS).await;
+            sleep(SUBMIT_INTERVAL_MS).await;
         }
     }
 
@@ -78,7 +78,7 @@
             if answer.is_ok_and(|answer| matches!(answer.status, 200 | 201)) {
                 break;
             }
-            pause(SUBMIT_RETRY_MS).await;
+            sleep(SUBMIT_RETRY_MS).await;
         }
         self.record(Event::JobAccepted {
             job: spec.id.clone(),
@@ -103,7 +103,7 @@
                 if self.cluster.now_ms() > deadline {
                     return false;
                 }
-                pause(STATUS_POLL_INTERVAL_MS).await;
+                sleep(STATUS_POLL_INTERVAL_MS).await;
             }
         }
         for job in &jobs {
--- a/crates/testkit/src/failover_measurement/interruption.rs
+++ b/crates/testkit/src/failover_measurement/interruption.rs
@@ -6,7 +6,7 @@
 use crate::network::LoopbackCluster;
 use crate::process::ControllerProcess;
 use pointhook::protocol::workers::FencingToken;
-use pointhook::transport::pause;
+use pointhook::transport::sleep;
 
 /// Age of the last recorded decision up to which a shard counts as busy.
 const BUSY_WINDOW_MS: u64 = 1500;
@@ -34,7 +34,7 @@
     interruption: Interruption,
     rng: &mut fastrand::Rng,
 ) -> Result<Option<u64>, MeasurementError> {
-    pause(rng.u64(..MAX_INITIAL_DELAY_MS)).await;
+    sleep(rng.u64(..MAX_INITIAL_DELAY_MS)).await;
     let busy = || choose_busy_shard(cluster, controllers, rng);
     let target = poll_until(cluster, TIMEOUT_MS, busy).await;
     let target = target.ok_or(MeasurementError::Timeout("a busy shard"))?;
@@ -43,7 +43,7 @@
         Interruption::Kill => Some(kill_owner(cluster, owner, &target).await?),
         Interruption::Pause { ms } => pause_owner(cluster, owner, &target, ms).await?,
     };
-    pause(RECOVERY_MS).await;
+    sleep(RECOVERY_MS).await;
     Ok(failover_time)
 }
 
@@ -71,7 +71,7 @@
     owner.pause()?;
     let decided = || first_decision_of_next_owner(cluster, target);
     let decided_at_ms = poll_until(cluster, pause_ms, decided).await;
-    pause(pause_ms.saturating_sub(cluster.now_ms() - interrupted_at_ms)).await;
+    sleep(pause_ms.saturating_sub(cluster.now_ms() - interrupted_at_ms)).await;
     owner.resume()?;
     Ok(decided_at_ms.map(|at| at - interrupted_at_ms))
 }
@@ -89,7 +89,7 @@
     busy.sort_unstable();
     busy.dedup();
     let shard = *busy.get(rng.usize(..busy.len().max(1)))?;
-    let record = recorder.owner(shard)?;
+    let record = recorder.shard_record(shard)?;
     let owner = controllers.iter().position(|c| c.name() == record.owner)?;
     Some(Target {
         shard,
--- a/crates/testkit/src/failover_measurement/mod.rs
+++ b/crates/testkit/src/failover_measurement/mod.rs
@@ -15,7 +15,7 @@
 use async_executor::LocalExecutor;
 use hdrhistogram::Histogram;
 use pointhook::transport::http::listen;
-use pointhook::transport::pause;
+use pointhook::transport::sleep;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -205,7 +205,7 @@
         if let Some(found) = condition() {
             return Some(found);
         }
-        pause(POLL_INTERVAL_MS).await;
+        sleep(POLL_INTERVAL_MS).await;
     }
     None
 }
--- a/crates/testkit/src/history.rs
+++ b/crates/testkit/src/history.rs
@@ -134,7 +134,7 @@
     }
 
     /// Last committed record of a shard, with its owner and fencing token; `None` before the first.
-    pub fn owner(&self, shard: u32) -> Option<&ShardRecord> {
+    pub fn shard_record(&self, shard: u32) -> Option<&ShardRecord> {
         self.shards.get(&shard).map(|recorded| &recorded.record)
     }
 
--- a/crates/testkit/src/network/kv_service.rs
+++ b/crates/testkit/src/network/kv_service.rs
@@ -6,7 +6,7 @@
 use http_types::Method;
 use pointhook::protocol::kv::{CommitResponse, Lease, LeaseRequest, Transaction};
 use pointhook::transport::http::{ServerRequest, ServerResponse};
-use pointhook::transport::pause;
+use pointhook::transport::sleep;
 use std::rc::Rc;
 
 const DEFAULT_PAGE_LIMIT: usize = 1000;
@@ -100,6 +100,6 @@
         if !changes.events.is_empty() || cluster.now_ms() >= deadline {
             return ServerResponse::with_body(response.status, &changes);
         }
-        pause(WATCH_POLL_INTERVAL_MS).await;
+        sleep(WATCH_POLL_INTERVAL_MS).await;
     }
 }
--- a/crates/testkit/src/network/worker_loop.rs
+++ b/crates/testkit/src/network/worker_loop.rs
@@ -7,7 +7,7 @@
 use http_types::Method;
 use pointhook::protocol::workers::{DirectCommands, Heartbeat, HeartbeatResponse, NotOwner};
 use pointhook::transport::http::{listen, serve, Client, ServerRequest, ServerResponse};
-use pointhook::transport::pause;
+use pointhook::transport::sleep;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -44,13 +44,13 @@
         executor.clone(),
         listener,
         MAX_COMMAND_CONNECTIONS,
-        move |request| serve_commands(command_cluster.clone(), command_worker.clone(), request),
+        move |request| handle_request(command_cluster.clone(), command_worker.clone(), request),
     ));
     send_heartbeats(&cluster, &worker).await;
     command_server.cancel().await;
 }
 
-async fn serve_commands(
+async fn handle_request(
     cluster: Rc<LoopbackCluster>,
     worker: SharedWorker,
     request: ServerRequest,
@@ -83,7 +83,7 @@
         let (controller, delay_ms) = match next {
             NextHeartbeat::SameController => {
                 let jitter_ms = fastrand::u64(0..=interval_ms / 2);
-                pause(interval_ms * 3 / 4 + jitter_ms).await;
+                sleep(interval_ms * 3 / 4 + jitter_ms).await;
                 continue;
             }
             NextHeartbeat::RedirectedTo(owner) => (owner, REDIRECT_DELAY_MS),
@@ -91,7 +91,7 @@
         };
         current = controller;
         client = Client::new(controllers[current].addr);
-        pause(delay_ms).await;
+        sleep(delay_ms).await;
     }
 }
 
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -7,7 +7,7 @@
 
 /// Age of a heartbeat above which its response is dropped.
 const RESPONSE_TIMEOUT_MS: u64 = 4000;
-const ACCEPTED: u16 = 200;
+const OK: u16 = 200;
 const CONFLICT: u16 = 409;
 
 struct Task {
@@ -186,7 +186,7 @@
         }
         self.fencing_token = direct.fencing_token;
         self.execute(&direct.commands, now_ms);
-        ACCEPTED
+        OK
     }
 
     /// Ends all tasks with the reason `GangTimeout`: the wait for the other tasks of their gang has
--- a/examples/load.rs
+++ b/examples/load.rs
@@ -12,7 +12,7 @@
 use http_types::Method;
 use pointhook::protocol::users::{JobKind, JobSpec, JobStatus, Priority};
 use pointhook::transport::http::{listen, Client};
-use pointhook::transport::pause;
+use pointhook::transport::sleep;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -127,16 +127,16 @@
     executor: &Rc<LocalExecutor<'static>>,
     controllers: &[ControllerProcess],
 ) {
-    pause(START_UP_MS).await;
+    sleep(START_UP_MS).await;
     let users = simulate_users(cluster.clone(), executor.clone(), submit_interval_ms(args));
     executor.spawn(users).detach();
-    pause(args.seconds * 1000).await;
+    sleep(args.seconds * 1000).await;
     let pids = controllers.iter().filter_map(|c| c.program_pid());
     let pids: Vec<u32> = pids.collect();
     let before: Vec<ProcessUsage> = pids.iter().map(|pid| ProcessUsage::read(*pid)).collect();
     let heartbeats_before = cluster.answered_heartbeats.get();
     let starts_before = cluster.started_tasks.get();
-    pause(args.seconds * 1000).await;
+    sleep(args.seconds * 1000).await;
     let seconds = args.seconds as f64;
     println!(
         "{} machines, {:.1} heartbeats and {:.1} task starts per second, key-value store at revision {}",
@@ -225,7 +225,7 @@
     for number in 1u64.. {
         let controller = controllers[number as usize % controllers.len()].addr;
         executor.spawn(run_job(controller, number)).detach();
-        pause(submit_interval_ms).await;
+        sleep(submit_interval_ms).await;
     }
 }
 
@@ -243,11 +243,11 @@
         if submitted.is_ok_and(|answer| matches!(answer.status, 200 | 201)) {
             break;
         }
-        pause(SUBMIT_RETRY_MS).await;
+        sleep(SUBMIT_RETRY_MS).await;
     }
     let path = format!("/v1/jobs/{}", spec.id);
     for _ in 0..MAX_STATUS_POLLS {
-        pause(STATUS_POLL_INTERVAL_MS).await;
+        sleep(STATUS_POLL_INTERVAL_MS).await;
         if is_done(&client, &path).await {
             return;
         }
--- a/src/coordination/controller/clock.rs
+++ b/src/coordination/controller/clock.rs
@@ -81,7 +81,7 @@
     /// Waits for `ms` milliseconds, and detects a pause of the process.
     pub async fn sleep(&self, ms: u64) {
         let before = self.now();
-        crate::transport::pause(ms).await;
+        crate::transport::sleep(ms).await;
         self.detect_process_pause(before, ms);
     }
 
--- a/src/coordination/controller/tasks.rs
+++ b/src/coordination/controller/tasks.rs
@@ -1,7 +1,7 @@
 //! Starts background tasks, and restarts those that end.
 
 use super::Controller;
-use crate::transport::pause;
+use crate::transport::sleep;
 use futures_lite::FutureExt;
 use std::future::Future;
 use std::panic::AssertUnwindSafe;
@@ -30,7 +30,7 @@
                 Ok(()) => log::error!("background task ended, restarting: task={name}"),
                 Err(_) => log::error!("background task panicked, restarting: task={name}"),
             }
-            pause(RESTART_DELAY_MS).await;
+            sleep(RESTART_DELAY_MS).await;
         }
     };
     executor.spawn(supervised).detach();
--- a/src/coordination/heartbeats/apply.rs
+++ b/src/coordination/heartbeats/apply.rs
@@ -72,7 +72,7 @@
             now,
         };
         update_reachability(machine, &incoming);
-        record_sign_of_life(machine, heartbeat, owner_token, now);
+        record_last_heartbeat(machine, heartbeat, owner_token, now);
     }
     let failed_jobs = record_exits(machine, &tasks);
     record_status(machine, heartbeat, tasks, now);
@@ -124,7 +124,7 @@
 /// Records the version and fencing token of a heartbeat. The heartbeat proves that the machine is
 /// alive only if it shows the owner's token: a heartbeat with an older token may be a delayed
 /// duplicate from a machine that no longer exists.
-fn record_sign_of_life(
+fn record_last_heartbeat(
     machine: &mut Machine,
     heartbeat: &Heartbeat,
     owner_token: FencingToken,
--- a/src/coordination/job_api/retries.rs
+++ b/src/coordination/job_api/retries.rs
@@ -4,7 +4,7 @@
 use crate::coordination::kv::client::CommitOutcome;
 use crate::coordination::kv::fresh_reads::REFRESH_TIMEOUT_MS;
 use crate::transport::http::jittered;
-use crate::transport::pause;
+use crate::transport::sleep;
 
 /// Time limit for committing a submission or a cancellation, retries included.
 pub(super) const COMMIT_TIME_LIMIT_MS: u64 = 3500;
@@ -26,7 +26,7 @@
             true
         }
         CommitOutcome::REFUSED_BY_RATE_LIMIT => {
-            pause(jittered(RATE_LIMIT_RETRY_DELAY_MS)).await;
+            sleep(jittered(RATE_LIMIT_RETRY_DELAY_MS)).await;
             true
         }
         CommitOutcome::Refused(_) | CommitOutcome::Committed(_) => false,
--- a/src/coordination/kv/fresh_reads.rs
+++ b/src/coordination/kv/fresh_reads.rs
@@ -8,7 +8,7 @@
 use crate::coordination::controller::Controller;
 use crate::coordination::kv::watch::watch_once;
 use crate::state::units::MonotonicMillis;
-use crate::transport::pause;
+use crate::transport::sleep;
 use std::rc::Rc;
 
 /// Timeout that callers pass to [`Controller::refresh`], including the wait for the next read.
@@ -31,7 +31,7 @@
         controller.fresh_reads.notified(MAX_IDLE_MS).await;
         let left_ms = interval_ms.saturating_sub(controller.now().since(began));
         if left_ms > 0 {
-            pause(left_ms).await;
+            sleep(left_ms).await;
         }
         began = controller.now();
         let waiters = controller.fresh_reads.take_waiters();
@@ -58,7 +58,7 @@
         if loaded && watch_once(controller, 0).await {
             return true;
         }
-        pause(RETRY_DELAY_MS).await;
+        sleep(RETRY_DELAY_MS).await;
     }
     false
 }
--- a/src/coordination/kv/watch.rs
+++ b/src/coordination/kv/watch.rs
@@ -9,7 +9,7 @@
 use crate::state::cluster_state::KEY_PREFIX;
 use crate::state::units::MonotonicMillis;
 use crate::transport::http::{jittered, ClientResponse};
-use crate::transport::{pause, TransportError};
+use crate::transport::{sleep, TransportError};
 use http_types::Method;
 use std::collections::HashSet;
 use std::rc::Rc;
@@ -40,7 +40,7 @@
             read_all_records(&controller).await
         };
         if !up_to_date {
-            pause(jittered(RETRY_DELAY_MS)).await;
+            sleep(jittered(RETRY_DELAY_MS)).await;
         }
     }
 }
--- a/src/coordination/scheduler/planner.rs
+++ b/src/coordination/scheduler/planner.rs
@@ -22,7 +22,7 @@
 use crate::state::names::{Index, MachineIndex};
 use crate::state::units::MonotonicMillis;
 use crate::transport::http::jittered;
-use crate::transport::pause;
+use crate::transport::sleep;
 use standby::failover::Refusal;
 use standby::ids::Revision;
 use std::rc::Rc;
@@ -161,7 +161,7 @@
         }
         CommitOutcome::Refused(status) => {
             log::debug!("pass refused by the key-value store: status={status}");
-            pause(jittered(REFUSAL_PAUSE_MS)).await;
+            sleep(jittered(REFUSAL_PAUSE_MS)).await;
             false
         }
         CommitOutcome::Unknown => {
--- a/src/transport/executor_priorities.rs
+++ b/src/transport/executor_priorities.rs
@@ -48,7 +48,7 @@
             busy_rounds = if found_requests { busy_rounds + 1 } else { 0 };
             if busy_rounds >= BUSY_ROUNDS_BEFORE_SLEEP {
                 busy_rounds = 0;
-                super::pause(SLEEP_MS).await;
+                super::sleep(SLEEP_MS).await;
             } else if found_requests {
                 // Let the reactor poll the sockets, so that a response to a background task is
                 // not delayed.
--- a/src/transport/frames.rs
+++ b/src/transport/frames.rs
@@ -67,7 +67,7 @@
             Ok(accepted) => accepted,
             Err(e) => {
                 log::warn!("accept failed: error={e}");
-                super::pause(ACCEPT_RETRY_MS).await;
+                super::sleep(ACCEPT_RETRY_MS).await;
                 continue;
             }
         };
--- a/src/transport/http/server.rs
+++ b/src/transport/http/server.rs
@@ -10,7 +10,7 @@
 use super::message::{requests_close, send, Stream, MESSAGE_PACK};
 use super::request_reading::PrefetchedStream;
 use crate::transport::executor_priorities::ExecutorPriorities;
-use crate::transport::{disable_nagle, pause, within, ConnectionSlot};
+use crate::transport::{disable_nagle, sleep, within, ConnectionSlot};
 use async_dup::Arc;
 use async_executor::LocalExecutor;
 use async_h1::server::Encoder;
@@ -135,7 +135,7 @@
             Ok(accepted) => accepted,
             Err(e) => {
                 log::warn!("accept failed: error={e}");
-                pause(ACCEPT_RETRY_MS).await;
+                sleep(ACCEPT_RETRY_MS).await;
                 continue;
             }
         };
--- a/src/transport/mod.rs
+++ b/src/transport/mod.rs
@@ -106,7 +106,7 @@
 }
 
 /// Waits for `ms` milliseconds.
-pub async fn pause(ms: u64) {
+pub async fn sleep(ms: u64) {
     Deadline::after(ms).await;
 }
 
