--- a/crates/testkit/src/failover_measurement/mod.rs
+++ b/crates/testkit/src/failover_measurement/mod.rs
@@ -15,7 +15,7 @@
 use async_executor::LocalExecutor;
 use hdrhistogram::Histogram;
 use pointhook::transport::http::listen;
-use pointhook::transport::pause;
+use pointhook::transport::sleep;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -69,7 +69,7 @@
 #[derive(Debug)]
 pub struct Measurement {
     /// Time from each interruption to the first decision of the next owner, in milliseconds; `None`
-    /// if the interrupted controller kept its shard.
+    /// if the owner was paused and no other controller decided for its shard during the pause.
     pub failover_times_ms: Vec<Option<u64>>,
     /// Recorded events of the run, in order.
     pub history: Vec<Entry>,
@@ -205,7 +205,7 @@
         if let Some(found) = condition() {
             return Some(found);
         }
-        pause(POLL_INTERVAL_MS).await;
+        sleep(POLL_INTERVAL_MS).await;
     }
     None
 }
--- a/src/transport/executor_priorities.rs
+++ b/src/transport/executor_priorities.rs
@@ -11,9 +11,9 @@
 
 /// The executors of one thread, by priority.
 ///
-/// An overloaded controller must above all renew its lease and follow the records. If it loses its
-/// shards because it is late, all machines of those shards move to other overloaded controllers,
-/// and none of them recovers.
+/// An overloaded controller must above all renew its lease and keep up with changed records. If it
+/// loses its shards because it is late, all machines of those shards move to other overloaded
+/// controllers, and none of them recovers.
 #[derive(Clone, Default)]
 pub struct ExecutorPriorities {
     /// Background tasks with a bounded amount of work: lease, records, planning, peers.
@@ -48,7 +48,7 @@
             busy_rounds = if found_requests { busy_rounds + 1 } else { 0 };
             if busy_rounds >= BUSY_ROUNDS_BEFORE_SLEEP {
                 busy_rounds = 0;
-                super::pause(SLEEP_MS).await;
+                super::sleep(SLEEP_MS).await;
             } else if found_requests {
                 // Let the reactor poll the sockets, so that a response to a background task is
                 // not delayed.
